--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,7 @@
 MODULES := bench cmd fakes fleet flow node plat platform proof
 TOOLS := $(CURDIR)/.tools
 LINT_VERSION := v2.15.0
+GOPLS_VERSION := v0.22.0
 LINT := $(shell command -v golangci-lint || echo $(TOOLS)/golangci-lint)
 BIN := bin
 SEED ?= 1
@@ -24,9 +25,11 @@
 # test runs formatter, linter, vet, build and every test.
 test: tools lint check build unit
 
+# tools installs the linter, and gopls for renames.
 tools:
 	@command -v golangci-lint >/dev/null || test -x $(TOOLS)/golangci-lint || \
 	  GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
+	@test -x $(TOOLS)/gopls || GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
 
 lint:
 	@out=$$(gofmt -l $(MODULES)); test -z "$$out" || { echo "not formatted: $$out"; exit 1; }
