--- a/node/owner/carry.go
+++ b/node/owner/carry.go
@@ -18,9 +18,9 @@
 
 // Times of carrying.
 const (
-	gatherFor   = 4 * time.Millisecond // answers that come within it go together.
-	sessionIdle = 15 * time.Second     // a session that nobody asks for is dropped.
-	maxCarry    = 20_000               // orders under way for one session.
+	answerBatchWindow  = 4 * time.Millisecond // answers that come within it go together.
+	sessionIdleTimeout = 15 * time.Second     // a session that nobody asks for is dropped.
+	maxSessionOrders   = 20_000               // orders under way for one session.
 )
 
 // Carrier makes calls for owners.
@@ -37,11 +37,11 @@
 
 // session is the calls for one term of an owner.
 type session struct {
-	mu      sync.Mutex
-	answers []*desk.Answer
-	news    chan struct{}
-	busy    int
-	used    time.Time
+	mu       sync.Mutex
+	answers  []*desk.Answer
+	answered chan struct{}
+	inFlight int
+	lastUsed time.Time
 }
 
 // NewCarrier returns a carrier whose calls end with ctx.
@@ -54,16 +54,16 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for n, s := range c.sessions {
-		if now.Sub(s.used) > sessionIdle {
+		if now.Sub(s.lastUsed) > sessionIdleTimeout {
 			delete(c.sessions, n)
 		}
 	}
 	s := c.sessions[id]
 	if s == nil {
-		s = &session{news: make(chan struct{}, 1)}
+		s = &session{answered: make(chan struct{}, 1)}
 		c.sessions[id] = s
 	}
-	s.used = now
+	s.lastUsed = now
 	return s
 }
 
@@ -71,10 +71,10 @@
 func (c *Carrier) Carry(ctx context.Context, r *desk.CarryRequest) (*desk.CarryReply, error) {
 	s := c.session(r.GetSession())
 	for _, o := range r.GetOrders() {
-		c.begin(s, o)
+		c.start(s, o)
 	}
 	if r.GetWaitMs() > 0 {
-		s.wait(ctx, time.Duration(r.GetWaitMs())*time.Millisecond)
+		s.waitAnswers(ctx, time.Duration(r.GetWaitMs())*time.Millisecond)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,40 +83,40 @@
 	return a, nil
 }
 
-// wait returns once there is an answer and those that come soon after it, or after d.
-func (s *session) wait(ctx context.Context, d time.Duration) {
+// waitAnswers returns once there is an answer and those that come soon after it, or after d.
+func (s *session) waitAnswers(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-s.news:
-		time.Sleep(gatherFor)
+	case <-s.answered:
+		time.Sleep(answerBatchWindow)
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-func (c *Carrier) begin(s *session, o *desk.Order) {
+func (c *Carrier) start(s *session, o *desk.Order) {
 	s.mu.Lock()
-	full := s.busy >= maxCarry
-	s.busy++
+	full := s.inFlight >= maxSessionOrders
+	s.inFlight++
 	s.mu.Unlock()
 	if full {
-		s.put(&desk.Answer{Id: o.GetId(), Result: int32(batch.NotSent)})
+		s.addAnswer(&desk.Answer{Id: o.GetId(), Result: int32(batch.NotSent)})
 		return
 	}
 	c.group.Go(func() error {
-		s.put(c.call(o))
+		s.addAnswer(c.call(o))
 		return nil
 	})
 }
 
-func (s *session) put(a *desk.Answer) {
+func (s *session) addAnswer(a *desk.Answer) {
 	s.mu.Lock()
 	s.answers = append(s.answers, a)
-	s.busy--
+	s.inFlight--
 	s.mu.Unlock()
 	select {
-	case s.news <- struct{}{}:
+	case s.answered <- struct{}{}:
 	default:
 	}
 }
--- a/node/owner/former.go
+++ b/node/owner/former.go
@@ -19,13 +19,13 @@
 
 // Times of the end of a term.
 const (
-	leaveWithin = 800 * time.Millisecond // of the time that a process has to stop.
-	probeEvery  = 400 * time.Millisecond
-	probeWithin = 300 * time.Millisecond
+	handoverTimeout = 800 * time.Millisecond // of the time that a process has to stop.
+	probeInterval   = 400 * time.Millisecond
+	probeTimeout    = 300 * time.Millisecond
 )
 
-// former is the last process that gave orders.
-type former struct {
+// termRecord is the last process that gave orders.
+type termRecord struct {
 	Fence  int64        `json:"fence"`
 	Holder string       `json:"holder"`
 	Left   bool         `json:"left"`   // it gives no orders any more.
@@ -33,20 +33,20 @@
 	rev    keyval.Revision
 }
 
-// blind is how long its orders may still be carried out, or extend a lease, at workers that are out of reach.
-func (f former) blind() time.Duration {
+// orderLifetime is how long its orders may still be carried out, or extend a lease, at workers that are out of reach.
+func (f termRecord) orderLifetime() time.Duration {
 	switch {
 	case f.Fence == 0:
 		return 0
 	case f.Left:
-		return leaseFor
+		return maxWorkerLease
 	}
-	return blindFor
+	return maxOrderLifetime
 }
 
-// enter notes this term in the store before any order is given, and returns the one before.
-func (t *term) enter(ctx context.Context) (former, error) {
-	var f former
+// recordStart notes this term in the store before any order is given, and returns the one before.
+func (t *term) recordStart(ctx context.Context) (termRecord, error) {
+	var f termRecord
 	i, err := t.o.store.Get(ctx, termKey)
 	if err != nil {
 		return f, err
@@ -57,77 +57,77 @@
 		}
 	}
 	if f.Fence == int64(t.fence) { // an earlier try was written, and what came before it is not known.
-		return former{Fence: f.Fence}, nil
+		return termRecord{Fence: f.Fence}, nil
 	}
 	f.rev = i.Rev()
-	return f, t.note(ctx, former{Fence: int64(t.fence), Holder: t.o.holder}, i.Rev())
+	return f, t.writeRecord(ctx, termRecord{Fence: int64(t.fence), Holder: t.o.holder}, i.Rev())
 }
 
-// note writes the term's record under the claim.
-func (t *term) note(ctx context.Context, f former, rev keyval.Revision) error {
+// writeRecord writes the term's record under the claim.
+func (t *term) writeRecord(ctx context.Context, f termRecord, rev keyval.Revision) error {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return eris.Wrap(err, "term cannot be encoded")
 	}
 	r, err := t.o.store.Txn(ctx, keyval.Txn{
-		Guards: []keyval.Guard{t.claim(), {Key: termKey, Rev: rev}}, Writes: []keyval.Write{{Key: termKey, Value: b}},
+		Guards: []keyval.Guard{t.claimGuard(), {Key: termKey, Rev: rev}}, Writes: []keyval.Write{{Key: termKey, Value: b}},
 	})
 	var c *keyval.ConflictError
 	if errors.As(err, &c) {
 		for _, i := range c.Items() {
 			if i.Key() == ClaimKey && i.Rev() != t.fence {
-				return errDeposed
+				return errClaimLost
 			}
 		}
 	}
 	if err == nil {
-		t.rev.Store(int64(r))
+		t.recordRev.Store(int64(r))
 	}
 	return err
 }
 
-// leave notes that this process gives no orders any more; a successor that cannot read it waits longer.
-func (t *term) leave(ctx context.Context) {
-	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWithin)
+// recordHandover notes that this process gives no orders any more; a successor that cannot read it waits longer.
+func (t *term) recordHandover(ctx context.Context) {
+	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
 	defer cancel()
-	rev := keyval.Revision(t.rev.Load())
+	rev := keyval.Revision(t.recordRev.Load())
 	if rev == 0 {
 		return
 	}
-	err := t.note(c, former{Fence: int64(t.fence), Holder: t.o.holder, Left: true, Orders: t.o.lastOrders.Load().orders}, rev)
+	err := t.writeRecord(c, termRecord{Fence: int64(t.fence), Holder: t.o.holder, Left: true, Orders: t.o.lastOrders.Load().orders}, rev)
 	t.o.log.Info().Int64("fence", int64(t.fence)).Bool("noted", err == nil).Msg("ownership handed over")
 }
 
-// probe asks the former owner's address until another process answers there, or it says that it gives no orders any more.
-func (t *term) probe(ctx context.Context, f former) error {
+// probeFormer asks the former owner's address until another process answers there, or it says that it gives no orders any more.
+func (t *term) probeFormer(ctx context.Context, f termRecord) error {
 	if f.Left {
-		t.tell(ctx, batch.OrdersMsg{Orders: f.Orders})
+		t.send(ctx, batch.OrdersMsg{Orders: f.Orders})
 		return nil
 	}
 	if f.Holder == "" {
 		return nil
 	}
 	addr, _, _ := strings.Cut(f.Holder, "/")
-	end := time.Now().Add(blindFor)
+	end := time.Now().Add(maxOrderLifetime)
 	for ctx.Err() == nil && time.Now().Before(end) {
-		c, cancel := context.WithTimeout(ctx, probeWithin)
+		c, cancel := context.WithTimeout(ctx, probeTimeout)
 		r, err := t.o.peers.At(addr).Term(c, &desk.TermRequest{})
 		cancel()
 		if err == nil && (r.GetHolder() != f.Holder || r.GetFence() != f.Fence) {
 			t.o.log.Info().Str("peer", addr).Int64("former", f.Fence).Bool("sameProcess", r.GetHolder() == f.Holder).Msg("former owner is gone")
-			t.tell(ctx, batch.BlindMsg{ForMs: leaseFor.Milliseconds()})
-			t.tell(ctx, batch.OrdersMsg{Orders: batch.Orders{AgeMs: r.GetOrderedMs(), SpanMs: r.GetSpanMs()}})
+			t.send(ctx, batch.BlindMsg{ForMs: maxWorkerLease.Milliseconds()})
+			t.send(ctx, batch.OrdersMsg{Orders: batch.Orders{AgeMs: r.GetOrderedMs(), SpanMs: r.GetSpanMs()}})
 			return nil
 		}
-		t.pause(ctx, probeEvery)
+		t.sleep(ctx, probeInterval)
 	}
 	return nil
 }
 
 // lastOrders is what this process ordered until its last term ended.
 type lastOrders struct {
-	at     int64 // steady ms
-	orders batch.Orders
+	recordedMs int64 // steady ms
+	orders     batch.Orders
 }
 
 // Term implements desk.Desk.
@@ -136,6 +136,6 @@
 		return &desk.TermReply{Holder: o.holder, Fence: int64(t.fence)}, nil
 	}
 	p := o.lastOrders.Load()
-	a := p.orders.Aged(o.now() - p.at)
+	a := p.orders.Aged(o.now() - p.recordedMs)
 	return &desk.TermReply{Holder: o.holder, OrderedMs: a.AgeMs, SpanMs: a.SpanMs}, nil
 }
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -15,11 +15,11 @@
 
 // Helpers of an owner.
 const (
-	helpersEvery  = time.Second            // between two looks at who can help.
-	collectWait   = 800 * time.Millisecond // of one request for answers.
-	carryWithin   = 1500 * time.Millisecond
-	helperRest    = 5 * time.Second // a helper that did not answer gets no calls for so long.
-	helperStarted = 200             // orders that one request carries at most.
+	chooseInterval      = time.Second            // between two looks at who can help.
+	collectTimeout      = 800 * time.Millisecond // of one request for answers.
+	carryTimeout        = 1500 * time.Millisecond
+	helperCooldown      = 5 * time.Second // a helper that did not answer gets no calls for so long.
+	maxOrdersPerRequest = 200             // orders that one request carries at most.
 )
 
 // Entries knows which entries can make calls for an owner, the ablest first.
@@ -32,35 +32,35 @@
 	t    *term
 	addr string
 
-	mu     sync.Mutex
-	next   uint64
-	queue  []*desk.Order
-	under  map[uint64]order // under way.
-	wake   chan struct{}    // calls are queued.
-	work   chan struct{}    // calls are under way.
-	failed time.Time
+	mu            sync.Mutex
+	lastID        uint64
+	queue         []*desk.Order
+	inFlight      map[uint64]pendingOrder // under way.
+	sendSignal    chan struct{}           // calls are queued.
+	collectSignal chan struct{}           // calls are under way.
+	failedAt      time.Time
 }
 
 func newHelper(t *term, addr string) *helper {
-	return &helper{t: t, addr: addr, under: map[uint64]order{}, wake: make(chan struct{}, 1), work: make(chan struct{}, 1)}
+	return &helper{t: t, addr: addr, inFlight: map[uint64]pendingOrder{}, sendSignal: make(chan struct{}, 1), collectSignal: make(chan struct{}, 1)}
 }
 
-// order is a call that a helper makes.
-type order struct {
-	cmd  batch.Cmd
-	sent int64
+// pendingOrder is a call that a helper makes.
+type pendingOrder struct {
+	cmd    batch.Cmd
+	sentMs int64
 }
 
 // helpers are chosen anew every second; workers stay with their helper while it answers. Lock order: helpers, then helper.
 type helpers struct {
-	mu   sync.Mutex
-	all  map[string]*helper
-	used []*helper
+	mu     sync.Mutex
+	byAddr map[string]*helper
+	active []*helper
 }
 
-// manage keeps as many helpers as the number of workers asks for.
-func (t *term) manage(ctx context.Context) error {
-	k := time.NewTicker(helpersEvery)
+// manageHelpers keeps as many helpers as the number of workers asks for.
+func (t *term) manageHelpers(ctx context.Context) error {
+	k := time.NewTicker(chooseInterval)
 	defer k.Stop()
 	for {
 		t.chooseHelpers(ctx)
@@ -73,7 +73,7 @@
 }
 
 func (t *term) chooseHelpers(ctx context.Context) {
-	n := int(t.workers.Load()) / t.o.set.HelperWorkers
+	n := int(t.workerCount.Load()) / t.o.settings.HelperWorkers
 	h := &t.helpers
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,21 +82,21 @@
 		if len(use) >= n {
 			break
 		}
-		p := h.all[a]
+		p := h.byAddr[a]
 		if p == nil {
 			p = newHelper(t, a)
-			h.all[a] = p
+			h.byAddr[a] = p
 			t.group.Go(func() error { return p.send(ctx) })
 			t.group.Go(func() error { return p.collect(ctx) })
 		}
-		if p.rested() {
+		if p.cooledDown() {
 			use = append(use, p)
 		}
 	}
-	if !slices.Equal(use, h.used) {
+	if !slices.Equal(use, h.active) {
 		t.o.log.Info().Int("helpers", len(use)).Int64("fence", int64(t.fence)).Msg("helpers chosen")
 	}
-	h.used = use
+	h.active = use
 }
 
 // helperOf returns the helper for a worker's calls, nil when the owner makes them itself. By rendezvous hashing a worker keeps its
@@ -107,7 +107,7 @@
 	defer h.mu.Unlock()
 	var best *helper
 	high := uint64(0)
-	for _, p := range h.used {
+	for _, p := range h.active {
 		if n := xxhash.Sum64String(worker + p.addr); best == nil || n > high {
 			best, high = p, n
 		}
@@ -115,22 +115,22 @@
 	return best
 }
 
-func (p *helper) rested() bool {
+func (p *helper) cooledDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.failed) > helperRest
+	return time.Since(p.failedAt) > helperCooldown
 }
 
-// push queues a call.
-func (p *helper) push(c batch.Cmd) {
+// enqueue queues a call.
+func (p *helper) enqueue(c batch.Cmd) {
 	p.mu.Lock()
-	p.next++
+	p.lastID++
 	o := encodeOrder(c)
-	o.Id = p.next
+	o.Id = p.lastID
 	p.queue = append(p.queue, o)
-	p.under[p.next] = order{cmd: c, sent: p.t.o.now()}
+	p.inFlight[p.lastID] = pendingOrder{cmd: c, sentMs: p.t.o.now()}
 	p.mu.Unlock()
-	for _, c := range []chan struct{}{p.wake, p.work} {
+	for _, c := range []chan struct{}{p.sendSignal, p.collectSignal} {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -153,26 +153,26 @@
 	panic(fmt.Sprintf("owner: %T cannot be carried", c)) // a defect of perform.
 }
 
-func (p *helper) session() string { return fmt.Sprintf("%s/%d", p.t.o.holder, p.t.fence) }
+func (p *helper) sessionID() string { return fmt.Sprintf("%s/%d", p.t.o.holder, p.t.fence) }
 
 // send passes queued calls on.
 func (p *helper) send(ctx context.Context) error {
 	for {
 		select {
-		case <-p.wake:
+		case <-p.sendSignal:
 		case <-ctx.Done():
 			return nil
 		}
 		for {
 			p.mu.Lock()
-			n := min(len(p.queue), helperStarted)
+			n := min(len(p.queue), maxOrdersPerRequest)
 			l := p.queue[:n]
 			p.queue = p.queue[n:]
 			p.mu.Unlock()
 			if n == 0 {
 				break
 			}
-			p.carry(ctx, &desk.CarryRequest{Session: p.session(), Orders: l})
+			p.exchange(ctx, &desk.CarryRequest{Session: p.sessionID(), Orders: l})
 		}
 	}
 }
@@ -181,46 +181,46 @@
 func (p *helper) collect(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		idle := len(p.under) == 0
+		idle := len(p.inFlight) == 0
 		p.mu.Unlock()
 		if idle {
 			select {
-			case <-p.work:
+			case <-p.collectSignal:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		p.carry(ctx, &desk.CarryRequest{Session: p.session(), WaitMs: collectWait.Milliseconds()})
+		p.exchange(ctx, &desk.CarryRequest{Session: p.sessionID(), WaitMs: collectTimeout.Milliseconds()})
 	}
 	return nil
 }
 
-// carry makes one request; when it fails, nothing is known of the calls that are under way.
-func (p *helper) carry(ctx context.Context, r *desk.CarryRequest) {
-	c, cancel := context.WithTimeout(ctx, carryWithin)
+// exchange makes one request; when it fails, nothing is known of the calls that are under way.
+func (p *helper) exchange(ctx context.Context, r *desk.CarryRequest) {
+	c, cancel := context.WithTimeout(ctx, carryTimeout)
 	defer cancel()
 	a, err := p.t.o.peers.At(p.addr).Carry(c, r)
 	if err != nil {
-		p.lose(ctx, err)
+		p.fail(ctx, err)
 		return
 	}
 	for _, x := range a.GetAnswers() {
 		p.mu.Lock()
-		o, ok := p.under[x.GetId()]
-		delete(p.under, x.GetId())
+		o, ok := p.inFlight[x.GetId()]
+		delete(p.inFlight, x.GetId())
 		p.mu.Unlock()
 		if ok {
-			p.t.tell(ctx, o.answer(x))
+			p.t.send(ctx, o.toMsg(x))
 		}
 	}
 }
 
-// lose tells the model that the calls under way have no answer.
-func (p *helper) lose(ctx context.Context, err error) {
+// fail tells the model that the calls under way have no answer.
+func (p *helper) fail(ctx context.Context, err error) {
 	p.mu.Lock()
-	l := p.under
-	p.under, p.queue = map[uint64]order{}, nil
-	p.failed = time.Now()
+	l := p.inFlight
+	p.inFlight, p.queue = map[uint64]pendingOrder{}, nil
+	p.failedAt = time.Now()
 	p.mu.Unlock()
 	if ctx.Err() != nil {
 		return
@@ -229,20 +229,20 @@
 	p.t.o.peers.Reset(p.addr)
 	p.t.chooseHelpers(ctx)
 	for _, o := range l {
-		p.t.tell(ctx, o.answer(&desk.Answer{Result: int32(batch.NoAnswer)}))
+		p.t.send(ctx, o.toMsg(&desk.Answer{Result: int32(batch.NoAnswer)}))
 	}
 }
 
-// answer returns the message to the model.
-func (o order) answer(a *desk.Answer) batch.Msg {
+// toMsg returns the message to the model.
+func (o pendingOrder) toMsg(a *desk.Answer) batch.Msg {
 	r := batch.Result(a.GetResult())
 	switch k := o.cmd.(type) {
 	case batch.HoldCmd:
-		return decodeHeld(a, k.Worker, o.sent)
+		return decodeHeld(a, k.Worker, o.sentMs)
 	case batch.StopCmd:
-		return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sent}
+		return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
 	case batch.StartCmd:
-		return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sent}
+		return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
 	}
 	panic(fmt.Sprintf("owner: %T was carried", o.cmd)) // a defect of push.
 }
--- a/node/owner/helper_test.go
+++ b/node/owner/helper_test.go
@@ -135,9 +135,9 @@
 	is.NoErr(err)
 	p := &path{Listener: pl, to: l.Addr().String()}
 	p.wg.Go(func() error { p.serve(); return nil })
-	o := &Owner{log: zerolog.New(io.Discard), peers: desk.NewClient(), holder: "h/1", zero: time.Now(), entries: nobody{}, set: Settings{HelperWorkers: 60}}
-	m := &term{o: o, fence: 7, in: make(chan batch.Msg, queueMsgs), group: g}
-	m.helpers.all = map[string]*helper{}
+	o := &Owner{log: zerolog.New(io.Discard), peers: desk.NewClient(), holder: "h/1", started: time.Now(), entries: nobody{}, settings: Settings{HelperWorkers: 60}}
+	m := &term{o: o, fence: 7, msgs: make(chan batch.Msg, maxQueuedMsgs), group: g}
+	m.helpers.byAddr = map[string]*helper{}
 	h := newHelper(m, pl.Addr().String())
 	g.Go(func() error { return h.send(ctx) })
 	g.Go(func() error { return h.collect(ctx) })
@@ -156,7 +156,7 @@
 func (p *helper) waiting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.under)
+	return len(p.inFlight)
 }
 
 // nobody has no entries that help.
@@ -173,9 +173,9 @@
 		const orders = 400
 		for i := range orders {
 			if i%2 == 0 {
-				h.push(batch.HoldCmd{Worker: string(rune('a' + i%20)), LastSeen: int64(i)})
+				h.enqueue(batch.HoldCmd{Worker: string(rune('a' + i%20)), LastSeen: int64(i)})
 			} else {
-				h.push(batch.StopCmd{Worker: "w", Task: batch.TaskName{Job: "0123456789abcdef", Index: i}, Run: 1})
+				h.enqueue(batch.StopCmd{Worker: "w", Task: batch.TaskName{Job: "0123456789abcdef", Index: i}, Run: 1})
 			}
 			switch rnd.IntN(40) {
 			case 0:
@@ -189,7 +189,7 @@
 		late := time.After(20 * time.Second) // ten times the longest request.
 		for range orders {
 			select {
-			case <-m.in:
+			case <-m.msgs:
 			case <-late:
 				t.Fatalf("seed %d: %d orders have no answer", seed, h.waiting())
 			}
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -32,14 +32,14 @@
 	// ClaimTTL is how soon another process may take the claim of a silent owner; the store grants no less than 1 s.
 	ClaimTTL = 1200 * time.Millisecond
 	// ClaimPatience is how long an owner that cannot reach the store goes on driving workers: store outages are mostly shorter.
-	ClaimPatience = 7 * time.Second
-	leaseFor      = 5500 * time.Millisecond             // the longest lease that an owner asks of workers, on a slow clock.
-	blindFor      = ClaimPatience + ClaimTTL + leaseFor // after a former owner that may go on: its last order, and that lease.
-	loadRetry     = 100 * time.Millisecond
-	workersWait   = time.Second // of one watch.
-	queueMsgs     = 4096
-	batchMsgs     = 256 // messages taken in before the model is asked what follows.
-	maxWaiters    = 4096
+	ClaimPatience      = 7 * time.Second
+	maxWorkerLease     = 5500 * time.Millisecond                   // the longest lease that an owner asks of workers, on a slow clock.
+	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // after a former owner that may go on: its last order, and that lease.
+	retryInterval      = 100 * time.Millisecond
+	workerWatchTimeout = time.Second // of one watch.
+	maxQueuedMsgs      = 4096
+	maxMsgsPerRound    = 256 // messages taken in before the model is asked what follows.
+	maxPendingRequests = 4096
 )
 
 // Store is what an owner needs of the platform's store.
@@ -90,7 +90,7 @@
 	format   Format
 	board    *board.Board
 	lease    *lease.Lease
-	set      Settings
+	settings Settings
 	log      zerolog.Logger
 	stats    *stats.Set
 
@@ -99,8 +99,8 @@
 	entries    Entries
 	holder     string
 	term       atomic.Pointer[term]
-	zero       time.Time
-	yield      atomic.Bool
+	started    time.Time
+	yielding   atomic.Bool
 	lastOrders atomic.Pointer[lastOrders]
 }
 
@@ -124,7 +124,7 @@
 func New(p Parts, s Settings) *Owner {
 	o := &Owner{
 		store: p.Store, workers: p.Workers, machines: p.Machines, format: p.Format, board: p.Board, lease: p.Lease,
-		set: s, log: p.Log, stats: p.Stats, peers: p.Peers, Carrier: p.Carrier, entries: p.Entries, holder: p.Holder, zero: time.Now(),
+		settings: s, log: p.Log, stats: p.Stats, peers: p.Peers, Carrier: p.Carrier, entries: p.Entries, holder: p.Holder, started: time.Now(),
 	}
 	o.lastOrders.Store(&lastOrders{})
 	return o
@@ -133,13 +133,13 @@
 // Yield ends the term, if there is one, and gives the claim up.
 func (o *Owner) Yield() {
 	if t := o.term.Load(); t != nil {
-		o.yield.Store(true)
+		o.yielding.Store(true)
 		t.stop()
 	}
 }
 
 // now is the steady time in ms.
-func (o *Owner) now() int64 { return time.Since(o.zero).Milliseconds() }
+func (o *Owner) now() int64 { return time.Since(o.started).Milliseconds() }
 
 // Run takes the jobs over each time the claim is held, until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
@@ -152,19 +152,19 @@
 			}
 			continue
 		}
-		if err := o.serve(ctx, f); err != nil && ctx.Err() == nil {
+		if err := o.runTerm(ctx, f); err != nil && ctx.Err() == nil {
 			o.log.Warn().Int64("fence", int64(f)).Str("reason", err.Error()).Msg("ownership ended")
 		}
-		if o.yield.Swap(false) {
+		if o.yielding.Swap(false) {
 			o.lease.Yield()
 		}
-		o.await(ctx, f)
+		o.waitClaimLost(ctx, f)
 	}
 	return nil
 }
 
-// await returns once the claim of fence f is not kept any more.
-func (o *Owner) await(ctx context.Context, f keyval.Revision) {
+// waitClaimLost returns once the claim of fence f is not kept any more.
+func (o *Owner) waitClaimLost(ctx context.Context, f keyval.Revision) {
 	for ctx.Err() == nil {
 		if g, ok := o.lease.Kept(); !ok || g != f {
 			return
@@ -172,82 +172,82 @@
 		o.lease.Nudge()
 		select {
 		case <-o.lease.Moved():
-		case <-time.After(loadRetry):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// errDeposed ends a term.
-var errDeposed = errors.New("another owner has the claim")
+// errClaimLost ends a term.
+var errClaimLost = errors.New("another owner has the claim")
 
 // term is the time during which this process holds one claim.
 type term struct {
 	o     *Owner
 	fence keyval.Revision
 	model *batch.Model
-	in    chan batch.Msg
+	msgs  chan batch.Msg
 	calls chan batch.Cmd
 	group *errgroup.Group
 
-	mu      sync.Mutex
-	next    uint64
-	waiters map[uint64]chan batch.ReplyCmd
-	asks    chan ask
-	rev     atomic.Int64 // of the term's record.
-	helpers helpers
-	workers atomic.Int64 // that are listed.
-	stop    func()
+	mu          sync.Mutex
+	lastRef     uint64
+	pending     map[uint64]chan batch.ReplyCmd
+	queries     chan modelQuery
+	recordRev   atomic.Int64 // of the term's record.
+	helpers     helpers
+	workerCount atomic.Int64 // that are listed.
+	stop        func()
 }
 
-// ask has f called with the model between two messages.
-type ask struct {
+// modelQuery has f called with the model between two messages.
+type modelQuery struct {
 	f    func(*batch.Model)
 	done chan struct{}
 }
 
-func (o *Owner) serve(ctx context.Context, f keyval.Revision) error {
-	c := o.set.Model
+func (o *Owner) runTerm(ctx context.Context, f keyval.Revision) error {
+	c := o.settings.Model
 	c.Fence, c.Now, c.WallMs = int64(f), o.now(), time.Now().UnixMilli()
 	t := &term{
-		o: o, fence: f, model: batch.New(c), in: make(chan batch.Msg, queueMsgs),
-		waiters: map[uint64]chan batch.ReplyCmd{}, asks: make(chan ask), calls: make(chan batch.Cmd, callers),
+		o: o, fence: f, model: batch.New(c), msgs: make(chan batch.Msg, maxQueuedMsgs),
+		pending: map[uint64]chan batch.ReplyCmd{}, queries: make(chan modelQuery), calls: make(chan batch.Cmd, callGoroutines),
 	}
 	o.log.Info().Int64("fence", int64(f)).Msg("ownership begins")
 	o.stats.Add("terms", 1)
 	own, stop := context.WithCancel(ctx)
 	defer stop()
 	t.stop = stop
-	t.helpers.all = map[string]*helper{}
+	t.helpers.byAddr = map[string]*helper{}
 	g, d := errgroup.WithContext(own)
 	t.group = g
 	o.term.Store(t)
 	defer o.term.CompareAndSwap(t, nil)
-	g.Go(func() error { return t.guard(d) })
-	g.Go(func() error { return t.load(d) })
-	g.Go(func() error { return t.follow(d) })
+	g.Go(func() error { return t.watchClaim(d) })
+	g.Go(func() error { return t.loadRecords(d) })
+	g.Go(func() error { return t.watchWorkers(d) })
 	g.Go(func() error { return t.watchBoard(d) })
-	g.Go(func() error { return t.manage(d) })
-	for range callers {
-		g.Go(func() error { return t.work(d) })
+	g.Go(func() error { return t.manageHelpers(d) })
+	for range callGoroutines {
+		g.Go(func() error { return t.makeCalls(d) })
 	}
-	g.Go(func() error { return t.loop(d) })
+	g.Go(func() error { return t.runModel(d) })
 	err := g.Wait()
-	o.lastOrders.Store(&lastOrders{at: o.now(), orders: t.model.Orders(o.now())})
-	t.abandon()
+	o.lastOrders.Store(&lastOrders{recordedMs: o.now(), orders: t.model.Orders(o.now())})
+	t.abandonPending()
 	if own.Err() != nil {
-		t.leave(ctx)
+		t.recordHandover(ctx)
 	}
 	return err
 }
 
-// guard ends the term when the claim is given up.
-func (t *term) guard(ctx context.Context) error {
+// watchClaim ends the term when the claim is given up.
+func (t *term) watchClaim(ctx context.Context) error {
 	k := time.NewTicker(ClaimTTL / 10)
 	defer k.Stop()
 	for {
 		if f, ok := t.o.lease.Kept(); !ok || f != t.fence {
-			return errDeposed
+			return errClaimLost
 		}
 		select {
 		case <-k.C:
@@ -257,36 +257,36 @@
 	}
 }
 
-// load reads the records of the former owner.
-func (t *term) load(ctx context.Context) error {
+// loadRecords reads the records of the former owner.
+func (t *term) loadRecords(ctx context.Context) error {
 	for ctx.Err() == nil {
-		former, err := t.enter(ctx)
+		former, err := t.recordStart(ctx)
 		var m batch.LoadedMsg
 		if err == nil {
-			m, err = t.o.read(ctx)
+			m, err = t.o.readRecords(ctx)
 		}
 		if err == nil {
-			m.BlindMs = former.blind().Milliseconds()
-			t.tell(ctx, m)
-			return t.probe(ctx, former)
+			m.BlindMs = former.orderLifetime().Milliseconds()
+			t.send(ctx, m)
+			return t.probeFormer(ctx, former)
 		}
 		t.o.log.Warn().Str("step", "load").Str("reason", err.Error()).Msg("records not read")
-		if errors.Is(err, errDeposed) {
+		if errors.Is(err, errClaimLost) {
 			return err
 		}
-		t.pause(ctx, loadRetry)
+		t.sleep(ctx, retryInterval)
 	}
 	return nil
 }
 
-func (t *term) pause(ctx context.Context, d time.Duration) {
+func (t *term) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-func (o *Owner) read(ctx context.Context) (batch.LoadedMsg, error) {
+func (o *Owner) readRecords(ctx context.Context) (batch.LoadedMsg, error) {
 	m := batch.LoadedMsg{}
 	jobs, _, err := o.store.All(ctx, batch.JobPrefix)
 	if err != nil {
@@ -327,19 +327,19 @@
 	return m, nil
 }
 
-// tell hands a message to the loop.
-func (t *term) tell(ctx context.Context, m batch.Msg) {
+// send hands a message to the loop.
+func (t *term) send(ctx context.Context, m batch.Msg) {
 	select {
-	case t.in <- m:
+	case t.msgs <- m:
 	case <-ctx.Done():
 	}
 }
 
-// checkedStep is the change in ms of the claim's last renewal that the model is told.
-const checkedStep = 100
+// minCheckedChangeMs is the change in ms of the claim's last renewal that the model is told.
+const minCheckedChangeMs = 100
 
-// loop is the only user of the model.
-func (t *term) loop(ctx context.Context) error {
+// runModel is the only user of the model.
+func (t *term) runModel(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	fresh, wall, checked := false, int64(0), int64(0)
@@ -347,17 +347,17 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case m := <-t.in:
+		case m := <-t.msgs:
 			t.model.Update(t.o.now(), m)
-			t.drain()
-		case a := <-t.asks:
+			t.applyQueued()
+		case a := <-t.queries:
 			a.f(t.model)
 			close(a.done)
 			continue
 		case <-timer.C:
 		}
 		_, ok := t.o.lease.Held()
-		if at := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != fresh || at-checked > checkedStep {
+		if at := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != fresh || at-checked > minCheckedChangeMs {
 			fresh, checked = ok, at
 			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: at})
 		}
@@ -366,7 +366,7 @@
 			t.model.Update(t.o.now(), batch.WallMsg{UnixMs: n})
 		}
 		cmds := t.model.Round(t.o.now())
-		t.workers.Store(int64(t.model.Workers()))
+		t.workerCount.Store(int64(t.model.Workers()))
 		for _, c := range cmds {
 			if err := t.perform(ctx, c); err != nil {
 				return err
@@ -376,11 +376,11 @@
 	}
 }
 
-// drain takes in the messages that wait.
-func (t *term) drain() {
-	for range batchMsgs {
+// applyQueued takes in the messages that wait.
+func (t *term) applyQueued() {
+	for range maxMsgsPerRound {
 		select {
-		case m := <-t.in:
+		case m := <-t.msgs:
 			t.model.Update(t.o.now(), m)
 		default:
 			return
--- a/node/owner/perform.go
+++ b/node/owner/perform.go
@@ -17,59 +17,59 @@
 	switch k := c.(type) {
 	case batch.DeposedCmd:
 		t.o.log.Warn().Str("reason", k.Reason).Msg("deposed")
-		return errDeposed
+		return errClaimLost
 	case batch.ReplyCmd:
 		t.reply(k)
 	case batch.LogCmd:
-		t.write(k)
+		t.logEvent(k)
 	case batch.StartCmd:
-		t.direct(ctx, k.Worker, c)
+		t.sendOrder(ctx, k.Worker, c)
 	case batch.StopCmd:
-		t.direct(ctx, k.Worker, c)
+		t.sendOrder(ctx, k.Worker, c)
 	case batch.HoldCmd:
 		if h := t.helperOf(k.Worker); h != nil {
-			h.push(c)
+			h.enqueue(c)
 			return nil
 		}
-		t.spawn(ctx, c)
+		t.callAsync(ctx, c)
 	case batch.CommitCmd:
-		t.short(ctx, c)
+		t.callPooled(ctx, c)
 	default:
-		t.spawn(ctx, c)
+		t.callAsync(ctx, c)
 	}
 	return nil
 }
 
-// direct gives an order to a worker, or has a helper give it.
-func (t *term) direct(ctx context.Context, worker string, c batch.Cmd) {
+// sendOrder gives an order to a worker, or has a helper give it.
+func (t *term) sendOrder(ctx context.Context, worker string, c batch.Cmd) {
 	if h := t.helperOf(worker); h != nil {
-		h.push(c)
+		h.enqueue(c)
 		return
 	}
-	t.short(ctx, c)
+	t.callPooled(ctx, c)
 }
 
-// short makes a call that is answered soon.
-func (t *term) short(ctx context.Context, c batch.Cmd) {
+// callPooled makes a call that is answered soon.
+func (t *term) callPooled(ctx context.Context, c batch.Cmd) {
 	select {
 	case t.calls <- c:
 	default: // every caller is busy.
-		t.spawn(ctx, c)
+		t.callAsync(ctx, c)
 	}
 }
 
-func (t *term) spawn(ctx context.Context, c batch.Cmd) {
+func (t *term) callAsync(ctx context.Context, c batch.Cmd) {
 	t.group.Go(func() error {
 		t.call(ctx, c)
 		return nil
 	})
 }
 
-// callers is the number of goroutines that make the short calls; their stacks have grown once and for all.
-const callers = 32
+// callGoroutines is the number of goroutines that make the short calls; their stacks have grown once and for all.
+const callGoroutines = 32
 
-// work makes calls until ctx ends.
-func (t *term) work(ctx context.Context) error {
+// makeCalls makes calls until ctx ends.
+func (t *term) makeCalls(ctx context.Context) error {
 	for {
 		select {
 		case c := <-t.calls:
@@ -89,36 +89,36 @@
 		g, err := o.workers.Hold(ctx, k)
 		g.Sent = sent
 		o.count("hold", begin, err)
-		t.tell(ctx, g)
+		t.send(ctx, g)
 	case batch.StartCmd:
 		r, clock, err := o.workers.Start(ctx, k)
 		o.count("start", begin, err)
-		t.tell(ctx, batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: clock, Sent: sent})
+		t.send(ctx, batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: clock, Sent: sent})
 	case batch.StopCmd:
 		r, clock, err := o.workers.Stop(ctx, k)
 		o.count("stop", begin, err)
-		t.tell(ctx, batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: clock, Sent: sent})
+		t.send(ctx, batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: clock, Sent: sent})
 	case batch.PaceCmd:
 		r, _, err := o.workers.Pace(ctx, k)
 		o.count("pace", begin, err)
-		t.tell(ctx, batch.PacedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Percent: k.Percent, Result: r})
+		t.send(ctx, batch.PacedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Percent: k.Percent, Result: r})
 	case batch.CommitCmd:
 		t.commit(ctx, k, begin)
 	case batch.AdviseCmd:
 		t.advise(ctx, k, sent)
 	default:
-		t.order(ctx, c, sent, begin)
+		t.callMachines(ctx, c, sent, begin)
 	}
 }
 
-// order makes a call about machines.
-func (t *term) order(ctx context.Context, c batch.Cmd, sent int64, begin time.Time) {
+// callMachines makes a call about machines.
+func (t *term) callMachines(ctx context.Context, c batch.Cmd, sent int64, begin time.Time) {
 	o := t.o
 	switch k := c.(type) {
 	case batch.ListMachinesCmd:
 		l, err := o.machines.List(ctx)
 		o.count("machines", begin, err)
-		t.tell(ctx, batch.MachinesMsg{Sent: sent, Failed: err != nil, List: l})
+		t.send(ctx, batch.MachinesMsg{Sent: sent, Failed: err != nil, List: l})
 	case batch.MoveCmd:
 		r := batch.DutyNotSent
 		if _, ok := o.lease.Held(); ok {
@@ -126,7 +126,7 @@
 			r, err = o.machines.Move(ctx, k)
 			o.count("move", begin, err)
 		}
-		t.tell(ctx, batch.DutyDoneMsg{Machine: k.Machine, Result: r})
+		t.send(ctx, batch.DutyDoneMsg{Machine: k.Machine, Result: r})
 	case batch.UpkeepCmd:
 		r := batch.DutyNotSent
 		if _, ok := o.lease.Held(); ok {
@@ -134,9 +134,9 @@
 			r, err = o.machines.Upkeep(ctx, k)
 			o.count("upkeep", begin, err)
 		}
-		t.tell(ctx, batch.DutyDoneMsg{Machine: k.Machine, Wave: k.Wave, Result: r})
+		t.send(ctx, batch.DutyDoneMsg{Machine: k.Machine, Wave: k.Wave, Result: r})
 	case batch.ReportCmd:
-		t.report(ctx, k)
+		t.reportWave(ctx, k)
 	}
 }
 
@@ -156,11 +156,11 @@
 	}
 }
 
-func (t *term) claim() keyval.Guard { return keyval.Guard{Key: ClaimKey, Rev: t.fence} }
+func (t *term) claimGuard() keyval.Guard { return keyval.Guard{Key: ClaimKey, Rev: t.fence} }
 
 // commit writes rows under the claim.
 func (t *term) commit(ctx context.Context, k batch.CommitCmd, begin time.Time) {
-	x := keyval.Txn{Guards: []keyval.Guard{t.claim()}}
+	x := keyval.Txn{Guards: []keyval.Guard{t.claimGuard()}}
 	for _, r := range k.Rows {
 		if r.Guarded {
 			x.Guards = append(x.Guards, keyval.Guard{Key: r.Key, Rev: keyval.Revision(r.Rev)})
@@ -177,7 +177,7 @@
 		g.Outcome = batch.Conflict
 		for _, i := range c.Items() {
 			if i.Key() == ClaimKey && i.Rev() != t.fence {
-				t.deposed(ctx)
+				t.reportClaimLost(ctx)
 				return
 			}
 			g.Now = append(g.Now, batch.Row{Key: i.Key(), Value: i.Value(), Rev: int64(i.Rev())})
@@ -187,30 +187,30 @@
 	default:
 		g.Outcome = batch.Unknown
 	}
-	t.tell(ctx, g)
+	t.send(ctx, g)
 }
 
-// deposed ends the term: the claim is not this owner's any more.
-func (t *term) deposed(ctx context.Context) {
+// reportClaimLost ends the term: the claim is not this owner's any more.
+func (t *term) reportClaimLost(ctx context.Context) {
 	t.o.lease.Nudge()
-	t.tell(ctx, batch.LostMsg{Reason: "the claim has changed hands"})
+	t.send(ctx, batch.LostMsg{Reason: "the claim has changed hands"})
 }
 
-// report tells the operator the state of a wave, until the store takes it.
-func (t *term) report(ctx context.Context, k batch.ReportCmd) {
+// reportWave tells the operator the state of a wave, until the store takes it.
+func (t *term) reportWave(ctx context.Context, k batch.ReportCmd) {
 	key, v := t.o.format.WaveState(k.Wave, k.Completed)
 	for ctx.Err() == nil {
-		_, err := t.o.store.Txn(ctx, keyval.Txn{Guards: []keyval.Guard{t.claim()}, Writes: []keyval.Write{{Key: key, Value: v}}})
+		_, err := t.o.store.Txn(ctx, keyval.Txn{Guards: []keyval.Guard{t.claimGuard()}, Writes: []keyval.Write{{Key: key, Value: v}}})
 		if err == nil {
 			t.o.log.Info().Int("wave", k.Wave).Bool("completed", k.Completed).Msg("wave reported")
 			return
 		}
 		if errors.Is(err, keyval.ErrConflict) {
-			t.deposed(ctx)
+			t.reportClaimLost(ctx)
 			return
 		}
 		select {
-		case <-time.After(loadRetry):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -219,13 +219,13 @@
 func (t *term) advise(ctx context.Context, k batch.AdviseCmd, sent int64) {
 	n := k.Task.String()
 	step := n[:lastDot(n)]
-	a, valid, err := t.o.workers.Advise(ctx, t.o.set.AdviceAddr, step, k.Workers, adviceWait)
+	a, valid, err := t.o.workers.Advise(ctx, t.o.settings.AdviceAddr, step, k.Workers, adviceTimeout)
 	t.o.count("advise", time.Now(), err)
-	t.tell(ctx, batch.AdvisedMsg{Task: k.Task, Failed: err != nil, ValidMs: valid, Sent: sent, Tickets: a})
+	t.send(ctx, batch.AdvisedMsg{Task: k.Task, Failed: err != nil, ValidMs: valid, Sent: sent, Tickets: a})
 }
 
-// adviceWait is added to the time of a request for advice, which waits for those before it.
-const adviceWait = 2 * time.Second
+// adviceTimeout is added to the time of a request for advice, which waits for those before it.
+const adviceTimeout = 2 * time.Second
 
 func lastDot(s string) int {
 	for i := len(s) - 1; i > 0; i-- {
@@ -236,17 +236,17 @@
 	return len(s)
 }
 
-// write logs a decision of the model.
-func (t *term) write(k batch.LogCmd) {
+// logEvent logs a decision of the model.
+func (t *term) logEvent(k batch.LogCmd) {
 	e := t.o.log.Info()
 	if k.Job != "" {
 		e = e.Str("request", k.Job)
 	}
-	t.o.stats.Add("event_"+word(k.Event), 1)
+	t.o.stats.Add("event_"+metricName(k.Event), 1)
 	e.Fields(k.Fields).Int64("fence", int64(t.fence)).Int64("atMs", t.o.now()).Msg(k.Event)
 }
 
-func word(s string) string {
+func metricName(s string) string {
 	b := []byte(s)
 	for i, c := range b {
 		if c == ' ' {
--- a/node/owner/serve.go
+++ b/node/owner/serve.go
@@ -11,43 +11,43 @@
 
 var _ desk.Desk = (*Owner)(nil)
 
-// wait registers a request and returns its number and the channel of its answer; false when the term is over.
-func (t *term) wait() (uint64, chan batch.ReplyCmd, bool) {
+// register registers a request and returns its number and the channel of its answer; false when the term is over.
+func (t *term) register() (uint64, chan batch.ReplyCmd, bool) {
 	c := make(chan batch.ReplyCmd, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.waiters == nil || len(t.waiters) >= maxWaiters {
+	if t.pending == nil || len(t.pending) >= maxPendingRequests {
 		return 0, nil, false
 	}
-	t.next++
-	t.waiters[t.next] = c
-	return t.next, c, true
+	t.lastRef++
+	t.pending[t.lastRef] = c
+	return t.lastRef, c, true
 }
 
-func (t *term) forget(ref uint64) {
+func (t *term) unregister(ref uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.waiters, ref)
+	delete(t.pending, ref)
 }
 
 func (t *term) reply(k batch.ReplyCmd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c := t.waiters[k.Ref]; c != nil {
+	if c := t.pending[k.Ref]; c != nil {
 		c <- k
-		delete(t.waiters, k.Ref)
+		delete(t.pending, k.Ref)
 	}
 }
 
-// abandon tells those that wait that their outcome is not known.
-func (t *term) abandon() {
+// abandonPending tells those that wait that their outcome is not known.
+func (t *term) abandonPending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for r, c := range t.waiters {
+	for r, c := range t.pending {
 		c <- batch.ReplyCmd{Ref: r, Verdict: batch.Unsettled}
-		delete(t.waiters, r)
+		delete(t.pending, r)
 	}
-	t.waiters = nil
+	t.pending = nil
 }
 
 // Submit implements desk.Desk.
@@ -56,27 +56,27 @@
 	if err := json.Unmarshal(r.GetJob(), &j); err != nil {
 		return &desk.Reply{Verdict: int32(batch.Malformed), Reason: err.Error()}, nil
 	}
-	return o.ask(ctx, func(ref uint64) batch.Msg { return batch.SubmitMsg{Ref: ref, Job: j, AgeMs: r.GetAgeMs()} })
+	return o.request(ctx, func(ref uint64) batch.Msg { return batch.SubmitMsg{Ref: ref, Job: j, AgeMs: r.GetAgeMs()} })
 }
 
 // Cancel implements desk.Desk.
 func (o *Owner) Cancel(ctx context.Context, r *desk.JobRequest) (*desk.Reply, error) {
-	return o.ask(ctx, func(ref uint64) batch.Msg { return batch.CancelMsg{Ref: ref, ID: r.GetId()} })
+	return o.request(ctx, func(ref uint64) batch.Msg { return batch.CancelMsg{Ref: ref, ID: r.GetId()} })
 }
 
-// ask hands a message to the model and waits for its reply.
-func (o *Owner) ask(ctx context.Context, msg func(uint64) batch.Msg) (*desk.Reply, error) {
+// request hands a message to the model and waits for its reply.
+func (o *Owner) request(ctx context.Context, msg func(uint64) batch.Msg) (*desk.Reply, error) {
 	t := o.term.Load()
 	if t == nil {
 		return nil, desk.NotOwner()
 	}
-	ref, c, ok := t.wait()
+	ref, c, ok := t.register()
 	if !ok {
 		return nil, desk.NotOwner()
 	}
-	defer t.forget(ref)
+	defer t.unregister(ref)
 	select {
-	case t.in <- msg(ref):
+	case t.msgs <- msg(ref):
 	case <-ctx.Done():
 		return nil, desk.NotOwner()
 	}
@@ -91,15 +91,15 @@
 	}
 }
 
-// look has f called with the model; false when this process is not the owner.
-func (o *Owner) look(ctx context.Context, f func(*batch.Model)) bool {
+// queryModel has f called with the model; false when this process is not the owner.
+func (o *Owner) queryModel(ctx context.Context, f func(*batch.Model)) bool {
 	t := o.term.Load()
 	if t == nil {
 		return false
 	}
-	a := ask{f: f, done: make(chan struct{})}
+	a := modelQuery{f: f, done: make(chan struct{})}
 	select {
-	case t.asks <- a:
+	case t.queries <- a:
 	case <-ctx.Done():
 		return false
 	}
@@ -114,7 +114,7 @@
 // State implements desk.Desk.
 func (o *Owner) State(ctx context.Context, r *desk.JobRequest) (*desk.StateReply, error) {
 	a := &desk.StateReply{}
-	if !o.look(ctx, func(m *batch.Model) {
+	if !o.queryModel(ctx, func(m *batch.Model) {
 		a.Ready, a.State = m.Ready(), string(m.State(r.GetId()))
 	}) {
 		return nil, desk.NotOwner()
@@ -125,7 +125,7 @@
 // Pending implements desk.Desk.
 func (o *Owner) Pending(ctx context.Context, _ *desk.PendingRequest) (*desk.PendingReply, error) {
 	a := &desk.PendingReply{Queues: map[string]int64{}}
-	if !o.look(ctx, func(m *batch.Model) {
+	if !o.queryModel(ctx, func(m *batch.Model) {
 		a.Ready = m.Ready()
 		for q, n := range m.Pending() {
 			a.Queues[q] = int64(n)
--- a/node/owner/watch.go
+++ b/node/owner/watch.go
@@ -7,28 +7,28 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// follow tells the model what workers say of themselves.
-func (t *term) follow(ctx context.Context) error {
-	return keyval.Follow(ctx, t.o.store, t.o.format.WorkersPrefix(), workersWait, &roster{t: t, ctx: ctx})
+// watchWorkers tells the model what workers say of themselves.
+func (t *term) watchWorkers(ctx context.Context) error {
+	return keyval.Follow(ctx, t.o.store, t.o.format.WorkersPrefix(), workerWatchTimeout, &workerSink{t: t, ctx: ctx})
 }
 
-// roster is the sink of the workers' list.
-type roster struct {
+// workerSink is the sink of the workers' list.
+type workerSink struct {
 	t   *term
 	ctx context.Context //nolint:containedctx // the sink lives as long as its follow.
 }
 
 // Reset implements keyval.Sink.
-func (r *roster) Reset(items []keyval.Item) {
+func (r *workerSink) Reset(items []keyval.Item) {
 	m := batch.WorkersMsg{All: true}
 	for _, i := range items {
 		r.add(&m, i)
 	}
-	r.t.tell(r.ctx, m)
+	r.t.send(r.ctx, m)
 }
 
 // Apply implements keyval.Sink.
-func (r *roster) Apply(events []keyval.Event) {
+func (r *workerSink) Apply(events []keyval.Event) {
 	m := batch.WorkersMsg{}
 	for _, e := range events {
 		if e.Deleted() {
@@ -37,11 +37,11 @@
 		}
 		r.add(&m, e.Item())
 	}
-	r.t.tell(r.ctx, m)
+	r.t.send(r.ctx, m)
 }
 
 // add takes an entry in; one that cannot be read names no worker.
-func (r *roster) add(m *batch.WorkersMsg, i keyval.Item) {
+func (r *workerSink) add(m *batch.WorkersMsg, i keyval.Item) {
 	e, err := r.t.o.format.Entry(i)
 	if err != nil {
 		r.t.o.log.Warn().Str("key", i.Key()).Int64("revision", int64(i.Rev())).Err(err).Msg("entry passed over")
@@ -63,12 +63,12 @@
 }
 
 // Lost implements keyval.Sink.
-func (r *roster) Lost(err error) {
+func (r *workerSink) Lost(err error) {
 	r.t.o.log.Warn().Str("dependency", "store").Str("step", "watch workers").Err(err).Msg("dependency lost")
 }
 
 // Found implements keyval.Sink.
-func (r *roster) Found() {
+func (r *workerSink) Found() {
 	r.t.o.log.Info().Str("dependency", "store").Str("step", "watch workers").Msg("dependency regained")
 }
 
@@ -83,19 +83,19 @@
 		case <-ch:
 		}
 		if c, ok := t.o.board.Config(); ok {
-			t.tell(ctx, batch.ServicesMsg{Services: c.Services})
+			t.send(ctx, batch.ServicesMsg{Services: c.Services})
 		}
 		for _, w := range t.o.board.Waves() {
 			if !w.Gone {
-				w.Completed = t.completed(ctx, w.Number)
+				w.Completed = t.waveReported(ctx, w.Number)
 			}
-			t.tell(ctx, w)
+			t.send(ctx, w)
 		}
 	}
 }
 
-// completed reports whether the operator has been told that the wave is over; while the store cannot tell, it is taken as not over.
-func (t *term) completed(ctx context.Context, n int) bool {
+// waveReported reports whether the operator has been told that the wave is over; while the store cannot tell, it is taken as not over.
+func (t *term) waveReported(ctx context.Context, n int) bool {
 	key, _ := t.o.format.WaveState(n, true)
 	i, err := t.o.store.Get(ctx, key)
 	if err != nil {
