--- a/node/board/board.go
+++ b/node/board/board.go
@@ -39,11 +39,11 @@
 
 // Board holds the newest configuration and the operator's waves.
 type Board struct {
-	now atomic.Pointer[table]
+	current atomic.Pointer[table]
 
-	mu      sync.Mutex
-	waves   map[int]batch.WaveMsg
-	changed []chan struct{}
+	mu       sync.Mutex
+	waves    map[int]batch.WaveMsg
+	watchers []chan struct{}
 }
 
 // table is a configuration with its queues by host, the longest prefix first.
@@ -59,7 +59,7 @@
 func (b *Board) Put(c Config) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.now.Load(); t != nil && c.Version <= t.config.Version {
+	if t := b.current.Load(); t != nil && c.Version <= t.config.Version {
 		return false
 	}
 	t := &table{config: c, hosts: map[string][]Queue{}}
@@ -69,8 +69,8 @@
 	for _, l := range t.hosts {
 		slices.SortFunc(l, func(a, b Queue) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	b.now.Store(t)
-	b.tell()
+	b.current.Store(t)
+	b.notify()
 	return true
 }
 
@@ -79,7 +79,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.waves[w.Number] = w
-	b.tell()
+	b.notify()
 }
 
 // Waves returns all waves by number.
@@ -94,9 +94,9 @@
 	return l
 }
 
-// tell wakes the watchers; the lock is held.
-func (b *Board) tell() {
-	for _, c := range b.changed {
+// notify wakes the watchers; the lock is held.
+func (b *Board) notify() {
+	for _, c := range b.watchers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -110,17 +110,17 @@
 	c <- struct{}{}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.changed = append(b.changed, c)
+	b.watchers = append(b.watchers, c)
 	return c, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.changed = slices.DeleteFunc(b.changed, func(o chan struct{}) bool { return o == c })
+		b.watchers = slices.DeleteFunc(b.watchers, func(o chan struct{}) bool { return o == c })
 	}
 }
 
 // Config returns the newest configuration; false while there is none.
 func (b *Board) Config() (Config, bool) {
-	t := b.now.Load()
+	t := b.current.Load()
 	if t == nil {
 		return Config{}, false
 	}
@@ -129,7 +129,7 @@
 
 // Find returns the queue for a request and the rest of its path, and the version of the configuration; version 0 means that there is none.
 func (b *Board) Find(host, path string) (q Queue, rest string, version int64, found bool) {
-	t := b.now.Load()
+	t := b.current.Load()
 	if t == nil {
 		return Queue{}, "", 0, false
 	}
--- a/node/desk/client.go
+++ b/node/desk/client.go
@@ -14,9 +14,9 @@
 
 // Bounds of the way to an owner.
 const (
-	dialWithin  = 400 * time.Millisecond // an owner is some milliseconds away.
-	idleFor     = 20 * time.Second
-	idlePerPeer = 32
+	dialTimeout    = 400 * time.Millisecond // an owner is some milliseconds away.
+	idleTimeout    = 20 * time.Second
+	maxIdlePerPeer = 32
 )
 
 // ErrNotSent marks a call that certainly did not reach the owner, or that reached a process which is not the owner.
@@ -42,9 +42,9 @@
 	defer c.mu.Unlock()
 	p, ok := c.peers[addr]
 	if !ok {
-		d := net.Dialer{Timeout: dialWithin}
+		d := net.Dialer{Timeout: dialTimeout}
 		t := &http.Transport{
-			DialContext: d.DialContext, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleFor, DisableCompression: true,
+			DialContext: d.DialContext, MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleTimeout, DisableCompression: true,
 		}
 		p = peer{desk: NewDeskProtobufClient("http://"+addr, &http.Client{Transport: t}), http: t}
 		c.peers[addr] = p
@@ -95,7 +95,7 @@
 
 // Serve answers entries on l until ctx ends.
 func Serve(ctx context.Context, l net.Listener, d Desk) error {
-	s := &http.Server{Handler: NewDeskServer(d), ReadHeaderTimeout: headerWithin, IdleTimeout: 2 * idleFor}
+	s := &http.Server{Handler: NewDeskServer(d), ReadHeaderTimeout: headerTimeout, IdleTimeout: 2 * idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -104,5 +104,5 @@
 	return nil
 }
 
-// headerWithin bounds the time that a peer takes to send a request's header.
-const headerWithin = 5 * time.Second
+// headerTimeout bounds the time that a peer takes to send a request's header.
+const headerTimeout = 5 * time.Second
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -25,15 +25,15 @@
 
 // Times of a request.
 const (
-	defaultWait  = 3 * time.Second        // callers that do not say how long they wait.
-	answerMargin = 150 * time.Millisecond // of that is kept for the way back.
-	ownerWait    = 350 * time.Millisecond // for an owner, while the claim changes hands; less than a quarter of an objective.
-	ownerRetry   = 40 * time.Millisecond
-	ownerAnswer  = 900 * time.Millisecond // of one call: beyond it the claim may have changed hands.
-	lookWait     = 800 * time.Millisecond // for the state of a job at the owner.
-	idleFor      = 30 * time.Second
-	readWithin   = 10 * time.Second
-	retryMs      = 1_000 // while no owner answers: a claim changes hands in about this time.
+	defaultDeadline     = 3 * time.Second        // callers that do not say how long they wait.
+	responseMargin      = 150 * time.Millisecond // of that is kept for the way back.
+	ownerRetryWindow    = 350 * time.Millisecond // for an owner, while the claim changes hands; less than a quarter of an objective.
+	ownerRetryInterval  = 40 * time.Millisecond
+	ownerCallTimeout    = 900 * time.Millisecond // of one call: beyond it the claim may have changed hands.
+	lookupTimeout       = 800 * time.Millisecond // for the state of a job at the owner.
+	idleTimeout         = 30 * time.Second
+	readTimeout         = 10 * time.Second
+	defaultRetryAfterMs = 1_000 // while no owner answers: a claim changes hands in about this time.
 )
 
 // maxBodyBytes bounds a submission until the configuration names a bound.
@@ -55,15 +55,15 @@
 
 // Front answers callers.
 type Front struct {
-	board  *board.Board
-	claims Claims
-	desk   *desk.Client
-	store  owner.Getter
-	codec  Codec
-	log    zerolog.Logger
-	stats  *stats.Set
-	server *fasthttp.Server
-	leave  atomic.Bool
+	board   *board.Board
+	claims  Claims
+	desk    *desk.Client
+	store   owner.Getter
+	codec   Codec
+	log     zerolog.Logger
+	stats   *stats.Set
+	server  *fasthttp.Server
+	leaving atomic.Bool
 }
 
 // Parts are what a front is made of.
@@ -81,23 +81,23 @@
 func New(p Parts) *Front {
 	f := &Front{board: p.Board, claims: p.Claims, desk: p.Desk, store: p.Store, codec: p.Codec, log: p.Log, stats: p.Stats}
 	f.server = &fasthttp.Server{
-		Handler: f.handle, IdleTimeout: idleFor, ReadTimeout: readWithin, MaxRequestBodySize: maxBodyBytes,
-		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, Logger: quiet{},
+		Handler: f.handle, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, MaxRequestBodySize: maxBodyBytes,
+		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, Logger: discardLogger{},
 	}
 	return f
 }
 
-// quiet drops what the server says of broken connections, which the counters tell.
-type quiet struct{}
+// discardLogger drops what the server says of broken connections, which the counters tell.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Serve answers callers on l until ctx ends; then connections are asked to close, and requests in flight have the time drain.
 func (f *Front) Serve(ctx context.Context, l net.Listener, drain time.Duration) error {
 	done := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() {
-		f.leave.Store(true)
+		f.leaving.Store(true)
 		time.Sleep(drain / 2)
 		c, cancel := context.WithTimeout(context.WithoutCancel(ctx), drain/2)
 		defer cancel()
@@ -116,19 +116,19 @@
 }
 
 // Leaving reports whether the front is about to stop.
-func (f *Front) Leaving() bool { return f.leave.Load() }
+func (f *Front) Leaving() bool { return f.leaving.Load() }
 
 // answer is what a caller gets.
 type answer struct {
-	status  int
-	body    []byte
-	retryMs int64
-	reason  string
+	status       int
+	body         []byte
+	retryAfterMs int64
+	reason       string
 }
 
 func (f *Front) handle(c *fasthttp.RequestCtx) {
 	begin := time.Now()
-	if f.leave.Load() {
+	if f.leaving.Load() {
 		c.SetConnectionClose()
 	}
 	host, path := string(c.Host()), string(c.Path())
@@ -136,26 +136,26 @@
 	var a answer
 	switch {
 	case version == 0:
-		a = f.refuse(fasthttp.StatusServiceUnavailable, "no configuration yet", retryMs)
+		a = f.refuse(fasthttp.StatusServiceUnavailable, "no configuration yet", defaultRetryAfterMs)
 	case !ok:
 		a = f.refuse(fasthttp.StatusNotFound, "no such queue", 0)
 	default:
 		a = f.route(c, q, rest, begin)
 	}
-	f.finish(c, a, begin, logged{queue: q.Name, id: rest, version: version})
+	f.writeAnswer(c, a, begin, requestInfo{queue: q.Name, id: rest, version: version})
 }
 
-// logged is what the line of a request tells besides its answer.
-type logged struct {
+// requestInfo is what the line of a request tells besides its answer.
+type requestInfo struct {
 	queue, id string
 	version   int64
 }
 
-func (f *Front) finish(c *fasthttp.RequestCtx, a answer, begin time.Time, l logged) {
+func (f *Front) writeAnswer(c *fasthttp.RequestCtx, a answer, begin time.Time, l requestInfo) {
 	c.SetStatusCode(a.status)
 	c.SetContentType("application/json")
-	if a.retryMs > 0 {
-		c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt((a.retryMs+999)/1000, 10))
+	if a.retryAfterMs > 0 {
+		c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt((a.retryAfterMs+999)/1000, 10))
 	}
 	c.SetBody(a.body)
 	took := time.Since(begin)
@@ -165,12 +165,12 @@
 		return // most requests; the counters tell them.
 	}
 	f.log.Info().Str("request", l.id).Str("method", string(c.Method())).Str("queue", l.queue).Int64("config", l.version).
-		Str("owner", f.claims.Owner()).Int("status", a.status).Str("reason", a.reason).Int64("retryMs", a.retryMs).
+		Str("owner", f.claims.Owner()).Int("status", a.status).Str("reason", a.reason).Int64("retryMs", a.retryAfterMs).
 		Int64("tookMs", took.Milliseconds()).Msg("answered")
 }
 
 func (f *Front) refuse(status int, reason string, retry int64) answer {
-	return answer{status: status, body: f.codec.Error(reason, retry), retryMs: retry, reason: reason}
+	return answer{status: status, body: f.codec.Error(reason, retry), retryAfterMs: retry, reason: reason}
 }
 
 func (f *Front) route(c *fasthttp.RequestCtx, q board.Queue, id string, begin time.Time) answer {
@@ -190,13 +190,13 @@
 	return f.refuse(fasthttp.StatusMethodNotAllowed, "method "+m+" is not offered", 0)
 }
 
-// until returns when the caller needs the answer on its way.
-func (f *Front) until(c *fasthttp.RequestCtx, begin time.Time) time.Time {
-	d := defaultWait
+// deadline returns when the caller needs the answer on its way.
+func (f *Front) deadline(c *fasthttp.RequestCtx, begin time.Time) time.Time {
+	d := defaultDeadline
 	if n, err := strconv.ParseInt(string(c.Request.Header.Peek(f.codec.DeadlineHeader())), 10, 64); err == nil && n > 0 {
-		d = min(time.Duration(n)*time.Millisecond, defaultWait)
+		d = min(time.Duration(n)*time.Millisecond, defaultDeadline)
 	}
-	return begin.Add(max(d-answerMargin, d/2))
+	return begin.Add(max(d-responseMargin, d/2))
 }
 
 func (f *Front) submit(c *fasthttp.RequestCtx, q board.Queue, id string, begin time.Time) answer {
@@ -213,11 +213,11 @@
 	if err != nil {
 		return f.refuse(fasthttp.StatusBadRequest, err.Error(), 0)
 	}
-	r, err := f.passOn(f.until(c, begin), func(x context.Context, d desk.Desk) (*desk.Reply, error) {
+	r, err := f.callOwner(f.deadline(c, begin), func(x context.Context, d desk.Desk) (*desk.Reply, error) {
 		return d.Submit(x, &desk.SubmitRequest{Job: b, AgeMs: time.Since(begin).Milliseconds()})
 	})
 	if err != nil {
-		return f.failed(err)
+		return f.callFailed(err)
 	}
 	switch batch.Verdict(r.GetVerdict()) {
 	case batch.Accepted:
@@ -230,21 +230,21 @@
 	return f.refuse(fasthttp.StatusGatewayTimeout, "outcome unknown", 0)
 }
 
-// failed answers a call of the owner that has no reply: 503 only when it certainly had no effect.
-func (f *Front) failed(err error) answer {
+// callFailed answers a call of the owner that has no reply: 503 only when it certainly had no effect.
+func (f *Front) callFailed(err error) answer {
 	if desk.Unsent(err) {
-		return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", retryMs)
+		return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", defaultRetryAfterMs)
 	}
 	return f.refuse(fasthttp.StatusGatewayTimeout, "outcome unknown: "+err.Error(), 0)
 }
 
-// passOn calls the owner. A call that certainly had no effect is made again for a short time, as the claim may be changing hands; one
+// callOwner calls the owner. A call that certainly had no effect is made again for a short time, as the claim may be changing hands; one
 // that may have had an effect until the caller's time is up, as only the owner can tell: calls are idempotent by the job's id.
-func (f *Front) passOn(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
-	give := time.Now().Add(ownerWait)
+func (f *Front) callOwner(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
+	give := time.Now().Add(ownerRetryWindow)
 	var unsure error
 	for {
-		r, err := f.once(until, call)
+		r, err := f.callOwnerOnce(until, call)
 		if err == nil {
 			return r, nil
 		}
@@ -255,19 +255,19 @@
 		switch {
 		case unsure == nil && now.After(give):
 			return nil, err
-		case now.Add(ownerRetry).After(until):
+		case now.Add(ownerRetryInterval).After(until):
 			return nil, cmp.Or(unsure, err)
 		}
-		time.Sleep(ownerRetry)
+		time.Sleep(ownerRetryInterval)
 	}
 }
 
-func (f *Front) once(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
+func (f *Front) callOwnerOnce(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
 	a := f.claims.Owner()
 	if a == "" {
 		return nil, desk.ErrNotSent
 	}
-	x, cancel := context.WithDeadline(context.Background(), earlier(until, time.Now().Add(ownerAnswer)))
+	x, cancel := context.WithDeadline(context.Background(), earlier(until, time.Now().Add(ownerCallTimeout)))
 	defer cancel()
 	r, err := call(x, f.desk.At(a))
 	if err != nil && !desk.Unsent(err) {
@@ -285,7 +285,7 @@
 }
 
 func (f *Front) state(id string) answer {
-	x, cancel := context.WithTimeout(context.Background(), lookWait)
+	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	if a := f.claims.Owner(); a != "" {
 		r, err := f.desk.At(a).State(x, &desk.JobRequest{Id: id})
@@ -296,17 +296,17 @@
 			f.desk.Reset(a)
 		}
 	}
-	return f.stored(id)
+	return f.storedState(id)
 }
 
-// stored answers from the store, which has every accepted job.
-func (f *Front) stored(id string) answer {
-	x, cancel := context.WithTimeout(context.Background(), lookWait)
+// storedState answers from the store, which has every accepted job.
+func (f *Front) storedState(id string) answer {
+	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	s, err := owner.Lookup(x, f.store, id)
 	switch {
 	case err != nil:
-		return f.refuse(fasthttp.StatusServiceUnavailable, "the store does not answer", retryMs)
+		return f.refuse(fasthttp.StatusServiceUnavailable, "the store does not answer", defaultRetryAfterMs)
 	case s == batch.Absent:
 		return f.refuse(fasthttp.StatusGone, "no such job", 0)
 	}
@@ -314,23 +314,23 @@
 }
 
 func (f *Front) cancel(c *fasthttp.RequestCtx, id string, begin time.Time) answer {
-	r, err := f.passOn(f.until(c, begin), func(x context.Context, d desk.Desk) (*desk.Reply, error) {
+	r, err := f.callOwner(f.deadline(c, begin), func(x context.Context, d desk.Desk) (*desk.Reply, error) {
 		return d.Cancel(x, &desk.JobRequest{Id: id})
 	})
 	if err != nil {
-		return f.failed(err)
+		return f.callFailed(err)
 	}
 	if batch.Verdict(r.GetVerdict()) == batch.Accepted {
 		return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.Canceled)}
 	}
-	if a := f.stored(id); a.status != fasthttp.StatusOK {
+	if a := f.storedState(id); a.status != fasthttp.StatusOK {
 		return a
 	}
-	return f.refuse(fasthttp.StatusServiceUnavailable, "the claim is changing hands", retryMs)
+	return f.refuse(fasthttp.StatusServiceUnavailable, "the claim is changing hands", defaultRetryAfterMs)
 }
 
 func (f *Front) pending(q board.Queue) answer {
-	x, cancel := context.WithTimeout(context.Background(), lookWait)
+	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	if a := f.claims.Owner(); a != "" {
 		r, err := f.desk.At(a).Pending(x, &desk.PendingRequest{})
@@ -338,5 +338,5 @@
 			return answer{status: fasthttp.StatusOK, body: f.codec.Pending(int(r.GetQueues()[q.Name]))}
 		}
 	}
-	return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", retryMs)
+	return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", defaultRetryAfterMs)
 }
--- a/node/front/front_test.go
+++ b/node/front/front_test.go
@@ -59,15 +59,15 @@
 func (fakeCodec) Error(reason string, _ int64) []byte { return []byte(reason) }
 func (fakeCodec) DeadlineHeader() string              { return "Wait-Ms" }
 
-// rig is a front with one queue, in front of a fake owner.
-type rig struct {
+// fixture is a front with one queue, in front of a fake owner.
+type fixture struct {
 	t     *testing.T
 	front *Front
 	store *keyval.Memory
 	board *board.Board
 }
 
-func newRig(t *testing.T, d *fakeDesk, configured bool) *rig {
+func newFixture(t *testing.T, d *fakeDesk, configured bool) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,7 @@
 			t.Error(err)
 		}
 	})
-	r := &rig{t: t, store: keyval.NewMemory(), board: board.New()}
+	r := &fixture{t: t, store: keyval.NewMemory(), board: board.New()}
 	if configured {
 		r.board.Put(board.Config{Version: 1, Queues: []board.Queue{{Name: "q", Host: "h.example", Prefix: "/a/", Service: "s"}}})
 	}
@@ -94,7 +94,7 @@
 }
 
 // send makes one request and returns the answer.
-func (r *rig) send(method, path, body string, waitMs int) *fasthttp.Response {
+func (r *fixture) send(method, path, body string, waitMs int) *fasthttp.Response {
 	r.t.Helper()
 	l := fasthttputil.NewInmemoryListener()
 	g := errgroup.Group{}
@@ -151,7 +151,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			d := &fakeDesk{answers: c.answers}
-			a := newRig(t, d, true).send("POST", c.path, c.body, 600)
+			a := newFixture(t, d, true).send("POST", c.path, c.body, 600)
 			is.Equal(a.StatusCode(), c.status)
 			is.Equal(string(a.Header.Peek("Retry-After")), c.retry)
 			if c.attempts >= 0 {
@@ -161,13 +161,13 @@
 	}
 	t.Run("without a configuration", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(newRig(t, &fakeDesk{}, false).send("POST", "/a/"+id, body, 600).StatusCode(), 503)
+		is.Equal(newFixture(t, &fakeDesk{}, false).send("POST", "/a/"+id, body, 600).StatusCode(), 503)
 	})
 }
 
 func TestStateFromStore(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, &fakeDesk{}, true)
+	r := newFixture(t, &fakeDesk{}, true)
 	put := func(k, v string) {
 		_, err := r.store.Put(context.Background(), k, []byte(v), keyval.Any, 0)
 		is.NoErr(err)
@@ -182,8 +182,8 @@
 
 func TestCancel(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newRig(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.Accepted, 0)}}, true).send("DELETE", "/a/"+id, "", 600).StatusCode(), 200)
-	r := newRig(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.NotKnown, 0)}}, true)
+	is.Equal(newFixture(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.Accepted, 0)}}, true).send("DELETE", "/a/"+id, "", 600).StatusCode(), 200)
+	r := newFixture(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.NotKnown, 0)}}, true)
 	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 410)
 	_, err := r.store.Put(context.Background(), batch.JobPrefix+id, []byte("{}"), keyval.Any, 0)
 	is.NoErr(err)
--- a/node/logs/logs.go
+++ b/node/logs/logs.go
@@ -11,11 +11,11 @@
 
 // Bounds of the log's volume.
 const (
-	queueLines    = 1024
-	linesPerSec   = 400  // more than an entry's decisions on a busy day, a hundredth of a core.
-	burstLines    = 1200 // lines in a row.
-	maxLineBytes  = 2048
-	maxWriteBytes = 4096 // PIPE_BUF: a longer write to a pipe may be taken in part.
+	maxQueuedLines = 1024
+	linesPerSec    = 400  // more than an entry's decisions on a busy day, a hundredth of a core.
+	burstLines     = 1200 // lines in a row.
+	maxLineBytes   = 2048
+	maxWriteBytes  = 4096 // PIPE_BUF: a longer write to a pipe may be taken in part.
 )
 
 // Writer is an io.Writer that queues lines; Run writes them out.
@@ -28,7 +28,7 @@
 
 // New returns a writer to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines)}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines)}
 	w.tokens.Store(burstLines)
 	return w
 }
@@ -63,25 +63,25 @@
 	for {
 		select {
 		case b := <-w.lines:
-			w.put(b)
+			w.writeLines(b)
 		case <-t.C:
 			w.tokens.Store(min(w.tokens.Load()+linesPerSec, burstLines))
 			if d := w.dropped.Load(); d > told {
-				w.put(fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":\"log lines dropped\",\"count\":%d}\n", d-told))
+				w.writeLines(fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":\"log lines dropped\",\"count\":%d}\n", d-told))
 				told = d
 			}
 		case <-ctx.Done():
 			for len(w.lines) > 0 {
-				w.put(<-w.lines)
+				w.writeLines(<-w.lines)
 			}
 			return nil
 		}
 	}
 }
 
-// put writes one line, with those that wait already, as far as one write takes them whole; a failed write is counted, as there is
+// writeLines writes one line, with those that wait already, as far as one write takes them whole; a failed write is counted, as there is
 // nowhere to report it.
-func (w *Writer) put(b []byte) {
+func (w *Writer) writeLines(b []byte) {
 	for {
 		var next []byte
 		for next == nil && len(w.lines) > 0 {
--- a/node/logs/logs_test.go
+++ b/node/logs/logs_test.go
@@ -10,35 +10,35 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is an output that takes nothing until it is let go.
+type blockedWriter struct {
 	bytes.Buffer
-	go1 chan struct{}
+	release chan struct{}
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.go1
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.release
 	return s.Buffer.Write(b)
 }
 
 func TestWriterNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{go1: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	w := New(out)
 	c, stop := context.WithCancel(context.Background())
 	g := errgroup.Group{}
 	g.Go(func() error { return w.Run(c) })
-	for range 3 * queueLines {
+	for range 3 * maxQueuedLines {
 		n, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 		is.Equal(n, 5)
 	}
-	is.True(w.Dropped() >= 3*queueLines-burstLines)
-	close(out.go1)
+	is.True(w.Dropped() >= 3*maxQueuedLines-burstLines)
+	close(out.release)
 	stop()
 	is.NoErr(g.Wait())
 	got := int64(strings.Count(out.String(), "line\n"))
-	is.Equal(got+w.Dropped(), int64(3*queueLines)) // each line is written or counted.
+	is.Equal(got+w.Dropped(), int64(3*maxQueuedLines)) // each line is written or counted.
 }
 
 func TestLongLinesAreCut(t *testing.T) {
@@ -53,10 +53,10 @@
 	is.Equal(out.Len(), maxLineBytes+1)
 }
 
-// sizes notes how long each write is.
-type sizes struct{ most, sum int }
+// writeSizes notes how long each write is.
+type writeSizes struct{ most, sum int }
 
-func (s *sizes) Write(b []byte) (int, error) {
+func (s *writeSizes) Write(b []byte) (int, error) {
 	s.most, s.sum = max(s.most, len(b)), s.sum+len(b)
 	return len(b), nil
 }
@@ -64,7 +64,7 @@
 // A pipe takes no more than PIPE_BUF bytes as a whole: lines of longer writes are torn apart.
 func TestWritesAreWhole(t *testing.T) {
 	is := is.New(t)
-	out := &sizes{}
+	out := &writeSizes{}
 	w := New(out)
 	for range 500 {
 		_, err := w.Write(bytes.Repeat([]byte("x"), 300))
--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -21,57 +21,57 @@
 
 // Choice of the owner.
 const (
-	entryTTL   = 6 * time.Second        // an entry that is silent for so long is not expected to take the claim.
-	ablerTimes = 1.5                    // an entry with so many times the processor is the better owner.
-	leaveFirst = 700 * time.Millisecond // that a free claim is left to abler entries: they notice it within milliseconds.
-	yieldAfter = 4 * time.Second        // that an abler entry has been there before it gets the claim.
-	yieldCheck = time.Second
+	entryTTL           = 6 * time.Second        // an entry that is silent for so long is not expected to take the claim.
+	largerCoresRatio   = 1.5                    // an entry with so many times the processor is the better owner.
+	claimDelay         = 700 * time.Millisecond // that a free claim is left to abler entries: they notice it within milliseconds.
+	yieldDelay         = 4 * time.Second        // that an abler entry has been there before it gets the claim.
+	yieldCheckInterval = time.Second
 )
 
 // member is an entry as it tells the others.
 type member struct {
-	Cores float64 `json:"cores"` // of the processor that the entry may use.
-	Addr  string  `json:"addr"`  // for peers.
-	since time.Time
+	Cores      float64 `json:"cores"` // of the processor that the entry may use.
+	Addr       string  `json:"addr"`  // for peers.
+	aliveSince time.Time
 }
 
 // claims is the sink of the claims and of the entries: it knows the owner's address, and who is able to own.
 type claims struct {
-	name  string
-	cores float64
-	nudge func() // has the lease look at the claim.
-	addr  atomic.Pointer[string]
+	name      string
+	cores     float64
+	wakeLease func() // has the lease look at the claim.
+	ownerAddr atomic.Pointer[string]
 
 	mu      sync.Mutex
 	members map[string]member
 }
 
 func newClaims(s Settings) *claims {
-	return &claims{name: s.Name, cores: s.Cores, nudge: func() {}, members: map[string]member{}}
+	return &claims{name: s.Name, cores: s.Cores, wakeLease: func() {}, members: map[string]member{}}
 }
 
 // Owner implements front.Claims.
 func (c *claims) Owner() string {
-	if a := c.addr.Load(); a != nil {
+	if a := c.ownerAddr.Load(); a != nil {
 		return *a
 	}
 	return ""
 }
 
-// abler reports whether an entry with much more processor has been alive for d.
-func (c *claims) abler(d time.Duration) bool {
+// hasLargerEntry reports whether an entry with much more processor has been alive for d.
+func (c *claims) hasLargerEntry(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n, m := range c.members {
-		if n != c.name && m.Cores >= ablerTimes*c.cores && time.Since(m.since) >= d {
+		if n != c.name && m.Cores >= largerCoresRatio*c.cores && time.Since(m.aliveSince) >= d {
 			return true
 		}
 	}
 	return false
 }
 
-// helperShare is the share of this entry's processor that an entry needs at least to make calls for it.
-const helperShare = 0.6
+// minHelperCoresRatio is the share of this entry's processor that an entry needs at least to make calls for it.
+const minHelperCoresRatio = 0.6
 
 // Helpers implements owner.Entries.
 func (c *claims) Helpers() []string {
@@ -79,7 +79,7 @@
 	defer c.mu.Unlock()
 	var l []member
 	for n, m := range c.members {
-		if n != c.name && m.Addr != "" && m.Cores >= helperShare*c.cores {
+		if n != c.name && m.Addr != "" && m.Cores >= minHelperCoresRatio*c.cores {
 			l = append(l, m)
 		}
 	}
@@ -93,8 +93,8 @@
 
 // delay is how long a free claim is left to others.
 func (c *claims) delay() time.Duration {
-	if c.abler(0) {
-		return leaveFirst
+	if c.hasLargerEntry(0) {
+		return claimDelay
 	}
 	return 0
 }
@@ -108,31 +108,31 @@
 	found := false
 	for _, i := range items {
 		found = found || i.Key() == owner.ClaimKey
-		c.take(i, false)
+		c.apply(i, false)
 	}
 	c.mu.Lock()
 	for n, m := range c.members {
 		if o, ok := old[n]; ok {
-			m.since = o.since
+			m.aliveSince = o.aliveSince
 			c.members[n] = m
 		}
 	}
 	c.mu.Unlock()
 	if !found {
-		c.set("")
+		c.setOwner("")
 	}
 }
 
 // Apply implements keyval.Sink.
 func (c *claims) Apply(events []keyval.Event) {
 	for _, x := range events {
-		c.take(x.Item(), x.Deleted())
+		c.apply(x.Item(), x.Deleted())
 	}
 }
 
-func (c *claims) take(i keyval.Item, gone bool) {
+func (c *claims) apply(i keyval.Item, gone bool) {
 	if i.Key() == owner.ClaimKey {
-		c.takeClaim(i, gone)
+		c.applyClaim(i, gone)
 		return
 	}
 	n, ok := strings.CutPrefix(i.Key(), entryPrefix)
@@ -141,7 +141,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := member{since: time.Now()}
+	m := member{aliveSince: time.Now()}
 	if gone || json.Unmarshal(i.Value(), &m) != nil {
 		delete(c.members, n)
 		return
@@ -149,20 +149,20 @@
 	c.members[n] = m
 }
 
-func (c *claims) takeClaim(i keyval.Item, gone bool) {
+func (c *claims) applyClaim(i keyval.Item, gone bool) {
 	var v lease.Value
 	if gone || json.Unmarshal(i.Value(), &v) != nil {
-		c.set("")
+		c.setOwner("")
 		return
 	}
 	a, _, _ := strings.Cut(v.Holder, "/")
-	c.set(a)
+	c.setOwner(a)
 }
 
-// set notes the owner's address and has the lease look at a claim that has changed.
-func (c *claims) set(a string) {
-	if o := c.addr.Swap(&a); o == nil || *o != a {
-		c.nudge()
+// setOwner notes the owner's address and has the lease look at a claim that has changed.
+func (c *claims) setOwner(a string) {
+	if o := c.ownerAddr.Swap(&a); o == nil || *o != a {
+		c.wakeLease()
 	}
 }
 
@@ -214,9 +214,9 @@
 	return nil
 }
 
-// yieldToAbler gives the claim up when an entry with much more processor is there.
-func (e *Site) yieldToAbler(ctx context.Context) error {
-	t := time.NewTicker(yieldCheck)
+// yieldToLarger gives the claim up when an entry with much more processor is there.
+func (e *Site) yieldToLarger(ctx context.Context) error {
+	t := time.NewTicker(yieldCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -224,7 +224,7 @@
 			return nil
 		case <-t.C:
 		}
-		if _, ok := e.lease.Held(); ok && e.claims.abler(yieldAfter) {
+		if _, ok := e.lease.Held(); ok && e.claims.hasLargerEntry(yieldDelay) {
 			e.log.Info().Float64("cores", e.set.Cores).Msg("claim yielded to an abler entry")
 			e.owner.Yield()
 		}
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -30,13 +30,13 @@
 
 // Times of an entry.
 const (
-	configWait = 900 * time.Millisecond // of one watch: a silent connection is noticed within twice that.
-	claimsWait = 3 * time.Second        // of one watch; a dead owner's claim ends the wait.
-	lookEvery  = 4 * time.Second        // between looks at the claim without news of it.
-	gcPercent  = 400                    // an owner's heap is some 30 MB: four times that is far from the memory of an entry.
-	heapShare  = 0.6                    // of the memory that the entry may use; beyond it the collector works harder.
-	killMargin = 1200 * time.Millisecond
-	idleFor    = 30 * time.Second
+	configWatchTimeout = 900 * time.Millisecond // of one watch: a silent connection is noticed within twice that.
+	claimsWatchTimeout = 3 * time.Second        // of one watch; a dead owner's claim ends the wait.
+	claimCheckInterval = 4 * time.Second        // between looks at the claim without news of it.
+	gcPercent          = 400                    // an owner's heap is some 30 MB: four times that is far from the memory of an entry.
+	heapShare          = 0.6                    // of the memory that the entry may use; beyond it the collector works harder.
+	shutdownMargin     = 1200 * time.Millisecond
+	idleTimeout        = 30 * time.Second
 )
 
 // Store is the platform's store.
@@ -67,21 +67,21 @@
 
 // Site is one entry.
 type Site struct {
-	set    Settings
-	plat   Platform
-	log    zerolog.Logger
-	lines  *logs.Writer
-	stats  *stats.Set
-	board  *board.Board
-	claims *claims
-	lease  *lease.Lease
-	owner  *owner.Owner
-	front  *front.Front
-	desk   *desk.Client
+	set       Settings
+	plat      Platform
+	log       zerolog.Logger
+	logWriter *logs.Writer
+	stats     *stats.Set
+	board     *board.Board
+	claims    *claims
+	lease     *lease.Lease
+	owner     *owner.Owner
+	front     *front.Front
+	desk      *desk.Client
 
-	life    context.Context //nolint:containedctx // of the calls that are carried for owners
-	endLife func()
-	carried errgroup.Group
+	carryCtx     context.Context //nolint:containedctx // of the calls that are carried for owners
+	stopCarrying func()
+	carryGroup   errgroup.Group
 }
 
 // New returns an entry that logs to out.
@@ -91,39 +91,39 @@
 		return nil, eris.Errorf("site: field %q is %q, want a level", "logLevel", s.LogLevel)
 	}
 	zerolog.MessageFieldName = "event"
-	e := &Site{set: s, plat: p, lines: logs.New(out), stats: stats.New(), board: board.New(), claims: newClaims(s), desk: desk.NewClient()}
-	e.life, e.endLife = context.WithCancel(context.Background())
-	e.log = zerolog.New(e.lines).Level(l).With().Timestamp().Str("entry", s.Name).Logger()
+	e := &Site{set: s, plat: p, logWriter: logs.New(out), stats: stats.New(), board: board.New(), claims: newClaims(s), desk: desk.NewClient()}
+	e.carryCtx, e.stopCarrying = context.WithCancel(context.Background())
+	e.log = zerolog.New(e.logWriter).Level(l).With().Timestamp().Str("entry", s.Name).Logger()
 	holder := fmt.Sprintf("%s/%d/%d", s.PeerAddr, os.Getpid(), time.Now().UnixNano())
 	e.lease = lease.New(p.Store, owner.ClaimKey, holder, lease.WithTTL(owner.ClaimTTL), lease.WithClock(steady.Now),
-		lease.WithPatience(owner.ClaimPatience), lease.WithLook(lookEvery),
+		lease.WithPatience(owner.ClaimPatience), lease.WithLook(claimCheckInterval),
 		lease.WithDelay(e.claims.delay))
-	e.claims.nudge = e.lease.Nudge
+	e.claims.wakeLease = e.lease.Nudge
 	e.owner = owner.New(owner.Parts{
 		Store: p.Store, Workers: p.Workers, Machines: p.Machines, Format: p.Format, Board: e.board, Lease: e.lease, Log: e.log, Stats: e.stats,
-		Peers: e.desk, Holder: holder, Entries: e.claims, Carrier: owner.NewCarrier(e.life, &e.carried, p.Workers, e.stats, e.log),
+		Peers: e.desk, Holder: holder, Entries: e.claims, Carrier: owner.NewCarrier(e.carryCtx, &e.carryGroup, p.Workers, e.stats, e.log),
 	}, owner.Settings{AdviceAddr: s.AdviceAddr, Model: s.model(), HelperWorkers: s.HelperWorkers})
 	e.front = front.New(front.Parts{
 		Board: e.board, Claims: e.claims, Desk: e.desk, Store: p.Store, Codec: p.Codec, Log: e.log, Stats: e.stats,
 	})
-	e.gauges()
+	e.registerGauges()
 	return e, nil
 }
 
-const msPerS = 1000
+const msPerSecond = 1000
 
 // model returns the figures for the owner's model.
 func (s Settings) model() batch.Config {
-	return batch.Config{LeaseMs: s.LeaseMaxMs, StatusMs: s.StatusSecs * msPerS, DutyGapMs: s.DutyGapMs + dutySlackMs}
+	return batch.Config{LeaseMs: s.LeaseMaxMs, StatusMs: s.StatusSecs * msPerSecond, DutyGapMs: s.DutyGapMs + dutyGapSlackMs}
 }
 
-// dutySlackMs is added to the time between two owners' orders to one machine, for calls that are slow.
-const dutySlackMs = 500
+// dutyGapSlackMs is added to the time between two owners' orders to one machine, for calls that are slow.
+const dutyGapSlackMs = 500
 
-func (e *Site) gauges() {
+func (e *Site) registerGauges() {
 	e.stats.Gauge("store_calls", func() int64 { n, _ := e.plat.Store.Calls(); return n })
 	e.stats.Gauge("store_failed", func() int64 { _, n := e.plat.Store.Calls(); return n })
-	e.stats.Gauge("log_lines_dropped", e.lines.Dropped)
+	e.stats.Gauge("log_lines_dropped", e.logWriter.Dropped)
 }
 
 // Run serves until ctx ends, then hands the jobs over, drains and returns.
@@ -133,10 +133,10 @@
 	e.log.Info().Str("dataCentre", e.set.DataCentre).Str("callers", e.set.CallerAddr).Str("peers", e.set.PeerAddr).Msg("start")
 	logs, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
 	lg := errgroup.Group{}
-	lg.Go(func() error { return e.lines.Run(logs) })
+	lg.Go(func() error { return e.logWriter.Run(logs) })
 	err := e.serve(ctx)
-	e.endLife()
-	err = errors.Join(err, e.carried.Wait())
+	e.stopCarrying()
+	err = errors.Join(err, e.carryGroup.Wait())
 	if err != nil {
 		e.log.Error().Err(err).Msg("failed")
 	}
@@ -151,7 +151,7 @@
 	g, c := errgroup.WithContext(late)
 	g.Go(func() error {
 		defer stopLate()
-		return e.listen(ctx, e.set.CallerAddr, func(x context.Context, l net.Listener) error { return e.front.Serve(x, l, e.drain()) })
+		return e.listen(ctx, e.set.CallerAddr, func(x context.Context, l net.Listener) error { return e.front.Serve(x, l, e.drainTime()) })
 	})
 	g.Go(func() error { return e.listen(c, e.set.ReadyAddr, e.serveReady) })
 	g.Go(func() error {
@@ -161,11 +161,11 @@
 		g.Go(func() error { return e.listen(c, e.set.MetricsAddr, e.serveMetrics) })
 	}
 	g.Go(func() error {
-		return keyval.Follow(c, e.plat.Store, e.plat.Format.OperatorPrefix(), configWait, &operator{e})
+		return keyval.Follow(c, e.plat.Store, e.plat.Format.OperatorPrefix(), configWatchTimeout, &operatorSink{e})
 	})
-	g.Go(func() error { return keyval.Follow(c, e.plat.Store, owner.ClaimPrefix, claimsWait, e.claims) })
+	g.Go(func() error { return keyval.Follow(c, e.plat.Store, owner.ClaimPrefix, claimsWatchTimeout, e.claims) })
 	g.Go(func() error { return e.register(ctx) })
-	g.Go(func() error { return e.yieldToAbler(ctx) })
+	g.Go(func() error { return e.yieldToLarger(ctx) })
 	// The owner and its claim end first, so that another entry takes over while this one drains.
 	own, stopOwn := context.WithCancel(ctx)
 	defer stopOwn()
@@ -180,9 +180,9 @@
 	return g.Wait()
 }
 
-// drain is the time that the front has between SIGTERM and its end.
-func (e *Site) drain() time.Duration {
-	return max(time.Duration(e.set.GraceSecs*float64(time.Second))-killMargin, killMargin)
+// drainTime is the time that the front has between SIGTERM and its end.
+func (e *Site) drainTime() time.Duration {
+	return max(time.Duration(e.set.GraceSecs*float64(time.Second))-shutdownMargin, shutdownMargin)
 }
 
 func (e *Site) listen(ctx context.Context, addr string, serve func(context.Context, net.Listener) error) error {
@@ -227,7 +227,7 @@
 }
 
 func serveHTTP(ctx context.Context, l net.Listener, h fasthttp.RequestHandler) error {
-	s := &fasthttp.Server{Handler: h, IdleTimeout: idleFor, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true}
+	s := &fasthttp.Server{Handler: h, IdleTimeout: idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true}
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() }) // Serve reports it.
 	defer stop()
 	if err := s.Serve(l); err != nil && ctx.Err() == nil {
@@ -252,18 +252,18 @@
 	e.log.Info().Str("logLevel", s.LogLevel).Msg("reload")
 }
 
-// operator is the sink of the operator's documents.
-type operator struct{ e *Site }
+// operatorSink is the sink of the operatorSink's documents.
+type operatorSink struct{ e *Site }
 
 // Reset implements keyval.Sink.
-func (o *operator) Reset(items []keyval.Item) {
+func (o *operatorSink) Reset(items []keyval.Item) {
 	for _, i := range items {
-		o.take(i, false)
+		o.apply(i, false)
 	}
 }
 
 // Apply implements keyval.Sink.
-func (o *operator) Apply(events []keyval.Event) {
+func (o *operatorSink) Apply(events []keyval.Event) {
 	newest := -1 // in a storm of configurations only the last one is read.
 	for n, x := range events {
 		if o.e.plat.Format.IsConfig(x.Item().Key()) {
@@ -272,12 +272,12 @@
 	}
 	for n, x := range events {
 		if n == newest || !o.e.plat.Format.IsConfig(x.Item().Key()) {
-			o.take(x.Item(), x.Deleted())
+			o.apply(x.Item(), x.Deleted())
 		}
 	}
 }
 
-func (o *operator) take(i keyval.Item, gone bool) {
+func (o *operatorSink) apply(i keyval.Item, gone bool) {
 	f := o.e.plat.Format
 	if f.IsConfig(i.Key()) {
 		if gone {
@@ -301,12 +301,12 @@
 }
 
 // Lost implements keyval.Sink.
-func (o *operator) Lost(err error) {
+func (o *operatorSink) Lost(err error) {
 	o.e.stats.Add("store_lost", 1)
 	o.e.log.Warn().Str("dependency", "store").Str("step", "watch configuration").Err(err).Msg("dependency lost")
 }
 
 // Found implements keyval.Sink.
-func (o *operator) Found() {
+func (o *operatorSink) Found() {
 	o.e.log.Info().Str("dependency", "store").Str("step", "watch configuration").Msg("dependency regained")
 }
--- a/node/site/status.go
+++ b/node/site/status.go
@@ -62,10 +62,10 @@
 		prefix string
 		take   func(keyval.Item) error
 	}{
-		{owner.ClaimPrefix, s.takeClaim},
-		{p.Format.OperatorPrefix(), func(i keyval.Item) error { return s.takeOrder(p.Format, i) }},
-		{p.Format.WorkersPrefix(), func(i keyval.Item) error { return s.takeWorker(p.Format, i) }},
-		{batch.JobPrefix, s.takeJob},
+		{owner.ClaimPrefix, s.addClaim},
+		{p.Format.OperatorPrefix(), func(i keyval.Item) error { return s.addOperatorDocument(p.Format, i) }},
+		{p.Format.WorkersPrefix(), func(i keyval.Item) error { return s.addWorker(p.Format, i) }},
+		{batch.JobPrefix, s.addJob},
 		{batch.WavePrefix, func(i keyval.Item) error {
 			w := batch.StoredWave{}
 			err := json.Unmarshal(i.Value(), &w)
@@ -89,7 +89,7 @@
 	return s, nil
 }
 
-func (s *Status) takeClaim(i keyval.Item) error {
+func (s *Status) addClaim(i keyval.Item) error {
 	if i.Key() == owner.ClaimKey {
 		var v lease.Value
 		err := json.Unmarshal(i.Value(), &v)
@@ -106,7 +106,7 @@
 	return err
 }
 
-func (s *Status) takeOrder(f Format, i keyval.Item) error {
+func (s *Status) addOperatorDocument(f Format, i keyval.Item) error {
 	if f.IsConfig(i.Key()) {
 		c, err := f.Config(i.Value())
 		s.Config = c.Version
@@ -122,7 +122,7 @@
 	return err
 }
 
-func (s *Status) takeWorker(f Format, i keyval.Item) error {
+func (s *Status) addWorker(f Format, i keyval.Item) error {
 	e, err := f.Entry(i)
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (s *Status) takeJob(i keyval.Item) error {
+func (s *Status) addJob(i keyval.Item) error {
 	var j batch.StoredJob
 	if err := json.Unmarshal(i.Value(), &j); err != nil {
 		return err
--- a/node/stats/stats.go
+++ b/node/stats/stats.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// bounds of the buckets; the last bucket has none.
-var bounds = []time.Duration{
+// bucketBounds of the buckets; the last bucket has none.
+var bucketBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second,
 }
 
 // Set is the counters and histograms of one process, safe for concurrent use.
 type Set struct {
-	mu     sync.RWMutex
-	counts map[string]*atomic.Int64
-	times  map[string]*histogram
-	gauges map[string]func() int64
+	mu         sync.RWMutex
+	counters   map[string]*atomic.Int64
+	histograms map[string]*histogram
+	gauges     map[string]func() int64
 }
 
 type histogram struct {
@@ -31,19 +31,19 @@
 
 // New returns an empty set.
 func New() *Set {
-	return &Set{counts: map[string]*atomic.Int64{}, times: map[string]*histogram{}, gauges: map[string]func() int64{}}
+	return &Set{counters: map[string]*atomic.Int64{}, histograms: map[string]*histogram{}, gauges: map[string]func() int64{}}
 }
 
 // Add adds n to a counter.
 func (s *Set) Add(name string, n int64) {
 	s.mu.RLock()
-	c := s.counts[name]
+	c := s.counters[name]
 	s.mu.RUnlock()
 	if c == nil {
 		s.mu.Lock()
-		if c = s.counts[name]; c == nil {
+		if c = s.counters[name]; c == nil {
 			c = &atomic.Int64{}
-			s.counts[name] = c
+			s.counters[name] = c
 		}
 		s.mu.Unlock()
 	}
@@ -60,17 +60,17 @@
 // Time adds d to a histogram.
 func (s *Set) Time(name string, d time.Duration) {
 	s.mu.RLock()
-	h := s.times[name]
+	h := s.histograms[name]
 	s.mu.RUnlock()
 	if h == nil {
 		s.mu.Lock()
-		if h = s.times[name]; h == nil {
-			h = &histogram{buckets: make([]atomic.Int64, len(bounds)+1)}
-			s.times[name] = h
+		if h = s.histograms[name]; h == nil {
+			h = &histogram{buckets: make([]atomic.Int64, len(bucketBounds)+1)}
+			s.histograms[name] = h
 		}
 		s.mu.Unlock()
 	}
-	i, _ := slices.BinarySearch(bounds, d)
+	i, _ := slices.BinarySearch(bucketBounds, d)
 	h.buckets[i].Add(1)
 	h.sum.Add(d.Microseconds())
 }
@@ -80,13 +80,13 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var l []string
-	for n, c := range s.counts {
+	for n, c := range s.counters {
 		l = append(l, fmt.Sprintf("%s %d\n", n, c.Load()))
 	}
 	for n, f := range s.gauges {
 		l = append(l, fmt.Sprintf("%s %d\n", n, f()))
 	}
-	for n, h := range s.times {
+	for n, h := range s.histograms {
 		l = append(l, h.text(n))
 	}
 	slices.Sort(l)
@@ -106,8 +106,8 @@
 	for i := range h.buckets {
 		sum += h.buckets[i].Load()
 		le := "+Inf"
-		if i < len(bounds) {
-			le = fmt.Sprint(bounds[i].Milliseconds())
+		if i < len(bucketBounds) {
+			le = fmt.Sprint(bucketBounds[i].Milliseconds())
 		}
 		t += fmt.Sprintf("%s_ms_bucket{le=%q} %d\n", name, le, sum)
 	}
