--- a/node/owner/carry.go
+++ b/node/owner/carry.go
@@ -13,29 +13,29 @@
 	"burdockreach.dev/node/stats"
 )
 
-// Carrying calls for an owner: an owner of many workers has other entries make its calls, as most of its processor time would go into
-// them. They decide nothing: an order that they hold up or lose is an order without an answer.
+// An owner of many workers has other entries, its helpers, make its calls, because the calls would take most of its processor time.
+// Helpers make no decisions. If a helper delays or loses an order, the owner treats it as an order without an answer.
 
-// Times of carrying.
+// Timeouts and limits of a Carrier.
 const (
-	answerBatchWindow  = 4 * time.Millisecond // answers that come within it go together.
-	sessionIdleTimeout = 15 * time.Second     // a session that nobody asks for is dropped.
-	maxSessionOrders   = 20_000               // orders under way for one session.
+	answerBatchWindow  = 4 * time.Millisecond // answers that arrive within this time share one reply.
+	sessionIdleTimeout = 15 * time.Second     // a session without requests for this time is dropped.
+	maxSessionOrders   = 20_000               // orders in flight for one session.
 )
 
-// Carrier makes calls for owners.
+// Carrier makes calls to workers for owners in other entries.
 type Carrier struct {
 	workers Workers
 	stats   *stats.Set
 	log     zerolog.Logger
-	ctx     context.Context //nolint:containedctx // the life of the process
+	ctx     context.Context //nolint:containedctx // canceled when the process ends
 	group   *errgroup.Group
 
 	mu       sync.Mutex
 	sessions map[string]*session
 }
 
-// session is the calls for one term of an owner.
+// session holds the calls and answers of one term of an owner.
 type session struct {
 	mu       sync.Mutex
 	answers  []*desk.Answer
@@ -44,11 +44,12 @@
 	lastUsed time.Time
 }
 
-// NewCarrier returns a carrier whose calls end with ctx.
+// NewCarrier returns a Carrier whose calls end when ctx is canceled.
 func NewCarrier(ctx context.Context, g *errgroup.Group, w Workers, s *stats.Set, l zerolog.Logger) *Carrier {
 	return &Carrier{workers: w, stats: s, log: l, ctx: ctx, group: g, sessions: map[string]*session{}}
 }
 
+// session returns the session with this id, which it creates if needed, and drops idle ones.
 func (c *Carrier) session(id string) *session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	return s
 }
 
-// Carry begins the orders and returns the answers that are there, or come within the wait.
+// Carry implements desk.Desk. It starts the orders and returns the answers that are ready or arrive within the requested wait.
 func (c *Carrier) Carry(ctx context.Context, r *desk.CarryRequest) (*desk.CarryReply, error) {
 	s := c.session(r.GetSession())
 	for _, o := range r.GetOrders() {
@@ -83,7 +84,7 @@
 	return a, nil
 }
 
-// waitAnswers returns once there is an answer and those that come soon after it, or after d.
+// waitAnswers returns answerBatchWindow after the first answer, or after d without one.
 func (s *session) waitAnswers(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -95,6 +96,7 @@
 	}
 }
 
+// start makes the call in a new goroutine, or answers NotSent when the session has too many orders in flight.
 func (c *Carrier) start(s *session, o *desk.Order) {
 	s.mu.Lock()
 	full := s.inFlight >= maxSessionOrders
@@ -121,7 +123,7 @@
 	}
 }
 
-// call makes one call; what went wrong is told by its result, and counted here.
+// call makes one call to a worker. The answer's result gives the failure; the error itself is counted and logged here.
 func (c *Carrier) call(o *desk.Order) *desk.Answer {
 	a, begin := &desk.Answer{Id: o.GetId()}, time.Now()
 	if o.GetTask() == "" {
@@ -164,7 +166,7 @@
 	}
 }
 
-// decodeHeld returns the answer to a look; one with a name that cannot be read counts as no answer.
+// decodeHeld decodes the answer to a hold call. An answer with an invalid task name counts as no answer.
 func decodeHeld(a *desk.Answer, worker string, sent int64) batch.HeldMsg {
 	g := batch.HeldMsg{
 		Worker: worker, Sent: sent, Result: batch.Result(a.GetResult()), Born: a.GetBorn(), ClockMs: a.GetClockMs(), ListFull: a.GetListFull(),
--- a/node/owner/former.go
+++ b/node/owner/former.go
@@ -14,26 +14,27 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// termKey names the last process that gave orders, so that its successor knows how long these may still be carried out.
+// termKey holds the termRecord of the last owner. Its successor derives from it how long that owner's orders may still take effect.
 const termKey = "own/term"
 
-// Times of the end of a term.
+// Timeouts at the end of a term and at the start of the next one.
 const (
-	handoverTimeout = 800 * time.Millisecond // of the time that a process has to stop.
+	handoverTimeout = 800 * time.Millisecond // part of the time that a process has to stop.
 	probeInterval   = 400 * time.Millisecond
 	probeTimeout    = 300 * time.Millisecond
 )
 
-// termRecord is the last process that gave orders.
+// termRecord identifies a term and the process that gave orders in it.
 type termRecord struct {
 	Fence  int64        `json:"fence"`
 	Holder string       `json:"holder"`
-	Left   bool         `json:"left"`   // it gives no orders any more.
-	Orders batch.Orders `json:"orders"` // to machines, when it left.
+	Left   bool         `json:"left"`   // the process has stopped giving orders.
+	Orders batch.Orders `json:"orders"` // to machines, as of the end of the term; set with Left.
 	rev    keyval.Revision
 }
 
-// orderLifetime is how long its orders may still be carried out, or extend a lease, at workers that are out of reach.
+// orderLifetime is how long the orders of this term may still be carried out, or extend a lease, at workers that the successor
+// cannot reach.
 func (f termRecord) orderLifetime() time.Duration {
 	switch {
 	case f.Fence == 0:
@@ -44,7 +45,7 @@
 	return maxOrderLifetime
 }
 
-// recordStart notes this term in the store before any order is given, and returns the one before.
+// recordStart writes the record of this term, before any order is given, and returns the record of the former term.
 func (t *term) recordStart(ctx context.Context) (termRecord, error) {
 	var f termRecord
 	i, err := t.o.store.Get(ctx, termKey)
@@ -56,18 +57,18 @@
 			return f, eris.Wrapf(err, "key %q", termKey)
 		}
 	}
-	if f.Fence == int64(t.fence) { // an earlier try was written, and what came before it is not known.
+	if f.Fence == int64(t.fence) { // an earlier attempt replaced the former record, which is unknown now.
 		return termRecord{Fence: f.Fence}, nil
 	}
 	f.rev = i.Rev()
 	return f, t.writeRecord(ctx, termRecord{Fence: int64(t.fence), Holder: t.o.holder}, i.Rev())
 }
 
-// writeRecord writes the term's record under the claim.
+// writeRecord writes the term record in a transaction that fails unless this term still holds the claim.
 func (t *term) writeRecord(ctx context.Context, f termRecord, rev keyval.Revision) error {
 	b, err := json.Marshal(f)
 	if err != nil {
-		return eris.Wrap(err, "term cannot be encoded")
+		return eris.Wrap(err, "encode term record")
 	}
 	r, err := t.o.store.Txn(ctx, keyval.Txn{
 		Guards: []keyval.Guard{t.claimGuard(), {Key: termKey, Rev: rev}}, Writes: []keyval.Write{{Key: termKey, Value: b}},
@@ -86,7 +87,7 @@
 	return err
 }
 
-// recordHandover notes that this process gives no orders any more; a successor that cannot read it waits longer.
+// recordHandover records that this process has stopped giving orders. Without this record a successor waits longer.
 func (t *term) recordHandover(ctx context.Context) {
 	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
 	defer cancel()
@@ -98,7 +99,8 @@
 	t.o.log.Info().Int64("fence", int64(t.fence)).Bool("noted", err == nil).Msg("ownership handed over")
 }
 
-// probeFormer asks the former owner's address until another process answers there, or it says that it gives no orders any more.
+// probeFormer shortens the wait for the orders of the former owner f. It polls that owner's address until another process answers
+// there, or the process answers that this term is over.
 func (t *term) probeFormer(ctx context.Context, f termRecord) error {
 	if f.Left {
 		t.send(ctx, batch.OrdersMsg{Orders: f.Orders})
@@ -124,13 +126,13 @@
 	return nil
 }
 
-// lastOrders is what this process ordered until its last term ended.
+// lastOrders holds the last orders to machines at the end of this process's latest term.
 type lastOrders struct {
-	recordedMs int64 // steady ms
+	recordedMs int64 // time of Owner.now in ms
 	orders     batch.Orders
 }
 
-// Term implements desk.Desk.
+// Term implements desk.Desk. Between terms it returns the age of the last orders to machines.
 func (o *Owner) Term(context.Context, *desk.TermRequest) (*desk.TermReply, error) {
 	if t := o.term.Load(); t != nil {
 		return &desk.TermReply{Holder: o.holder, Fence: int64(t.fence)}, nil
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -13,21 +13,21 @@
 	"burdockreach.dev/node/desk"
 )
 
-// Helpers of an owner.
+// Timeouts and limits of helpers.
 const (
-	chooseInterval      = time.Second            // between two looks at who can help.
-	collectTimeout      = 800 * time.Millisecond // of one request for answers.
+	chooseInterval      = time.Second            // between two choices of helpers.
+	collectTimeout      = 800 * time.Millisecond // how long one request waits for answers at the helper.
 	carryTimeout        = 1500 * time.Millisecond
-	helperCooldown      = 5 * time.Second // a helper that did not answer gets no calls for so long.
-	maxOrdersPerRequest = 200             // orders that one request carries at most.
+	helperCooldown      = 5 * time.Second // a helper that did not answer gets no calls for this time.
+	maxOrdersPerRequest = 200
 )
 
-// Entries knows which entries can make calls for an owner, the ablest first.
+// Entries lists the entries that can make calls for an owner.
 type Entries interface {
-	Helpers() []string // addresses for peers.
+	Helpers() []string // peer addresses, those with the most cores first.
 }
 
-// helper is an entry that makes calls for this term.
+// helper is another entry that makes calls to workers for this term. It makes no decisions.
 type helper struct {
 	t    *term
 	addr string
@@ -35,9 +35,9 @@
 	mu            sync.Mutex
 	lastID        uint64
 	queue         []*desk.Order
-	inFlight      map[uint64]pendingOrder // under way.
-	sendSignal    chan struct{}           // calls are queued.
-	collectSignal chan struct{}           // calls are under way.
+	inFlight      map[uint64]pendingOrder // orders without an answer, by id.
+	sendSignal    chan struct{}           // wakes send: calls are queued.
+	collectSignal chan struct{}           // wakes collect: calls are in flight.
 	failedAt      time.Time
 }
 
@@ -45,20 +45,21 @@
 	return &helper{t: t, addr: addr, inFlight: map[uint64]pendingOrder{}, sendSignal: make(chan struct{}, 1), collectSignal: make(chan struct{}, 1)}
 }
 
-// pendingOrder is a call that a helper makes.
+// pendingOrder is a call that a helper has not answered yet.
 type pendingOrder struct {
 	cmd    batch.Cmd
 	sentMs int64
 }
 
-// helpers are chosen anew every second; workers stay with their helper while it answers. Lock order: helpers, then helper.
+// helpers holds the helpers of a term. They are chosen again every second; a worker keeps its helper while that one answers.
+// Lock order: helpers, then helper.
 type helpers struct {
 	mu     sync.Mutex
 	byAddr map[string]*helper
 	active []*helper
 }
 
-// manageHelpers keeps as many helpers as the number of workers asks for.
+// manageHelpers adjusts the helpers to the number of workers, until ctx ends.
 func (t *term) manageHelpers(ctx context.Context) error {
 	k := time.NewTicker(chooseInterval)
 	defer k.Stop()
@@ -72,6 +73,7 @@
 	}
 }
 
+// chooseHelpers takes one helper for each HelperWorkers workers, in the order of Entries. It skips those that failed lately.
 func (t *term) chooseHelpers(ctx context.Context) {
 	n := int(t.workerCount.Load()) / t.o.settings.HelperWorkers
 	h := &t.helpers
@@ -99,17 +101,17 @@
 	h.active = use
 }
 
-// helperOf returns the helper for a worker's calls, nil when the owner makes them itself. By rendezvous hashing a worker keeps its
-// helper, and that one its connection, when others come and go.
+// helperOf returns the helper that makes the calls to a worker, or nil when the owner makes them itself. Rendezvous hashing keeps a
+// worker on the same helper, and the helper's connection to it open, when other helpers are added or removed.
 func (t *term) helperOf(worker string) *helper {
 	h := &t.helpers
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var best *helper
-	high := uint64(0)
+	bestHash := uint64(0)
 	for _, p := range h.active {
-		if n := xxhash.Sum64String(worker + p.addr); best == nil || n > high {
-			best, high = p, n
+		if n := xxhash.Sum64String(worker + p.addr); best == nil || n > bestHash {
+			best, bestHash = p, n
 		}
 	}
 	return best
@@ -121,7 +123,7 @@
 	return time.Since(p.failedAt) > helperCooldown
 }
 
-// enqueue queues a call.
+// enqueue queues a call for the helper and wakes its goroutines.
 func (p *helper) enqueue(c batch.Cmd) {
 	p.mu.Lock()
 	p.lastID++
@@ -150,12 +152,13 @@
 			Spec: k.Spec, Saved: k.Saved, Ticket: k.Ticket,
 		}
 	}
-	panic(fmt.Sprintf("owner: %T cannot be carried", c)) // a defect of perform.
+	panic(fmt.Sprintf("owner: %T cannot be sent through a helper", c)) // a bug in perform.
 }
 
+// sessionID identifies this term at the helper.
 func (p *helper) sessionID() string { return fmt.Sprintf("%s/%d", p.t.o.holder, p.t.fence) }
 
-// send passes queued calls on.
+// send sends queued calls to the helper until ctx ends.
 func (p *helper) send(ctx context.Context) error {
 	for {
 		select {
@@ -177,7 +180,7 @@
 	}
 }
 
-// collect asks for answers while calls are under way.
+// collect requests answers while calls are in flight, until ctx ends.
 func (p *helper) collect(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.mu.Lock()
@@ -195,7 +198,8 @@
 	return nil
 }
 
-// exchange makes one request; when it fails, nothing is known of the calls that are under way.
+// exchange makes one Carry request and passes the answers to the model. When the request fails, the outcome of all calls in flight
+// is unknown.
 func (p *helper) exchange(ctx context.Context, r *desk.CarryRequest) {
 	c, cancel := context.WithTimeout(ctx, carryTimeout)
 	defer cancel()
@@ -215,7 +219,7 @@
 	}
 }
 
-// fail tells the model that the calls under way have no answer.
+// fail drops the calls in flight after a failed request, reports them to the model as unanswered, and chooses helpers again.
 func (p *helper) fail(ctx context.Context, err error) {
 	p.mu.Lock()
 	l := p.inFlight
@@ -233,7 +237,7 @@
 	}
 }
 
-// toMsg returns the message to the model.
+// toMsg converts the answer to the message for the model.
 func (o pendingOrder) toMsg(a *desk.Answer) batch.Msg {
 	r := batch.Result(a.GetResult())
 	switch k := o.cmd.(type) {
@@ -244,5 +248,5 @@
 	case batch.StartCmd:
 		return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
 	}
-	panic(fmt.Sprintf("owner: %T was carried", o.cmd)) // a defect of push.
+	panic(fmt.Sprintf("owner: %T was sent through a helper", o.cmd)) // a bug in enqueue.
 }
--- a/node/owner/helper_test.go
+++ b/node/owner/helper_test.go
@@ -20,19 +20,19 @@
 	"burdockreach.dev/node/stats"
 )
 
-// idleWorkers answers each call after a while.
-type idleWorkers struct {
+// slowWorkers answers each call after a random delay, and fails one call in ten.
+type slowWorkers struct {
 	Workers
-	rnd  *rand.Rand
-	mu   sync.Mutex
-	most time.Duration
+	rnd      *rand.Rand
+	mu       sync.Mutex
+	maxDelay time.Duration
 }
 
 var errNoWorker = errors.New("worker does not answer")
 
-func (w *idleWorkers) pause(ctx context.Context) error {
+func (w *slowWorkers) pause(ctx context.Context) error {
 	w.mu.Lock()
-	d := time.Duration(w.rnd.Int64N(int64(w.most)))
+	d := time.Duration(w.rnd.Int64N(int64(w.maxDelay)))
 	fail := w.rnd.IntN(10) == 0
 	w.mu.Unlock()
 	select {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (w *idleWorkers) Hold(ctx context.Context, c batch.HoldCmd) (batch.HeldMsg, error) {
+func (w *slowWorkers) Hold(ctx context.Context, c batch.HoldCmd) (batch.HeldMsg, error) {
 	g := batch.HeldMsg{Worker: c.Worker}
 	err := w.pause(ctx)
 	if err != nil {
@@ -55,24 +55,24 @@
 	return g, err
 }
 
-func (w *idleWorkers) Stop(ctx context.Context, _ batch.StopCmd) (batch.Result, int64, error) {
+func (w *slowWorkers) Stop(ctx context.Context, _ batch.StopCmd) (batch.Result, int64, error) {
 	if err := w.pause(ctx); err != nil {
 		return batch.NoAnswer, 0, err
 	}
 	return batch.OK, 1, nil
 }
 
-// path passes connections on to a server; it resets those that are open, and holds new ones up, as the test wishes.
-type path struct {
+// flakyProxy forwards connections to a server. A test can close the open connections and stall the transfer of data.
+type flakyProxy struct {
 	net.Listener
-	to   string
-	mu   sync.Mutex
-	open []net.Conn
-	shut atomic.Bool
-	wg   errgroup.Group
+	to      string
+	mu      sync.Mutex
+	conns   []net.Conn
+	stalled atomic.Bool
+	wg      errgroup.Group
 }
 
-func (p *path) serve() {
+func (p *flakyProxy) serve() {
 	for {
 		c, err := p.Accept()
 		if err != nil {
@@ -84,18 +84,18 @@
 			continue
 		}
 		p.mu.Lock()
-		p.open = append(p.open, c, s)
+		p.conns = append(p.conns, c, s)
 		p.mu.Unlock()
 		p.wg.Go(func() error { p.copy(c, s); return nil })
 		p.wg.Go(func() error { p.copy(s, c); return nil })
 	}
 }
 
-func (p *path) copy(to, from net.Conn) {
+func (p *flakyProxy) copy(to, from net.Conn) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
-		for p.shut.Load() {
+		for p.stalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		if n > 0 {
@@ -110,32 +110,32 @@
 	_, _ = to.Close(), from.Close()
 }
 
-func (p *path) reset() {
+func (p *flakyProxy) reset() {
 	p.mu.Lock()
-	l := p.open
-	p.open = nil
+	l := p.conns
+	p.conns = nil
 	p.mu.Unlock()
 	for _, c := range l {
 		_ = c.Close()
 	}
 }
 
-// carried is a term with one helper behind a path, and the carrier at its end.
-func carried(t *testing.T, seed uint64) (*term, *helper, *path, context.Context) {
+// newTermWithHelper returns a term with one helper. Its requests reach the Carrier through a flakyProxy.
+func newTermWithHelper(t *testing.T, seed uint64) (*term, *helper, *flakyProxy, context.Context) {
 	t.Helper()
 	is := is.New(t)
 	ctx, stop := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	w := &idleWorkers{rnd: rand.New(rand.NewPCG(seed, 1)), most: 60 * time.Millisecond}
+	w := &slowWorkers{rnd: rand.New(rand.NewPCG(seed, 1)), maxDelay: 60 * time.Millisecond}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	far := &Owner{Carrier: NewCarrier(ctx, g, w, stats.New(), zerolog.Nop())}
 	g.Go(func() error { return desk.Serve(ctx, l, far) })
 	pl, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	p := &path{Listener: pl, to: l.Addr().String()}
+	p := &flakyProxy{Listener: pl, to: l.Addr().String()}
 	p.wg.Go(func() error { p.serve(); return nil })
-	o := &Owner{log: zerolog.New(io.Discard), peers: desk.NewClient(), holder: "h/1", started: time.Now(), entries: nobody{}, settings: Settings{HelperWorkers: 60}}
+	o := &Owner{log: zerolog.New(io.Discard), peers: desk.NewClient(), holder: "h/1", started: time.Now(), entries: noEntries{}, settings: Settings{HelperWorkers: 60}}
 	m := &term{o: o, fence: 7, msgs: make(chan batch.Msg, maxQueuedMsgs), group: g}
 	m.helpers.byAddr = map[string]*helper{}
 	h := newHelper(m, pl.Addr().String())
@@ -143,7 +143,7 @@
 	g.Go(func() error { return h.collect(ctx) })
 	t.Cleanup(func() {
 		stop()
-		p.shut.Store(false)
+		p.stalled.Store(false)
 		_ = pl.Close()
 		p.reset()
 		_ = g.Wait()
@@ -152,23 +152,24 @@
 	return m, h, p, ctx
 }
 
-// waiting returns the number of orders that have no answer yet.
-func (p *helper) waiting() int {
+// unanswered returns the number of orders that have no answer yet.
+func (p *helper) unanswered() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.inFlight)
 }
 
-// nobody has no entries that help.
-type nobody struct{}
+// noEntries lists no helpers.
+type noEntries struct{}
 
-func (nobody) Helpers() []string { return nil }
+func (noEntries) Helpers() []string { return nil }
 
-// Each order that a helper is given is answered, by the worker or as one that has no answer, whatever happens to the way to the helper.
+// Each order that is queued for a helper gets an answer, from the worker or NoAnswer, even if connections to the helper are closed or
+// stalled.
 func TestHelperAnswersEachOrder(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		is := is.New(t)
-		m, h, p, _ := carried(t, seed)
+		m, h, p, _ := newTermWithHelper(t, seed)
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		const orders = 400
 		for i := range orders {
@@ -181,19 +182,19 @@
 			case 0:
 				p.reset()
 			case 1:
-				p.shut.Store(!p.shut.Load())
+				p.stalled.Store(!p.stalled.Load())
 			}
 			time.Sleep(time.Duration(rnd.Int64N(int64(4 * time.Millisecond))))
 		}
-		p.shut.Store(false)
-		late := time.After(20 * time.Second) // ten times the longest request.
+		p.stalled.Store(false)
+		late := time.After(20 * time.Second) // over ten times the longest request.
 		for range orders {
 			select {
 			case <-m.msgs:
 			case <-late:
-				t.Fatalf("seed %d: %d orders have no answer", seed, h.waiting())
+				t.Fatalf("seed %d: %d orders have no answer", seed, h.unanswered())
 			}
 		}
-		is.Equal(h.waiting(), 0)
+		is.Equal(h.unanswered(), 0)
 	}
 }
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -1,4 +1,5 @@
-// Package owner runs the jobs while this process holds the claim: it carries out what batch.Model decides.
+// Package owner runs jobs while this process holds the claim, the key that names the owner of the jobs.
+// batch.Model makes the decisions; this package carries out its commands and reports the results back to it.
 package owner
 
 import (
@@ -21,35 +22,36 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// ClaimKey names the owner of the jobs, under a lease.
+// ClaimKey is the key of the claim. Its value names the owner of the jobs, and it is bound to a lease.
 const ClaimKey = "own/all"
 
-// ClaimPrefix precedes the keys of claims.
+// ClaimPrefix is the prefix of the claim, of the term record and of the keys of live entries.
 const ClaimPrefix = "own/"
 
-// Times of an owner.
+// Timeouts and limits of an owner.
 const (
-	// ClaimTTL is how soon another process may take the claim of a silent owner; the store grants no less than 1 s.
+	// ClaimTTL is the time to live of the claim without renewal. Another process may take the claim after it. The store grants
+	// no less than 1 s.
 	ClaimTTL = 1200 * time.Millisecond
-	// ClaimPatience is how long an owner that cannot reach the store goes on driving workers: store outages are mostly shorter.
+	// ClaimPatience is how long an owner that cannot reach the store keeps giving orders to workers. Most store outages are shorter.
 	ClaimPatience      = 7 * time.Second
-	maxWorkerLease     = 5500 * time.Millisecond                   // the longest lease that an owner asks of workers, on a slow clock.
-	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // after a former owner that may go on: its last order, and that lease.
+	maxWorkerLease     = 5500 * time.Millisecond                   // longest lease that an owner requests from a worker, measured on a slow clock.
+	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // of a former owner that may still be running: until its last order, plus the worker lease which that order may extend.
 	retryInterval      = 100 * time.Millisecond
-	workerWatchTimeout = time.Second // of one watch.
+	workerWatchTimeout = time.Second // timeout of one watch on the list of workers.
 	maxQueuedMsgs      = 4096
-	maxMsgsPerRound    = 256 // messages taken in before the model is asked what follows.
+	maxMsgsPerRound    = 256 // messages that the model gets before it is asked for commands.
 	maxPendingRequests = 4096
 )
 
-// Store is what an owner needs of the platform's store.
+// Store is the part of the platform's key-value store that an owner uses.
 type Store interface {
 	keyval.Lister
 	Get(ctx context.Context, key string) (keyval.Item, error)
 	Txn(ctx context.Context, t keyval.Txn) (keyval.Revision, error)
 }
 
-// Workers gives orders to workers; an error says why the result is not OK.
+// Workers sends orders to workers. An error gives the reason for a result that is not OK.
 type Workers interface {
 	Start(ctx context.Context, c batch.StartCmd) (batch.Result, int64, error)
 	Stop(ctx context.Context, c batch.StopCmd) (batch.Result, int64, error)
@@ -58,14 +60,14 @@
 	Advise(ctx context.Context, addr, step string, workers []string, wait time.Duration) (map[string]string, int64, error)
 }
 
-// Machines lists machines and gives them orders.
+// Machines lists the platform's machines and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]batch.Machine, error)
 	Move(ctx context.Context, c batch.MoveCmd) (batch.DutyResult, error)
 	Upkeep(ctx context.Context, c batch.UpkeepCmd) (batch.DutyResult, error)
 }
 
-// Format reads and writes the platform's documents.
+// Format encodes and decodes the platform's documents.
 type Format interface {
 	Entry(i keyval.Item) (batch.Entry, error)
 	WorkerID(key string) string
@@ -74,15 +76,15 @@
 	IsCompleted(b []byte) bool
 }
 
-// Settings are the figures that an owner works with.
+// Settings configures an owner.
 type Settings struct {
 	Model      batch.Config
 	AdviceAddr string
-	// HelperWorkers is the number of workers for which one more entry makes the owner's calls.
+	// HelperWorkers is the number of workers per helper. A helper is another entry that makes calls to workers for the owner.
 	HelperWorkers int
 }
 
-// Owner takes the jobs over whenever this process holds the claim.
+// Owner runs the jobs whenever this process holds the claim.
 type Owner struct {
 	store    Store
 	workers  Workers
@@ -104,7 +106,7 @@
 	lastOrders atomic.Pointer[lastOrders]
 }
 
-// Parts are what an owner is made of.
+// Parts holds the dependencies of an Owner.
 type Parts struct {
 	Store    Store
 	Workers  Workers
@@ -117,10 +119,10 @@
 	Peers    *desk.Client
 	Carrier  *Carrier
 	Entries  Entries
-	Holder   string // names this run of the process, and begins with its address for peers and a slash.
+	Holder   string // unique to this run of the process; starts with its peer address and a slash.
 }
 
-// New returns an owner that holds nothing.
+// New returns an owner without a claim.
 func New(p Parts, s Settings) *Owner {
 	o := &Owner{
 		store: p.Store, workers: p.Workers, machines: p.Machines, format: p.Format, board: p.Board, lease: p.Lease,
@@ -130,7 +132,7 @@
 	return o
 }
 
-// Yield ends the term, if there is one, and gives the claim up.
+// Yield ends the current term, if there is one, and releases the claim.
 func (o *Owner) Yield() {
 	if t := o.term.Load(); t != nil {
 		o.yielding.Store(true)
@@ -138,10 +140,10 @@
 	}
 }
 
-// now is the steady time in ms.
+// now returns the time in ms since New, on the monotonic clock.
 func (o *Owner) now() int64 { return time.Since(o.started).Milliseconds() }
 
-// Run takes the jobs over each time the claim is held, until ctx ends.
+// Run runs the jobs each time this process gets the claim, until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		f, ok := o.lease.Kept()
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// waitClaimLost returns once the claim of fence f is not kept any more.
+// waitClaimLost returns once the claim with fence f has been given up.
 func (o *Owner) waitClaimLost(ctx context.Context, f keyval.Revision) {
 	for ctx.Err() == nil {
 		if g, ok := o.lease.Kept(); !ok || g != f {
@@ -178,10 +180,10 @@
 	}
 }
 
-// errClaimLost ends a term.
+// errClaimLost ends a term because this process does not hold the claim any more.
 var errClaimLost = errors.New("another owner has the claim")
 
-// term is the time during which this process holds one claim.
+// term is the period in which this process holds one claim.
 type term struct {
 	o     *Owner
 	fence keyval.Revision
@@ -194,18 +196,19 @@
 	lastRef     uint64
 	pending     map[uint64]chan batch.ReplyCmd
 	queries     chan modelQuery
-	recordRev   atomic.Int64 // of the term's record.
+	recordRev   atomic.Int64 // store revision of the term record; 0 until it is written.
 	helpers     helpers
-	workerCount atomic.Int64 // that are listed.
+	workerCount atomic.Int64 // number of listed workers.
 	stop        func()
 }
 
-// modelQuery has f called with the model between two messages.
+// modelQuery asks runModel to call f with the model between two messages.
 type modelQuery struct {
 	f    func(*batch.Model)
 	done chan struct{}
 }
 
+// runTerm runs the jobs under the claim with fence f until the claim is lost, the owner yields or ctx ends.
 func (o *Owner) runTerm(ctx context.Context, f keyval.Revision) error {
 	c := o.settings.Model
 	c.Fence, c.Now, c.WallMs = int64(f), o.now(), time.Now().UnixMilli()
@@ -215,11 +218,11 @@
 	}
 	o.log.Info().Int64("fence", int64(f)).Msg("ownership begins")
 	o.stats.Add("terms", 1)
-	own, stop := context.WithCancel(ctx)
+	termCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	t.stop = stop
 	t.helpers.byAddr = map[string]*helper{}
-	g, d := errgroup.WithContext(own)
+	g, d := errgroup.WithContext(termCtx)
 	t.group = g
 	o.term.Store(t)
 	defer o.term.CompareAndSwap(t, nil)
@@ -235,13 +238,13 @@
 	err := g.Wait()
 	o.lastOrders.Store(&lastOrders{recordedMs: o.now(), orders: t.model.Orders(o.now())})
 	t.abandonPending()
-	if own.Err() != nil {
+	if termCtx.Err() != nil {
 		t.recordHandover(ctx)
 	}
 	return err
 }
 
-// watchClaim ends the term when the claim is given up.
+// watchClaim ends the term once the claim has been given up.
 func (t *term) watchClaim(ctx context.Context) error {
 	k := time.NewTicker(ClaimTTL / 10)
 	defer k.Stop()
@@ -257,7 +260,7 @@
 	}
 }
 
-// loadRecords reads the records of the former owner.
+// loadRecords writes this term's record, passes the stored jobs, runs and waves to the model, and then checks on the former owner.
 func (t *term) loadRecords(ctx context.Context) error {
 	for ctx.Err() == nil {
 		former, err := t.recordStart(ctx)
@@ -286,6 +289,7 @@
 	}
 }
 
+// readRecords reads all jobs, runs and waves from the store. It logs and skips a value that cannot be decoded.
 func (o *Owner) readRecords(ctx context.Context) (batch.LoadedMsg, error) {
 	m := batch.LoadedMsg{}
 	jobs, _, err := o.store.All(ctx, batch.JobPrefix)
@@ -327,7 +331,7 @@
 	return m, nil
 }
 
-// send hands a message to the loop.
+// send queues a message for the model.
 func (t *term) send(ctx context.Context, m batch.Msg) {
 	select {
 	case t.msgs <- m:
@@ -335,14 +339,14 @@
 	}
 }
 
-// minCheckedChangeMs is the change in ms of the claim's last renewal that the model is told.
+// minCheckedChangeMs is the time in ms by which the claim's last renewal must have moved on before the model gets an update.
 const minCheckedChangeMs = 100
 
-// runModel is the only user of the model.
+// runModel passes messages to the model and carries out its commands. No other goroutine uses the model while it runs.
 func (t *term) runModel(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	fresh, wall, checked := false, int64(0), int64(0)
+	claimHeld, wallSecs, lastCheckedMs := false, int64(0), int64(0)
 	for {
 		select {
 		case <-ctx.Done():
@@ -357,12 +361,12 @@
 		case <-timer.C:
 		}
 		_, ok := t.o.lease.Held()
-		if at := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != fresh || at-checked > minCheckedChangeMs {
-			fresh, checked = ok, at
-			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: at})
+		if checkedMs := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != claimHeld || checkedMs-lastCheckedMs > minCheckedChangeMs {
+			claimHeld, lastCheckedMs = ok, checkedMs
+			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: checkedMs})
 		}
-		if n := time.Now().UnixMilli(); n/1000 != wall {
-			wall = n / 1000
+		if n := time.Now().UnixMilli(); n/1000 != wallSecs {
+			wallSecs = n / 1000
 			t.model.Update(t.o.now(), batch.WallMsg{UnixMs: n})
 		}
 		cmds := t.model.Round(t.o.now())
@@ -376,7 +380,7 @@
 	}
 }
 
-// applyQueued takes in the messages that wait.
+// applyQueued passes queued messages to the model, up to maxMsgsPerRound.
 func (t *term) applyQueued() {
 	for range maxMsgsPerRound {
 		select {
--- a/node/owner/perform.go
+++ b/node/owner/perform.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// perform carries one command out, without waiting for calls.
+// perform carries out one command of the model. It does not wait for calls; their results come back as messages.
 func (t *term) perform(ctx context.Context, c batch.Cmd) error {
 	switch k := c.(type) {
 	case batch.DeposedCmd:
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// sendOrder gives an order to a worker, or has a helper give it.
+// sendOrder sends an order to a worker, through the worker's helper if it has one.
 func (t *term) sendOrder(ctx context.Context, worker string, c batch.Cmd) {
 	if h := t.helperOf(worker); h != nil {
 		h.enqueue(c)
@@ -49,15 +49,16 @@
 	t.callPooled(ctx, c)
 }
 
-// callPooled makes a call that is answered soon.
+// callPooled makes a short call on one of the pooled goroutines, or on a new one when all are busy.
 func (t *term) callPooled(ctx context.Context, c batch.Cmd) {
 	select {
 	case t.calls <- c:
-	default: // every caller is busy.
+	default: // every pooled goroutine is busy.
 		t.callAsync(ctx, c)
 	}
 }
 
+// callAsync makes a call in a new goroutine.
 func (t *term) callAsync(ctx context.Context, c batch.Cmd) {
 	t.group.Go(func() error {
 		t.call(ctx, c)
@@ -65,10 +66,11 @@
 	})
 }
 
-// callGoroutines is the number of goroutines that make the short calls; their stacks have grown once and for all.
+// callGoroutines is the number of pooled goroutines for short calls. Pooling keeps their stacks, which a new goroutine would have to
+// grow again for each call.
 const callGoroutines = 32
 
-// makeCalls makes calls until ctx ends.
+// makeCalls is one pooled goroutine: it makes queued calls until ctx ends.
 func (t *term) makeCalls(ctx context.Context) error {
 	for {
 		select {
@@ -80,7 +82,7 @@
 	}
 }
 
-// call makes the call that c asks for and tells the model its answer.
+// call makes the call for command c and passes the answer to the model.
 func (t *term) call(ctx context.Context, c batch.Cmd) {
 	o, sent := t.o, t.o.now()
 	begin := time.Now()
@@ -111,7 +113,7 @@
 	}
 }
 
-// callMachines makes a call about machines.
+// callMachines makes a call for a command that concerns machines or waves.
 func (t *term) callMachines(ctx context.Context, c batch.Cmd, sent int64, begin time.Time) {
 	o := t.o
 	switch k := c.(type) {
@@ -144,7 +146,7 @@
 	count(o.stats, o.log, call, begin, err)
 }
 
-// count notes how long a call took, and why it failed.
+// count records the duration of a call, and counts and logs its error.
 func count(s *stats.Set, l zerolog.Logger, call string, begin time.Time, err error) {
 	s.Time(call, time.Since(begin))
 	if err == nil {
@@ -158,7 +160,7 @@
 
 func (t *term) claimGuard() keyval.Guard { return keyval.Guard{Key: ClaimKey, Rev: t.fence} }
 
-// commit writes rows under the claim.
+// commit writes rows in one transaction that fails unless this term still holds the claim.
 func (t *term) commit(ctx context.Context, k batch.CommitCmd, begin time.Time) {
 	x := keyval.Txn{Guards: []keyval.Guard{t.claimGuard()}}
 	for _, r := range k.Rows {
@@ -190,13 +192,13 @@
 	t.send(ctx, g)
 }
 
-// reportClaimLost ends the term: the claim is not this owner's any more.
+// reportClaimLost ends the term, because another owner has the claim.
 func (t *term) reportClaimLost(ctx context.Context) {
 	t.o.lease.Nudge()
-	t.send(ctx, batch.LostMsg{Reason: "the claim has changed hands"})
+	t.send(ctx, batch.LostMsg{Reason: "another process holds the claim"})
 }
 
-// reportWave tells the operator the state of a wave, until the store takes it.
+// reportWave writes the state of a wave for the operator, and retries until the store accepts it.
 func (t *term) reportWave(ctx context.Context, k batch.ReportCmd) {
 	key, v := t.o.format.WaveState(k.Wave, k.Completed)
 	for ctx.Err() == nil {
@@ -219,13 +221,13 @@
 func (t *term) advise(ctx context.Context, k batch.AdviseCmd, sent int64) {
 	n := k.Task.String()
 	step := n[:lastDot(n)]
-	a, valid, err := t.o.workers.Advise(ctx, t.o.settings.AdviceAddr, step, k.Workers, adviceTimeout)
+	a, valid, err := t.o.workers.Advise(ctx, t.o.settings.AdviceAddr, step, k.Workers, adviceQueueTime)
 	t.o.count("advise", time.Now(), err)
 	t.send(ctx, batch.AdvisedMsg{Task: k.Task, Failed: err != nil, ValidMs: valid, Sent: sent, Tickets: a})
 }
 
-// adviceTimeout is added to the time of a request for advice, which waits for those before it.
-const adviceTimeout = 2 * time.Second
+// adviceQueueTime is added to the timeout of a request for advice, because the advice service handles requests one after another.
+const adviceQueueTime = 2 * time.Second
 
 func lastDot(s string) int {
 	for i := len(s) - 1; i > 0; i-- {
@@ -236,7 +238,7 @@
 	return len(s)
 }
 
-// logEvent logs a decision of the model.
+// logEvent logs and counts a decision of the model.
 func (t *term) logEvent(k batch.LogCmd) {
 	e := t.o.log.Info()
 	if k.Job != "" {
@@ -246,6 +248,7 @@
 	e.Fields(k.Fields).Int64("fence", int64(t.fence)).Int64("atMs", t.o.now()).Msg(k.Event)
 }
 
+// metricName replaces spaces with underscores.
 func metricName(s string) string {
 	b := []byte(s)
 	for i, c := range b {
--- a/node/owner/serve.go
+++ b/node/owner/serve.go
@@ -11,7 +11,8 @@
 
 var _ desk.Desk = (*Owner)(nil)
 
-// register registers a request and returns its number and the channel of its answer; false when the term is over.
+// register adds a pending request and returns its number and the channel for its reply. It returns false when the term is over or
+// has too many pending requests.
 func (t *term) register() (uint64, chan batch.ReplyCmd, bool) {
 	c := make(chan batch.ReplyCmd, 1)
 	t.mu.Lock()
@@ -30,6 +31,7 @@
 	delete(t.pending, ref)
 }
 
+// reply passes a reply of the model to the request that waits for it.
 func (t *term) reply(k batch.ReplyCmd) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +41,7 @@
 	}
 }
 
-// abandonPending tells those that wait that their outcome is not known.
+// abandonPending answers all pending requests with an unknown outcome and accepts no new ones.
 func (t *term) abandonPending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +66,7 @@
 	return o.request(ctx, func(ref uint64) batch.Msg { return batch.CancelMsg{Ref: ref, ID: r.GetId()} })
 }
 
-// request hands a message to the model and waits for its reply.
+// request passes a message to the model and waits for the reply.
 func (o *Owner) request(ctx context.Context, msg func(uint64) batch.Msg) (*desk.Reply, error) {
 	t := o.term.Load()
 	if t == nil {
@@ -91,8 +93,8 @@
 	}
 }
 
-// queryModel has f called with the model; false when this process is not the owner.
-func (o *Owner) queryModel(ctx context.Context, f func(*batch.Model)) bool {
+// withModel calls f with the model, between two messages. It returns false when this process is not the owner or ctx ends first.
+func (o *Owner) withModel(ctx context.Context, f func(*batch.Model)) bool {
 	t := o.term.Load()
 	if t == nil {
 		return false
@@ -114,7 +116,7 @@
 // State implements desk.Desk.
 func (o *Owner) State(ctx context.Context, r *desk.JobRequest) (*desk.StateReply, error) {
 	a := &desk.StateReply{}
-	if !o.queryModel(ctx, func(m *batch.Model) {
+	if !o.withModel(ctx, func(m *batch.Model) {
 		a.Ready, a.State = m.Ready(), string(m.State(r.GetId()))
 	}) {
 		return nil, desk.NotOwner()
@@ -125,7 +127,7 @@
 // Pending implements desk.Desk.
 func (o *Owner) Pending(ctx context.Context, _ *desk.PendingRequest) (*desk.PendingReply, error) {
 	a := &desk.PendingReply{Queues: map[string]int64{}}
-	if !o.queryModel(ctx, func(m *batch.Model) {
+	if !o.withModel(ctx, func(m *batch.Model) {
 		a.Ready = m.Ready()
 		for q, n := range m.Pending() {
 			a.Queues[q] = int64(n)
@@ -136,7 +138,7 @@
 	return a, nil
 }
 
-// Lookup reads how far a job is from the store; batch.Absent when it was never accepted.
+// Lookup reads the state of a job from the store. It returns batch.Absent for a job that was never accepted.
 func Lookup(ctx context.Context, s Getter, id string) (batch.State, error) {
 	if e, err := lookupEnd(ctx, s, id); err != nil || e != batch.Absent {
 		return e, err
@@ -148,10 +150,10 @@
 	if j.Found() {
 		return batch.Queued, nil
 	}
-	return lookupEnd(ctx, s, id) // its job record goes when it ends.
+	return lookupEnd(ctx, s, id) // the job record is deleted when the job ends, maybe between the two reads above.
 }
 
-// lookupEnd reads how a job ended; batch.Absent when it has not.
+// lookupEnd reads the final state of a job. It returns batch.Absent for a job that has not ended.
 func lookupEnd(ctx context.Context, s Getter, id string) (batch.State, error) {
 	r, err := s.Get(ctx, batch.RunPrefix+id)
 	if err != nil || !r.Found() {
--- a/node/owner/watch.go
+++ b/node/owner/watch.go
@@ -7,15 +7,15 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// watchWorkers tells the model what workers say of themselves.
+// watchWorkers keeps the model up to date with the list of workers in the store, until ctx ends.
 func (t *term) watchWorkers(ctx context.Context) error {
 	return keyval.Follow(ctx, t.o.store, t.o.format.WorkersPrefix(), workerWatchTimeout, &workerSink{t: t, ctx: ctx})
 }
 
-// workerSink is the sink of the workers' list.
+// workerSink passes changes of the list of workers to the model.
 type workerSink struct {
 	t   *term
-	ctx context.Context //nolint:containedctx // the sink lives as long as its follow.
+	ctx context.Context //nolint:containedctx // the sink is used only while its Follow call runs.
 }
 
 // Reset implements keyval.Sink.
@@ -40,7 +40,7 @@
 	r.t.send(r.ctx, m)
 }
 
-// add takes an entry in; one that cannot be read names no worker.
+// add adds a list entry to the message. A worker whose entry cannot be decoded counts as gone.
 func (r *workerSink) add(m *batch.WorkersMsg, i keyval.Item) {
 	e, err := r.t.o.format.Entry(i)
 	if err != nil {
@@ -72,7 +72,7 @@
 	r.t.o.log.Info().Str("dependency", "store").Str("step", "watch workers").Msg("dependency regained")
 }
 
-// watchBoard tells the model the services and the waves.
+// watchBoard passes the services and the waves to the model after each change, until ctx ends.
 func (t *term) watchBoard(ctx context.Context) error {
 	ch, stop := t.o.board.Watch()
 	defer stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// waveReported reports whether the operator has been told that the wave is over; while the store cannot tell, it is taken as not over.
+// waveReported reports whether the wave is stored as completed for the operator. If the store cannot be read, it returns false.
 func (t *term) waveReported(ctx context.Context, n int) bool {
 	key, _ := t.o.format.WaveState(n, true)
 	i, err := t.o.store.Get(ctx, key)
