--- a/node/board/board.go
+++ b/node/board/board.go
@@ -1,4 +1,4 @@
-// Package board keeps the newest configuration that this process has seen.
+// Package board holds the newest configuration and the maintenance waves that this process has read from the store.
 package board
 
 import (
@@ -19,25 +19,25 @@
 	Limits   Limits
 }
 
-// Queue is one route on which callers hand in jobs.
+// Queue is one route for jobs, given by host and path prefix.
 type Queue struct {
 	Name, Host, Prefix, Service string
 	Priority, Attempts          int
 	Stretch                     float64
-	AimMs                       int64 // added to the objective.
+	AimMs                       int64 // added to the objective, ms.
 	Advice                      *Advice
 }
 
-// Advice tells how long the service takes that knows which workers may run a step.
+// Advice holds the times, in ms, of the service that decides which workers may run a step.
 type Advice struct{ DecideMs, EachMs, ValidMs int64 }
 
-// Limits bound callers' requests.
+// Limits holds the limits of callers' requests and connections.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	HeaderMs, IdleMs       int64
 }
 
-// Board holds the newest configuration and the operator's waves.
+// Board holds the newest configuration and the operator's waves. It is safe for concurrent use.
 type Board struct {
 	current atomic.Pointer[table]
 
@@ -46,16 +46,16 @@
 	watchers []chan struct{}
 }
 
-// table is a configuration with its queues by host, the longest prefix first.
+// table is a configuration with its queues indexed by host, longest prefix first.
 type table struct {
 	config Config
 	hosts  map[string][]Queue
 }
 
-// New returns a board without a configuration.
+// New returns a Board without a configuration.
 func New() *Board { return &Board{waves: map[int]batch.WaveMsg{}} }
 
-// Put takes a configuration in; an older one than the newest is passed over and false returned.
+// Put stores a configuration. It returns false and changes nothing if the version is not newer than the current one.
 func (b *Board) Put(c Config) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +74,7 @@
 	return true
 }
 
-// PutWave takes a wave in.
+// PutWave stores a wave and replaces one with the same number.
 func (b *Board) PutWave(w batch.WaveMsg) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +82,7 @@
 	b.notify()
 }
 
-// Waves returns all waves by number.
+// Waves returns all waves, sorted by number.
 func (b *Board) Waves() []batch.WaveMsg {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,7 +94,7 @@
 	return l
 }
 
-// notify wakes the watchers; the lock is held.
+// notify wakes the watchers. The caller holds mu.
 func (b *Board) notify() {
 	for _, c := range b.watchers {
 		select {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Watch returns a channel that gets a value after each change, until stop is called.
+// Watch returns a channel that gets a value at once and after changes, until stop is called. Changes before the value is read share it.
 func (b *Board) Watch() (changed <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
 	c <- struct{}{}
@@ -118,7 +118,7 @@
 	}
 }
 
-// Config returns the newest configuration; false while there is none.
+// Config returns the newest configuration, or false while there is none.
 func (b *Board) Config() (Config, bool) {
 	t := b.current.Load()
 	if t == nil {
@@ -127,7 +127,8 @@
 	return t.config, true
 }
 
-// Find returns the queue for a request and the rest of its path, and the version of the configuration; version 0 means that there is none.
+// Find returns the queue for a request, the rest of its path after the queue's prefix, and the version of the configuration. Version 0
+// means that there is no configuration.
 func (b *Board) Find(host, path string) (q Queue, rest string, version int64, found bool) {
 	t := b.current.Load()
 	if t == nil {
--- a/node/desk/client.go
+++ b/node/desk/client.go
@@ -12,9 +12,9 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Bounds of the way to an owner.
+// Limits of connections between entries.
 const (
-	dialTimeout    = 400 * time.Millisecond // an owner is some milliseconds away.
+	dialTimeout    = 400 * time.Millisecond // the network delay to an owner is a few milliseconds.
 	idleTimeout    = 20 * time.Second
 	maxIdlePerPeer = 32
 )
@@ -22,7 +22,7 @@
 // ErrNotSent marks a call that certainly did not reach the owner, or that reached a process which is not the owner.
 var ErrNotSent = eris.New("desk: owner was not reached")
 
-// Client calls owners, each call once.
+// Client calls other entries, mostly the owner of the jobs. It does not retry.
 type Client struct {
 	mu    sync.Mutex
 	peers map[string]peer
@@ -33,10 +33,10 @@
 	http *http.Transport
 }
 
-// NewClient returns a client of owners.
+// NewClient returns a Client without connections.
 func NewClient() *Client { return &Client{peers: map[string]peer{}} }
 
-// At returns the owner at addr.
+// At returns the service at the peer address addr. It connects with the first call.
 func (c *Client) At(addr string) Desk {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	return p.desk
 }
 
-// Reset drops the unused connections to the owner at addr, which may have gone silent.
+// Reset closes the idle connections to addr, which may be dead.
 func (c *Client) Reset(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Close drops all unused connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Unsent reports whether err says that the call certainly had no effect.
+// Unsent reports whether err means that the call certainly had no effect.
 func Unsent(err error) bool {
 	var o *net.OpError
 	var t twirp.Error
@@ -85,15 +85,15 @@
 	return false
 }
 
-// NotOwner is the answer of a process that does not own the jobs.
+// NotOwner returns the error with which a process that is not the owner of the jobs answers.
 func NotOwner() error {
 	return twirp.NewError(twirp.FailedPrecondition, "this entry does not own the jobs")
 }
 
-// Unsettled is the answer when a call may or may not take effect.
+// Unsettled returns the error for a call that may or may not take effect.
 func Unsettled() error { return twirp.NewError(twirp.Aborted, "the owner lost its claim meanwhile") }
 
-// Serve answers entries on l until ctx ends.
+// Serve serves d to other entries on l until ctx ends.
 func Serve(ctx context.Context, l net.Listener, d Desk) error {
 	s := &http.Server{Handler: NewDeskServer(d), ReadHeaderTimeout: headerTimeout, IdleTimeout: 2 * idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
@@ -104,5 +104,5 @@
 	return nil
 }
 
-// headerTimeout bounds the time that a peer takes to send a request's header.
+// headerTimeout is the longest time that a peer may take to send a request's header.
 const headerTimeout = 5 * time.Second
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -1,4 +1,4 @@
-// Package front answers callers: it finds the queue of a request and passes it to the owner of the jobs.
+// Package front serves callers. It finds the queue of a request by host and path, and forwards the request to the owner of the jobs.
 package front
 
 import (
@@ -23,23 +23,23 @@
 	"burdockreach.dev/node/stats"
 )
 
-// Times of a request.
+// Timeouts of requests and connections.
 const (
-	defaultDeadline     = 3 * time.Second        // callers that do not say how long they wait.
-	responseMargin      = 150 * time.Millisecond // of that is kept for the way back.
-	ownerRetryWindow    = 350 * time.Millisecond // for an owner, while the claim changes hands; less than a quarter of an objective.
+	defaultDeadline     = 3 * time.Second        // for callers that name no deadline, and the longest that counts.
+	responseMargin      = 150 * time.Millisecond // part of the deadline kept for sending the response.
+	ownerRetryWindow    = 350 * time.Millisecond // retries while the owner changes; less than a quarter of an objective.
 	ownerRetryInterval  = 40 * time.Millisecond
-	ownerCallTimeout    = 900 * time.Millisecond // of one call: beyond it the claim may have changed hands.
-	lookupTimeout       = 800 * time.Millisecond // for the state of a job at the owner.
+	ownerCallTimeout    = 900 * time.Millisecond // of one call; after this time another entry may be the owner.
+	lookupTimeout       = 800 * time.Millisecond // of a read at the owner or the store.
 	idleTimeout         = 30 * time.Second
 	readTimeout         = 10 * time.Second
-	defaultRetryAfterMs = 1_000 // while no owner answers: a claim changes hands in about this time.
+	defaultRetryAfterMs = 1_000 // sent to callers while no owner answers; a change of owner takes about this time.
 )
 
-// maxBodyBytes bounds a submission until the configuration names a bound.
+// maxBodyBytes is the largest request body.
 const maxBodyBytes = 1 << 20
 
-// Codec reads and writes the bodies of callers' requests.
+// Codec decodes the bodies of callers' requests and encodes those of the responses.
 type Codec interface {
 	Job(body []byte) (batch.Job, error)
 	State(s batch.State) []byte
@@ -48,12 +48,12 @@
 	DeadlineHeader() string
 }
 
-// Claims knows the address of the owner of the jobs.
+// Claims returns the peer address of the owner of the jobs.
 type Claims interface {
-	Owner() string // empty while there is none.
+	Owner() string // empty while there is no owner.
 }
 
-// Front answers callers.
+// Front serves callers.
 type Front struct {
 	board   *board.Board
 	claims  Claims
@@ -66,7 +66,7 @@
 	leaving atomic.Bool
 }
 
-// Parts are what a front is made of.
+// Parts holds the dependencies of a Front.
 type Parts struct {
 	Board  *board.Board
 	Claims Claims
@@ -87,13 +87,14 @@
 	return f
 }
 
-// discardLogger drops what the server says of broken connections, which the counters tell.
+// discardLogger drops the server's messages about broken connections, which the counters already cover.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers callers on l until ctx ends; then connections are asked to close, and requests in flight have the time drain.
+// Serve serves callers on l until ctx ends. For the first half of drain it still answers, and asks clients to close their
+// connections. In the second half it takes no new connections and waits for requests in flight.
 func (f *Front) Serve(ctx context.Context, l net.Listener, drain time.Duration) error {
 	done := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() {
@@ -115,10 +116,10 @@
 	return nil
 }
 
-// Leaving reports whether the front is about to stop.
+// Leaving reports whether the front is draining.
 func (f *Front) Leaving() bool { return f.leaving.Load() }
 
-// answer is what a caller gets.
+// answer is the response to a caller; reason goes to the log only.
 type answer struct {
 	status       int
 	body         []byte
@@ -145,12 +146,13 @@
 	f.writeAnswer(c, a, begin, requestInfo{queue: q.Name, id: rest, version: version})
 }
 
-// requestInfo is what the line of a request tells besides its answer.
+// requestInfo holds the fields of a request's log line that are not in its answer.
 type requestInfo struct {
 	queue, id string
 	version   int64
 }
 
+// writeAnswer writes the response, counts it and logs it.
 func (f *Front) writeAnswer(c *fasthttp.RequestCtx, a answer, begin time.Time, l requestInfo) {
 	c.SetStatusCode(a.status)
 	c.SetContentType("application/json")
@@ -162,7 +164,7 @@
 	f.stats.Time("request_"+strings.ToLower(string(c.Method())), took)
 	f.stats.Add("status_"+strconv.Itoa(a.status), 1)
 	if a.status == fasthttp.StatusOK && string(c.Method()) == fasthttp.MethodGet {
-		return // most requests; the counters tell them.
+		return // most requests are of this kind; the counters cover them.
 	}
 	f.log.Info().Str("request", l.id).Str("method", string(c.Method())).Str("queue", l.queue).Int64("config", l.version).
 		Str("owner", f.claims.Owner()).Int("status", a.status).Str("reason", a.reason).Int64("retryMs", a.retryAfterMs).
@@ -190,7 +192,7 @@
 	return f.refuse(fasthttp.StatusMethodNotAllowed, "method "+m+" is not offered", 0)
 }
 
-// deadline returns when the caller needs the answer on its way.
+// deadline returns the time by which the response must be sent.
 func (f *Front) deadline(c *fasthttp.RequestCtx, begin time.Time) time.Time {
 	d := defaultDeadline
 	if n, err := strconv.ParseInt(string(c.Request.Header.Peek(f.codec.DeadlineHeader())), 10, 64); err == nil && n > 0 {
@@ -230,7 +232,7 @@
 	return f.refuse(fasthttp.StatusGatewayTimeout, "outcome unknown", 0)
 }
 
-// callFailed answers a call of the owner that has no reply: 503 only when it certainly had no effect.
+// callFailed returns the answer for a call to the owner without a reply: 503 if the call certainly had no effect, 504 otherwise.
 func (f *Front) callFailed(err error) answer {
 	if desk.Unsent(err) {
 		return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", defaultRetryAfterMs)
@@ -238,30 +240,32 @@
 	return f.refuse(fasthttp.StatusGatewayTimeout, "outcome unknown: "+err.Error(), 0)
 }
 
-// callOwner calls the owner. A call that certainly had no effect is made again for a short time, as the claim may be changing hands; one
-// that may have had an effect until the caller's time is up, as only the owner can tell: calls are idempotent by the job's id.
+// callOwner calls the owner, with retries. A call that certainly had no effect is retried for ownerRetryWindow, because the owner may
+// be changing. A call that may have had an effect is retried until the deadline, because only the owner knows the outcome. Retries are
+// safe: calls are idempotent by the job's id.
 func (f *Front) callOwner(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
-	give := time.Now().Add(ownerRetryWindow)
-	var unsure error
+	retryUntil := time.Now().Add(ownerRetryWindow)
+	var unknownErr error
 	for {
 		r, err := f.callOwnerOnce(until, call)
 		if err == nil {
 			return r, nil
 		}
 		if !desk.Unsent(err) {
-			unsure = err
+			unknownErr = err
 		}
 		now := time.Now()
 		switch {
-		case unsure == nil && now.After(give):
+		case unknownErr == nil && now.After(retryUntil):
 			return nil, err
 		case now.Add(ownerRetryInterval).After(until):
-			return nil, cmp.Or(unsure, err)
+			return nil, cmp.Or(unknownErr, err)
 		}
 		time.Sleep(ownerRetryInterval)
 	}
 }
 
+// callOwnerOnce makes one call to the owner, and resets the connection after a call whose outcome is unknown.
 func (f *Front) callOwnerOnce(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
 	a := f.claims.Owner()
 	if a == "" {
@@ -284,6 +288,7 @@
 	return b
 }
 
+// state answers with the state of a job from the owner or, if the owner cannot tell, from the store.
 func (f *Front) state(id string) answer {
 	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
@@ -299,7 +304,7 @@
 	return f.storedState(id)
 }
 
-// storedState answers from the store, which has every accepted job.
+// storedState answers with the state of a job from the store, which has every accepted job.
 func (f *Front) storedState(id string) answer {
 	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
--- a/node/front/front_test.go
+++ b/node/front/front_test.go
@@ -22,7 +22,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// fakeDesk answers submissions in turn with what it is given; the last answer is repeated.
+// fakeDesk answers submissions and cancels with its answers in order, and repeats the last one.
 type fakeDesk struct {
 	desk.Desk
 	answers []func() (*desk.Reply, error)
@@ -59,7 +59,7 @@
 func (fakeCodec) Error(reason string, _ int64) []byte { return []byte(reason) }
 func (fakeCodec) DeadlineHeader() string              { return "Wait-Ms" }
 
-// fixture is a front with one queue, in front of a fake owner.
+// fixture is a Front with one queue and a fake owner.
 type fixture struct {
 	t     *testing.T
 	front *Front
@@ -187,7 +187,7 @@
 	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 410)
 	_, err := r.store.Put(context.Background(), batch.JobPrefix+id, []byte("{}"), keyval.Any, 0)
 	is.NoErr(err)
-	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 503) // an owner that does not know an accepted job is not the owner any more.
+	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 503) // the job is stored, so an owner that does not know it is a former one.
 }
 
 func TestOldConfigurationIsPassedOver(t *testing.T) {
--- a/node/logs/logs.go
+++ b/node/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever holding up the caller: lines beyond a rate or a full queue are counted and dropped.
+// Package logs writes log lines without blocking the caller. It drops and counts lines that exceed the rate limit or find the queue full.
 package logs
 
 import (
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Bounds of the log's volume.
+// Limits of the log's volume.
 const (
 	maxQueuedLines = 1024
-	linesPerSec    = 400  // more than an entry's decisions on a busy day, a hundredth of a core.
-	burstLines     = 1200 // lines in a row.
+	linesPerSec    = 400  // more than an entry's decisions on a busy day; costs a hundredth of a core.
+	burstLines     = 1200 // lines that may be written at once after a quiet time.
 	maxLineBytes   = 2048
-	maxWriteBytes  = 4096 // PIPE_BUF: a longer write to a pipe may be taken in part.
+	maxWriteBytes  = 4096 // PIPE_BUF: a longer write to a pipe is not atomic.
 )
 
-// Writer is an io.Writer that queues lines; Run writes them out.
+// Writer is an io.Writer that queues lines. Run writes them to the output.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -26,14 +26,14 @@
 	tokens  atomic.Int64
 }
 
-// New returns a writer to out.
+// New returns a Writer to out.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines)}
 	w.tokens.Store(burstLines)
 	return w
 }
 
-// Write queues one line, or counts it as dropped; it never blocks and never fails.
+// Write queues one line, or drops and counts it. It never blocks and never fails. A line over maxLineBytes is cut.
 func (w *Writer) Write(b []byte) (int, error) {
 	n := len(b)
 	if w.tokens.Add(-1) < 0 {
@@ -55,20 +55,20 @@
 // Dropped returns the number of lines that were not written.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Run writes queued lines until ctx ends, then those that are left.
+// Run writes queued lines until ctx ends, then the rest of the queue.
 func (w *Writer) Run(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case b := <-w.lines:
 			w.writeLines(b)
 		case <-t.C:
 			w.tokens.Store(min(w.tokens.Load()+linesPerSec, burstLines))
-			if d := w.dropped.Load(); d > told {
-				w.writeLines(fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":\"log lines dropped\",\"count\":%d}\n", d-told))
-				told = d
+			if d := w.dropped.Load(); d > reported {
+				w.writeLines(fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":\"log lines dropped\",\"count\":%d}\n", d-reported))
+				reported = d
 			}
 		case <-ctx.Done():
 			for len(w.lines) > 0 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// writeLines writes one line, with those that wait already, as far as one write takes them whole; a failed write is counted, as there is
-// nowhere to report it.
+// writeLines writes the line b and all queued lines, as many whole lines per write as fit in maxWriteBytes. A failed write is only
+// counted, because it cannot be logged.
 func (w *Writer) writeLines(b []byte) {
 	for {
 		var next []byte
--- a/node/logs/logs_test.go
+++ b/node/logs/logs_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// blockedWriter is an output that takes nothing until it is let go.
+// blockedWriter blocks all writes until release is closed.
 type blockedWriter struct {
 	bytes.Buffer
 	release chan struct{}
@@ -38,7 +38,7 @@
 	stop()
 	is.NoErr(g.Wait())
 	got := int64(strings.Count(out.String(), "line\n"))
-	is.Equal(got+w.Dropped(), int64(3*maxQueuedLines)) // each line is written or counted.
+	is.Equal(got+w.Dropped(), int64(3*maxQueuedLines)) // each line is either written or counted as dropped.
 }
 
 func TestLongLinesAreCut(t *testing.T) {
@@ -53,7 +53,7 @@
 	is.Equal(out.Len(), maxLineBytes+1)
 }
 
-// writeSizes notes how long each write is.
+// writeSizes records the largest write and the sum of all writes, in bytes.
 type writeSizes struct{ most, sum int }
 
 func (s *writeSizes) Write(b []byte) (int, error) {
@@ -61,7 +61,7 @@
 	return len(b), nil
 }
 
-// A pipe takes no more than PIPE_BUF bytes as a whole: lines of longer writes are torn apart.
+// Writes of more than PIPE_BUF bytes to a pipe are not atomic, so their lines could be split.
 func TestWritesAreWhole(t *testing.T) {
 	is := is.New(t)
 	out := &writeSizes{}
--- a/node/stats/stats.go
+++ b/node/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts events and times them in fixed buckets, and writes both as text.
+// Package stats holds counters, gauges and latency histograms with fixed buckets, and writes them as text.
 package stats
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// bucketBounds of the buckets; the last bucket has none.
+// bucketBounds are the upper bounds of all buckets except the last one, which has none.
 var bucketBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second,
 }
 
-// Set is the counters and histograms of one process, safe for concurrent use.
+// Set holds the counters, gauges and histograms of one process. It is safe for concurrent use.
 type Set struct {
 	mu         sync.RWMutex
 	counters   map[string]*atomic.Int64
@@ -34,7 +34,7 @@
 	return &Set{counters: map[string]*atomic.Int64{}, histograms: map[string]*histogram{}, gauges: map[string]func() int64{}}
 }
 
-// Add adds n to a counter.
+// Add adds n to the counter name, which it creates if needed.
 func (s *Set) Add(name string, n int64) {
 	s.mu.RLock()
 	c := s.counters[name]
@@ -50,14 +50,14 @@
 	c.Add(n)
 }
 
-// Gauge has f called for the value of name whenever the set is written.
+// Gauge registers f, which returns the value of name whenever the set is written.
 func (s *Set) Gauge(name string, f func() int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gauges[name] = f
 }
 
-// Time adds d to a histogram.
+// Time records the duration d in the histogram name, which it creates if needed.
 func (s *Set) Time(name string, d time.Duration) {
 	s.mu.RLock()
 	h := s.histograms[name]
@@ -75,7 +75,8 @@
 	h.sum.Add(d.Microseconds())
 }
 
-// WriteTo writes a line for each counter and for each bucket of each histogram; buckets hold all values up to their bound in ms.
+// WriteTo writes one line for each counter, gauge and histogram bucket, and the count and the sum in microseconds of each histogram.
+// Buckets are cumulative: each counts all values up to its bound in ms.
 func (s *Set) WriteTo(w io.Writer) (int64, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
