--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -16,30 +16,31 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// entryPrefix precedes the names of the entries that are alive, each under a lease.
+// entryPrefix is the prefix of the keys of live entries. Each key is bound to a lease of its entry.
 const entryPrefix = owner.ClaimPrefix + "entry/"
 
-// Choice of the owner.
+// Rules that give the claim to the entry with the most cores. An entry is larger than another one if it has at least largerCoresRatio
+// times its cores.
 const (
-	entryTTL           = 6 * time.Second        // an entry that is silent for so long is not expected to take the claim.
-	largerCoresRatio   = 1.5                    // an entry with so many times the processor is the better owner.
-	claimDelay         = 700 * time.Millisecond // that a free claim is left to abler entries: they notice it within milliseconds.
-	yieldDelay         = 4 * time.Second        // that an abler entry has been there before it gets the claim.
+	entryTTL           = 6 * time.Second        // an entry without renewals for this time is not expected to take the claim.
+	largerCoresRatio   = 1.5                    // a larger entry is the better owner.
+	claimDelay         = 700 * time.Millisecond // head start of larger entries on a free claim, which they notice within milliseconds.
+	yieldDelay         = 4 * time.Second        // a larger entry must have been alive for this time before the owner yields the claim.
 	yieldCheckInterval = time.Second
 )
 
-// member is an entry as it tells the others.
+// member describes an entry to the other entries.
 type member struct {
-	Cores      float64 `json:"cores"` // of the processor that the entry may use.
-	Addr       string  `json:"addr"`  // for peers.
+	Cores      float64 `json:"cores"` // processor cores that the entry may use.
+	Addr       string  `json:"addr"`  // peer address.
 	aliveSince time.Time
 }
 
-// claims is the sink of the claims and of the entries: it knows the owner's address, and who is able to own.
+// claims follows the claim and the list of live entries in the store. It knows the owner's address and the cores of each entry.
 type claims struct {
 	name      string
 	cores     float64
-	wakeLease func() // has the lease look at the claim.
+	wakeLease func() // makes the lease read the claim at once.
 	ownerAddr atomic.Pointer[string]
 
 	mu      sync.Mutex
@@ -58,7 +59,7 @@
 	return ""
 }
 
-// hasLargerEntry reports whether an entry with much more processor has been alive for d.
+// hasLargerEntry reports whether a larger entry has been alive for at least d.
 func (c *claims) hasLargerEntry(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,10 +71,10 @@
 	return false
 }
 
-// minHelperCoresRatio is the share of this entry's processor that an entry needs at least to make calls for it.
+// minHelperCoresRatio is the least share of this entry's cores with which another entry may be its helper.
 const minHelperCoresRatio = 0.6
 
-// Helpers implements owner.Entries.
+// Helpers implements owner.Entries. Entries with the most cores come first.
 func (c *claims) Helpers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	return a
 }
 
-// delay is how long a free claim is left to others.
+// delay returns how long to wait before taking a free claim, so that a larger entry can take it first.
 func (c *claims) delay() time.Duration {
 	if c.hasLargerEntry(0) {
 		return claimDelay
@@ -130,6 +131,7 @@
 	}
 }
 
+// apply applies one changed key.
 func (c *claims) apply(i keyval.Item, gone bool) {
 	if i.Key() == owner.ClaimKey {
 		c.applyClaim(i, gone)
@@ -149,6 +151,7 @@
 	c.members[n] = m
 }
 
+// applyClaim sets the owner's address from the claim, whose holder starts with it.
 func (c *claims) applyClaim(i keyval.Item, gone bool) {
 	var v lease.Value
 	if gone || json.Unmarshal(i.Value(), &v) != nil {
@@ -159,20 +162,20 @@
 	c.setOwner(a)
 }
 
-// setOwner notes the owner's address and has the lease look at a claim that has changed.
+// setOwner stores the owner's address. If it changed, the lease reads the claim at once.
 func (c *claims) setOwner(a string) {
 	if o := c.ownerAddr.Swap(&a); o == nil || *o != a {
 		c.wakeLease()
 	}
 }
 
-// Lost implements keyval.Sink; the watch of the configuration reports the store.
+// Lost implements keyval.Sink. The watch of the operator's documents already logs that the store is lost.
 func (*claims) Lost(error) {}
 
 // Found implements keyval.Sink.
 func (*claims) Found() {}
 
-// register tells the other entries that this one is alive, until ctx ends.
+// register keeps this entry in the list of live entries until ctx ends.
 func (e *Site) register(ctx context.Context) error {
 	b, err := json.Marshal(member{Cores: e.set.Cores, Addr: e.set.PeerAddr})
 	if err != nil {
@@ -190,7 +193,7 @@
 		}
 		cancel()
 		if errors.Is(err, keyval.ErrConflict) {
-			id = 0 // it has lapsed: register again at once.
+			id = 0 // the lease has lapsed: register again at once.
 			continue
 		}
 		select {
@@ -201,7 +204,7 @@
 	return e.unregister(ctx, id)
 }
 
-// unregister ends the entry's lease; it lapses by itself when the store does not answer.
+// unregister revokes the entry's lease. If the store does not answer, the lease lapses by itself.
 func (e *Site) unregister(ctx context.Context, id keyval.LeaseID) error {
 	if id == 0 {
 		return nil
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// yieldToLarger gives the claim up when an entry with much more processor is there.
+// yieldToLarger makes the owner yield the claim once a larger entry has been alive for yieldDelay.
 func (e *Site) yieldToLarger(ctx context.Context) error {
 	t := time.NewTicker(yieldCheckInterval)
 	defer t.Stop()
--- a/node/site/settings.go
+++ b/node/site/settings.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Settings are the settings of one entry on a platform.
+// Settings holds the settings of one entry on a platform.
 type Settings struct {
 	Name          string  `json:"name"`
 	DataCentre    string  `json:"dataCentre"`
@@ -20,23 +20,23 @@
 	StoreAddr     string  `json:"storeAddr"`
 	MachinesAddr  string  `json:"machinesAddr"`
 	AdviceAddr    string  `json:"adviceAddr"`
-	LeaseMaxMs    int64   `json:"leaseMaxMs"`    // longest lease that workers grant.
-	StatusSecs    int64   `json:"statusSecs"`    // how long the state of an ended job can be asked for.
-	DutyGapMs     int64   `json:"dutyGapMs"`     // between two owners' orders to one machine.
-	GraceSecs     float64 `json:"graceSecs"`     // from SIGTERM until the process is killed.
-	Cores         float64 `json:"cores"`         // of a processor that the entry may use: the ablest entries own the jobs.
-	MemoryMB      float64 `json:"memoryMb"`      // that the process may use.
-	HelperWorkers int     `json:"helperWorkers"` // for so many workers one more entry makes the owner's calls; 0 means the default.
+	LeaseMaxMs    int64   `json:"leaseMaxMs"`    // longest lease that workers grant, ms.
+	StatusSecs    int64   `json:"statusSecs"`    // how long the state of an ended job stays available, seconds.
+	DutyGapMs     int64   `json:"dutyGapMs"`     // least time between orders of two owners to one machine, ms.
+	GraceSecs     float64 `json:"graceSecs"`     // from SIGTERM until the process is killed, seconds.
+	Cores         float64 `json:"cores"`         // processor cores that the entry may use; entries with more cores are preferred as owner.
+	MemoryMB      float64 `json:"memoryMb"`      // memory that the process may use, MB.
+	HelperWorkers int     `json:"helperWorkers"` // workers per helper, an entry that makes calls for the owner; 0 means the default.
 	LogLevel      string  `json:"logLevel"`
 }
 
-// defaultHelperWorkers is about what an entry of 0.4 cores calls at most in a busy turn.
+// defaultHelperWorkers is about the largest number of workers that an entry of 0.4 cores can call in a busy round.
 const defaultHelperWorkers = 60
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the largest size of a settings file.
 const maxFileBytes = 64 << 10
 
-// Load reads the settings file at path; its error names each field that is not allowed.
+// Load reads the settings file at path. Its error names the first field that is not allowed.
 func Load(path string) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return Parse(b)
 }
 
-// Parse reads settings from JSON.
+// Parse decodes and checks settings in JSON. Unknown fields are errors.
 func Parse(b []byte) (Settings, error) {
 	if len(b) > maxFileBytes {
 		return Settings{}, eris.Errorf("site: settings are %d bytes, want at most %d", len(b), maxFileBytes)
@@ -62,7 +62,7 @@
 	return s, s.check()
 }
 
-// check returns an error that names the first field that is missing or out of bounds.
+// check returns an error that names the first field that is missing or not over 0.
 func (s Settings) check() error {
 	for _, f := range []struct{ name, value string }{
 		{"name", s.Name}, {"callerAddr", s.CallerAddr}, {"readyAddr", s.ReadyAddr}, {"peerAddr", s.PeerAddr},
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -1,4 +1,4 @@
-// Package site runs an entry on a platform: it answers callers, and owns the jobs while it holds the claim.
+// Package site runs an entry on a platform with workers. The entry answers callers, and runs the jobs while it holds the claim.
 package site
 
 import (
@@ -28,13 +28,13 @@
 	"burdockreach.dev/plat/steady"
 )
 
-// Times of an entry.
+// Timeouts and limits of an entry.
 const (
-	configWatchTimeout = 900 * time.Millisecond // of one watch: a silent connection is noticed within twice that.
-	claimsWatchTimeout = 3 * time.Second        // of one watch; a dead owner's claim ends the wait.
-	claimCheckInterval = 4 * time.Second        // between looks at the claim without news of it.
-	gcPercent          = 400                    // an owner's heap is some 30 MB: four times that is far from the memory of an entry.
-	heapShare          = 0.6                    // of the memory that the entry may use; beyond it the collector works harder.
+	configWatchTimeout = 900 * time.Millisecond // of one watch; a dead connection is noticed within twice this time.
+	claimsWatchTimeout = 3 * time.Second        // of one watch; it returns earlier when a claim changes, for example when a dead owner's lapses.
+	claimCheckInterval = 4 * time.Second        // between two reads of the claim if no change is reported.
+	gcPercent          = 400                    // an owner's heap is about 30 MB; four times that is far below the memory of an entry.
+	heapShare          = 0.6                    // share of the entry's memory at which garbage collection gets more frequent.
 	shutdownMargin     = 1200 * time.Millisecond
 	idleTimeout        = 30 * time.Second
 )
@@ -46,7 +46,7 @@
 	Calls() (calls, failed int64)
 }
 
-// Platform is what an entry needs of the platform.
+// Platform holds the clients and formats of the platform that an entry uses.
 type Platform struct {
 	Store     Store
 	Workers   owner.Workers
@@ -56,7 +56,7 @@
 	ReadyPath string
 }
 
-// Format reads and writes the platform's documents.
+// Format encodes and decodes the platform's documents.
 type Format interface {
 	owner.Format
 	OperatorPrefix() string
@@ -79,16 +79,16 @@
 	front     *front.Front
 	desk      *desk.Client
 
-	carryCtx     context.Context //nolint:containedctx // of the calls that are carried for owners
+	carryCtx     context.Context //nolint:containedctx // of the calls made for owners in other entries
 	stopCarrying func()
 	carryGroup   errgroup.Group
 }
 
-// New returns an entry that logs to out.
+// New returns an entry that logs to out and does not serve yet.
 func New(s Settings, p Platform, out io.Writer) (*Site, error) {
 	l, err := zerolog.ParseLevel(s.LogLevel)
 	if err != nil {
-		return nil, eris.Errorf("site: field %q is %q, want a level", "logLevel", s.LogLevel)
+		return nil, eris.Errorf("site: field %q is %q, want a log level", "logLevel", s.LogLevel)
 	}
 	zerolog.MessageFieldName = "event"
 	e := &Site{set: s, plat: p, logWriter: logs.New(out), stats: stats.New(), board: board.New(), claims: newClaims(s), desk: desk.NewClient()}
@@ -112,28 +112,29 @@
 
 const msPerSecond = 1000
 
-// model returns the figures for the owner's model.
+// model returns the settings of the owner's model.
 func (s Settings) model() batch.Config {
 	return batch.Config{LeaseMs: s.LeaseMaxMs, StatusMs: s.StatusSecs * msPerSecond, DutyGapMs: s.DutyGapMs + dutyGapSlackMs}
 }
 
-// dutyGapSlackMs is added to the time between two owners' orders to one machine, for calls that are slow.
+// dutyGapSlackMs is added to the least time between orders of two owners to one machine, to allow for slow calls.
 const dutyGapSlackMs = 500
 
+// registerGauges adds the counts that are read when metrics are served.
 func (e *Site) registerGauges() {
 	e.stats.Gauge("store_calls", func() int64 { n, _ := e.plat.Store.Calls(); return n })
 	e.stats.Gauge("store_failed", func() int64 { _, n := e.plat.Store.Calls(); return n })
 	e.stats.Gauge("log_lines_dropped", e.logWriter.Dropped)
 }
 
-// Run serves until ctx ends, then hands the jobs over, drains and returns.
+// Run serves until ctx ends. It then releases the claim, drains requests in flight and returns.
 func (e *Site) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(e.set.MemoryMB * heapShare * (1 << 20)))
 	e.log.Info().Str("dataCentre", e.set.DataCentre).Str("callers", e.set.CallerAddr).Str("peers", e.set.PeerAddr).Msg("start")
-	logs, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
+	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
 	lg := errgroup.Group{}
-	lg.Go(func() error { return e.logWriter.Run(logs) })
+	lg.Go(func() error { return e.logWriter.Run(logCtx) })
 	err := e.serve(ctx)
 	e.stopCarrying()
 	err = errors.Join(err, e.carryGroup.Wait())
@@ -145,12 +146,13 @@
 	return errors.Join(err, lg.Wait())
 }
 
+// serve runs the servers, the watches and the owner until ctx ends and the front has drained.
 func (e *Site) serve(ctx context.Context) error {
-	late, stopLate := context.WithCancel(context.WithoutCancel(ctx)) // ends after the front has drained.
-	defer stopLate()
-	g, c := errgroup.WithContext(late)
+	serveCtx, stopServing := context.WithCancel(context.WithoutCancel(ctx)) // canceled once the front has drained.
+	defer stopServing()
+	g, c := errgroup.WithContext(serveCtx)
 	g.Go(func() error {
-		defer stopLate()
+		defer stopServing()
 		return e.listen(ctx, e.set.CallerAddr, func(x context.Context, l net.Listener) error { return e.front.Serve(x, l, e.drainTime()) })
 	})
 	g.Go(func() error { return e.listen(c, e.set.ReadyAddr, e.serveReady) })
@@ -166,21 +168,21 @@
 	g.Go(func() error { return keyval.Follow(c, e.plat.Store, owner.ClaimPrefix, claimsWatchTimeout, e.claims) })
 	g.Go(func() error { return e.register(ctx) })
 	g.Go(func() error { return e.yieldToLarger(ctx) })
-	// The owner and its claim end first, so that another entry takes over while this one drains.
-	own, stopOwn := context.WithCancel(ctx)
+	// The owner stops and the claim is released first, so that another entry takes over while this one drains.
+	ownCtx, stopOwn := context.WithCancel(ctx)
 	defer stopOwn()
 	g.Go(func() error {
 		o := errgroup.Group{}
-		claim, stopClaim := context.WithCancel(context.WithoutCancel(own))
-		o.Go(func() error { return e.lease.Run(claim) })
-		err := e.owner.Run(own)
+		claimCtx, stopClaim := context.WithCancel(context.WithoutCancel(ownCtx))
+		o.Go(func() error { return e.lease.Run(claimCtx) })
+		err := e.owner.Run(ownCtx)
 		stopClaim()
 		return errors.Join(err, o.Wait())
 	})
 	return g.Wait()
 }
 
-// drainTime is the time that the front has between SIGTERM and its end.
+// drainTime returns how long the front may drain after SIGTERM. It ends shutdownMargin before the process is killed.
 func (e *Site) drainTime() time.Duration {
 	return max(time.Duration(e.set.GraceSecs*float64(time.Second))-shutdownMargin, shutdownMargin)
 }
@@ -194,7 +196,7 @@
 	return serve(ctx, l)
 }
 
-// ready reports whether new callers are welcome.
+// ready reports whether the entry accepts new callers: it has a configuration and is not stopping.
 func (e *Site) ready() bool {
 	_, ok := e.board.Config()
 	return ok && !e.front.Leaving()
@@ -210,7 +212,7 @@
 	})
 }
 
-// MetricsPath is where counters and histograms are served.
+// MetricsPath is the path of the counters, gauges and histograms.
 const MetricsPath = "/metrics"
 
 func (e *Site) serveMetrics(ctx context.Context, l net.Listener) error {
@@ -228,7 +230,7 @@
 
 func serveHTTP(ctx context.Context, l net.Listener, h fasthttp.RequestHandler) error {
 	s := &fasthttp.Server{Handler: h, IdleTimeout: idleTimeout, NoDefaultServerHeader: true, NoDefaultDate: true, CloseOnShutdown: true}
-	stop := context.AfterFunc(ctx, func() { _ = l.Close() }) // Serve reports it.
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() }) // Serve returns the error.
 	defer stop()
 	if err := s.Serve(l); err != nil && ctx.Err() == nil {
 		return eris.Wrapf(err, "site: serve at %s", l.Addr())
@@ -236,7 +238,7 @@
 	return nil
 }
 
-// Reload reads the settings file again; only the level of the log changes while a process runs.
+// Reload reads the settings file again. Only the log level can change while the process runs.
 func (e *Site) Reload(path string) {
 	s, err := Load(path)
 	if err != nil {
@@ -252,7 +254,7 @@
 	e.log.Info().Str("logLevel", s.LogLevel).Msg("reload")
 }
 
-// operatorSink is the sink of the operatorSink's documents.
+// operatorSink applies the operator's documents, the configuration and the waves, to the board.
 type operatorSink struct{ e *Site }
 
 // Reset implements keyval.Sink.
@@ -264,7 +266,7 @@
 
 // Apply implements keyval.Sink.
 func (o *operatorSink) Apply(events []keyval.Event) {
-	newest := -1 // in a storm of configurations only the last one is read.
+	newest := -1 // if many configurations arrive together, only the last one is decoded.
 	for n, x := range events {
 		if o.e.plat.Format.IsConfig(x.Item().Key()) {
 			newest = n
@@ -277,6 +279,7 @@
 	}
 }
 
+// apply applies one changed document. It logs and skips one that cannot be decoded.
 func (o *operatorSink) apply(i keyval.Item, gone bool) {
 	f := o.e.plat.Format
 	if f.IsConfig(i.Key()) {
@@ -288,8 +291,8 @@
 			o.e.log.Error().Str("key", i.Key()).Int64("revision", int64(i.Rev())).Err(err).Msg("configuration passed over")
 			return
 		}
-		took := o.e.board.Put(c)
-		o.e.log.Info().Int64("version", c.Version).Int64("revision", int64(i.Rev())).Int("queues", len(c.Queues)).Bool("newer", took).Msg("configuration")
+		newer := o.e.board.Put(c)
+		o.e.log.Info().Int64("version", c.Version).Int64("revision", int64(i.Rev())).Int("queues", len(c.Queues)).Bool("newer", newer).Msg("configuration")
 		return
 	}
 	w, ok, err := f.Wave(i, gone)
--- a/node/site/status.go
+++ b/node/site/status.go
@@ -13,54 +13,54 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// Status is what the store tells of the entries and their work.
+// Status is the state of the entries and their work as read from the store.
 type Status struct {
-	Owner    string                   `json:"owner"` // address and process of the holder of the claim; empty while nobody holds it.
+	Owner    string                   `json:"owner"` // peer address, slash and process of the holder of the claim; empty without a holder.
 	Fence    int64                    `json:"fence"`
-	Entries  map[string]member        `json:"entries"` // by name.
+	Entries  map[string]member        `json:"entries"` // live entries by name.
 	Config   int64                    `json:"config"`  // version of the configuration; 0 when there is none.
 	Queues   map[string]QueueStatus   `json:"queues"`
 	Services map[string]ServiceStatus `json:"services"`
 	Waves    []WaveStatus             `json:"waves"`
-	Unread   []string                 `json:"unread,omitempty"` // keys whose values cannot be read.
+	Unread   []string                 `json:"unread,omitempty"` // keys whose values cannot be decoded.
 }
 
-// QueueStatus is the open jobs of one queue.
+// QueueStatus counts the open jobs of one queue.
 type QueueStatus struct {
 	Service  string `json:"service"`
 	Priority int    `json:"priority"`
 	Open     int    `json:"open"` // accepted jobs that have not ended.
 }
 
-// ServiceStatus is the workers of one service.
+// ServiceStatus counts the workers of one service and their capacity.
 type ServiceStatus struct {
 	Workers  int        `json:"workers"`
 	Draining int        `json:"draining"`
-	Room     batch.Size `json:"room"` // of all workers.
+	Room     batch.Size `json:"room"` // capacity of all its workers together.
 }
 
 // WaveStatus is the progress of one wave.
 type WaveStatus struct {
 	Wave     int `json:"wave"`
 	Machines int `json:"machines"`
-	Begun    int `json:"begun"` // machines whose upkeep was or may have been ordered.
+	Begun    int `json:"begun"` // machines whose maintenance was or may have been ordered.
 	Done     int `json:"done"`
 }
 
-// JobStatus is what the store holds of one job.
+// JobStatus holds the stored records of one job.
 type JobStatus struct {
 	ID       string           `json:"id"`
 	Accepted *batch.StoredJob `json:"accepted,omitempty"` // nil once the job has ended, or if it was never accepted.
 	Progress *batch.StoredRun `json:"progress,omitempty"` // nil until one of its tasks has ended.
 }
 
-// ReadStatus reads the store once; an error says which part could not be read.
+// ReadStatus reads the status from the store once. An error names the prefix that could not be read.
 func ReadStatus(ctx context.Context, p Platform) (Status, error) {
 	s := Status{Entries: map[string]member{}, Queues: map[string]QueueStatus{}, Services: map[string]ServiceStatus{}}
 	progress := map[int]batch.StoredWave{}
 	for _, r := range []struct {
 		prefix string
-		take   func(keyval.Item) error
+		add    func(keyval.Item) error
 	}{
 		{owner.ClaimPrefix, s.addClaim},
 		{p.Format.OperatorPrefix(), func(i keyval.Item) error { return s.addOperatorDocument(p.Format, i) }},
@@ -78,7 +78,7 @@
 			return s, eris.Wrapf(err, "fleet: list %q", r.prefix)
 		}
 		for _, i := range l {
-			if r.take(i) != nil {
+			if r.add(i) != nil {
 				s.Unread = append(s.Unread, i.Key())
 			}
 		}
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// ReadJob reads what the store holds of the job; an error says what could not be read.
+// ReadJob reads the stored records of a job. An error names the key that could not be read or decoded.
 func ReadJob(ctx context.Context, p Platform, id string) (JobStatus, error) {
 	s := JobStatus{ID: id}
 	if !batch.ValidID(id) {
--- a/node/site/status_test.go
+++ b/node/site/status_test.go
@@ -14,7 +14,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// mapStore is a store that is only read.
+// mapStore is a read-only store.
 type mapStore struct {
 	Store
 	rows map[string]string
@@ -38,7 +38,7 @@
 	return l, 9, nil
 }
 
-// plainFormat reads documents that hold one word.
+// plainFormat decodes documents that hold one word.
 type plainFormat struct{ Format }
 
 func (plainFormat) OperatorPrefix() string   { return "op/" }
