--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -228,7 +228,7 @@
 		case <-t.C:
 		}
 		if _, ok := e.lease.Held(); ok && e.claims.hasLargerEntry(yieldDelay) {
-			e.log.Info().Float64("cores", e.set.Cores).Msg("claim yielded to an abler entry")
+			e.log.Info().Float64("cores", e.set.Cores).Msg("claim yielded to an entry with more cores")
 			e.owner.Yield()
 		}
 	}
