--- a/node/desk/desk.twirp.go
+++ b/node/desk/desk.twirp.go
@@ -33,24 +33,24 @@
 // Desk Interface
 // ==============
 
-// Desk is what the owner of the jobs offers to the entries.
+// Desk is the service for calls between entries. All entries serve it; the calls about jobs succeed only at the owner of the jobs.
 type Desk interface {
-	// Submit hands in a job, and answers once it is stored or refused.
+	// Submit submits a job, and replies once the job is stored or refused.
 	Submit(context.Context, *SubmitRequest) (*Reply, error)
 
-	// Cancel ends a job, and answers once that is stored.
+	// Cancel cancels a job, and replies once that is stored.
 	Cancel(context.Context, *JobRequest) (*Reply, error)
 
-	// State tells how far a job is.
+	// State returns the state of a job.
 	State(context.Context, *JobRequest) (*StateReply, error)
 
-	// Pending tells how many jobs of each queue have not begun.
+	// Pending returns how many jobs of each queue have not started.
 	Pending(context.Context, *PendingRequest) (*PendingReply, error)
 
-	// Term tells which process answers, and under which claim it gives orders.
+	// Term returns which process answers, and under which claim it gives orders.
 	Term(context.Context, *TermRequest) (*TermReply, error)
 
-	// Carry has another entry make calls to workers for the owner, and returns those that have been answered.
+	// Carry makes another entry call workers for the owner, and returns the answers that have arrived.
 	Carry(context.Context, *CarryRequest) (*CarryReply, error)
 }
 
