--- a/node/board/board.go
+++ b/node/board/board.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// Watch returns a channel that gets a value at once and after changes, until stop is called. Changes before the value is read share it.
+// Watch returns a channel that gets a value at once and after changes, until stop is called. Several
+// changes may share one value.
 func (b *Board) Watch() (changed <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
 	c <- struct{}{}
--- a/node/desk/doc.go
+++ b/node/desk/doc.go
@@ -1,2 +1,3 @@
-// Package desk carries submissions from the entry that a caller reached to the owner of the jobs, and answers back.
+// Package desk is the RPC protocol between entries. An entry forwards callers' requests about jobs to the owner of the jobs, and an owner
+// has other entries make its calls to workers.
 package desk
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -66,7 +66,7 @@
 	leaving atomic.Bool
 }
 
-// Parts holds the dependencies of a Front.
+// Parts holds what New needs to build a Front.
 type Parts struct {
 	Board  *board.Board
 	Claims Claims
@@ -119,7 +119,7 @@
 // Leaving reports whether the front is draining.
 func (f *Front) Leaving() bool { return f.leaving.Load() }
 
-// answer is the response to a caller; reason goes to the log only.
+// answer is the response to a caller. The reason is for the log; the body holds it already.
 type answer struct {
 	status       int
 	body         []byte
@@ -265,7 +265,7 @@
 	}
 }
 
-// callOwnerOnce makes one call to the owner, and resets the connection after a call whose outcome is unknown.
+// callOwnerOnce makes one call to the owner, and drops idle connections to it after a call whose outcome is unknown.
 func (f *Front) callOwnerOnce(until time.Time, call func(context.Context, desk.Desk) (*desk.Reply, error)) (*desk.Reply, error) {
 	a := f.claims.Owner()
 	if a == "" {
--- a/node/owner/former.go
+++ b/node/owner/former.go
@@ -128,7 +128,7 @@
 
 // lastOrders holds the last orders to machines at the end of this process's latest term.
 type lastOrders struct {
-	recordedMs int64 // time of Owner.now in ms
+	recordedMs int64 // of Owner.now
 	orders     batch.Orders
 }
 
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// chooseHelpers takes one helper for each HelperWorkers workers, in the order of Entries. It skips those that failed lately.
+// chooseHelpers takes one helper for each HelperWorkers workers, in the order of Helpers. It skips those that failed lately.
 func (t *term) chooseHelpers(ctx context.Context) {
 	n := int(t.workerCount.Load()) / t.o.settings.HelperWorkers
 	h := &t.helpers
@@ -117,6 +117,7 @@
 	return best
 }
 
+// cooledDown reports whether the last failure is at least helperCooldown ago.
 func (p *helper) cooledDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/owner/helper_test.go
+++ b/node/owner/helper_test.go
@@ -129,8 +129,8 @@
 	w := &slowWorkers{rnd: rand.New(rand.NewPCG(seed, 1)), maxDelay: 60 * time.Millisecond}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	far := &Owner{Carrier: NewCarrier(ctx, g, w, stats.New(), zerolog.Nop())}
-	g.Go(func() error { return desk.Serve(ctx, l, far) })
+	remote := &Owner{Carrier: NewCarrier(ctx, g, w, stats.New(), zerolog.Nop())}
+	g.Go(func() error { return desk.Serve(ctx, l, remote) })
 	pl, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	p := &flakyProxy{Listener: pl, to: l.Addr().String()}
@@ -187,11 +187,11 @@
 			time.Sleep(time.Duration(rnd.Int64N(int64(4 * time.Millisecond))))
 		}
 		p.stalled.Store(false)
-		late := time.After(20 * time.Second) // over ten times the longest request.
+		timeout := time.After(20 * time.Second) // over ten times the longest request.
 		for range orders {
 			select {
 			case <-m.msgs:
-			case <-late:
+			case <-timeout:
 				t.Fatalf("seed %d: %d orders have no answer", seed, h.unanswered())
 			}
 		}
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -35,8 +35,8 @@
 	ClaimTTL = 1200 * time.Millisecond
 	// ClaimPatience is how long an owner that cannot reach the store keeps giving orders to workers. Most store outages are shorter.
 	ClaimPatience      = 7 * time.Second
-	maxWorkerLease     = 5500 * time.Millisecond                   // longest lease that an owner requests from a worker, measured on a slow clock.
-	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // of a former owner that may still be running: until its last order, plus the worker lease which that order may extend.
+	maxWorkerLease     = 5500 * time.Millisecond                   // longest lease that an owner requests from a worker, as it lasts on a slow clock.
+	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // of a former owner that may still run: until its last order, plus the lease in that order.
 	retryInterval      = 100 * time.Millisecond
 	workerWatchTimeout = time.Second // timeout of one watch on the list of workers.
 	maxQueuedMsgs      = 4096
@@ -106,7 +106,7 @@
 	lastOrders atomic.Pointer[lastOrders]
 }
 
-// Parts holds the dependencies of an Owner.
+// Parts holds what New needs to build an Owner.
 type Parts struct {
 	Store    Store
 	Workers  Workers
--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -29,8 +29,8 @@
 	yieldCheckInterval = time.Second
 )
 
-// member describes an entry to the other entries.
-type member struct {
+// entryInfo describes an entry to the other entries.
+type entryInfo struct {
 	Cores      float64 `json:"cores"` // processor cores that the entry may use.
 	Addr       string  `json:"addr"`  // peer address.
 	aliveSince time.Time
@@ -44,11 +44,11 @@
 	ownerAddr atomic.Pointer[string]
 
 	mu      sync.Mutex
-	members map[string]member
+	entries map[string]entryInfo
 }
 
 func newClaims(s Settings) *claims {
-	return &claims{name: s.Name, cores: s.Cores, wakeLease: func() {}, members: map[string]member{}}
+	return &claims{name: s.Name, cores: s.Cores, wakeLease: func() {}, entries: map[string]entryInfo{}}
 }
 
 // Owner implements front.Claims.
@@ -63,7 +63,7 @@
 func (c *claims) hasLargerEntry(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n, m := range c.members {
+	for n, m := range c.entries {
 		if n != c.name && m.Cores >= largerCoresRatio*c.cores && time.Since(m.aliveSince) >= d {
 			return true
 		}
@@ -78,13 +78,13 @@
 func (c *claims) Helpers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var l []member
-	for n, m := range c.members {
+	var l []entryInfo
+	for n, m := range c.entries {
 		if n != c.name && m.Addr != "" && m.Cores >= minHelperCoresRatio*c.cores {
 			l = append(l, m)
 		}
 	}
-	slices.SortFunc(l, func(a, b member) int { return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.Addr, b.Addr)) })
+	slices.SortFunc(l, func(a, b entryInfo) int { return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.Addr, b.Addr)) })
 	a := make([]string, len(l))
 	for i, m := range l {
 		a[i] = m.Addr
@@ -103,8 +103,8 @@
 // Reset implements keyval.Sink.
 func (c *claims) Reset(items []keyval.Item) {
 	c.mu.Lock()
-	old := c.members
-	c.members = map[string]member{}
+	old := c.entries
+	c.entries = map[string]entryInfo{}
 	c.mu.Unlock()
 	found := false
 	for _, i := range items {
@@ -112,10 +112,10 @@
 		c.apply(i, false)
 	}
 	c.mu.Lock()
-	for n, m := range c.members {
+	for n, m := range c.entries {
 		if o, ok := old[n]; ok {
 			m.aliveSince = o.aliveSince
-			c.members[n] = m
+			c.entries[n] = m
 		}
 	}
 	c.mu.Unlock()
@@ -143,12 +143,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := member{aliveSince: time.Now()}
+	m := entryInfo{aliveSince: time.Now()}
 	if gone || json.Unmarshal(i.Value(), &m) != nil {
-		delete(c.members, n)
+		delete(c.entries, n)
 		return
 	}
-	c.members[n] = m
+	c.entries[n] = m
 }
 
 // applyClaim sets the owner's address from the claim, whose holder starts with it.
@@ -177,7 +177,7 @@
 
 // register keeps this entry in the list of live entries until ctx ends.
 func (e *Site) register(ctx context.Context) error {
-	b, err := json.Marshal(member{Cores: e.set.Cores, Addr: e.set.PeerAddr})
+	b, err := json.Marshal(entryInfo{Cores: e.settings.Cores, Addr: e.settings.PeerAddr})
 	if err != nil {
 		return err
 	}
@@ -185,11 +185,11 @@
 	for ctx.Err() == nil {
 		c, cancel := context.WithTimeout(ctx, entryTTL/4)
 		if id == 0 {
-			if id, err = e.plat.Store.Grant(c, entryTTL); err == nil {
-				_, err = e.plat.Store.Put(c, entryPrefix+e.set.Name, b, keyval.Any, id)
+			if id, err = e.platform.Store.Grant(c, entryTTL); err == nil {
+				_, err = e.platform.Store.Put(c, entryPrefix+e.settings.Name, b, keyval.Any, id)
 			}
 		} else {
-			err = e.plat.Store.Renew(c, id)
+			err = e.platform.Store.Renew(c, id)
 		}
 		cancel()
 		if errors.Is(err, keyval.ErrConflict) {
@@ -211,7 +211,7 @@
 	}
 	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryTTL/8)
 	defer cancel()
-	if err := e.plat.Store.Revoke(c, id); err != nil {
+	if err := e.platform.Store.Revoke(c, id); err != nil {
 		e.log.Warn().Str("step", "unregister").Err(err).Msg("entry not unregistered")
 	}
 	return nil
@@ -228,7 +228,7 @@
 		case <-t.C:
 		}
 		if _, ok := e.lease.Held(); ok && e.claims.hasLargerEntry(yieldDelay) {
-			e.log.Info().Float64("cores", e.set.Cores).Msg("claim yielded to an entry with more cores")
+			e.log.Info().Float64("cores", e.settings.Cores).Msg("claim yielded to an entry with more cores")
 			e.owner.Yield()
 		}
 	}
--- a/node/site/settings_test.go
+++ b/node/site/settings_test.go
@@ -49,14 +49,14 @@
 	}
 }
 
-func TestAbler(t *testing.T) {
+func TestLargerEntry(t *testing.T) {
 	is := is.New(t)
 	c := newClaims(Settings{Name: "weak", Cores: 0.2})
 	is.Equal(c.delay(), claimDelay*0)
-	c.members["weak"] = member{Cores: 0.2, Addr: "a:1"}
-	c.members["alike"] = member{Cores: 0.25, Addr: "b:1"}
+	c.entries["weak"] = entryInfo{Cores: 0.2, Addr: "a:1"}
+	c.entries["alike"] = entryInfo{Cores: 0.25, Addr: "b:1"}
 	is.Equal(c.delay(), claimDelay*0)
-	c.members["strong"] = member{Cores: 0.8, Addr: "c:1"}
+	c.entries["strong"] = entryInfo{Cores: 0.8, Addr: "c:1"}
 	is.Equal(c.delay(), claimDelay)
 	is.Equal(c.Helpers(), []string{"c:1", "b:1"})
 }
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -67,8 +67,8 @@
 
 // Site is one entry.
 type Site struct {
-	set       Settings
-	plat      Platform
+	settings  Settings
+	platform  Platform
 	log       zerolog.Logger
 	logWriter *logs.Writer
 	stats     *stats.Set
@@ -91,7 +91,7 @@
 		return nil, eris.Errorf("site: field %q is %q, want a log level", "logLevel", s.LogLevel)
 	}
 	zerolog.MessageFieldName = "event"
-	e := &Site{set: s, plat: p, logWriter: logs.New(out), stats: stats.New(), board: board.New(), claims: newClaims(s), desk: desk.NewClient()}
+	e := &Site{settings: s, platform: p, logWriter: logs.New(out), stats: stats.New(), board: board.New(), claims: newClaims(s), desk: desk.NewClient()}
 	e.carryCtx, e.stopCarrying = context.WithCancel(context.Background())
 	e.log = zerolog.New(e.logWriter).Level(l).With().Timestamp().Str("entry", s.Name).Logger()
 	holder := fmt.Sprintf("%s/%d/%d", s.PeerAddr, os.Getpid(), time.Now().UnixNano())
@@ -122,16 +122,16 @@
 
 // registerGauges adds the counts that are read when metrics are served.
 func (e *Site) registerGauges() {
-	e.stats.Gauge("store_calls", func() int64 { n, _ := e.plat.Store.Calls(); return n })
-	e.stats.Gauge("store_failed", func() int64 { _, n := e.plat.Store.Calls(); return n })
+	e.stats.Gauge("store_calls", func() int64 { n, _ := e.platform.Store.Calls(); return n })
+	e.stats.Gauge("store_failed", func() int64 { _, n := e.platform.Store.Calls(); return n })
 	e.stats.Gauge("log_lines_dropped", e.logWriter.Dropped)
 }
 
 // Run serves until ctx ends. It then releases the claim, drains requests in flight and returns.
 func (e *Site) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(e.set.MemoryMB * heapShare * (1 << 20)))
-	e.log.Info().Str("dataCentre", e.set.DataCentre).Str("callers", e.set.CallerAddr).Str("peers", e.set.PeerAddr).Msg("start")
+	debug.SetMemoryLimit(int64(e.settings.MemoryMB * heapShare * (1 << 20)))
+	e.log.Info().Str("dataCentre", e.settings.DataCentre).Str("callers", e.settings.CallerAddr).Str("peers", e.settings.PeerAddr).Msg("start")
 	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
 	lg := errgroup.Group{}
 	lg.Go(func() error { return e.logWriter.Run(logCtx) })
@@ -153,19 +153,21 @@
 	g, c := errgroup.WithContext(serveCtx)
 	g.Go(func() error {
 		defer stopServing()
-		return e.listen(ctx, e.set.CallerAddr, func(x context.Context, l net.Listener) error { return e.front.Serve(x, l, e.drainTime()) })
+		return e.listen(ctx, e.settings.CallerAddr, func(x context.Context, l net.Listener) error { return e.front.Serve(x, l, e.drainTime()) })
 	})
-	g.Go(func() error { return e.listen(c, e.set.ReadyAddr, e.serveReady) })
+	g.Go(func() error { return e.listen(c, e.settings.ReadyAddr, e.serveReady) })
 	g.Go(func() error {
-		return e.listen(c, e.set.PeerAddr, func(x context.Context, l net.Listener) error { return desk.Serve(x, l, e.owner) })
+		return e.listen(c, e.settings.PeerAddr, func(x context.Context, l net.Listener) error { return desk.Serve(x, l, e.owner) })
 	})
-	if e.set.MetricsAddr != "" {
-		g.Go(func() error { return e.listen(c, e.set.MetricsAddr, e.serveMetrics) })
+	if e.settings.MetricsAddr != "" {
+		g.Go(func() error { return e.listen(c, e.settings.MetricsAddr, e.serveMetrics) })
 	}
 	g.Go(func() error {
-		return keyval.Follow(c, e.plat.Store, e.plat.Format.OperatorPrefix(), configWatchTimeout, &operatorSink{e})
+		return keyval.Follow(c, e.platform.Store, e.platform.Format.OperatorPrefix(), configWatchTimeout, &operatorSink{e})
+	})
+	g.Go(func() error {
+		return keyval.Follow(c, e.platform.Store, owner.ClaimPrefix, claimsWatchTimeout, e.claims)
 	})
-	g.Go(func() error { return keyval.Follow(c, e.plat.Store, owner.ClaimPrefix, claimsWatchTimeout, e.claims) })
 	g.Go(func() error { return e.register(ctx) })
 	g.Go(func() error { return e.yieldToLarger(ctx) })
 	// The owner stops and the claim is released first, so that another entry takes over while this one drains.
@@ -184,7 +186,7 @@
 
 // drainTime returns how long the front may drain after SIGTERM. It ends shutdownMargin before the process is killed.
 func (e *Site) drainTime() time.Duration {
-	return max(time.Duration(e.set.GraceSecs*float64(time.Second))-shutdownMargin, shutdownMargin)
+	return max(time.Duration(e.settings.GraceSecs*float64(time.Second))-shutdownMargin, shutdownMargin)
 }
 
 func (e *Site) listen(ctx context.Context, addr string, serve func(context.Context, net.Listener) error) error {
@@ -204,7 +206,7 @@
 
 func (e *Site) serveReady(ctx context.Context, l net.Listener) error {
 	return serveHTTP(ctx, l, func(c *fasthttp.RequestCtx) {
-		if string(c.Path()) != e.plat.ReadyPath {
+		if string(c.Path()) != e.platform.ReadyPath {
 			c.SetStatusCode(fasthttp.StatusNotFound)
 		} else if !e.ready() {
 			c.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -268,12 +270,12 @@
 func (o *operatorSink) Apply(events []keyval.Event) {
 	newest := -1 // if many configurations arrive together, only the last one is decoded.
 	for n, x := range events {
-		if o.e.plat.Format.IsConfig(x.Item().Key()) {
+		if o.e.platform.Format.IsConfig(x.Item().Key()) {
 			newest = n
 		}
 	}
 	for n, x := range events {
-		if n == newest || !o.e.plat.Format.IsConfig(x.Item().Key()) {
+		if n == newest || !o.e.platform.Format.IsConfig(x.Item().Key()) {
 			o.apply(x.Item(), x.Deleted())
 		}
 	}
@@ -281,7 +283,7 @@
 
 // apply applies one changed document. It logs and skips one that cannot be decoded.
 func (o *operatorSink) apply(i keyval.Item, gone bool) {
-	f := o.e.plat.Format
+	f := o.e.platform.Format
 	if f.IsConfig(i.Key()) {
 		if gone {
 			return
--- a/node/site/status.go
+++ b/node/site/status.go
@@ -17,7 +17,7 @@
 type Status struct {
 	Owner    string                   `json:"owner"` // peer address, slash and process of the holder of the claim; empty without a holder.
 	Fence    int64                    `json:"fence"`
-	Entries  map[string]member        `json:"entries"` // live entries by name.
+	Entries  map[string]entryInfo     `json:"entries"` // live entries by name.
 	Config   int64                    `json:"config"`  // version of the configuration; 0 when there is none.
 	Queues   map[string]QueueStatus   `json:"queues"`
 	Services map[string]ServiceStatus `json:"services"`
@@ -56,7 +56,7 @@
 
 // ReadStatus reads the status from the store once. An error names the prefix that could not be read.
 func ReadStatus(ctx context.Context, p Platform) (Status, error) {
-	s := Status{Entries: map[string]member{}, Queues: map[string]QueueStatus{}, Services: map[string]ServiceStatus{}}
+	s := Status{Entries: map[string]entryInfo{}, Queues: map[string]QueueStatus{}, Services: map[string]ServiceStatus{}}
 	progress := map[int]batch.StoredWave{}
 	for _, r := range []struct {
 		prefix string
@@ -100,7 +100,7 @@
 	if !ok {
 		return nil
 	}
-	var m member
+	var m entryInfo
 	err := json.Unmarshal(i.Value(), &m)
 	s.Entries[n] = m
 	return err
