--- a/node/board/board.go
+++ b/node/board/board.go
@@ -23,8 +23,8 @@
 type Queue struct {
 	Name, Host, Prefix, Service string
 	Priority, Attempts          int
-	Stretch                     float64
-	AimMs                       int64 // added to the objective, ms.
+	Stretch                     float64 // objective in multiples of the longest chain of work.
+	AimMs                       int64   // added to the objective, ms.
 	Advice                      *Advice
 }
 
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -288,7 +288,7 @@
 	return b
 }
 
-// state answers with the state of a job from the owner or, if the owner cannot tell, from the store.
+// state answers with the state of a job from the owner or, if the owner does not know it, from the store.
 func (f *Front) state(id string) answer {
 	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
--- a/node/front/front_test.go
+++ b/node/front/front_test.go
@@ -190,7 +190,7 @@
 	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 503) // the job is stored, so an owner that does not know it is a former one.
 }
 
-func TestOldConfigurationIsPassedOver(t *testing.T) {
+func TestOldConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	b := board.New()
 	is.True(b.Put(board.Config{Version: 5, Queues: []board.Queue{{Name: "new", Host: "h", Prefix: "/a/b/"}, {Name: "short", Host: "h", Prefix: "/a/"}}}))
--- a/node/logs/logs_test.go
+++ b/node/logs/logs_test.go
@@ -62,7 +62,7 @@
 }
 
 // Writes of more than PIPE_BUF bytes to a pipe are not atomic, so their lines could be split.
-func TestWritesAreWhole(t *testing.T) {
+func TestWritesAreAtomic(t *testing.T) {
 	is := is.New(t)
 	out := &writeSizes{}
 	w := New(out)
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -51,7 +51,8 @@
 	Txn(ctx context.Context, t keyval.Txn) (keyval.Revision, error)
 }
 
-// Workers sends orders to workers. An error gives the reason for a result that is not OK.
+// Workers sends orders to workers. An error gives the reason for a result that is not OK. The int64 is the worker's clock in ms; that
+// of Advise is how long the tickets are valid, in ms.
 type Workers interface {
 	Start(ctx context.Context, c batch.StartCmd) (batch.Result, int64, error)
 	Stop(ctx context.Context, c batch.StopCmd) (batch.Result, int64, error)
--- a/node/owner/watch.go
+++ b/node/owner/watch.go
@@ -40,7 +40,7 @@
 	r.t.send(r.ctx, m)
 }
 
-// add adds a list entry to the message. A worker whose entry cannot be decoded counts as gone.
+// add adds the list entry of a worker to the message. A worker whose entry cannot be decoded counts as gone.
 func (r *workerSink) add(m *batch.WorkersMsg, i keyval.Item) {
 	e, err := r.t.o.format.Entry(i)
 	if err != nil {
--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -51,7 +51,7 @@
 	return &claims{name: s.Name, cores: s.Cores, wakeLease: func() {}, entries: map[string]entryInfo{}}
 }
 
-// Owner implements front.Claims.
+// Owner returns the peer address of the owner of the jobs, empty while there is no owner.
 func (c *claims) Owner() string {
 	if a := c.ownerAddr.Load(); a != nil {
 		return *a
@@ -74,7 +74,7 @@
 // minHelperCoresRatio is the least share of this entry's cores with which another entry may be its helper.
 const minHelperCoresRatio = 0.6
 
-// Helpers implements owner.Entries. Entries with the most cores come first.
+// Helpers returns the peer addresses of the entries that can be helpers, those with the most cores first.
 func (c *claims) Helpers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -39,7 +39,7 @@
 	idleTimeout        = 30 * time.Second
 )
 
-// Store is the platform's store.
+// Store is the platform's key-value store.
 type Store interface {
 	keyval.Store
 	owner.Store
