--- a/node/board/board.go
+++ b/node/board/board.go
@@ -1,4 +1,4 @@
-// Package board keeps the newest configuration that this process has seen.
+// Package board holds the newest configuration and the maintenance waves that this process has read from the store.
 package board
 
 import (
@@ -19,47 +19,47 @@
 	Limits   Limits
 }
 
-// Queue is one route on which callers hand in jobs.
+// Queue is one route for jobs, given by host and path prefix.
 type Queue struct {
 	Name, Host, Prefix, Service string
 	Priority, Attempts          int
-	Stretch                     float64
-	AimMs                       int64 // added to the objective.
+	Stretch                     float64 // objective in multiples of the longest chain of work.
+	AimMs                       int64   // added to the objective, ms.
 	Advice                      *Advice
 }
 
-// Advice tells how long the service takes that knows which workers may run a step.
+// Advice holds the times, in ms, of the service that decides which workers may run a step.
 type Advice struct{ DecideMs, EachMs, ValidMs int64 }
 
-// Limits bound callers' requests.
+// Limits holds the limits of callers' requests and connections.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	HeaderMs, IdleMs       int64
 }
 
-// Board holds the newest configuration and the operator's waves.
+// Board holds the newest configuration and the operator's waves. It is safe for concurrent use.
 type Board struct {
-	now atomic.Pointer[table]
+	current atomic.Pointer[table]
 
-	mu      sync.Mutex
-	waves   map[int]batch.WaveMsg
-	changed []chan struct{}
+	mu       sync.Mutex
+	waves    map[int]batch.WaveMsg
+	watchers []chan struct{}
 }
 
-// table is a configuration with its queues by host, the longest prefix first.
+// table is a configuration with its queues indexed by host, longest prefix first.
 type table struct {
 	config Config
 	hosts  map[string][]Queue
 }
 
-// New returns a board without a configuration.
+// New returns a Board without a configuration.
 func New() *Board { return &Board{waves: map[int]batch.WaveMsg{}} }
 
-// Put takes a configuration in; an older one than the newest is passed over and false returned.
+// Put stores a configuration. It returns false and changes nothing if the version is not newer than the current one.
 func (b *Board) Put(c Config) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.now.Load(); t != nil && c.Version <= t.config.Version {
+	if t := b.current.Load(); t != nil && c.Version <= t.config.Version {
 		return false
 	}
 	t := &table{config: c, hosts: map[string][]Queue{}}
@@ -69,20 +69,20 @@
 	for _, l := range t.hosts {
 		slices.SortFunc(l, func(a, b Queue) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	b.now.Store(t)
-	b.tell()
+	b.current.Store(t)
+	b.notify()
 	return true
 }
 
-// PutWave takes a wave in.
+// PutWave stores a wave and replaces one with the same number.
 func (b *Board) PutWave(w batch.WaveMsg) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.waves[w.Number] = w
-	b.tell()
+	b.notify()
 }
 
-// Waves returns all waves by number.
+// Waves returns all waves, sorted by number.
 func (b *Board) Waves() []batch.WaveMsg {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,9 +94,9 @@
 	return l
 }
 
-// tell wakes the watchers; the lock is held.
-func (b *Board) tell() {
-	for _, c := range b.changed {
+// notify wakes the watchers. The caller holds mu.
+func (b *Board) notify() {
+	for _, c := range b.watchers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -104,32 +104,34 @@
 	}
 }
 
-// Watch returns a channel that gets a value after each change, until stop is called.
+// Watch returns a channel that gets a value at once and after changes, until stop is called. Several
+// changes may share one value.
 func (b *Board) Watch() (changed <-chan struct{}, stop func()) {
 	c := make(chan struct{}, 1)
 	c <- struct{}{}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.changed = append(b.changed, c)
+	b.watchers = append(b.watchers, c)
 	return c, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.changed = slices.DeleteFunc(b.changed, func(o chan struct{}) bool { return o == c })
+		b.watchers = slices.DeleteFunc(b.watchers, func(o chan struct{}) bool { return o == c })
 	}
 }
 
-// Config returns the newest configuration; false while there is none.
+// Config returns the newest configuration, or false while there is none.
 func (b *Board) Config() (Config, bool) {
-	t := b.now.Load()
+	t := b.current.Load()
 	if t == nil {
 		return Config{}, false
 	}
 	return t.config, true
 }
 
-// Find returns the queue for a request and the rest of its path, and the version of the configuration; version 0 means that there is none.
+// Find returns the queue for a request, the rest of its path after the queue's prefix, and the version of the configuration. Version 0
+// means that there is no configuration.
 func (b *Board) Find(host, path string) (q Queue, rest string, version int64, found bool) {
-	t := b.now.Load()
+	t := b.current.Load()
 	if t == nil {
 		return Queue{}, "", 0, false
 	}
--- a/node/owner/former.go
+++ b/node/owner/former.go
@@ -14,39 +14,40 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// termKey names the last process that gave orders, so that its successor knows how long these may still be carried out.
+// termKey holds the termRecord of the last owner. Its successor derives from it how long that owner's orders may still take effect.
 const termKey = "own/term"
 
-// Times of the end of a term.
+// Timeouts at the end of a term and at the start of the next one.
 const (
-	leaveWithin = 800 * time.Millisecond // of the time that a process has to stop.
-	probeEvery  = 400 * time.Millisecond
-	probeWithin = 300 * time.Millisecond
+	handoverTimeout = 800 * time.Millisecond // part of the time that a process has to stop.
+	probeInterval   = 400 * time.Millisecond
+	probeTimeout    = 300 * time.Millisecond
 )
 
-// former is the last process that gave orders.
-type former struct {
+// termRecord identifies a term and the process that gave orders in it.
+type termRecord struct {
 	Fence  int64        `json:"fence"`
 	Holder string       `json:"holder"`
-	Left   bool         `json:"left"`   // it gives no orders any more.
-	Orders batch.Orders `json:"orders"` // to machines, when it left.
+	Left   bool         `json:"left"`   // the process has stopped giving orders.
+	Orders batch.Orders `json:"orders"` // to machines, as of the end of the term; set with Left.
 	rev    keyval.Revision
 }
 
-// blind is how long its orders may still be carried out, or extend a lease, at workers that are out of reach.
-func (f former) blind() time.Duration {
+// orderLifetime is how long the orders of this term may still be carried out, or extend a lease, at workers that the successor
+// cannot reach.
+func (f termRecord) orderLifetime() time.Duration {
 	switch {
 	case f.Fence == 0:
 		return 0
 	case f.Left:
-		return leaseFor
+		return maxWorkerLease
 	}
-	return blindFor
+	return maxOrderLifetime
 }
 
-// enter notes this term in the store before any order is given, and returns the one before.
-func (t *term) enter(ctx context.Context) (former, error) {
-	var f former
+// recordStart writes the record of this term, before any order is given, and returns the record of the former term.
+func (t *term) recordStart(ctx context.Context) (termRecord, error) {
+	var f termRecord
 	i, err := t.o.store.Get(ctx, termKey)
 	if err != nil {
 		return f, err
@@ -56,86 +57,87 @@
 			return f, eris.Wrapf(err, "key %q", termKey)
 		}
 	}
-	if f.Fence == int64(t.fence) { // an earlier try was written, and what came before it is not known.
-		return former{Fence: f.Fence}, nil
+	if f.Fence == int64(t.fence) { // an earlier attempt replaced the former record, which is unknown now.
+		return termRecord{Fence: f.Fence}, nil
 	}
 	f.rev = i.Rev()
-	return f, t.note(ctx, former{Fence: int64(t.fence), Holder: t.o.holder}, i.Rev())
+	return f, t.writeRecord(ctx, termRecord{Fence: int64(t.fence), Holder: t.o.holder}, i.Rev())
 }
 
-// note writes the term's record under the claim.
-func (t *term) note(ctx context.Context, f former, rev keyval.Revision) error {
+// writeRecord writes the term record in a transaction that fails unless this term still holds the claim.
+func (t *term) writeRecord(ctx context.Context, f termRecord, rev keyval.Revision) error {
 	b, err := json.Marshal(f)
 	if err != nil {
-		return eris.Wrap(err, "term cannot be encoded")
+		return eris.Wrap(err, "encode term record")
 	}
 	r, err := t.o.store.Txn(ctx, keyval.Txn{
-		Guards: []keyval.Guard{t.claim(), {Key: termKey, Rev: rev}}, Writes: []keyval.Write{{Key: termKey, Value: b}},
+		Guards: []keyval.Guard{t.claimGuard(), {Key: termKey, Rev: rev}}, Writes: []keyval.Write{{Key: termKey, Value: b}},
 	})
 	var c *keyval.ConflictError
 	if errors.As(err, &c) {
 		for _, i := range c.Items() {
 			if i.Key() == ClaimKey && i.Rev() != t.fence {
-				return errDeposed
+				return errClaimLost
 			}
 		}
 	}
 	if err == nil {
-		t.rev.Store(int64(r))
+		t.recordRev.Store(int64(r))
 	}
 	return err
 }
 
-// leave notes that this process gives no orders any more; a successor that cannot read it waits longer.
-func (t *term) leave(ctx context.Context) {
-	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveWithin)
+// recordHandover records that this process has stopped giving orders. Without this record a successor waits longer.
+func (t *term) recordHandover(ctx context.Context) {
+	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
 	defer cancel()
-	rev := keyval.Revision(t.rev.Load())
+	rev := keyval.Revision(t.recordRev.Load())
 	if rev == 0 {
 		return
 	}
-	err := t.note(c, former{Fence: int64(t.fence), Holder: t.o.holder, Left: true, Orders: t.o.lastOrders.Load().orders}, rev)
+	err := t.writeRecord(c, termRecord{Fence: int64(t.fence), Holder: t.o.holder, Left: true, Orders: t.o.lastOrders.Load().orders}, rev)
 	t.o.log.Info().Int64("fence", int64(t.fence)).Bool("noted", err == nil).Msg("ownership handed over")
 }
 
-// probe asks the former owner's address until another process answers there, or it says that it gives no orders any more.
-func (t *term) probe(ctx context.Context, f former) error {
+// probeFormer shortens the wait for the orders of the former owner f. It polls that owner's address until another process answers
+// there, or the process answers that this term is over.
+func (t *term) probeFormer(ctx context.Context, f termRecord) error {
 	if f.Left {
-		t.tell(ctx, batch.OrdersMsg{Orders: f.Orders})
+		t.send(ctx, batch.OrdersMsg{Orders: f.Orders})
 		return nil
 	}
 	if f.Holder == "" {
 		return nil
 	}
 	addr, _, _ := strings.Cut(f.Holder, "/")
-	end := time.Now().Add(blindFor)
+	end := time.Now().Add(maxOrderLifetime)
 	for ctx.Err() == nil && time.Now().Before(end) {
-		c, cancel := context.WithTimeout(ctx, probeWithin)
+		c, cancel := context.WithTimeout(ctx, probeTimeout)
 		r, err := t.o.peers.At(addr).Term(c, &desk.TermRequest{})
 		cancel()
 		if err == nil && (r.GetHolder() != f.Holder || r.GetFence() != f.Fence) {
 			t.o.log.Info().Str("peer", addr).Int64("former", f.Fence).Bool("sameProcess", r.GetHolder() == f.Holder).Msg("former owner is gone")
-			t.tell(ctx, batch.BlindMsg{ForMs: leaseFor.Milliseconds()})
-			t.tell(ctx, batch.OrdersMsg{Orders: batch.Orders{AgeMs: r.GetOrderedMs(), SpanMs: r.GetSpanMs()}})
+			t.send(ctx, batch.BlindMsg{ForMs: maxWorkerLease.Milliseconds()})
+			t.send(ctx, batch.OrdersMsg{Orders: batch.Orders{AgeMs: r.GetOrderedMs(), SpanMs: r.GetSpanMs()}})
 			return nil
 		}
-		t.pause(ctx, probeEvery)
+		t.sleep(ctx, probeInterval)
 	}
 	return nil
 }
 
-// lastOrders is what this process ordered until its last term ended.
+// lastOrders holds the last orders to machines at the end of this process's latest term.
 type lastOrders struct {
-	at     int64 // steady ms
-	orders batch.Orders
+	recordedMs int64 // of Owner.now
+	orders     batch.Orders
 }
 
-// Term implements desk.Desk.
+// Term implements desk.Desk. Between terms it returns the age of the last orders to machines.
 func (o *Owner) Term(context.Context, *desk.TermRequest) (*desk.TermReply, error) {
 	if t := o.term.Load(); t != nil {
 		return &desk.TermReply{Holder: o.holder, Fence: int64(t.fence)}, nil
 	}
 	p := o.lastOrders.Load()
-	a := p.orders.Aged(o.now() - p.at)
+	a := p.orders.Aged(o.now() - p.recordedMs)
 	return &desk.TermReply{Holder: o.holder, OrderedMs: a.AgeMs, SpanMs: a.SpanMs}, nil
 }
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -13,54 +13,55 @@
 	"burdockreach.dev/node/desk"
 )
 
-// Helpers of an owner.
+// Timeouts and limits of helpers.
 const (
-	helpersEvery  = time.Second            // between two looks at who can help.
-	collectWait   = 800 * time.Millisecond // of one request for answers.
-	carryWithin   = 1500 * time.Millisecond
-	helperRest    = 5 * time.Second // a helper that did not answer gets no calls for so long.
-	helperStarted = 200             // orders that one request carries at most.
+	chooseInterval      = time.Second            // between two choices of helpers.
+	collectTimeout      = 800 * time.Millisecond // how long one request waits for answers at the helper.
+	carryTimeout        = 1500 * time.Millisecond
+	helperCooldown      = 5 * time.Second // a helper that did not answer gets no calls for this time.
+	maxOrdersPerRequest = 200
 )
 
-// Entries knows which entries can make calls for an owner, the ablest first.
+// Entries lists the entries that can make calls for an owner.
 type Entries interface {
-	Helpers() []string // addresses for peers.
+	Helpers() []string // peer addresses, those with the most cores first.
 }
 
-// helper is an entry that makes calls for this term.
+// helper is another entry that makes calls to workers for this term. It makes no decisions.
 type helper struct {
 	t    *term
 	addr string
 
-	mu     sync.Mutex
-	next   uint64
-	queue  []*desk.Order
-	under  map[uint64]order // under way.
-	wake   chan struct{}    // calls are queued.
-	work   chan struct{}    // calls are under way.
-	failed time.Time
+	mu            sync.Mutex
+	lastID        uint64
+	queue         []*desk.Order
+	inFlight      map[uint64]pendingOrder // orders without an answer, by id.
+	sendSignal    chan struct{}           // wakes send: calls are queued.
+	collectSignal chan struct{}           // wakes collect: calls are in flight.
+	failedAt      time.Time
 }
 
 func newHelper(t *term, addr string) *helper {
-	return &helper{t: t, addr: addr, under: map[uint64]order{}, wake: make(chan struct{}, 1), work: make(chan struct{}, 1)}
+	return &helper{t: t, addr: addr, inFlight: map[uint64]pendingOrder{}, sendSignal: make(chan struct{}, 1), collectSignal: make(chan struct{}, 1)}
 }
 
-// order is a call that a helper makes.
-type order struct {
-	cmd  batch.Cmd
-	sent int64
+// pendingOrder is a call that a helper has not answered yet.
+type pendingOrder struct {
+	cmd    batch.Cmd
+	sentMs int64
 }
 
-// helpers are chosen anew every second; workers stay with their helper while it answers. Lock order: helpers, then helper.
+// helpers holds the helpers of a term. They are chosen again every second; a worker keeps its helper while that one answers.
+// Lock order: helpers, then helper.
 type helpers struct {
-	mu   sync.Mutex
-	all  map[string]*helper
-	used []*helper
+	mu     sync.Mutex
+	byAddr map[string]*helper
+	active []*helper
 }
 
-// manage keeps as many helpers as the number of workers asks for.
-func (t *term) manage(ctx context.Context) error {
-	k := time.NewTicker(helpersEvery)
+// manageHelpers adjusts the helpers to the number of workers, until ctx ends.
+func (t *term) manageHelpers(ctx context.Context) error {
+	k := time.NewTicker(chooseInterval)
 	defer k.Stop()
 	for {
 		t.chooseHelpers(ctx)
@@ -72,8 +73,9 @@
 	}
 }
 
+// chooseHelpers takes one helper for each HelperWorkers workers, in the order of Helpers. It skips those that failed lately.
 func (t *term) chooseHelpers(ctx context.Context) {
-	n := int(t.workers.Load()) / t.o.set.HelperWorkers
+	n := int(t.workerCount.Load()) / t.o.settings.HelperWorkers
 	h := &t.helpers
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,55 +84,56 @@
 		if len(use) >= n {
 			break
 		}
-		p := h.all[a]
+		p := h.byAddr[a]
 		if p == nil {
 			p = newHelper(t, a)
-			h.all[a] = p
+			h.byAddr[a] = p
 			t.group.Go(func() error { return p.send(ctx) })
 			t.group.Go(func() error { return p.collect(ctx) })
 		}
-		if p.rested() {
+		if p.cooledDown() {
 			use = append(use, p)
 		}
 	}
-	if !slices.Equal(use, h.used) {
+	if !slices.Equal(use, h.active) {
 		t.o.log.Info().Int("helpers", len(use)).Int64("fence", int64(t.fence)).Msg("helpers chosen")
 	}
-	h.used = use
+	h.active = use
 }
 
-// helperOf returns the helper for a worker's calls, nil when the owner makes them itself. By rendezvous hashing a worker keeps its
-// helper, and that one its connection, when others come and go.
+// helperOf returns the helper that makes the calls to a worker, or nil when the owner makes them itself. Rendezvous hashing keeps a
+// worker on the same helper, and the helper's connection to it open, when other helpers are added or removed.
 func (t *term) helperOf(worker string) *helper {
 	h := &t.helpers
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var best *helper
-	high := uint64(0)
-	for _, p := range h.used {
-		if n := xxhash.Sum64String(worker + p.addr); best == nil || n > high {
-			best, high = p, n
+	bestHash := uint64(0)
+	for _, p := range h.active {
+		if n := xxhash.Sum64String(worker + p.addr); best == nil || n > bestHash {
+			best, bestHash = p, n
 		}
 	}
 	return best
 }
 
-func (p *helper) rested() bool {
+// cooledDown reports whether the last failure is at least helperCooldown ago.
+func (p *helper) cooledDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.failed) > helperRest
+	return time.Since(p.failedAt) > helperCooldown
 }
 
-// push queues a call.
-func (p *helper) push(c batch.Cmd) {
+// enqueue queues a call for the helper and wakes its goroutines.
+func (p *helper) enqueue(c batch.Cmd) {
 	p.mu.Lock()
-	p.next++
+	p.lastID++
 	o := encodeOrder(c)
-	o.Id = p.next
+	o.Id = p.lastID
 	p.queue = append(p.queue, o)
-	p.under[p.next] = order{cmd: c, sent: p.t.o.now()}
+	p.inFlight[p.lastID] = pendingOrder{cmd: c, sentMs: p.t.o.now()}
 	p.mu.Unlock()
-	for _, c := range []chan struct{}{p.wake, p.work} {
+	for _, c := range []chan struct{}{p.sendSignal, p.collectSignal} {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -150,77 +153,79 @@
 			Spec: k.Spec, Saved: k.Saved, Ticket: k.Ticket,
 		}
 	}
-	panic(fmt.Sprintf("owner: %T cannot be carried", c)) // a defect of perform.
+	panic(fmt.Sprintf("owner: %T cannot be sent through a helper", c)) // a bug in perform.
 }
 
-func (p *helper) session() string { return fmt.Sprintf("%s/%d", p.t.o.holder, p.t.fence) }
+// sessionID identifies this term at the helper.
+func (p *helper) sessionID() string { return fmt.Sprintf("%s/%d", p.t.o.holder, p.t.fence) }
 
-// send passes queued calls on.
+// send sends queued calls to the helper until ctx ends.
 func (p *helper) send(ctx context.Context) error {
 	for {
 		select {
-		case <-p.wake:
+		case <-p.sendSignal:
 		case <-ctx.Done():
 			return nil
 		}
 		for {
 			p.mu.Lock()
-			n := min(len(p.queue), helperStarted)
+			n := min(len(p.queue), maxOrdersPerRequest)
 			l := p.queue[:n]
 			p.queue = p.queue[n:]
 			p.mu.Unlock()
 			if n == 0 {
 				break
 			}
-			p.carry(ctx, &desk.CarryRequest{Session: p.session(), Orders: l})
+			p.exchange(ctx, &desk.CarryRequest{Session: p.sessionID(), Orders: l})
 		}
 	}
 }
 
-// collect asks for answers while calls are under way.
+// collect requests answers while calls are in flight, until ctx ends.
 func (p *helper) collect(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		idle := len(p.under) == 0
+		idle := len(p.inFlight) == 0
 		p.mu.Unlock()
 		if idle {
 			select {
-			case <-p.work:
+			case <-p.collectSignal:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		p.carry(ctx, &desk.CarryRequest{Session: p.session(), WaitMs: collectWait.Milliseconds()})
+		p.exchange(ctx, &desk.CarryRequest{Session: p.sessionID(), WaitMs: collectTimeout.Milliseconds()})
 	}
 	return nil
 }
 
-// carry makes one request; when it fails, nothing is known of the calls that are under way.
-func (p *helper) carry(ctx context.Context, r *desk.CarryRequest) {
-	c, cancel := context.WithTimeout(ctx, carryWithin)
+// exchange makes one Carry request and passes the answers to the model. When the request fails, the outcome of all calls in flight
+// is unknown.
+func (p *helper) exchange(ctx context.Context, r *desk.CarryRequest) {
+	c, cancel := context.WithTimeout(ctx, carryTimeout)
 	defer cancel()
 	a, err := p.t.o.peers.At(p.addr).Carry(c, r)
 	if err != nil {
-		p.lose(ctx, err)
+		p.fail(ctx, err)
 		return
 	}
 	for _, x := range a.GetAnswers() {
 		p.mu.Lock()
-		o, ok := p.under[x.GetId()]
-		delete(p.under, x.GetId())
+		o, ok := p.inFlight[x.GetId()]
+		delete(p.inFlight, x.GetId())
 		p.mu.Unlock()
 		if ok {
-			p.t.tell(ctx, o.answer(x))
+			p.t.send(ctx, o.toMsg(x))
 		}
 	}
 }
 
-// lose tells the model that the calls under way have no answer.
-func (p *helper) lose(ctx context.Context, err error) {
+// fail drops the calls in flight after a failed request, reports them to the model as unanswered, and chooses helpers again.
+func (p *helper) fail(ctx context.Context, err error) {
 	p.mu.Lock()
-	l := p.under
-	p.under, p.queue = map[uint64]order{}, nil
-	p.failed = time.Now()
+	l := p.inFlight
+	p.inFlight, p.queue = map[uint64]pendingOrder{}, nil
+	p.failedAt = time.Now()
 	p.mu.Unlock()
 	if ctx.Err() != nil {
 		return
@@ -229,20 +234,20 @@
 	p.t.o.peers.Reset(p.addr)
 	p.t.chooseHelpers(ctx)
 	for _, o := range l {
-		p.t.tell(ctx, o.answer(&desk.Answer{Result: int32(batch.NoAnswer)}))
+		p.t.send(ctx, o.toMsg(&desk.Answer{Result: int32(batch.NoAnswer)}))
 	}
 }
 
-// answer returns the message to the model.
-func (o order) answer(a *desk.Answer) batch.Msg {
+// toMsg converts the answer to the message for the model.
+func (o pendingOrder) toMsg(a *desk.Answer) batch.Msg {
 	r := batch.Result(a.GetResult())
 	switch k := o.cmd.(type) {
 	case batch.HoldCmd:
-		return decodeHeld(a, k.Worker, o.sent)
+		return decodeHeld(a, k.Worker, o.sentMs)
 	case batch.StopCmd:
-		return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sent}
+		return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
 	case batch.StartCmd:
-		return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sent}
+		return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
 	}
-	panic(fmt.Sprintf("owner: %T was carried", o.cmd)) // a defect of push.
+	panic(fmt.Sprintf("owner: %T was sent through a helper", o.cmd)) // a bug in enqueue.
 }
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -1,4 +1,5 @@
-// Package owner runs the jobs while this process holds the claim: it carries out what batch.Model decides.
+// Package owner runs jobs while this process holds the claim, the key that names the owner of the jobs.
+// batch.Model makes the decisions; this package carries out its commands and reports the results back to it.
 package owner
 
 import (
@@ -21,35 +22,37 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// ClaimKey names the owner of the jobs, under a lease.
+// ClaimKey is the key of the claim. Its value names the owner of the jobs, and it is bound to a lease.
 const ClaimKey = "own/all"
 
-// ClaimPrefix precedes the keys of claims.
+// ClaimPrefix is the prefix of the claim, of the term record and of the keys of live entries.
 const ClaimPrefix = "own/"
 
-// Times of an owner.
+// Timeouts and limits of an owner.
 const (
-	// ClaimTTL is how soon another process may take the claim of a silent owner; the store grants no less than 1 s.
+	// ClaimTTL is the time to live of the claim without renewal. Another process may take the claim after it. The store grants
+	// no less than 1 s.
 	ClaimTTL = 1200 * time.Millisecond
-	// ClaimPatience is how long an owner that cannot reach the store goes on driving workers: store outages are mostly shorter.
-	ClaimPatience = 7 * time.Second
-	leaseFor      = 5500 * time.Millisecond             // the longest lease that an owner asks of workers, on a slow clock.
-	blindFor      = ClaimPatience + ClaimTTL + leaseFor // after a former owner that may go on: its last order, and that lease.
-	loadRetry     = 100 * time.Millisecond
-	workersWait   = time.Second // of one watch.
-	queueMsgs     = 4096
-	batchMsgs     = 256 // messages taken in before the model is asked what follows.
-	maxWaiters    = 4096
+	// ClaimPatience is how long an owner that cannot reach the store keeps giving orders to workers. Most store outages are shorter.
+	ClaimPatience      = 7 * time.Second
+	maxWorkerLease     = 5500 * time.Millisecond                   // longest lease that an owner requests from a worker, as it lasts on a slow clock.
+	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // of a former owner that may still run: until its last order, plus the lease in that order.
+	retryInterval      = 100 * time.Millisecond
+	workerWatchTimeout = time.Second // timeout of one watch on the list of workers.
+	maxQueuedMsgs      = 4096
+	maxMsgsPerRound    = 256 // messages that the model gets before it is asked for commands.
+	maxPendingRequests = 4096
 )
 
-// Store is what an owner needs of the platform's store.
+// Store is the part of the platform's key-value store that an owner uses.
 type Store interface {
 	keyval.Lister
 	Get(ctx context.Context, key string) (keyval.Item, error)
 	Txn(ctx context.Context, t keyval.Txn) (keyval.Revision, error)
 }
 
-// Workers gives orders to workers; an error says why the result is not OK.
+// Workers sends orders to workers. An error gives the reason for a result that is not OK. The int64 is the worker's clock in ms; that
+// of Advise is how long the tickets are valid, in ms.
 type Workers interface {
 	Start(ctx context.Context, c batch.StartCmd) (batch.Result, int64, error)
 	Stop(ctx context.Context, c batch.StopCmd) (batch.Result, int64, error)
@@ -58,14 +61,14 @@
 	Advise(ctx context.Context, addr, step string, workers []string, wait time.Duration) (map[string]string, int64, error)
 }
 
-// Machines lists machines and gives them orders.
+// Machines lists the platform's machines and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]batch.Machine, error)
 	Move(ctx context.Context, c batch.MoveCmd) (batch.DutyResult, error)
 	Upkeep(ctx context.Context, c batch.UpkeepCmd) (batch.DutyResult, error)
 }
 
-// Format reads and writes the platform's documents.
+// Format encodes and decodes the platform's documents.
 type Format interface {
 	Entry(i keyval.Item) (batch.Entry, error)
 	WorkerID(key string) string
@@ -74,15 +77,15 @@
 	IsCompleted(b []byte) bool
 }
 
-// Settings are the figures that an owner works with.
+// Settings configures an owner.
 type Settings struct {
 	Model      batch.Config
 	AdviceAddr string
-	// HelperWorkers is the number of workers for which one more entry makes the owner's calls.
+	// HelperWorkers is the number of workers per helper. A helper is another entry that makes calls to workers for the owner.
 	HelperWorkers int
 }
 
-// Owner takes the jobs over whenever this process holds the claim.
+// Owner runs the jobs whenever this process holds the claim.
 type Owner struct {
 	store    Store
 	workers  Workers
@@ -90,7 +93,7 @@
 	format   Format
 	board    *board.Board
 	lease    *lease.Lease
-	set      Settings
+	settings Settings
 	log      zerolog.Logger
 	stats    *stats.Set
 
@@ -99,12 +102,12 @@
 	entries    Entries
 	holder     string
 	term       atomic.Pointer[term]
-	zero       time.Time
-	yield      atomic.Bool
+	started    time.Time
+	yielding   atomic.Bool
 	lastOrders atomic.Pointer[lastOrders]
 }
 
-// Parts are what an owner is made of.
+// Parts holds what New needs to build an Owner.
 type Parts struct {
 	Store    Store
 	Workers  Workers
@@ -117,31 +120,31 @@
 	Peers    *desk.Client
 	Carrier  *Carrier
 	Entries  Entries
-	Holder   string // names this run of the process, and begins with its address for peers and a slash.
+	Holder   string // unique to this run of the process; starts with its peer address and a slash.
 }
 
-// New returns an owner that holds nothing.
+// New returns an owner without a claim.
 func New(p Parts, s Settings) *Owner {
 	o := &Owner{
 		store: p.Store, workers: p.Workers, machines: p.Machines, format: p.Format, board: p.Board, lease: p.Lease,
-		set: s, log: p.Log, stats: p.Stats, peers: p.Peers, Carrier: p.Carrier, entries: p.Entries, holder: p.Holder, zero: time.Now(),
+		settings: s, log: p.Log, stats: p.Stats, peers: p.Peers, Carrier: p.Carrier, entries: p.Entries, holder: p.Holder, started: time.Now(),
 	}
 	o.lastOrders.Store(&lastOrders{})
 	return o
 }
 
-// Yield ends the term, if there is one, and gives the claim up.
+// Yield ends the current term, if there is one, and releases the claim.
 func (o *Owner) Yield() {
 	if t := o.term.Load(); t != nil {
-		o.yield.Store(true)
+		o.yielding.Store(true)
 		t.stop()
 	}
 }
 
-// now is the steady time in ms.
-func (o *Owner) now() int64 { return time.Since(o.zero).Milliseconds() }
+// now returns the time in ms since New, on the monotonic clock.
+func (o *Owner) now() int64 { return time.Since(o.started).Milliseconds() }
 
-// Run takes the jobs over each time the claim is held, until ctx ends.
+// Run runs the jobs each time this process gets the claim, until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		f, ok := o.lease.Kept()
@@ -152,19 +155,19 @@
 			}
 			continue
 		}
-		if err := o.serve(ctx, f); err != nil && ctx.Err() == nil {
+		if err := o.runTerm(ctx, f); err != nil && ctx.Err() == nil {
 			o.log.Warn().Int64("fence", int64(f)).Str("reason", err.Error()).Msg("ownership ended")
 		}
-		if o.yield.Swap(false) {
+		if o.yielding.Swap(false) {
 			o.lease.Yield()
 		}
-		o.await(ctx, f)
+		o.waitClaimLost(ctx, f)
 	}
 	return nil
 }
 
-// await returns once the claim of fence f is not kept any more.
-func (o *Owner) await(ctx context.Context, f keyval.Revision) {
+// waitClaimLost returns once the claim with fence f has been given up.
+func (o *Owner) waitClaimLost(ctx context.Context, f keyval.Revision) {
 	for ctx.Err() == nil {
 		if g, ok := o.lease.Kept(); !ok || g != f {
 			return
@@ -172,82 +175,83 @@
 		o.lease.Nudge()
 		select {
 		case <-o.lease.Moved():
-		case <-time.After(loadRetry):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// errDeposed ends a term.
-var errDeposed = errors.New("another owner has the claim")
+// errClaimLost ends a term because this process does not hold the claim any more.
+var errClaimLost = errors.New("another owner has the claim")
 
-// term is the time during which this process holds one claim.
+// term is the period in which this process holds one claim.
 type term struct {
 	o     *Owner
 	fence keyval.Revision
 	model *batch.Model
-	in    chan batch.Msg
+	msgs  chan batch.Msg
 	calls chan batch.Cmd
 	group *errgroup.Group
 
-	mu      sync.Mutex
-	next    uint64
-	waiters map[uint64]chan batch.ReplyCmd
-	asks    chan ask
-	rev     atomic.Int64 // of the term's record.
-	helpers helpers
-	workers atomic.Int64 // that are listed.
-	stop    func()
+	mu          sync.Mutex
+	lastRef     uint64
+	pending     map[uint64]chan batch.ReplyCmd
+	queries     chan modelQuery
+	recordRev   atomic.Int64 // store revision of the term record; 0 until it is written.
+	helpers     helpers
+	workerCount atomic.Int64 // number of listed workers.
+	stop        func()
 }
 
-// ask has f called with the model between two messages.
-type ask struct {
+// modelQuery asks runModel to call f with the model between two messages.
+type modelQuery struct {
 	f    func(*batch.Model)
 	done chan struct{}
 }
 
-func (o *Owner) serve(ctx context.Context, f keyval.Revision) error {
-	c := o.set.Model
+// runTerm runs the jobs under the claim with fence f until the claim is lost, the owner yields or ctx ends.
+func (o *Owner) runTerm(ctx context.Context, f keyval.Revision) error {
+	c := o.settings.Model
 	c.Fence, c.Now, c.WallMs = int64(f), o.now(), time.Now().UnixMilli()
 	t := &term{
-		o: o, fence: f, model: batch.New(c), in: make(chan batch.Msg, queueMsgs),
-		waiters: map[uint64]chan batch.ReplyCmd{}, asks: make(chan ask), calls: make(chan batch.Cmd, callers),
+		o: o, fence: f, model: batch.New(c), msgs: make(chan batch.Msg, maxQueuedMsgs),
+		pending: map[uint64]chan batch.ReplyCmd{}, queries: make(chan modelQuery), calls: make(chan batch.Cmd, callGoroutines),
 	}
 	o.log.Info().Int64("fence", int64(f)).Msg("ownership begins")
 	o.stats.Add("terms", 1)
-	own, stop := context.WithCancel(ctx)
+	termCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	t.stop = stop
-	t.helpers.all = map[string]*helper{}
-	g, d := errgroup.WithContext(own)
+	t.helpers.byAddr = map[string]*helper{}
+	g, d := errgroup.WithContext(termCtx)
 	t.group = g
 	o.term.Store(t)
 	defer o.term.CompareAndSwap(t, nil)
-	g.Go(func() error { return t.guard(d) })
-	g.Go(func() error { return t.load(d) })
-	g.Go(func() error { return t.follow(d) })
+	g.Go(func() error { return t.watchClaim(d) })
+	g.Go(func() error { return t.loadRecords(d) })
+	g.Go(func() error { return t.watchWorkers(d) })
 	g.Go(func() error { return t.watchBoard(d) })
-	g.Go(func() error { return t.manage(d) })
-	for range callers {
-		g.Go(func() error { return t.work(d) })
+	g.Go(func() error { return t.manageHelpers(d) })
+	for range callGoroutines {
+		g.Go(func() error { return t.makeCalls(d) })
 	}
-	g.Go(func() error { return t.loop(d) })
+	g.Go(func() error { return t.runModel(d) })
 	err := g.Wait()
-	o.lastOrders.Store(&lastOrders{at: o.now(), orders: t.model.Orders(o.now())})
-	t.abandon()
-	if own.Err() != nil {
-		t.leave(ctx)
+	o.lastOrders.Store(&lastOrders{recordedMs: o.now(), orders: t.model.Orders(o.now())})
+	t.abandonPending()
+	if termCtx.Err() != nil {
+		t.recordHandover(ctx)
 	}
 	return err
 }
 
-// guard ends the term when the claim is given up.
-func (t *term) guard(ctx context.Context) error {
+// watchClaim ends the term once the claim has been given up.
+func (t *term) watchClaim(ctx context.Context) error {
 	k := time.NewTicker(ClaimTTL / 10)
 	defer k.Stop()
 	for {
 		if f, ok := t.o.lease.Kept(); !ok || f != t.fence {
-			return errDeposed
+			return errClaimLost
 		}
 		select {
 		case <-k.C:
@@ -257,36 +261,37 @@
 	}
 }
 
-// load reads the records of the former owner.
-func (t *term) load(ctx context.Context) error {
+// loadRecords writes this term's record, passes the stored jobs, runs and waves to the model, and then checks on the former owner.
+func (t *term) loadRecords(ctx context.Context) error {
 	for ctx.Err() == nil {
-		former, err := t.enter(ctx)
+		former, err := t.recordStart(ctx)
 		var m batch.LoadedMsg
 		if err == nil {
-			m, err = t.o.read(ctx)
+			m, err = t.o.readRecords(ctx)
 		}
 		if err == nil {
-			m.BlindMs = former.blind().Milliseconds()
-			t.tell(ctx, m)
-			return t.probe(ctx, former)
+			m.BlindMs = former.orderLifetime().Milliseconds()
+			t.send(ctx, m)
+			return t.probeFormer(ctx, former)
 		}
 		t.o.log.Warn().Str("step", "load").Str("reason", err.Error()).Msg("records not read")
-		if errors.Is(err, errDeposed) {
+		if errors.Is(err, errClaimLost) {
 			return err
 		}
-		t.pause(ctx, loadRetry)
+		t.sleep(ctx, retryInterval)
 	}
 	return nil
 }
 
-func (t *term) pause(ctx context.Context, d time.Duration) {
+func (t *term) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-func (o *Owner) read(ctx context.Context) (batch.LoadedMsg, error) {
+// readRecords reads all jobs, runs and waves from the store. It logs and skips a value that cannot be decoded.
+func (o *Owner) readRecords(ctx context.Context) (batch.LoadedMsg, error) {
 	m := batch.LoadedMsg{}
 	jobs, _, err := o.store.All(ctx, batch.JobPrefix)
 	if err != nil {
@@ -327,46 +332,46 @@
 	return m, nil
 }
 
-// tell hands a message to the loop.
-func (t *term) tell(ctx context.Context, m batch.Msg) {
+// send queues a message for the model.
+func (t *term) send(ctx context.Context, m batch.Msg) {
 	select {
-	case t.in <- m:
+	case t.msgs <- m:
 	case <-ctx.Done():
 	}
 }
 
-// checkedStep is the change in ms of the claim's last renewal that the model is told.
-const checkedStep = 100
+// minCheckedChangeMs is the time in ms by which the claim's last renewal must have moved on before the model gets an update.
+const minCheckedChangeMs = 100
 
-// loop is the only user of the model.
-func (t *term) loop(ctx context.Context) error {
+// runModel passes messages to the model and carries out its commands. No other goroutine uses the model while it runs.
+func (t *term) runModel(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	fresh, wall, checked := false, int64(0), int64(0)
+	claimHeld, wallSecs, lastCheckedMs := false, int64(0), int64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case m := <-t.in:
+		case m := <-t.msgs:
 			t.model.Update(t.o.now(), m)
-			t.drain()
-		case a := <-t.asks:
+			t.applyQueued()
+		case a := <-t.queries:
 			a.f(t.model)
 			close(a.done)
 			continue
 		case <-timer.C:
 		}
 		_, ok := t.o.lease.Held()
-		if at := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != fresh || at-checked > checkedStep {
-			fresh, checked = ok, at
-			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: at})
+		if checkedMs := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != claimHeld || checkedMs-lastCheckedMs > minCheckedChangeMs {
+			claimHeld, lastCheckedMs = ok, checkedMs
+			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: checkedMs})
 		}
-		if n := time.Now().UnixMilli(); n/1000 != wall {
-			wall = n / 1000
+		if n := time.Now().UnixMilli(); n/1000 != wallSecs {
+			wallSecs = n / 1000
 			t.model.Update(t.o.now(), batch.WallMsg{UnixMs: n})
 		}
 		cmds := t.model.Round(t.o.now())
-		t.workers.Store(int64(t.model.Workers()))
+		t.workerCount.Store(int64(t.model.Workers()))
 		for _, c := range cmds {
 			if err := t.perform(ctx, c); err != nil {
 				return err
@@ -376,11 +381,11 @@
 	}
 }
 
-// drain takes in the messages that wait.
-func (t *term) drain() {
-	for range batchMsgs {
+// applyQueued passes queued messages to the model, up to maxMsgsPerRound.
+func (t *term) applyQueued() {
+	for range maxMsgsPerRound {
 		select {
-		case m := <-t.in:
+		case m := <-t.msgs:
 			t.model.Update(t.o.now(), m)
 		default:
 			return
--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -16,74 +16,75 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// entryPrefix precedes the names of the entries that are alive, each under a lease.
+// entryPrefix is the prefix of the keys of live entries. Each key is bound to a lease of its entry.
 const entryPrefix = owner.ClaimPrefix + "entry/"
 
-// Choice of the owner.
+// Rules that give the claim to the entry with the most cores. An entry is larger than another one if it has at least largerCoresRatio
+// times its cores.
 const (
-	entryTTL   = 6 * time.Second        // an entry that is silent for so long is not expected to take the claim.
-	ablerTimes = 1.5                    // an entry with so many times the processor is the better owner.
-	leaveFirst = 700 * time.Millisecond // that a free claim is left to abler entries: they notice it within milliseconds.
-	yieldAfter = 4 * time.Second        // that an abler entry has been there before it gets the claim.
-	yieldCheck = time.Second
+	entryTTL           = 6 * time.Second        // an entry without renewals for this time is not expected to take the claim.
+	largerCoresRatio   = 1.5                    // a larger entry is the better owner.
+	claimDelay         = 700 * time.Millisecond // head start of larger entries on a free claim, which they notice within milliseconds.
+	yieldDelay         = 4 * time.Second        // a larger entry must have been alive for this time before the owner yields the claim.
+	yieldCheckInterval = time.Second
 )
 
-// member is an entry as it tells the others.
-type member struct {
-	Cores float64 `json:"cores"` // of the processor that the entry may use.
-	Addr  string  `json:"addr"`  // for peers.
-	since time.Time
+// entryInfo describes an entry to the other entries.
+type entryInfo struct {
+	Cores      float64 `json:"cores"` // processor cores that the entry may use.
+	Addr       string  `json:"addr"`  // peer address.
+	aliveSince time.Time
 }
 
-// claims is the sink of the claims and of the entries: it knows the owner's address, and who is able to own.
+// claims follows the claim and the list of live entries in the store. It knows the owner's address and the cores of each entry.
 type claims struct {
-	name  string
-	cores float64
-	nudge func() // has the lease look at the claim.
-	addr  atomic.Pointer[string]
+	name      string
+	cores     float64
+	wakeLease func() // makes the lease read the claim at once.
+	ownerAddr atomic.Pointer[string]
 
 	mu      sync.Mutex
-	members map[string]member
+	entries map[string]entryInfo
 }
 
 func newClaims(s Settings) *claims {
-	return &claims{name: s.Name, cores: s.Cores, nudge: func() {}, members: map[string]member{}}
+	return &claims{name: s.Name, cores: s.Cores, wakeLease: func() {}, entries: map[string]entryInfo{}}
 }
 
-// Owner implements front.Claims.
+// Owner returns the peer address of the owner of the jobs, empty while there is no owner.
 func (c *claims) Owner() string {
-	if a := c.addr.Load(); a != nil {
+	if a := c.ownerAddr.Load(); a != nil {
 		return *a
 	}
 	return ""
 }
 
-// abler reports whether an entry with much more processor has been alive for d.
-func (c *claims) abler(d time.Duration) bool {
+// hasLargerEntry reports whether a larger entry has been alive for at least d.
+func (c *claims) hasLargerEntry(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n, m := range c.members {
-		if n != c.name && m.Cores >= ablerTimes*c.cores && time.Since(m.since) >= d {
+	for n, m := range c.entries {
+		if n != c.name && m.Cores >= largerCoresRatio*c.cores && time.Since(m.aliveSince) >= d {
 			return true
 		}
 	}
 	return false
 }
 
-// helperShare is the share of this entry's processor that an entry needs at least to make calls for it.
-const helperShare = 0.6
+// minHelperCoresRatio is the least share of this entry's cores with which another entry may be its helper.
+const minHelperCoresRatio = 0.6
 
-// Helpers implements owner.Entries.
+// Helpers returns the peer addresses of the entries that can be helpers, those with the most cores first.
 func (c *claims) Helpers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var l []member
-	for n, m := range c.members {
-		if n != c.name && m.Addr != "" && m.Cores >= helperShare*c.cores {
+	var l []entryInfo
+	for n, m := range c.entries {
+		if n != c.name && m.Addr != "" && m.Cores >= minHelperCoresRatio*c.cores {
 			l = append(l, m)
 		}
 	}
-	slices.SortFunc(l, func(a, b member) int { return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.Addr, b.Addr)) })
+	slices.SortFunc(l, func(a, b entryInfo) int { return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.Addr, b.Addr)) })
 	a := make([]string, len(l))
 	for i, m := range l {
 		a[i] = m.Addr
@@ -91,10 +92,10 @@
 	return a
 }
 
-// delay is how long a free claim is left to others.
+// delay returns how long to wait before taking a free claim, so that a larger entry can take it first.
 func (c *claims) delay() time.Duration {
-	if c.abler(0) {
-		return leaveFirst
+	if c.hasLargerEntry(0) {
+		return claimDelay
 	}
 	return 0
 }
@@ -102,37 +103,38 @@
 // Reset implements keyval.Sink.
 func (c *claims) Reset(items []keyval.Item) {
 	c.mu.Lock()
-	old := c.members
-	c.members = map[string]member{}
+	old := c.entries
+	c.entries = map[string]entryInfo{}
 	c.mu.Unlock()
 	found := false
 	for _, i := range items {
 		found = found || i.Key() == owner.ClaimKey
-		c.take(i, false)
+		c.apply(i, false)
 	}
 	c.mu.Lock()
-	for n, m := range c.members {
+	for n, m := range c.entries {
 		if o, ok := old[n]; ok {
-			m.since = o.since
-			c.members[n] = m
+			m.aliveSince = o.aliveSince
+			c.entries[n] = m
 		}
 	}
 	c.mu.Unlock()
 	if !found {
-		c.set("")
+		c.setOwner("")
 	}
 }
 
 // Apply implements keyval.Sink.
 func (c *claims) Apply(events []keyval.Event) {
 	for _, x := range events {
-		c.take(x.Item(), x.Deleted())
+		c.apply(x.Item(), x.Deleted())
 	}
 }
 
-func (c *claims) take(i keyval.Item, gone bool) {
+// apply applies one changed key.
+func (c *claims) apply(i keyval.Item, gone bool) {
 	if i.Key() == owner.ClaimKey {
-		c.takeClaim(i, gone)
+		c.applyClaim(i, gone)
 		return
 	}
 	n, ok := strings.CutPrefix(i.Key(), entryPrefix)
@@ -141,40 +143,41 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := member{since: time.Now()}
+	m := entryInfo{aliveSince: time.Now()}
 	if gone || json.Unmarshal(i.Value(), &m) != nil {
-		delete(c.members, n)
+		delete(c.entries, n)
 		return
 	}
-	c.members[n] = m
+	c.entries[n] = m
 }
 
-func (c *claims) takeClaim(i keyval.Item, gone bool) {
+// applyClaim sets the owner's address from the claim, whose holder starts with it.
+func (c *claims) applyClaim(i keyval.Item, gone bool) {
 	var v lease.Value
 	if gone || json.Unmarshal(i.Value(), &v) != nil {
-		c.set("")
+		c.setOwner("")
 		return
 	}
 	a, _, _ := strings.Cut(v.Holder, "/")
-	c.set(a)
+	c.setOwner(a)
 }
 
-// set notes the owner's address and has the lease look at a claim that has changed.
-func (c *claims) set(a string) {
-	if o := c.addr.Swap(&a); o == nil || *o != a {
-		c.nudge()
+// setOwner stores the owner's address. If it changed, the lease reads the claim at once.
+func (c *claims) setOwner(a string) {
+	if o := c.ownerAddr.Swap(&a); o == nil || *o != a {
+		c.wakeLease()
 	}
 }
 
-// Lost implements keyval.Sink; the watch of the configuration reports the store.
+// Lost implements keyval.Sink. The watch of the operator's documents already logs that the store is lost.
 func (*claims) Lost(error) {}
 
 // Found implements keyval.Sink.
 func (*claims) Found() {}
 
-// register tells the other entries that this one is alive, until ctx ends.
+// register keeps this entry in the list of live entries until ctx ends.
 func (e *Site) register(ctx context.Context) error {
-	b, err := json.Marshal(member{Cores: e.set.Cores, Addr: e.set.PeerAddr})
+	b, err := json.Marshal(entryInfo{Cores: e.settings.Cores, Addr: e.settings.PeerAddr})
 	if err != nil {
 		return err
 	}
@@ -182,15 +185,15 @@
 	for ctx.Err() == nil {
 		c, cancel := context.WithTimeout(ctx, entryTTL/4)
 		if id == 0 {
-			if id, err = e.plat.Store.Grant(c, entryTTL); err == nil {
-				_, err = e.plat.Store.Put(c, entryPrefix+e.set.Name, b, keyval.Any, id)
+			if id, err = e.platform.Store.Grant(c, entryTTL); err == nil {
+				_, err = e.platform.Store.Put(c, entryPrefix+e.settings.Name, b, keyval.Any, id)
 			}
 		} else {
-			err = e.plat.Store.Renew(c, id)
+			err = e.platform.Store.Renew(c, id)
 		}
 		cancel()
 		if errors.Is(err, keyval.ErrConflict) {
-			id = 0 // it has lapsed: register again at once.
+			id = 0 // the lease has lapsed: register again at once.
 			continue
 		}
 		select {
@@ -201,22 +204,22 @@
 	return e.unregister(ctx, id)
 }
 
-// unregister ends the entry's lease; it lapses by itself when the store does not answer.
+// unregister revokes the entry's lease. If the store does not answer, the lease lapses by itself.
 func (e *Site) unregister(ctx context.Context, id keyval.LeaseID) error {
 	if id == 0 {
 		return nil
 	}
 	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryTTL/8)
 	defer cancel()
-	if err := e.plat.Store.Revoke(c, id); err != nil {
+	if err := e.platform.Store.Revoke(c, id); err != nil {
 		e.log.Warn().Str("step", "unregister").Err(err).Msg("entry not unregistered")
 	}
 	return nil
 }
 
-// yieldToAbler gives the claim up when an entry with much more processor is there.
-func (e *Site) yieldToAbler(ctx context.Context) error {
-	t := time.NewTicker(yieldCheck)
+// yieldToLarger makes the owner yield the claim once a larger entry has been alive for yieldDelay.
+func (e *Site) yieldToLarger(ctx context.Context) error {
+	t := time.NewTicker(yieldCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -224,8 +227,8 @@
 			return nil
 		case <-t.C:
 		}
-		if _, ok := e.lease.Held(); ok && e.claims.abler(yieldAfter) {
-			e.log.Info().Float64("cores", e.set.Cores).Msg("claim yielded to an abler entry")
+		if _, ok := e.lease.Held(); ok && e.claims.hasLargerEntry(yieldDelay) {
+			e.log.Info().Float64("cores", e.settings.Cores).Msg("claim yielded to an entry with more cores")
 			e.owner.Yield()
 		}
 	}
