--- a/fleet/pool/codec.go
+++ b/fleet/pool/codec.go
@@ -8,16 +8,16 @@
 
 // shardWire is a shard's document: VMs by name, with names that recur held once.
 type shardWire struct {
-	Number int64           `json:"n"`
-	Base   int64           `json:"b,omitempty"` // subtracted from every time.
-	Pools  []string        `json:"pools,omitempty"`
-	Racks  []string        `json:"racks,omitempty"`
-	Waves  []string        `json:"waves,omitempty"`
-	VMs    map[string]line `json:"vms"`
+	Version int64                 `json:"n"`
+	Base    int64                 `json:"b,omitempty"` // subtracted from every time.
+	Pools   []string              `json:"pools,omitempty"`
+	Racks   []string              `json:"racks,omitempty"`
+	Waves   []string              `json:"waves,omitempty"`
+	VMs     map[string]memberWire `json:"vms"`
 }
 
-// line is one VM's entry; names are positions in the lists, waves counted from 1.
-type line struct {
+// memberWire is one VM's entry; names are positions in the lists, waves counted from 1.
+type memberWire struct {
 	Pool  int    `json:"p,omitempty"`
 	Rack  int    `json:"r,omitempty"`
 	State State  `json:"s,omitempty"`
@@ -31,26 +31,26 @@
 	Shut  bool   `json:"h,omitempty"`
 }
 
-// names gives each name its position in order of first use.
-type names struct {
-	list []string
-	at   map[string]int
+// nameIndex gives each name its position in order of first use.
+type nameIndex struct {
+	list  []string
+	index map[string]int
 }
 
-func (n *names) add(s string) int {
-	i, ok := n.at[s]
+func (n *nameIndex) add(s string) int {
+	i, ok := n.index[s]
 	if ok {
 		return i
 	}
-	if n.at == nil {
-		n.at = make(map[string]int)
+	if n.index == nil {
+		n.index = make(map[string]int)
 	}
 	i = len(n.list)
-	n.at[s], n.list = i, append(n.list, s)
+	n.index[s], n.list = i, append(n.list, s)
 	return i
 }
 
-func (n *names) addOptional(s string) int {
+func (n *nameIndex) addOptional(s string) int {
 	if s == "" {
 		return 0
 	}
@@ -59,15 +59,15 @@
 
 // Marshal returns the shard as compact JSON.
 func (s Shard) Marshal() ([]byte, error) {
-	var pools, racks, waves names
-	w := shardWire{Number: s.number, VMs: make(map[string]line, len(s.members))}
+	var pools, racks, waves nameIndex
+	w := shardWire{Version: s.version, VMs: make(map[string]memberWire, len(s.members))}
 	for i, m := range s.members {
 		if i == 0 || m.Since < w.Base {
 			w.Base = m.Since
 		}
 	}
 	for _, m := range s.members {
-		w.VMs[m.VM] = line{
+		w.VMs[m.VM] = memberWire{
 			Pool: pools.add(m.Pool), Rack: racks.add(m.Rack), State: m.State, Wave: waves.addOptional(m.Wave),
 			Since: m.Since - w.Base, Op: m.Op, Doing: waves.addOptional(m.Doing), To: m.To, Boot: m.Boot, Seq: m.Seq, Shut: m.Shut,
 		}
@@ -91,20 +91,20 @@
 		if Index(vm, count) != index {
 			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: %s", index, vm)
 		}
-		m, ok := w.member(vm, e)
+		m, ok := w.decode(vm, e)
 		if !ok {
 			return Shard{}, eris.Wrapf(ErrMalformed, "parse shard %d: entry %s", index, vm)
 		}
 		l = append(l, m)
 	}
-	return build(index, count, w.Number, l), nil
+	return buildShard(index, count, w.Version, l), nil
 }
 
-func (w shardWire) member(vm string, e line) (Member, bool) {
-	p, okPool := name(w.Pools, e.Pool)
-	r, okRack := name(w.Racks, e.Rack)
-	v, okWave := optional(w.Waves, e.Wave)
-	d, okDoing := optional(w.Waves, e.Doing)
+func (w shardWire) decode(vm string, e memberWire) (Member, bool) {
+	p, okPool := nameAt(w.Pools, e.Pool)
+	r, okRack := nameAt(w.Racks, e.Rack)
+	v, okWave := optionalNameAt(w.Waves, e.Wave)
+	d, okDoing := optionalNameAt(w.Waves, e.Doing)
 	ok := vm != "" && okPool && okRack && okWave && okDoing && e.State >= Serving && e.State <= Failed
 	m := Member{
 		VM: vm, Pool: p, Rack: r, State: e.State, Wave: v, Since: e.Since + w.Base,
@@ -113,16 +113,16 @@
 	return m, ok
 }
 
-func name(l []string, i int) (string, bool) {
+func nameAt(l []string, i int) (string, bool) {
 	if i < 0 || i >= len(l) {
 		return "", false
 	}
 	return l[i], true
 }
 
-func optional(l []string, i int) (string, bool) {
+func optionalNameAt(l []string, i int) (string, bool) {
 	if i == 0 {
 		return "", true
 	}
-	return name(l, i-1)
+	return nameAt(l, i-1)
 }
--- a/fleet/pool/delta.go
+++ b/fleet/pool/delta.go
@@ -32,7 +32,7 @@
 func Diff(old, new Table) Delta {
 	d := Delta{Count: new.Count()}
 	for i, n := range new.shards {
-		if o := old.shards[i]; n.number > o.number {
+		if o := old.shards[i]; n.version > o.version {
 			d.Shards = append(d.Shards, diffShard(o, n))
 		}
 	}
@@ -45,7 +45,7 @@
 }
 
 func diffShard(o, n Shard) ShardDelta {
-	d := ShardDelta{Index: n.index, From: o.number, To: n.number}
+	d := ShardDelta{Index: n.index, From: o.version, To: n.version}
 	a, b := o.members, n.members
 	for len(a) > 0 || len(b) > 0 {
 		switch {
@@ -53,11 +53,11 @@
 			d.Drop = append(d.Drop, a[0].VM)
 			a = a[1:]
 		case len(a) == 0 || b[0].VM < a[0].VM:
-			d.Put = append(d.Put, target(b[0]))
+			d.Put = append(d.Put, newTarget(b[0]))
 			b = b[1:]
 		default:
-			if target(a[0]) != target(b[0]) {
-				d.Put = append(d.Put, target(b[0]))
+			if newTarget(a[0]) != newTarget(b[0]) {
+				d.Put = append(d.Put, newTarget(b[0]))
 			}
 			a, b = a[1:], b[1:]
 		}
@@ -65,52 +65,52 @@
 	return d
 }
 
-func target(m Member) Target { return Target{VM: m.VM, Pool: m.Pool, State: m.State} }
+func newTarget(m Member) Target { return Target{VM: m.VM, Pool: m.Pool, State: m.State} }
 
 // History keeps the last versions of each shard, so that a view a few versions behind gets only what changed.
 type History struct {
-	depth int
-	now   Table
-	past  [][]Shard // newest last.
+	depth  int
+	latest Table
+	older  [][]Shard // newest last.
 }
 
 // NewHistory returns an empty history that keeps depth versions of each of count shards.
 func NewHistory(count, depth int) History {
-	return History{depth: depth, now: NewTable(count), past: make([][]Shard, count)}
+	return History{depth: depth, latest: NewTable(count), older: make([][]Shard, count)}
 }
 
 // Add returns the history with t as its newest table; a shard of t older than the kept one is passed over.
 func (h History) Add(t Table) History {
-	h.past = slices.Clone(h.past)
+	h.older = slices.Clone(h.older)
 	for i, s := range t.shards {
-		o := h.now.shards[i]
-		if s.number <= o.number {
+		o := h.latest.shards[i]
+		if s.version <= o.version {
 			continue
 		}
-		l := h.past[i]
+		l := h.older[i]
 		l = append(slices.Clone(l[max(0, len(l)-h.depth+1):]), o)
-		h.past[i], h.now = l, h.now.Replace(i, s, t.revisions[i])
+		h.older[i], h.latest = l, h.latest.Replace(i, s, t.revisions[i])
 	}
 	return h
 }
 
 // Table returns the newest table.
-func (h History) Table() Table { return h.now }
+func (h History) Table() Table { return h.latest }
 
 // Since returns what a view with these versions lacks; a shard whose version is not kept any more goes whole.
 func (h History) Since(have []int64) Delta {
-	d := Delta{Count: h.now.Count()}
-	for i, n := range h.now.shards {
+	d := Delta{Count: h.latest.Count()}
+	for i, n := range h.latest.shards {
 		var v int64
-		if len(have) == h.now.Count() {
+		if len(have) == h.latest.Count() {
 			v = have[i]
 		}
-		if n.number <= v {
+		if n.version <= v {
 			continue
 		}
-		o := NewShard(i, h.now.Count())
-		for _, s := range h.past[i] {
-			if s.number == v {
+		o := NewShard(i, h.latest.Count())
+		for _, s := range h.older[i] {
+			if s.version == v {
 				o = s
 			}
 		}
@@ -121,32 +121,32 @@
 
 // View is an entry's immutable copy of VM, pool and state; its versions only grow.
 type View struct {
-	numbers []int64
-	shards  []map[string]Target
+	versions []int64
+	shards   []map[string]Target
 }
 
 // NewView returns an empty view of count shards.
 func NewView(count int) View {
-	return View{numbers: make([]int64, count), shards: make([]map[string]Target, count)}
+	return View{versions: make([]int64, count), shards: make([]map[string]Target, count)}
 }
 
 // Apply returns the view led on by d; what is not newer is passed over, and ErrGap says that a whole shard is needed.
 func (v View) Apply(d Delta) (View, error) {
-	if d.Count != len(v.numbers) {
-		return v, eris.Wrapf(ErrMalformed, "apply delta of %d shards to view of %d", d.Count, len(v.numbers))
+	if d.Count != len(v.versions) {
+		return v, eris.Wrapf(ErrMalformed, "apply delta of %d shards to view of %d", d.Count, len(v.versions))
 	}
-	n := View{numbers: slices.Clone(v.numbers), shards: slices.Clone(v.shards)}
+	n := View{versions: slices.Clone(v.versions), shards: slices.Clone(v.shards)}
 	var gap error
 	for _, s := range d.Shards {
 		if s.Index < 0 || s.Index >= d.Count {
 			return v, eris.Wrapf(ErrMalformed, "apply delta of shard %d", s.Index)
 		}
-		switch have := n.numbers[s.Index]; {
+		switch have := n.versions[s.Index]; {
 		case s.To <= have:
 		case s.From != 0 && s.From != have:
 			gap = eris.Wrapf(ErrGap, "apply shard %d from %d to version %d", s.Index, s.From, have)
 		default:
-			n.shards[s.Index], n.numbers[s.Index] = s.apply(v.shards[s.Index]), s.To
+			n.shards[s.Index], n.versions[s.Index] = s.apply(v.shards[s.Index]), s.To
 		}
 	}
 	return n, gap
@@ -169,14 +169,14 @@
 }
 
 // Numbers returns the version of each shard, for asking what is missing.
-func (v View) Numbers() []int64 { return slices.Clone(v.numbers) }
+func (v View) Numbers() []int64 { return slices.Clone(v.versions) }
 
 // Number returns the version of the shard that holds the VM.
-func (v View) Number(vm string) int64 { return v.numbers[Index(vm, len(v.numbers))] }
+func (v View) Number(vm string) int64 { return v.versions[Index(vm, len(v.versions))] }
 
 // Find returns what the view knows of the VM.
 func (v View) Find(vm string) (Target, bool) {
-	t, ok := v.shards[Index(vm, len(v.numbers))][vm]
+	t, ok := v.shards[Index(vm, len(v.versions))][vm]
 	return t, ok
 }
 
--- a/fleet/pool/pool_test.go
+++ b/fleet/pool/pool_test.go
@@ -17,11 +17,11 @@
 
 const testShards = 3
 
-// naive is the membership as one plain map.
-type naive map[string]Member
+// model is the membership as one plain map.
+type model map[string]Member
 
-// change does the trace's next change to both forms and returns the table.
-func change(t *rapid.T, table Table, n naive, u uint32) Table {
+// applyChange does the trace's next applyChange to both forms and returns the table.
+func applyChange(t *rapid.T, table Table, n model, u uint32) Table {
 	vm := fmt.Sprintf("vm%d", u%12)
 	s := table.Shard(table.Index(vm))
 	_, ok := n[vm]
@@ -50,11 +50,11 @@
 	if ok != (err == nil) || !ok && !errors.Is(err, ErrNoVM) {
 		t.Fatalf("%s known %v, error %v", vm, ok, err)
 	}
-	return table.Replace(s.Index(), reload(t, s), int64(u))
+	return table.Replace(s.Index(), roundTrip(t, s), int64(u))
 }
 
-// reload returns the shard after a way through its document.
-func reload(t *rapid.T, s Shard) Shard {
+// roundTrip returns the shard after a way through its document.
+func roundTrip(t *rapid.T, s Shard) Shard {
 	b, err := s.Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 	return p
 }
 
-func checkTable(t *rapid.T, table Table, n naive) {
+func checkTable(t *rapid.T, table Table, n model) {
 	if table.Len() != len(n) {
 		t.Fatalf("%d members, want %d", table.Len(), len(n))
 	}
@@ -79,7 +79,7 @@
 
 func checkView(t *rapid.T, v View, table Table) {
 	for m := range table.All() {
-		if got, ok := v.Find(m.VM); !ok || got != target(m) {
+		if got, ok := v.Find(m.VM); !ok || got != newTarget(m) {
 			t.Fatalf("view has %+v, table %+v", got, m)
 		}
 	}
@@ -96,12 +96,12 @@
 func TestTraces(t *testing.T) {
 	gaps := 0
 	rapid.Check(t, func(t *rapid.T) {
-		table, n := NewTable(testShards), naive{}
+		table, n := NewTable(testShards), model{}
 		h, v := NewHistory(testShards, 4), NewView(testShards)
 		var late []Delta
 		for _, u := range rapid.SliceOfN(rapid.Uint32(), 1, 80).Draw(t, "trace") {
 			old := table
-			table = change(t, table, n, u)
+			table = applyChange(t, table, n, u)
 			checkTable(t, table, n)
 			h = h.Add(table)
 			late = append(late, Diff(old, table), h.Since(v.Numbers()))
@@ -165,8 +165,8 @@
 	// Output: checks serving 2
 }
 
-// fleet returns a table of n VMs in k pools, racks of four, all of them through a wave.
-func fleet(n, k int) Table {
+// newFleetTable returns a table of n VMs in k pools, racks of four, all of them through a wave.
+func newFleetTable(n, k int) Table {
 	t := NewTable(Count)
 	puts := make([][]Member, Count)
 	for i := range n {
@@ -187,7 +187,7 @@
 func BenchmarkMarshal(b *testing.B) {
 	for _, c := range sizes {
 		b.Run(fmt.Sprintf("vms=%d/pools=%d", c.vms, c.pools), func(b *testing.B) {
-			s, n := fleet(c.vms, c.pools).Shard(0), 0
+			s, n := newFleetTable(c.vms, c.pools).Shard(0), 0
 			for range b.N {
 				d, _ := s.Marshal()
 				n = len(d)
@@ -201,7 +201,7 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, c := range sizes {
 		b.Run(fmt.Sprintf("vms=%d/pools=%d", c.vms, c.pools), func(b *testing.B) {
-			t := fleet(c.vms, c.pools)
+			t := newFleetTable(c.vms, c.pools)
 			s, _ := t.Shard(0).SetState(t.Shard(0).members[0].VM, Draining, 1)
 			n := t.Replace(0, s, 2)
 			b.ReportAllocs()
--- a/fleet/pool/shard.go
+++ b/fleet/pool/shard.go
@@ -21,7 +21,7 @@
 // Shard is an immutable part of one data centre's membership, one entry for each VM.
 type Shard struct {
 	index, count int
-	number       int64
+	version      int64
 	members      []Member // sorted by VM.
 	busy         []int    // positions of members that are not plainly serving.
 }
@@ -35,7 +35,7 @@
 func (s Shard) Index() int { return s.index }
 
 // Number returns the version, which grows with each change.
-func (s Shard) Number() int64 { return s.number }
+func (s Shard) Number() int64 { return s.version }
 
 // Len returns the number of VMs.
 func (s Shard) Len() int { return len(s.members) }
@@ -107,7 +107,7 @@
 			l = append(l, m)
 		}
 	}
-	return build(s.index, s.count, s.number+1, l), nil
+	return buildShard(s.index, s.count, s.version+1, l), nil
 }
 
 // All yields every member by name.
@@ -126,7 +126,7 @@
 
 // Above returns the shard with a version of at least number, for writing it back over an older one.
 func (s Shard) Above(number int64) Shard {
-	s.number = max(s.number, number)
+	s.version = max(s.version, number)
 	return s
 }
 
@@ -134,11 +134,11 @@
 	return sort.Find(len(s.members), func(i int) int { return strings.Compare(vm, s.members[i].VM) })
 }
 
-func build(index, count int, number int64, l []Member) Shard {
-	if !slices.IsSortedFunc(l, byVM) {
-		slices.SortFunc(l, byVM)
+func buildShard(index, count int, number int64, l []Member) Shard {
+	if !slices.IsSortedFunc(l, compareVMs) {
+		slices.SortFunc(l, compareVMs)
 	}
-	s := Shard{index: index, count: count, number: number, members: l}
+	s := Shard{index: index, count: count, version: number, members: l}
 	for i, m := range l {
 		if m.State != Serving || m.Op != "" || m.Shut {
 			s.busy = append(s.busy, i)
@@ -147,4 +147,4 @@
 	return s
 }
 
-func byVM(a, b Member) int { return strings.Compare(a.VM, b.VM) }
+func compareVMs(a, b Member) int { return strings.Compare(a.VM, b.VM) }
--- a/fleet/pool/table.go
+++ b/fleet/pool/table.go
@@ -97,7 +97,7 @@
 func (t Table) Numbers() []int64 {
 	l := make([]int64, len(t.shards))
 	for i, s := range t.shards {
-		l[i] = s.number
+		l[i] = s.version
 	}
 	return l
 }
--- a/fleet/wave/bench_test.go
+++ b/fleet/wave/bench_test.go
@@ -7,8 +7,8 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// steady returns a planner that has read a whole data centre and whose wave is in the middle.
-func steady(vms, pools int) (*Planner, HostsMsg) {
+// newMidWavePlanner returns a planner that has read a whole data centre and whose wave is in the middle.
+func newMidWavePlanner(vms, pools int) (*Planner, HostsMsg) {
 	p, h := New("a", pool.Count), HostsMsg{At: 1000}
 	var rules []ServiceRule
 	w := Wave{ID: "w"}
@@ -27,17 +27,17 @@
 	}
 	t := pool.NewTable(pool.Count)
 	r.shards["a"] = &t
-	r.tell("a", PolicyMsg{At: 1000, Services: rules, Waves: []Wave{w}})
-	r.tell("a", HeardMsg{At: 1000, Entry: "e1"})
-	r.tell("a", h)
-	r.tell("a", TickMsg{At: 1000})
+	r.deliver("a", PolicyMsg{At: 1000, Services: rules, Waves: []Wave{w}})
+	r.deliver("a", HeardMsg{At: 1000, Entry: "e1"})
+	r.deliver("a", h)
+	r.deliver("a", TickMsg{At: 1000})
 	return p, h
 }
 
 func BenchmarkTick(b *testing.B) {
 	for _, c := range []struct{ vms, pools int }{{50, 5}, {500, 51}, {1500, 51}, {9000, 51}} {
 		b.Run(fmt.Sprintf("vms=%d/pools=%d", c.vms, c.pools), func(b *testing.B) {
-			p, h := steady(c.vms, c.pools)
+			p, h := newMidWavePlanner(c.vms, c.pools)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
--- a/fleet/wave/budget.go
+++ b/fleet/wave/budget.go
@@ -32,18 +32,18 @@
 
 // Budget is the document of one service: every VM that is out in any data centre, each counted once.
 type Budget struct {
-	number   int64
+	version  int64
 	absences []Absence // sorted by VM.
 }
 
 // budgetWire is the document's form in the service.
 type budgetWire struct {
-	Number int64     `json:"n"`
-	Out    []Absence `json:"out"`
+	Version int64     `json:"n"`
+	Out     []Absence `json:"out"`
 }
 
 // Number returns the version, which grows with each change.
-func (b Budget) Number() int64 { return b.number }
+func (b Budget) Number() int64 { return b.version }
 
 // Out returns how many VMs are out, planned and unplanned together.
 func (b Budget) Out() int { return len(b.absences) }
@@ -65,12 +65,12 @@
 func (b Budget) Reserve(a Absence, maxOut int) (Budget, error) {
 	if old, ok := b.Find(a.VM); ok {
 		a.Failed = a.Failed || old.Failed
-		return b.with(a), nil
+		return b.withAbsence(a), nil
 	}
 	if b.Out()+1 > maxOut {
 		return b, eris.Wrapf(ErrBudget, "reserve %s: %d of %d out", a.VM, b.Out(), maxOut)
 	}
-	return b.with(a), nil
+	return b.withAbsence(a), nil
 }
 
 // Fail returns the budget with the VM counted as out; it is never refused, and keeps a reservation that it finds.
@@ -82,7 +82,7 @@
 		a = old
 	}
 	a.Failed = true
-	return b.with(a)
+	return b.withAbsence(a)
 }
 
 // Release returns the budget without the VM.
@@ -92,13 +92,13 @@
 		return b
 	}
 	b.absences = slices.Delete(slices.Clone(b.absences), i, i+1)
-	b.number++
+	b.version++
 	return b
 }
 
 // Marshal returns the budget as compact JSON.
 func (b Budget) Marshal() ([]byte, error) {
-	d, err := json.Marshal(budgetWire{Number: b.number, Out: b.absences})
+	d, err := json.Marshal(budgetWire{Version: b.version, Out: b.absences})
 	if err != nil {
 		return nil, eris.Wrap(err, "marshal budget")
 	}
@@ -117,10 +117,10 @@
 			return Budget{}, eris.Wrapf(ErrMalformed, "parse budget: entry %q", a.VM)
 		}
 	}
-	return Budget{number: w.Number, absences: w.Out}, nil
+	return Budget{version: w.Version, absences: w.Out}, nil
 }
 
-func (b Budget) with(a Absence) Budget {
+func (b Budget) withAbsence(a Absence) Budget {
 	i, ok := b.find(a.VM)
 	if ok && b.absences[i] == a {
 		return b
@@ -131,7 +131,7 @@
 	} else {
 		l = slices.Insert(l, i, a)
 	}
-	return Budget{number: b.number + 1, absences: l}
+	return Budget{version: b.version + 1, absences: l}
 }
 
 func (b Budget) find(vm string) (int, bool) {
--- a/fleet/wave/document.go
+++ b/fleet/wave/document.go
@@ -8,77 +8,77 @@
 
 // document is what is known of one document in the service.
 type document struct {
-	known    bool // read at least once.
-	dirty    bool // must be read before it is written again.
-	writing  bool // a write is on its way.
-	restore  bool // the service holds an older version than was seen, so ours is written back.
-	revision int64
-	seen     int64 // last time at which the content was the newest.
-	asked    int64 // time of the last read command.
-	wrote    int64 // time of the last write command.
+	loaded      bool // read at least once.
+	mustRead    bool // must be read before it is written again.
+	writing     bool // a write is on its way.
+	mustRestore bool // the service holds an older version than was seen, so ours is written back.
+	revision    int64
+	confirmedAt int64 // last time at which the content was the newest.
+	readSentAt  int64 // time of the last read command.
+	writeSentAt int64 // time of the last write command.
 }
 
-func newDocument() *document { return &document{dirty: true, asked: -forgetMillis} }
+func newDocument() *document { return &document{mustRead: true, readSentAt: -retentionMillis} }
 
 // writable tells whether a write may be sent now.
-func (d *document) writable() bool { return d.known && !d.dirty && !d.writing }
+func (d *document) writable() bool { return d.loaded && !d.mustRead && !d.writing }
 
-// accept takes the revision that was read in and tells whether the content read replaces the known one.
-func (d *document) accept(revision, at int64) bool {
+// acceptRead takes the revision that was read in and tells whether the content read replaces the known one.
+func (d *document) acceptRead(revision, at int64) bool {
 	switch {
-	case !d.known || revision > d.revision:
-		d.known, d.dirty, d.restore = true, false, false
+	case !d.loaded || revision > d.revision:
+		d.loaded, d.mustRead, d.mustRestore = true, false, false
 	case revision == d.revision:
-		d.dirty, d.seen = false, max(d.seen, at)
+		d.mustRead, d.confirmedAt = false, max(d.confirmedAt, at)
 		return false
-	case d.dirty && !d.writing:
-		d.dirty, d.restore, d.revision = false, true, revision
+	case d.mustRead && !d.writing:
+		d.mustRead, d.mustRestore, d.revision = false, true, revision
 		return false
 	default:
 		return false
 	}
-	d.revision, d.seen = revision, at
+	d.revision, d.confirmedAt = revision, at
 	return true
 }
 
-// wroteAs takes the end of a write in and tells whether the content written is now the known one.
-func (d *document) wroteAs(o Outcome, revision int64) bool {
+// acceptWrite takes the end of a write in and tells whether the content written is now the known one.
+func (d *document) acceptWrite(o Outcome, revision int64) bool {
 	d.writing = false
 	if o != Applied {
-		d.dirty, d.asked = true, -forgetMillis
+		d.mustRead, d.readSentAt = true, -retentionMillis
 		return false
 	}
-	if revision <= d.revision && !d.restore {
+	if revision <= d.revision && !d.mustRestore {
 		return false
 	}
-	d.revision, d.seen, d.restore = revision, max(d.seen, d.wrote), false
+	d.revision, d.confirmedAt, d.mustRestore = revision, max(d.confirmedAt, d.writeSentAt), false
 	return true
 }
 
-// ask tells whether a read command is due: the content is in doubt, or nobody has said for a while that it is the newest.
-func (p *Planner) ask(d *document) bool {
-	stale := p.now-max(d.seen, p.fresh) > p.limits.maxAge/2
-	if d.writing || !d.dirty && !stale || p.now-d.asked < repeatMillis {
+// startRead tells whether a read command is due: the content is in doubt, or nobody has said for a while that it is the newest.
+func (p *Planner) startRead(d *document) bool {
+	stale := p.now-max(d.confirmedAt, p.allFreshAt) > p.limits.maxAge/2
+	if d.writing || !d.mustRead && !stale || p.now-d.readSentAt < retryMillis {
 		return false
 	}
-	d.asked = p.now
+	d.readSentAt = p.now
 	return true
 }
 
 // isFresh tells whether the document was the newest within the allowed age.
 func (p *Planner) isFresh(d *document) bool {
-	return d.known && !d.dirty && !d.restore && p.now-max(d.seen, p.fresh) <= p.limits.maxAge
+	return d.loaded && !d.mustRead && !d.mustRestore && p.now-max(d.confirmedAt, p.allFreshAt) <= p.limits.maxAge
 }
 
-func (p *Planner) reads() []Cmd {
+func (p *Planner) readCommands() []Cmd {
 	var l []Cmd
 	for i, d := range p.shards {
-		if p.ask(d) {
+		if p.startRead(d) {
 			l = append(l, ReadShardCmd{Index: i})
 		}
 	}
 	for _, n := range p.serviceNames() {
-		if p.ask(p.budgets[n].document) {
+		if p.startRead(p.budgets[n].document) {
 			l = append(l, ReadBudgetCmd{Service: n})
 		}
 	}
@@ -94,18 +94,18 @@
 	return l
 }
 
-func (p *Planner) takeShard(m ShardMsg) bool {
+func (p *Planner) handleShard(m ShardMsg) bool {
 	i := m.Shard.Index()
-	if !p.shards[i].accept(m.Revision, m.At) {
+	if !p.shards[i].acceptRead(m.Revision, m.At) {
 		return false
 	}
 	p.setShard(m.Shard, m.Revision)
 	return true
 }
 
-func (p *Planner) wroteShard(m WroteShardMsg) {
-	if p.shards[m.Index].wroteAs(m.Outcome, m.Revision) {
-		p.setShard(p.sent[m.Index], m.Revision)
+func (p *Planner) handleShardWritten(m WroteShardMsg) {
+	if p.shards[m.Index].acceptWrite(m.Outcome, m.Revision) {
+		p.setShard(p.sentShards[m.Index], m.Revision)
 	}
 }
 
@@ -114,47 +114,47 @@
 	i := s.Index()
 	for o := range p.table.Shard(i).Busy() {
 		if n, ok := s.Find(o.VM); ok && o.State == pool.Draining && n.State == pool.Serving {
-			p.drainEnded(o, n)
+			p.handleDrainEnd(o, n)
 		}
 	}
 	p.table = p.table.Replace(i, s, revision)
-	p.floors[i] = max(p.floors[i], s.Number())
+	p.minVersions[i] = max(p.minVersions[i], s.Number())
 	for m := range s.Busy() {
 		if m.State != pool.Draining {
 			continue
 		}
-		if o, ok := p.draining[m.VM]; !ok || o.seq != m.Seq {
-			p.draining[m.VM] = sight{seq: m.Seq, at: p.now, number: s.Number()}
+		if o, ok := p.drainStarts[m.VM]; !ok || o.seq != m.Seq {
+			p.drainStarts[m.VM] = drainStart{seq: m.Seq, seenAt: p.now, version: s.Number()}
 		}
 	}
 }
 
-// drainEnded forgets the move that o's drain was for, and holds a VM back whose drain took too long.
-func (p *Planner) drainEnded(o, n pool.Member) {
-	delete(p.moves, o.VM)
-	delete(p.assigned, o.VM)
+// handleDrainEnd forgets the move that o's drain was for, and holds a VM back whose drain took too long.
+func (p *Planner) handleDrainEnd(o, n pool.Member) {
+	delete(p.moveRequests, o.VM)
+	delete(p.assignedPools, o.VM)
 	if n.Pool == o.To || p.now-o.Since <= p.drainMillis(o.Pool) {
 		return
 	}
-	h := p.holds[o.VM]
-	h.wait = min(max(2*h.wait, p.drainMillis(o.Pool)), forgetMillis)
-	h.until = p.now + h.wait
-	p.holds[o.VM] = h
+	h := p.backoffs[o.VM]
+	h.waitMillis = min(max(2*h.waitMillis, p.drainMillis(o.Pool)), retentionMillis)
+	h.until = p.now + h.waitMillis
+	p.backoffs[o.VM] = h
 }
 
-func (p *Planner) takeBudget(m BudgetMsg) {
+func (p *Planner) handleBudget(m BudgetMsg) {
 	d := p.budgets[m.Service]
 	if d == nil {
 		return
 	}
-	if d.accept(m.Revision, m.At) {
+	if d.acceptRead(m.Revision, m.At) {
 		d.budget = m.Budget
 	}
 }
 
-func (p *Planner) wroteBudget(m WroteBudgetMsg) {
+func (p *Planner) handleBudgetWritten(m WroteBudgetMsg) {
 	d := p.budgets[m.Service]
-	if d != nil && d.wroteAs(m.Outcome, m.Revision) {
+	if d != nil && d.acceptWrite(m.Outcome, m.Revision) {
 		d.budget = d.sent
 	}
 }
--- a/fleet/wave/planner_test.go
+++ b/fleet/wave/planner_test.go
@@ -9,39 +9,39 @@
 )
 
 // run lets both data centres' leaders work for the given seconds; boots says whether rebooted VMs come back.
-func (w *world) run(seconds int, boots bool) {
+func (w *simulation) run(seconds int, boots bool) {
 	for range seconds {
-		w.pass(1000)
+		w.advanceClock(1000)
 		for _, e := range w.entries {
-			w.pull(e)
+			w.refreshView(e)
 		}
 		for _, v := range w.vms {
 			if boots && v.planned {
-				w.recover(v)
+				w.boot(v)
 			}
 		}
-		for _, l := range []*leader{w.leaders[0], w.leaders[2]} {
-			w.round(l, 0)
+		for _, l := range []*simLeader{w.leaders[0], w.leaders[2]} {
+			w.runRound(l, 0)
 		}
 	}
 }
 
-// settled returns a world whose VMs have joined, with the wave put off.
-func settled(opts ...Option) *world {
-	w := newWorld(opts...)
-	w.setWave(true)
+// newJoinedSimulation returns a world whose VMs have joined, with the wave put off.
+func newJoinedSimulation(opts ...Option) *simulation {
+	w := newSimulation(opts...)
+	w.setWavePaused(true)
 	w.run(5, true)
 	return w
 }
 
-func (w *world) setWave(paused bool) {
+func (w *simulation) setWavePaused(paused bool) {
 	w.wave.Paused = paused
 	for _, l := range w.leaders {
-		w.tell(l, PolicyMsg{At: w.now, Services: w.rules, Waves: []Wave{w.wave}})
+		w.deliver(l, PolicyMsg{At: w.now, Services: w.rules, Waves: []Wave{w.wave}})
 	}
 }
 
-func (w *world) checkStops(t *testing.T, want bool) {
+func (w *simulation) checkStops(t *testing.T, want bool) {
 	t.Helper()
 	got := 0
 	for _, v := range w.vms {
@@ -50,64 +50,64 @@
 		}
 	}
 	is.New(t).Equal(got > 0, want) // planned stops have started.
-	is.New(t).Equal(w.faults, nil)
+	is.New(t).Equal(w.violations, nil)
 }
 
 func TestGates(t *testing.T) {
 	t.Run("open", func(t *testing.T) {
-		w := settled()
-		w.setWave(false)
+		w := newJoinedSimulation()
+		w.setWavePaused(false)
 		w.run(10, true)
 		w.checkStops(t, true)
 	})
 	t.Run("paused wave", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		w.run(10, true)
 		w.checkStops(t, false)
 	})
 	t.Run("data centre unheard", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		for _, l := range w.leaders {
-			w.tell(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}})
+			w.deliver(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}})
 		}
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(10, true)
 		w.checkStops(t, false)
 	})
 	t.Run("entry unheard", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		w.entries[0].name, w.entries[2].name = "a-new", "b-new" // the list still shows the old names.
-		w.setWave(false)
+		w.setWavePaused(false)
 		for range 20 {
-			w.pass(1000)
+			w.advanceClock(1000)
 			for _, l := range w.leaders {
-				l.planner.takeHosts(HostsMsg{At: w.now, Hosts: w.lists[l.dc][0]})
-				w.tell(l, FreshMsg{At: w.now})
-				w.tell(l, TickMsg{At: w.now})
+				l.planner.handleHosts(HostsMsg{At: w.now, Hosts: w.lists[l.dc][0]})
+				w.deliver(l, FreshMsg{At: w.now})
+				w.deliver(l, TickMsg{At: w.now})
 			}
 			w.performAll()
 		}
 		w.checkStops(t, false)
 	})
 	t.Run("documents too old", func(t *testing.T) {
-		w := settled()
-		w.pass(DefaultMaxAge + 1)
-		w.checkQuiet(t, func(l *leader) { w.hear(l, 0) })
+		w := newJoinedSimulation()
+		w.advanceClock(DefaultMaxAge + 1)
+		w.checkNoWrites(t, func(l *simLeader) { w.deliverStatus(l, 0) })
 	})
 	t.Run("list too old", func(t *testing.T) {
-		w := settled()
-		w.pass(DefaultMaxAge + 1)
-		w.checkQuiet(t, func(l *leader) {
-			w.read(l)
+		w := newJoinedSimulation()
+		w.advanceClock(DefaultMaxAge + 1)
+		w.checkNoWrites(t, func(l *simLeader) {
+			w.deliverDocuments(l)
 			for _, e := range w.entries {
-				w.tell(l, e.word(w.now))
+				w.deliver(l, e.report(w.now))
 			}
-			w.tell(l, TickMsg{At: w.now})
+			w.deliver(l, TickMsg{At: w.now})
 		})
 	})
 }
 
-func (w *world) performAll() {
+func (w *simulation) performAll() {
 	for _, l := range w.leaders {
 		for range 40 {
 			w.perform(l, 0, 0)
@@ -115,12 +115,12 @@
 	}
 }
 
-// checkQuiet lets the leaders learn of the wave by refresh alone and sees that they write nothing, but do once they know all.
-func (w *world) checkQuiet(t *testing.T, refresh func(*leader)) {
+// checkNoWrites lets the leaders learn of the wave by refresh alone and sees that they write nothing, but do once they know all.
+func (w *simulation) checkNoWrites(t *testing.T, refresh func(*simLeader)) {
 	t.Helper()
 	w.wave.Paused = false
 	for _, l := range w.leaders[:1] {
-		w.tell(l, PolicyMsg{At: w.now, Services: w.rules, Waves: []Wave{w.wave}})
+		w.deliver(l, PolicyMsg{At: w.now, Services: w.rules, Waves: []Wave{w.wave}})
 		refresh(l)
 		for _, c := range l.pending {
 			_, shard := c.(WriteShardCmd)
@@ -135,19 +135,19 @@
 
 func TestStopsEnd(t *testing.T) {
 	t.Run("a request in flight puts the VM back", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		before := map[string]int64{}
 		for _, v := range w.vms {
 			before[v.name] = w.member(v.name).Seq
 			for _, e := range w.entries {
 				if serves(v.pool) {
-					e.flying[v.name] = 1
+					e.inFlight[v.name] = 1
 				}
 			}
 		}
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(400, true)
-		is.New(t).Equal(w.faults, nil)
+		is.New(t).Equal(w.violations, nil)
 		for _, v := range w.vms {
 			is.New(t).True(serves(v.pool) == (w.member(v.name).Wave == "")) // only VMs that serve nothing were rebooted.
 		}
@@ -160,19 +160,19 @@
 		is.New(t).True(tries >= 6)
 	})
 	t.Run("an entry that the list shows late holds a drain up", func(t *testing.T) {
-		w := settled()
-		w.setWave(false)
+		w := newJoinedSimulation()
+		w.setWavePaused(false)
 		for range 5 { // at one moment: the list is still the one without the new entry, which nobody has heard.
 			for _, o := range w.entries {
-				w.pull(o)
+				w.refreshView(o)
 			}
-			w.round(w.leaders[0], 0)
+			w.runRound(w.leaders[0], 0)
 		}
-		e := &entry{name: "a-late", dc: "a", view: pool.NewView(worldShards), flying: map[string]int{}}
+		e := &simEntry{name: "a-late", dc: "a", view: pool.NewView(simShards), inFlight: map[string]int{}}
 		for _, v := range w.vms {
 			if serves(v.pool) {
 				is.New(t).True(w.member(v.name).State != pool.Rebooting)
-				e.flying[v.name] = 1
+				e.inFlight[v.name] = 1
 			}
 		}
 		w.entries = append(w.entries, e)
@@ -180,28 +180,28 @@
 		w.checkStops(t, true)
 	})
 	t.Run("reboots that never come back stop the wave", func(t *testing.T) {
-		w := settled(WithWreckLimit(1))
-		w.setWave(false)
+		w := newJoinedSimulation(WithWreckLimit(1))
+		w.setWavePaused(false)
 		w.run(60, false)
 		lost := w.reboots
 		for i := range w.rules {
 			w.rules[i].MaxOut = len(w.vms)
 		}
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(60, false)
 		is.New(t).Equal(w.reboots, lost)
 		for _, v := range w.vms {
-			w.recover(v)
+			w.boot(v)
 		}
 		w.run(60, true)
 		is.New(t).Equal(w.unfinished(), nil) // goes on once all are back.
 	})
 	t.Run("a canary bounds what a bad wave breaks", func(t *testing.T) {
-		w := settled(WithCanary(1))
+		w := newJoinedSimulation(WithCanary(1))
 		for i := range w.rules {
 			w.rules[i].MaxOut = len(w.vms)
 		}
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(60, false)
 		for _, dc := range []string{"a", "b"} {
 			n := 0
@@ -214,17 +214,17 @@
 		}
 	})
 	t.Run("failures that use the budget up take drains back", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		for _, e := range w.entries {
-			e.flying["a0"], e.flying["a1"], e.flying["b0"], e.flying["b1"] = 1, 1, 1, 1
-			e.flying["a2"], e.flying["a3"], e.flying["b2"], e.flying["b3"] = 1, 1, 1, 1
+			e.inFlight["a0"], e.inFlight["a1"], e.inFlight["b0"], e.inFlight["b1"] = 1, 1, 1, 1
+			e.inFlight["a2"], e.inFlight["a3"], e.inFlight["b2"], e.inFlight["b3"] = 1, 1, 1, 1
 		}
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(3, true)
 		w.checkStops(t, true)
 		n := 0
 		for _, v := range w.vms {
-			if m := w.member(v.name); m.Pool == "orders" && m.State == pool.Serving && n < worldMaxOut {
+			if m := w.member(v.name); m.Pool == "orders" && m.State == pool.Serving && n < simMaxOut {
 				w.crash(v)
 				n++
 			}
@@ -239,36 +239,36 @@
 }
 
 func TestDocumentsAreReadAgain(t *testing.T) {
-	w := settled()
-	w.pass(DefaultMaxAge/2 + 1)
+	w := newJoinedSimulation()
+	w.advanceClock(DefaultMaxAge/2 + 1)
 	l := w.leaders[0]
-	w.tell(l, TickMsg{At: w.now})
-	is.New(t).Equal(len(l.pending), worldShards+len(w.rules)) // nobody has said that they are the newest.
+	w.deliver(l, TickMsg{At: w.now})
+	is.New(t).Equal(len(l.pending), simShards+len(w.rules)) // nobody has said that they are the newest.
 	w.performAll()
-	w.tell(l, TickMsg{At: w.now})
+	w.deliver(l, TickMsg{At: w.now})
 	is.New(t).Equal(len(l.pending), 0)
 }
 
 func TestMoves(t *testing.T) {
-	ask := func(w *world) {
-		w.tell(w.leaders[0], MoveMsg{At: w.now, Moves: []Move{{VM: "a0", From: "orders", To: "grants"}, {VM: "a6", From: "office", To: "orders"}}})
+	ask := func(w *simulation) {
+		w.deliver(w.leaders[0], MoveMsg{At: w.now, Moves: []Move{{VM: "a0", From: "orders", To: "grants"}, {VM: "a6", From: "office", To: "orders"}}})
 	}
 	t.Run("drained, then moved", func(t *testing.T) {
-		w := settled()
-		w.entries[0].flying["a0"] = 1
+		w := newJoinedSimulation()
+		w.entries[0].inFlight["a0"] = 1
 		ask(w)
 		w.run(4, true)
 		is.New(t).Equal(w.member("a0").State, pool.Draining) // a request is in flight.
 		is.New(t).Equal(w.member("a6").Pool, "orders")       // nothing is sent to spare VMs.
-		clear(w.entries[0].flying)
+		clear(w.entries[0].inFlight)
 		w.run(4, true)
 		is.New(t).Equal(w.member("a0").Pool, "grants")
 		is.New(t).Equal(w.vm("a0").pool, "grants") // the platform's side too.
 		is.New(t).Equal(w.budgets["orders"].doc.Out(), 0)
-		is.New(t).Equal(w.faults, nil)
+		is.New(t).Equal(w.violations, nil)
 	})
 	t.Run("no room in the budget that loses the VM", func(t *testing.T) {
-		w := settled()
+		w := newJoinedSimulation()
 		w.crash(w.vm("a1"))
 		w.crash(w.vm("a2"))
 		w.run(2, true)
@@ -280,45 +280,45 @@
 }
 
 func TestRejoin(t *testing.T) {
-	w := settled()
+	w := newJoinedSimulation()
 	v := w.vms[0]
-	w.setWave(false)
+	w.setWavePaused(false)
 	w.run(60, true)
 	before := w.member(v.name)
 	w.crash(v)
 	v.gone = true
-	w.run(forgetMillis/1000+10, true)
+	w.run(retentionMillis/1000+10, true)
 	is.New(t).Equal(w.member(v.name), pool.Member{}) // forgotten, and not out any more.
 	is.New(t).Equal(w.budgets["orders"].doc.Out(), 0)
-	w.recover(v)
+	w.boot(v)
 	w.run(2, true)
 	is.New(t).True(w.member(v.name).Seq > before.Seq) // a later stop never has an older one's number.
 }
 
 func TestOlderStore(t *testing.T) {
 	// back brings an older state of one shard back, with its own revision or with one that another writer gave it.
-	back := func(t *testing.T, revision func(w *world, old int64) int64) {
-		w := settled()
+	back := func(t *testing.T, revision func(w *simulation, old int64) int64) {
+		w := newJoinedSimulation()
 		old := w.shards["a"][0]
-		w.setWave(false)
+		w.setWavePaused(false)
 		w.run(40, true)
 		number := w.shards["a"][0].doc.Number()
 		is.New(t).True(number > old.doc.Number())
-		w.shards["a"][0] = cell[pool.Shard]{doc: old.doc, revision: revision(w, old.revision)}
-		w.leaders[0].planner.shards[0].dirty = true // as after a write that the older state refused.
+		w.shards["a"][0] = storedDoc[pool.Shard]{doc: old.doc, revision: revision(w, old.revision)}
+		w.leaders[0].planner.shards[0].mustRead = true // as after a write that the older state refused.
 		w.run(1, true)
 		is.New(t).True(w.shards["a"][0].doc.Number() > number) // entries never see a version twice.
 		w.run(60, true)
 		for _, v := range w.vms {
 			is.New(t).Equal(w.member(v.name).Wave, "w1")
 		}
-		is.New(t).Equal(w.faults, nil)
+		is.New(t).Equal(w.violations, nil)
 	}
 	t.Run("with its revision", func(t *testing.T) {
-		back(t, func(_ *world, old int64) int64 { return old })
+		back(t, func(_ *simulation, old int64) int64 { return old })
 	})
 	t.Run("and a new leader", func(t *testing.T) {
-		back(t, func(w *world, old int64) int64 {
+		back(t, func(w *simulation, old int64) int64 {
 			for _, l := range w.leaders {
 				w.restart(l)
 			}
@@ -326,9 +326,9 @@
 		})
 	})
 	t.Run("written again by another", func(t *testing.T) {
-		back(t, func(w *world, _ int64) int64 {
-			w.rev++
-			return w.rev
+		back(t, func(w *simulation, _ int64) int64 {
+			w.revision++
+			return w.revision
 		})
 	})
 }
@@ -336,6 +336,6 @@
 func TestRackOrder(t *testing.T) {
 	racks := []*rack{{name: "hit", out: 1, left: 3}, {name: "begun", done: 1, left: 2}, {name: "small", left: 1}, {name: "big", left: 4}}
 	for i := range len(racks) - 1 {
-		is.New(t).True(before(task{vm: "b", rack: racks[i]}, task{vm: "a", rack: racks[i+1]}) < 0) // racks[i] goes first.
+		is.New(t).True(compareStops(queuedStop{vm: "b", rack: racks[i]}, queuedStop{vm: "a", rack: racks[i+1]}) < 0) // racks[i] goes first.
 	}
 }
--- a/fleet/wave/queue.go
+++ b/fleet/wave/queue.go
@@ -8,8 +8,8 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// task is a planned stop that waits for room in the budget; the wave is empty for a move.
-type task struct {
+// queuedStop is a planned stop that waits for room in the budget; the wave is empty for a move.
+type queuedStop struct {
 	vm, wave string
 	rack     *rack
 }
@@ -20,18 +20,18 @@
 	out, done, left int
 }
 
-// survey looks over the whole fleet: which VMs are dead, new or astray, and which come next in each pool.
-func (p *Planner) survey() {
+// scan looks over the whole fleet: which VMs are dead, new or astray, and which come next in each pool.
+func (p *Planner) scan() {
 	clear(p.failing)
-	p.newcomers, p.strays, p.astray = nil, nil, nil
-	if p.hostsAt == 0 {
+	p.newHosts, p.lateDrains, p.misassigned = nil, nil, nil
+	if p.listedAt == 0 {
 		return
 	}
-	p.surveyHosts()
+	p.scanHosts()
 	racks := map[string]*rack{}
-	todo := map[string][]task{}
+	todo := map[string][]queuedStop{}
 	for m := range p.table.All() {
-		p.surveyMember(m)
+		p.scanMember(m)
 		r := racks[m.Rack]
 		if r == nil {
 			r = &rack{name: m.Rack}
@@ -43,37 +43,37 @@
 			r.out++
 		case ok && m.Wave == w.ID:
 			r.done++
-			p.finished[stage{wave: w.ID, pool: m.Pool}] = true
-		case ok && !w.Paused && p.isUp(m.VM) && p.holds[m.VM].until <= p.now:
+			p.canaryPassed[wavePool{wave: w.ID, pool: m.Pool}] = true
+		case ok && !w.Paused && p.isUp(m.VM) && p.backoffs[m.VM].until <= p.now:
 			r.left++
-			todo[m.Pool] = append(todo[m.Pool], task{vm: m.VM, wave: w.ID, rack: r})
+			todo[m.Pool] = append(todo[m.Pool], queuedStop{vm: m.VM, wave: w.ID, rack: r})
 		}
 	}
-	p.order(todo)
+	p.buildQueues(todo)
 }
 
-// surveyHosts notes listed VMs that the membership lacks, and when VMs were first seen gone.
-func (p *Planner) surveyHosts() {
+// scanHosts notes listed VMs that the membership lacks, and when VMs were first seen gone.
+func (p *Planner) scanHosts() {
 	for vm, h := range p.hosts {
 		if h.Entry {
 			continue
 		}
 		if _, ok := p.table.Find(vm); !ok {
-			p.newcomers = append(p.newcomers, vm)
+			p.newHosts = append(p.newHosts, vm)
 		}
 	}
-	slices.Sort(p.newcomers)
-	for vm := range p.goneAt {
+	slices.Sort(p.newHosts)
+	for vm := range p.goneSince {
 		if _, ok := p.table.Find(vm); !ok || !p.isGone(vm) {
-			delete(p.goneAt, vm)
+			delete(p.goneSince, vm)
 		}
 	}
 }
 
-func (p *Planner) surveyMember(m pool.Member) {
+func (p *Planner) scanMember(m pool.Member) {
 	if p.isGone(m.VM) {
-		if _, ok := p.goneAt[m.VM]; !ok {
-			p.goneAt[m.VM] = p.now
+		if _, ok := p.goneSince[m.VM]; !ok {
+			p.goneSince[m.VM] = p.now
 		}
 	}
 	if m.State != pool.Serving {
@@ -83,46 +83,46 @@
 	switch {
 	case p.isDown(m.VM):
 		p.failing[m.VM] = true
-	case h.State == Leaving && (m.Shut || m.Wave != "" && p.now-m.Since < strayMillis):
-		p.strays = append(p.strays, m.VM)
+	case h.State == Leaving && (m.Shut || m.Wave != "" && p.now-m.Since < lateDrainMillis):
+		p.lateDrains = append(p.lateDrains, m.VM)
 	case h.State == Leaving:
 		p.failing[m.VM] = true
-	case h.Pool != m.Pool && p.hostsAt > m.Since+p.limits.listLag:
-		p.astray = append(p.astray, m)
+	case h.Pool != m.Pool && p.listedAt > m.Since+p.limits.listLag:
+		p.misassigned = append(p.misassigned, m)
 	}
 }
 
-// order queues each pool's moves and then its VMs rack by rack: first racks that miss VMs already, then racks that are begun.
-func (p *Planner) order(todo map[string][]task) {
+// buildQueues queues each pool's moves and then its VMs rack by rack: first racks that miss VMs already, then racks that are begun.
+func (p *Planner) buildQueues(todo map[string][]queuedStop) {
 	clear(p.queues)
-	for vm, v := range p.moves {
+	for vm, v := range p.moveRequests {
 		m, ok := p.table.Find(vm)
-		late := m.State == pool.Serving && p.now-v.at > wishMillis
+		late := m.State == pool.Serving && p.now-v.requestedAt > moveTimeoutMillis
 		if !ok || m.Pool != v.From || v.From == v.To || late {
-			delete(p.moves, vm)
+			delete(p.moveRequests, vm)
 			continue
 		}
-		if p.holds[vm].until <= p.now && p.isUp(vm) {
-			p.queues[m.Pool] = append(p.queues[m.Pool], task{vm: vm})
+		if p.backoffs[vm].until <= p.now && p.isUp(vm) {
+			p.queues[m.Pool] = append(p.queues[m.Pool], queuedStop{vm: vm})
 		}
 	}
 	for _, q := range p.queues {
-		slices.SortFunc(q, func(a, b task) int { return strings.Compare(a.vm, b.vm) })
+		slices.SortFunc(q, func(a, b queuedStop) int { return strings.Compare(a.vm, b.vm) })
 	}
 	for name, l := range todo {
-		if p.wrecked(name) != "" {
+		if p.stoppedWave(name) != "" {
 			continue
 		}
-		slices.SortFunc(l, before)
+		slices.SortFunc(l, compareStops)
 		for _, t := range l {
-			if _, moving := p.moves[t.vm]; !moving {
+			if _, moving := p.moveRequests[t.vm]; !moving {
 				p.queues[name] = append(p.queues[name], t)
 			}
 		}
 	}
 }
 
-func before(a, b task) int {
+func compareStops(a, b queuedStop) int {
 	x, y := a.rack, b.rack
 	return cmp.Or(
 		cmp.Compare(y.out, x.out),
@@ -143,16 +143,16 @@
 	return Wave{}, false
 }
 
-// isKnown tells whether the operators still want the wave, paused or not.
-func (p *Planner) isKnown(id string) bool {
+// isWaveWanted tells whether the operators still want the wave, paused or not.
+func (p *Planner) isWaveWanted(id string) bool {
 	return slices.ContainsFunc(p.waves, func(w Wave) bool { return w.ID == id })
 }
 
-// isWanted tells whether the VM's running stop is still wanted.
-func (p *Planner) isWanted(m pool.Member) bool { return m.Doing == "" || p.isKnown(m.Doing) }
+// isStopWanted tells whether the VM's running stop is still wanted.
+func (p *Planner) isStopWanted(m pool.Member) bool { return m.Doing == "" || p.isWaveWanted(m.Doing) }
 
-// isWrecked tells whether so many VMs of the wave did not come back that it stops itself.
-func (p *Planner) isWrecked(id string) bool {
+// isWaveStopped tells whether so many VMs of the wave did not come back that it stops itself.
+func (p *Planner) isWaveStopped(id string) bool {
 	lost := map[string]bool{}
 	for _, d := range p.budgets {
 		for _, a := range d.budget.absences {
@@ -166,17 +166,17 @@
 			lost[m.VM] = true
 		}
 	}
-	return len(lost) >= p.limits.wreckLimit
+	return len(lost) >= p.limits.failureLimit
 }
 
 // idleStarts returns the VMs of pools that serve nothing and that now begin to drain; no budget is concerned.
 func (p *Planner) idleStarts() []pool.Member {
 	var l []pool.Member
 	for name, q := range p.queues {
-		if len(p.services[name]) > 0 || !p.isCalm() {
+		if len(p.services[name]) > 0 || !p.areStopsAllowed() {
 			continue
 		}
-		room := p.limits.idleOut - p.idleOut(name)
+		room := p.limits.maxIdleOut - p.countIdleOut(name)
 		for _, t := range q {
 			m, ok := p.table.Find(t.vm)
 			if !ok || m.State != pool.Serving || m.Pool != name || !p.isFresh(p.shards[p.table.Index(m.VM)]) {
@@ -188,13 +188,13 @@
 				}
 				room--
 			}
-			l = append(l, p.start(m, p.absence(m, t.wave)))
+			l = append(l, p.startDrain(m, p.newReservation(m, t.wave)))
 		}
 	}
 	return l
 }
 
-func (p *Planner) idleOut(name string) int {
+func (p *Planner) countIdleOut(name string) int {
 	n := 0
 	for m := range p.table.Busy() {
 		if m.Pool == name && m.To == "" && m.State != pool.Serving {
--- a/fleet/wave/random_test.go
+++ b/fleet/wave/random_test.go
@@ -19,7 +19,7 @@
 }
 
 // checkBudget sees every write of a budget: a planned stop is never added beyond the bound.
-func (w *world) checkBudget(service string, o, n Budget) {
+func (w *simulation) checkBudget(service string, o, n Budget) {
 	maxOut := 0
 	for _, s := range w.rules {
 		if s.Name == service {
@@ -28,24 +28,24 @@
 	}
 	for _, a := range n.Absences() {
 		if old, ok := o.Find(a.VM); (!ok || !old.Planned()) && a.Planned() && n.Out() > maxOut {
-			w.fault("%s: %s reserved with %d of %d out", service, a.VM, n.Out(), maxOut)
+			w.addViolation("%s: %s reserved with %d of %d out", service, a.VM, n.Out(), maxOut)
 		}
 	}
 	for _, a := range o.Absences() {
 		m := w.member(a.VM)
 		if _, ok := n.Find(a.VM); !ok && m.Op != "" && serves(m.Pool) {
-			w.fault("%s: %s released while it is %s", service, a.VM, m.State)
+			w.addViolation("%s: %s released while it is %s", service, a.VM, m.State)
 		}
 	}
 }
 
 // checkShard sees every write of the membership.
-func (w *world) checkShard(dc string, o, n pool.Shard) {
+func (w *simulation) checkShard(dc string, o, n pool.Shard) {
 	k := fmt.Sprint(dc, n.Index())
-	if n.Number() <= w.top[k] {
-		w.fault("shard %s goes from version %d to %d", k, w.top[k], n.Number())
+	if n.Number() <= w.highestVersions[k] {
+		w.addViolation("shard %s goes from version %d to %d", k, w.highestVersions[k], n.Number())
 	}
-	w.top[k] = max(w.top[k], n.Number())
+	w.highestVersions[k] = max(w.highestVersions[k], n.Number())
 	for _, v := range w.vms {
 		a, was := o.Find(v.name)
 		b, is := n.Find(v.name)
@@ -59,7 +59,7 @@
 			w.checkMove(a)
 		}
 		if b.State == pool.Serving && a.State != pool.Serving && v.planned {
-			w.fault("%s serves before it is back", v.name)
+			w.addViolation("%s serves before it is back", v.name)
 		}
 	}
 }
@@ -67,37 +67,37 @@
 func serves(name string) bool { return name != "office" }
 
 // checkMove sees a VM leave its pool: no entry may still send to it there.
-func (w *world) checkMove(m pool.Member) {
+func (w *simulation) checkMove(m pool.Member) {
 	for _, e := range w.entries {
 		if t, ok := e.view.Find(m.VM); ok && serves(m.Pool) && t.Pool == m.Pool && t.State == pool.Serving {
-			w.fault("%s moves while %s still sends to it", m.VM, e.name)
+			w.addViolation("%s moves while %s still sends to it", m.VM, e.name)
 		}
-		if e.flying[m.VM] > 0 {
-			w.fault("%s moves with %d requests of %s", m.VM, e.flying[m.VM], e.name)
+		if e.inFlight[m.VM] > 0 {
+			w.addViolation("%s moves with %d requests of %s", m.VM, e.inFlight[m.VM], e.name)
 		}
 	}
 }
 
 // checkReserved sees a planned act on a VM: every budget concerned holds its reservation at this moment.
-func (w *world) checkReserved(vm, act string) {
+func (w *simulation) checkReserved(vm, act string) {
 	m := w.member(vm)
 	for _, s := range w.rules {
 		if s.Pool != m.Pool {
 			continue
 		}
 		if a, ok := w.budgets[s.Name].doc.Find(vm); !ok || !a.Planned() || a.Seq != m.Seq+1 {
-			w.fault("%s of %s without a reservation by %s", act, vm, s.Name)
+			w.addViolation("%s of %s without a reservation by %s", act, vm, s.Name)
 		}
 	}
 }
 
-func (w *world) member(vm string) pool.Member {
-	m, _ := w.shards[w.vm(vm).dc][pool.Index(vm, worldShards)].doc.Find(vm)
+func (w *simulation) member(vm string) pool.Member {
+	m, _ := w.shards[w.vm(vm).dc][pool.Index(vm, simShards)].doc.Find(vm)
 	return m
 }
 
 // checkPools sees the readers: no two hold one VM as serving in different pools.
-func (w *world) checkPools() {
+func (w *simulation) checkPools() {
 	for _, v := range w.vms {
 		in := ""
 		for _, e := range w.entries {
@@ -106,56 +106,56 @@
 				continue
 			}
 			if in != "" && in != t.Pool {
-				w.fault("%s serves in %s and %s", v.name, in, t.Pool)
+				w.addViolation("%s serves in %s and %s", v.name, in, t.Pool)
 			}
 			in = t.Pool
 		}
 	}
 }
 
-// round is a healthy second of one leader.
-func (w *world) round(l *leader, old uint32) {
-	w.read(l)
-	w.hear(l, old)
+// runRound is a healthy second of one leader.
+func (w *simulation) runRound(l *simLeader, old uint32) {
+	w.deliverDocuments(l)
+	w.deliverStatus(l, old)
 	for range 40 {
 		w.perform(l, 0, 0)
 	}
 }
 
-// act does the trace's next action.
-func (w *world) act(u uint32) {
+// doAction does the trace's next action.
+func (w *simulation) doAction(u uint32) {
 	a, n := u%16, u/16
 	l, e, v := w.leaders[n%4], w.entries[n%4], w.vms[n%14]
 	n /= 16
 	switch a {
 	case 0, 1, 2, 3:
-		w.round(l, n)
-		w.pass(int64(n%3) * 500)
+		w.runRound(l, n)
+		w.advanceClock(int64(n%3) * 500)
 	case 4, 5:
 		w.perform(l, int(n), n/8)
 	case 6:
-		w.land(l, int(n))
+		w.performLate(l, int(n))
 	case 7:
-		w.hear(l, n)
+		w.deliverStatus(l, n)
 	case 8, 9:
-		w.pull(e)
+		w.refreshView(e)
 	case 10:
-		w.send(e, n)
+		w.sendRequest(e, n)
 	case 11, 12:
-		clear(e.flying)
-		w.recover(v)
+		clear(e.inFlight)
+		w.boot(v)
 	case 13:
-		w.pass(int64(n%8) * 1000)
+		w.advanceClock(int64(n%8) * 1000)
 	case 14:
-		w.upset(l, v, n)
+		w.injectFault(l, v, n)
 	case 15:
 		to := []string{"orders", "office", "grants"}[n%3]
-		w.tell(l, MoveMsg{At: w.now, Moves: []Move{{VM: v.name, From: w.member(v.name).Pool, To: to}}})
+		w.deliver(l, MoveMsg{At: w.now, Moves: []Move{{VM: v.name, From: w.member(v.name).Pool, To: to}}})
 	}
 }
 
-// upset brings a failure, a restart of the leader or a stale list about.
-func (w *world) upset(l *leader, v *vm, n uint32) {
+// injectFault brings a failure, a restart of the leader or a stale list about.
+func (w *simulation) injectFault(l *simLeader, v *simVM, n uint32) {
 	switch n % 4 {
 	case 0:
 		w.crash(v)
@@ -165,35 +165,35 @@
 		w.crash(v)
 		v.gone = true
 	case 3:
-		w.tell(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}[:n/4%2]})
+		w.deliver(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}[:n/4%2]})
 	}
 }
 
-// heal ends all failures and lets one leader a data centre run for the given number of seconds.
-func (w *world) heal(seconds int) {
+// runHealthy ends all failures and lets one leader a data centre run for the given number of seconds.
+func (w *simulation) runHealthy(seconds int) {
 	for i := range seconds {
 		if i%25 == 24 && len(w.unfinished()) == 0 {
 			return
 		}
-		w.pass(1000)
+		w.advanceClock(1000)
 		for _, e := range w.entries {
-			w.pull(e)
-			clear(e.flying)
+			w.refreshView(e)
+			clear(e.inFlight)
 		}
 		for _, v := range w.vms {
 			if i%10 == 9 {
-				w.recover(v)
+				w.boot(v)
 			}
 		}
-		for _, l := range []*leader{w.leaders[0], w.leaders[2]} {
-			w.tell(l, UnheardMsg{At: w.now})
-			w.round(l, 0)
+		for _, l := range []*simLeader{w.leaders[0], w.leaders[2]} {
+			w.deliver(l, UnheardMsg{At: w.now})
+			w.runRound(l, 0)
 		}
 	}
 }
 
 // unfinished tells what keeps the wave from being done and the fleet from being whole.
-func (w *world) unfinished() []string {
+func (w *simulation) unfinished() []string {
 	var l []string
 	for _, v := range w.vms {
 		if m := w.member(v.name); m.State != pool.Serving || m.Wave != w.wave.ID || m.Op != "" || !v.alive || v.drained || v.pool != m.Pool {
@@ -211,19 +211,19 @@
 func TestRandomTraces(t *testing.T) {
 	reboots, runs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(WithWreckLimit(100))
+		w := newSimulation(WithWreckLimit(100))
 		for _, u := range rapid.SliceOfN(rapid.Uint32(), 100, 500).Draw(t, "trace") {
-			w.act(u)
+			w.doAction(u)
 			w.checkPools()
-			if len(w.faults) > 0 {
-				t.Fatal(w.faults)
+			if len(w.violations) > 0 {
+				t.Fatal(w.violations)
 			}
 		}
 		reboots, runs = reboots+w.reboots, runs+1
-		w.heal(1500)
-		w.faults = append(w.faults, w.unfinished()...)
-		if len(w.faults) > 0 {
-			t.Fatal(w.faults)
+		w.runHealthy(1500)
+		w.violations = append(w.violations, w.unfinished()...)
+		if len(w.violations) > 0 {
+			t.Fatal(w.violations)
 		}
 	})
 	is.New(t).True(reboots > runs) // the traces reach the acts that they check.
--- a/fleet/wave/replay.go
+++ b/fleet/wave/replay.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	replayStepMillis  = 250
-	replayBeatMillis  = 1_000       // between lists, and between words from the entries.
-	replayQuietMillis = 20 * 60_000 // without a write, after which a wave counts as stopped.
-	replayBound       = 24 * 3_600_000
+	replayStepMillis   = 250
+	replayReportMillis = 1_000       // between lists, and between words from the entries.
+	replayStallMillis  = 20 * 60_000 // without a write, after which a wave counts as stopped.
+	replayMaxMillis    = 24 * 3_600_000
 )
 
 // TraceVM is one VM of a replay with the times that its maintenance takes.
@@ -70,40 +70,40 @@
 
 // replay is a small fleet in virtual time without faults of the store.
 type replay struct {
-	trace    Trace
-	now      int64
-	revision int64
-	shards   map[string]*pool.Table
-	budgets  map[string]BudgetMsg
-	planners map[string]*Planner
-	vms      map[string]*replayVM
-	names    []string         // data centres.
-	told     map[string]int64 // by data centre and service: revision that its planner was told of.
-	result   Result
-	wrote    int64 // time of the last write.
-	rackSum  float64
-	rackN    int
+	trace              Trace
+	now                int64
+	revision           int64
+	shards             map[string]*pool.Table
+	budgets            map[string]BudgetMsg
+	planners           map[string]*Planner
+	vms                map[string]*replayVM
+	names              []string         // data centres.
+	deliveredRevisions map[string]int64 // by data centre and service: revision that its planner was told of.
+	result             Result
+	lastWriteAt        int64 // time of the last write.
+	rackSum            float64
+	rackSamples        int
 }
 
 // replayVM is the state of one VM of a replay.
 type replayVM struct {
 	TraceVM
-	boot        int64
-	draining    int64 // since when the entries see it draining.
-	back        int64 // when a running reboot ends.
-	down, fails bool
+	boot          int64
+	drainingSince int64 // since when the entries see it draining.
+	rebootEndsAt  int64 // when a running reboot ends.
+	down, failing bool
 }
 
 // Replay runs the wave with one planner a data centre and returns what it measured.
 func Replay(t Trace, opts ...Option) Result {
 	r := newReplay(t, opts)
-	for r.now = 0; r.now < replayBound; r.now += replayStepMillis {
-		r.live()
+	for r.now = 0; r.now < replayMaxMillis; r.now += replayStepMillis {
+		r.advanceVMs()
 		for _, dc := range r.names {
-			r.watch(dc)
-			if r.now%replayBeatMillis == 0 {
-				r.tell(dc, FreshMsg{At: r.now})
-				r.beat(dc)
+			r.deliverBudgets(dc)
+			if r.now%replayReportMillis == 0 {
+				r.deliver(dc, FreshMsg{At: r.now})
+				r.deliverStatus(dc)
 			}
 		}
 		r.measure()
@@ -111,12 +111,12 @@
 			r.result.Took = r.now
 			break
 		}
-		if r.now-r.wrote > replayQuietMillis {
+		if r.now-r.lastWriteAt > replayStallMillis {
 			break
 		}
 	}
-	r.result.Least, r.result.Bound = t.least()
-	r.result.Racks = r.rackSum / float64(max(r.rackN, 1))
+	r.result.Least, r.result.Bound = t.bounds()
+	r.result.Racks = r.rackSum / float64(max(r.rackSamples, 1))
 	for _, v := range r.vms {
 		if v.Wrecked && v.down {
 			r.result.Lost++
@@ -128,7 +128,7 @@
 func newReplay(t Trace, opts []Option) *replay {
 	r := &replay{
 		trace: t, shards: map[string]*pool.Table{}, budgets: map[string]BudgetMsg{},
-		planners: map[string]*Planner{}, vms: map[string]*replayVM{}, told: map[string]int64{},
+		planners: map[string]*Planner{}, vms: map[string]*replayVM{}, deliveredRevisions: map[string]int64{},
 	}
 	for _, v := range t.VMs {
 		r.vms[v.Name] = &replayVM{TraceVM: v, boot: 1}
@@ -139,7 +139,7 @@
 	for _, dc := range r.names {
 		table := pool.NewTable(pool.Count)
 		r.shards[dc], r.planners[dc] = &table, New(dc, pool.Count, opts...)
-		r.tell(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
+		r.deliver(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
 	}
 	return r
 }
@@ -154,35 +154,35 @@
 	return l
 }
 
-// live lets reboots and failures begin and end.
-func (r *replay) live() {
+// advanceVMs lets reboots and failures begin and end.
+func (r *replay) advanceVMs() {
 	for _, v := range r.vms {
-		if v.back > 0 && r.now >= v.back && !v.Wrecked {
-			v.back, v.down = 0, false
+		if v.rebootEndsAt > 0 && r.now >= v.rebootEndsAt && !v.Wrecked {
+			v.rebootEndsAt, v.down = 0, false
 			v.boot++
 		}
-		v.fails = v.BackAt > 0 && r.now >= v.FailsAt && r.now < v.BackAt
+		v.failing = v.BackAt > 0 && r.now >= v.FailsAt && r.now < v.BackAt
 		if m, ok := r.shards[v.DataCentre].Find(v.Name); !ok || m.State != pool.Draining {
-			v.draining = 0
-		} else if v.draining == 0 {
-			v.draining = r.now
+			v.drainingSince = 0
+		} else if v.drainingSince == 0 {
+			v.drainingSince = r.now
 		}
 	}
 }
 
-// watch gives a planner the budgets that others have changed.
-func (r *replay) watch(dc string) {
+// deliverBudgets gives a planner the budgets that others have changed.
+func (r *replay) deliverBudgets(dc string) {
 	for _, s := range r.trace.Services {
 		b, k := r.budgets[s.Name], dc+" "+s.Name
-		if b.Revision > r.told[k] {
-			r.told[k] = b.Revision
-			r.tell(dc, BudgetMsg{At: r.now, Service: s.Name, Budget: b.Budget, Revision: b.Revision})
+		if b.Revision > r.deliveredRevisions[k] {
+			r.deliveredRevisions[k] = b.Revision
+			r.deliver(dc, BudgetMsg{At: r.now, Service: s.Name, Budget: b.Budget, Revision: b.Revision})
 		}
 	}
 }
 
-// beat gives a planner the platform's list and the entries' word.
-func (r *replay) beat(dc string) {
+// deliverStatus gives a planner the platform's list and the entries' word.
+func (r *replay) deliverStatus(dc string) {
 	l := []Host{}
 	heard := HeardMsg{At: r.now}
 	for _, v := range r.trace.VMs {
@@ -191,25 +191,25 @@
 		}
 		s := r.vms[v.Name]
 		h := Host{Name: v.Name, Pool: v.Pool, Rack: v.Rack, Boot: s.boot}
-		if s.down || s.fails {
+		if s.down || s.failing {
 			h.State = Leaving
 		}
 		l = append(l, h)
-		if s.draining > 0 && r.now-s.draining >= v.DrainMillis {
+		if s.drainingSince > 0 && r.now-s.drainingSince >= v.DrainMillis {
 			heard.Drained = append(heard.Drained, Drained{VM: v.Name, Number: r.shards[dc].Shard(r.shards[dc].Index(v.Name)).Number()})
 		}
 	}
 	for i := range r.trace.Entries {
 		heard.Entry = fmt.Sprintf("%s-e%d", dc, i)
 		l = append(l, Host{Name: heard.Entry, Entry: true})
-		r.tell(dc, heard)
+		r.deliver(dc, heard)
 	}
-	r.tell(dc, HostsMsg{At: r.now, Hosts: l})
-	r.tell(dc, TickMsg{At: r.now})
+	r.deliver(dc, HostsMsg{At: r.now, Hosts: l})
+	r.deliver(dc, TickMsg{At: r.now})
 }
 
-// tell gives the planner a message and performs all that follows from it.
-func (r *replay) tell(dc string, m Msg) {
+// deliver gives the planner a message and performs all that follows from it.
+func (r *replay) deliver(dc string, m Msg) {
 	queue := []Msg{m}
 	for len(queue) > 0 {
 		for _, c := range r.planners[dc].Update(queue[0]) {
@@ -234,7 +234,7 @@
 			return WroteShardMsg{At: r.now, Index: i, Outcome: Conflict}
 		}
 		r.revision++
-		r.result.Writes, r.wrote = r.result.Writes+1, r.now
+		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		*r.shards[dc] = r.shards[dc].Replace(i, c.Shard, r.revision)
 		return WroteShardMsg{At: r.now, Index: i, Revision: r.revision}
 	case WriteBudgetCmd:
@@ -242,12 +242,12 @@
 			return WroteBudgetMsg{At: r.now, Service: c.Service, Outcome: Conflict}
 		}
 		r.revision++
-		r.result.Writes, r.wrote = r.result.Writes+1, r.now
+		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		r.budgets[c.Service] = BudgetMsg{Budget: c.Budget, Revision: r.revision}
 		return WroteBudgetMsg{At: r.now, Service: c.Service, Revision: r.revision}
 	case RebootCmd:
 		if v := r.vms[c.VM]; !v.down {
-			v.down, v.back = true, r.now+v.RebootMillis
+			v.down, v.rebootEndsAt = true, r.now+v.RebootMillis
 		}
 		return RebootedMsg{At: r.now, VM: c.VM, Op: c.Op}
 	}
@@ -269,7 +269,7 @@
 	}
 	if len(racks) > 0 {
 		r.rackSum += float64(len(racks))
-		r.rackN++
+		r.rackSamples++
 	}
 }
 
@@ -288,8 +288,8 @@
 	return true
 }
 
-// least returns the longest of the services' schedules with the same times, and a bound under every schedule.
-func (t Trace) least() (least, bound int64) {
+// bounds returns the longest of the services' schedules with the same times, and a bound under every schedule.
+func (t Trace) bounds() (least, bound int64) {
 	for _, s := range t.Services {
 		var l []int64
 		var sum int64
--- a/fleet/wave/reserve.go
+++ b/fleet/wave/reserve.go
@@ -10,30 +10,30 @@
 // writeBudgets returns the writes that lead the services' budgets on by one step.
 func (p *Planner) writeBudgets() []Cmd {
 	var l []Cmd
-	for _, name := range p.poolNames() {
+	for _, name := range p.servedPools() {
 		for i, s := range p.services[name] {
 			d := p.budgets[s.Name]
-			if !d.writable() || !p.isRead() {
+			if !d.writable() || !p.isMembershipLoaded() {
 				continue
 			}
-			b := p.settle(s, d.budget)
-			b = p.count(s, b)
+			b := p.reconcile(s, d.budget)
+			b = p.countOut(s, b)
 			if i == 0 {
-				b = p.reserve(name, b)
+				b = p.reserveStops(name, b)
 			} else {
-				b = p.follow(name, s, b)
+				b = p.copyReservations(name, s, b)
 			}
-			if b.Number() == d.budget.Number() && !d.restore {
+			if b.Number() == d.budget.Number() && !d.mustRestore {
 				continue
 			}
-			d.writing, d.wrote, d.sent = true, p.now, b
+			d.writing, d.writeSentAt, d.sent = true, p.now, b
 			l = append(l, WriteBudgetCmd{Service: s.Name, Budget: b, Revision: d.revision})
 		}
 	}
 	return l
 }
 
-func (p *Planner) poolNames() []string {
+func (p *Planner) servedPools() []string {
 	l := make([]string, 0, len(p.services))
 	for n := range p.services {
 		l = append(l, n)
@@ -42,18 +42,18 @@
 	return l
 }
 
-// isRead tells whether the whole membership has been read.
-func (p *Planner) isRead() bool {
+// isMembershipLoaded tells whether the whole membership has been read.
+func (p *Planner) isMembershipLoaded() bool {
 	for _, d := range p.shards {
-		if !d.known {
+		if !d.loaded {
 			return false
 		}
 	}
 	return true
 }
 
-// settle releases what has ended and turns ended stops of failed VMs into failures.
-func (p *Planner) settle(s ServiceRule, b Budget) Budget {
+// reconcile releases what has ended and turns ended stops of failed VMs into failures.
+func (p *Planner) reconcile(s ServiceRule, b Budget) Budget {
 	for _, a := range b.Absences() {
 		if a.DataCentre != p.dataCentre {
 			continue
@@ -61,7 +61,7 @@
 		m, ok := p.table.Find(a.VM)
 		switch {
 		case !ok:
-			if p.hasPassed(a) {
+			if p.hasLeftMembership(a) {
 				b = b.Release(a.VM)
 			}
 		case m.Pool != s.Pool && m.Seq >= a.Seq:
@@ -75,57 +75,57 @@
 				b = b.Release(a.VM)
 			}
 		case a.Planned():
-			b = b.Release(a.VM).Fail(p.failure(m))
+			b = b.Release(a.VM).Fail(p.newFailure(m))
 		}
 	}
 	return b
 }
 
-// hasPassed tells whether the absence belongs to a VM that has left the membership, not to one that this planner has yet
+// hasLeftMembership tells whether the absence belongs to a VM that has left the membership, not to one that this planner has yet
 // to see join: a VM joins with the shard's version as its count of stops, so no later stop has the absence's number.
-func (p *Planner) hasPassed(a Absence) bool {
+func (p *Planner) hasLeftMembership(a Absence) bool {
 	i := p.table.Index(a.VM)
 	return a.Seq <= p.table.Shard(i).Number() && (a.Planned() || p.isFresh(p.shards[i]))
 }
 
-// count adds every VM of the pool that is out and not yet counted.
-func (p *Planner) count(s ServiceRule, b Budget) Budget {
+// countOut adds every VM of the pool that is out and not yet counted.
+func (p *Planner) countOut(s ServiceRule, b Budget) Budget {
 	for vm := range p.failing {
 		if m, ok := p.table.Find(vm); ok && m.Pool == s.Pool {
-			b = p.countOne(b, m)
+			b = p.countVM(b, m)
 		}
 	}
 	for m := range p.table.Busy() {
 		if m.Pool == s.Pool && m.State != pool.Serving {
-			b = p.countOne(b, m)
+			b = p.countVM(b, m)
 		}
 	}
 	return b
 }
 
-func (p *Planner) countOne(b Budget, m pool.Member) Budget {
+func (p *Planner) countVM(b Budget, m pool.Member) Budget {
 	if _, ok := b.Find(m.VM); ok {
 		return b
 	}
-	return b.Fail(p.failure(m))
+	return b.Fail(p.newFailure(m))
 }
 
-func (p *Planner) failure(m pool.Member) Absence {
+func (p *Planner) newFailure(m pool.Member) Absence {
 	return Absence{VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: m.Since}
 }
 
-// reserve adds planned stops for the pool's next VMs while every budget concerned has room.
-func (p *Planner) reserve(name string, b Budget) Budget {
-	if !p.isCalm() || !p.isHearing() || !p.areBudgetsFresh(name) {
+// reserveStops adds planned stops for the pool's next VMs while every budget concerned has room.
+func (p *Planner) reserveStops(name string, b Budget) Budget {
+	if !p.areStopsAllowed() || !p.haveSendersReported() || !p.areBudgetsFresh(name) {
 		return b
 	}
-	wrecked, room := p.wrecked(name), p.services[name][0].MaxOut
+	wrecked, room := p.stoppedWave(name), p.services[name][0].MaxOut
 	for _, t := range p.queues[name] {
-		if t.wave == wrecked && wrecked != "" || p.holds[t.vm].until > p.now || !p.isUp(t.vm) {
+		if t.wave == wrecked && wrecked != "" || p.backoffs[t.vm].until > p.now || !p.isUp(t.vm) {
 			continue // the queue is of the last tick; starts would withdraw it at once.
 		}
 		m, ok := p.table.Find(t.vm)
-		if !ok || m.State != pool.Serving || m.Pool != name || !p.isOpen(name, t, b, room) {
+		if !ok || m.State != pool.Serving || m.Pool != name || !p.canaryAllows(name, t, b, room) {
 			continue
 		}
 		if _, out := b.Find(m.VM); out || !p.isFresh(p.shards[p.table.Index(m.VM)]) {
@@ -134,8 +134,8 @@
 		if b.Out() >= room {
 			break
 		}
-		n, err := b.Reserve(p.absence(m, t.wave), room)
-		if err != nil || !p.hasRoom(name, n) {
+		n, err := b.Reserve(p.newReservation(m, t.wave), room)
+		if err != nil || !p.othersHaveRoom(name, n) {
 			break
 		}
 		b = n
@@ -143,16 +143,16 @@
 	return b
 }
 
-// wrecked returns the pool's wave if that has stopped itself.
-func (p *Planner) wrecked(name string) string {
-	if w, ok := p.waveOf(name); ok && p.isWrecked(w.ID) {
+// stoppedWave returns the pool's wave if that has stopped itself.
+func (p *Planner) stoppedWave(name string) string {
+	if w, ok := p.waveOf(name); ok && p.isWaveStopped(w.ID) {
 		return w.ID
 	}
 	return ""
 }
 
-// hasRoom tells whether the pool's other services can follow the reservations of the first.
-func (p *Planner) hasRoom(name string, first Budget) bool {
+// othersHaveRoom tells whether the pool's other services can follow the reservations of the first.
+func (p *Planner) othersHaveRoom(name string, first Budget) bool {
 	for _, s := range p.services[name][1:] {
 		n := p.budgets[s.Name].budget.Out()
 		for _, a := range first.absences {
@@ -167,9 +167,9 @@
 	return true
 }
 
-// follow adds the reservations that the pool's first service holds for this data centre.
-func (p *Planner) follow(name string, s ServiceRule, b Budget) Budget {
-	if !p.isCalm() || !p.areBudgetsFresh(name) {
+// copyReservations adds the reservations that the pool's first service holds for this data centre.
+func (p *Planner) copyReservations(name string, s ServiceRule, b Budget) Budget {
+	if !p.areStopsAllowed() || !p.areBudgetsFresh(name) {
 		return b
 	}
 	for _, a := range p.budgets[p.services[name][0].Name].budget.Absences() {
@@ -185,19 +185,19 @@
 	return b
 }
 
-func (p *Planner) absence(m pool.Member, w string) Absence {
+func (p *Planner) newReservation(m pool.Member, w string) Absence {
 	return Absence{
 		VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: p.now,
-		Wave: w, Op: opOf(p.dataCentre, m, w), Seq: m.Seq + 1,
+		Wave: w, Op: opID(p.dataCentre, m, w), Seq: m.Seq + 1,
 	}
 }
 
-// isOpen tells whether the task may be reserved in b, a budget of room VMs, as far as its wave is concerned.
-func (p *Planner) isOpen(name string, t task, b Budget, room int) bool {
-	if t.wave == "" || room < canaryRoom {
+// canaryAllows tells whether the task may be reserved in b, a budget of room VMs, as far as its wave is concerned.
+func (p *Planner) canaryAllows(name string, t queuedStop, b Budget, room int) bool {
+	if t.wave == "" || room < minCanaryBudget {
 		return true
 	}
-	if p.limits.canary == 0 || p.finished[stage{wave: t.wave, pool: name}] {
+	if p.limits.canaryVMs == 0 || p.canaryPassed[wavePool{wave: t.wave, pool: name}] {
 		return true
 	}
 	n := 0
@@ -206,7 +206,7 @@
 			n++
 		}
 	}
-	return n < p.limits.canary
+	return n < p.limits.canaryVMs
 }
 
 func (p *Planner) areBudgetsFresh(name string) bool {
@@ -218,10 +218,10 @@
 	return true
 }
 
-// reserved returns the serving VMs of this data centre that some budget holds a reservation for.
-func (p *Planner) reserved() []pool.Member {
+// reservedMembers returns the serving VMs of this data centre that some budget holds a reservation for.
+func (p *Planner) reservedMembers() []pool.Member {
 	var l []pool.Member
-	for _, name := range p.poolNames() {
+	for _, name := range p.servedPools() {
 		for _, s := range p.services[name] {
 			for _, a := range p.budgets[s.Name].budget.absences {
 				m, ok := p.table.Find(a.VM)
@@ -247,20 +247,20 @@
 
 // isStartable tells whether the reserved stop is still wanted and within every budget; if not, it is withdrawn.
 func (p *Planner) isStartable(m pool.Member, a Absence) bool {
-	if p.isOver(m) || p.holds[m.VM].until > p.now || !p.isUp(m.VM) {
+	if p.isOverBudget(m) || p.backoffs[m.VM].until > p.now || !p.isUp(m.VM) {
 		return false
 	}
 	if a.Wave == "" {
-		v, ok := p.moves[m.VM]
+		v, ok := p.moveRequests[m.VM]
 		return ok && v.From == m.Pool
 	}
 	w, ok := p.waveOf(m.Pool)
-	return ok && w.ID == a.Wave && !w.Paused && m.Wave != w.ID && !p.isWrecked(w.ID)
+	return ok && w.ID == a.Wave && !w.Paused && m.Wave != w.ID && !p.isWaveStopped(w.ID)
 }
 
-// isClear tells whether the reserved stop may start now: every budget concerned holds it, and all that is known is young.
-func (p *Planner) isClear(m pool.Member) bool {
-	if !p.isCalm() || !p.isHearing() || !p.areBudgetsFresh(m.Pool) || !p.isFresh(p.shards[p.table.Index(m.VM)]) {
+// canStartNow tells whether the reserved stop may start now: every budget concerned holds it, and all that is known is young.
+func (p *Planner) canStartNow(m pool.Member) bool {
+	if !p.areStopsAllowed() || !p.haveSendersReported() || !p.areBudgetsFresh(m.Pool) || !p.isFresh(p.shards[p.table.Index(m.VM)]) {
 		return false
 	}
 	for _, s := range p.services[m.Pool] {
@@ -272,20 +272,20 @@
 	return true
 }
 
-// isOver tells whether failures have used up the budget that the VM's planned stop was reserved in; the newest give way first.
-func (p *Planner) isOver(m pool.Member) bool {
+// isOverBudget tells whether failures have used up the budget that the VM's planned stop was reserved in; the newest give way first.
+func (p *Planner) isOverBudget(m pool.Member) bool {
 	for _, s := range p.services[m.Pool] {
 		b := p.budgets[s.Name].budget
 		over := b.Out() - s.MaxOut
-		if a, ok := b.Find(m.VM); ok && over > 0 && newer(b, a) < over {
+		if a, ok := b.Find(m.VM); ok && over > 0 && countNewerStops(b, a) < over {
 			return true
 		}
 	}
 	return false
 }
 
-// newer counts the planned stops that were reserved after a.
-func newer(b Budget, a Absence) int {
+// countNewerStops counts the planned stops that were reserved after a.
+func countNewerStops(b Budget, a Absence) int {
 	n := 0
 	for _, o := range b.absences {
 		if o.Planned() && !o.Failed && cmp.Or(cmp.Compare(o.Since, a.Since), cmp.Compare(o.VM, a.VM)) > 0 {
--- /dev/null
+++ b/fleet/wave/simulation_test.go
@@ -0,0 +1,362 @@
+package wave
+
+import (
+	"fmt"
+	"slices"
+
+	"burdockreach.dev/fleet/pool"
+)
+
+const (
+	simShards = 2
+	simMaxOut = 2
+)
+
+// storedDoc is one document of the store and its revision.
+type storedDoc[T any] struct {
+	doc      T
+	revision int64
+}
+
+// simVM is the truth about one VM.
+type simVM struct {
+	name, dc, rack, pool string
+	alive, drained, gone bool
+	boot                 int64
+	ops                  map[string]bool
+	planned              bool // down by a planned reboot.
+}
+
+// simEntry is one simEntry with its view and its requests in flight.
+type simEntry struct {
+	name, dc string
+	view     pool.View
+	inFlight map[string]int
+}
+
+// simLeader is one planner, with commands not yet performed and writes whose answer is given up but that may yet land.
+type simLeader struct {
+	dc       string
+	planner  *Planner
+	pending  []Cmd
+	lateCmds []Cmd
+}
+
+// simulation runs several leaders a data centre against one store and one platform and checks every act.
+type simulation struct {
+	now             int64
+	revision        int64
+	shards          map[string][]storedDoc[pool.Shard]
+	budgets         map[string]storedDoc[Budget]
+	vms             []*simVM
+	lists           map[string][][]Host // the last lists of each data centre, newest last.
+	entries         []*simEntry
+	leaders         []*simLeader
+	wave            Wave
+	opts            []Option
+	rules           []ServiceRule
+	reboots         int
+	highestVersions map[string]int64 // highest version that each shard had.
+	violations      []string
+}
+
+// simPools are the pools of each data centre's VMs; office serves nothing.
+var simPools = []string{"orders", "orders", "orders", "orders", "grants", "grants", "office"}
+
+var simServices = []ServiceRule{
+	{Name: "orders", Pool: "orders", MaxOut: simMaxOut, DrainMillis: 8000, RebootMillis: 20_000},
+	{Name: "quotes", Pool: "orders", MaxOut: simMaxOut + 1, DrainMillis: 8000, RebootMillis: 20_000},
+	{Name: "grants", Pool: "grants", MaxOut: 1, DrainMillis: 8000, RebootMillis: 20_000},
+}
+
+func newSimulation(opts ...Option) *simulation {
+	w := &simulation{
+		now: 1_000_000, shards: map[string][]storedDoc[pool.Shard]{}, budgets: map[string]storedDoc[Budget]{},
+		lists: map[string][][]Host{}, opts: opts, rules: slices.Clone(simServices), highestVersions: map[string]int64{},
+		wave: Wave{ID: "w1", Pools: []string{"orders", "grants", "office"}},
+	}
+	for _, dc := range []string{"a", "b"} {
+		for i := range simShards {
+			w.shards[dc] = append(w.shards[dc], storedDoc[pool.Shard]{doc: pool.NewShard(i, simShards)})
+		}
+		for i, p := range simPools {
+			w.vms = append(w.vms, &simVM{
+				name: fmt.Sprintf("%s%d", dc, i), dc: dc, rack: fmt.Sprintf("%s-r%d", dc, i%3),
+				pool: p, alive: true, boot: 1, ops: map[string]bool{},
+			})
+		}
+		for i := range 2 {
+			w.entries = append(w.entries, &simEntry{name: fmt.Sprintf("%s-e%d", dc, i), dc: dc, view: pool.NewView(simShards), inFlight: map[string]int{}})
+			w.leaders = append(w.leaders, &simLeader{dc: dc})
+		}
+	}
+	for _, l := range w.leaders {
+		w.restart(l)
+	}
+	w.advanceClock(0)
+	return w
+}
+
+func (w *simulation) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+}
+
+func (w *simulation) restart(l *simLeader) {
+	l.lateCmds = append(l.lateCmds, l.pending...) // calls of the old process may still arrive.
+	l.planner, l.pending = New(l.dc, simShards, w.opts...), nil
+	w.deliver(l, PolicyMsg{At: w.now, Services: w.rules, Waves: []Wave{w.wave}})
+}
+
+func (w *simulation) deliver(l *simLeader, m Msg) {
+	l.pending = append(l.pending, l.planner.Update(m)...)
+}
+
+// advanceClock lets time go by and keeps the lists that a lagging platform may show.
+func (w *simulation) advanceClock(millis int64) {
+	w.now += millis
+	for _, dc := range []string{"a", "b"} {
+		var l []Host
+		for _, v := range w.vms {
+			if v.dc == dc {
+				l = append(l, Host{Name: v.name, Pool: v.pool, Rack: v.rack, State: v.state(), Boot: v.boot})
+			}
+		}
+		for _, e := range w.entries {
+			if e.dc == dc {
+				l = append(l, Host{Name: e.name, Entry: true})
+			}
+		}
+		if millis >= DefaultListLag {
+			w.lists[dc] = nil
+		}
+		w.lists[dc] = append(w.lists[dc], l)
+	}
+}
+
+func (v *simVM) state() HostState {
+	switch {
+	case v.gone:
+		return Gone
+	case v.drained || !v.alive:
+		return Leaving
+	default:
+		return Live
+	}
+}
+
+// deliverStatus gives the leader the platform's list, the entries' word and the state of VMs that entries see.
+func (w *simulation) deliverStatus(l *simLeader, old uint32) {
+	lists := w.lists[l.dc]
+	w.deliver(l, HostsMsg{At: w.now, Hosts: lists[int(old)%len(lists)]})
+	for _, e := range w.entries {
+		if e.dc == l.dc {
+			w.deliver(l, e.report(w.now))
+		}
+	}
+	for _, v := range w.vms {
+		if v.dc == l.dc && !v.alive {
+			w.deliver(l, FailedMsg{At: w.now, VM: v.name})
+		} else if v.dc == l.dc {
+			w.deliver(l, RecoveredMsg{At: w.now, VM: v.name})
+		}
+	}
+	w.deliver(l, TickMsg{At: w.now})
+}
+
+func (e *simEntry) report(at int64) HeardMsg {
+	m := HeardMsg{At: at, Entry: e.name, Numbers: e.view.Numbers()}
+	for _, p := range []string{"orders", "grants", "office"} {
+		for _, t := range e.view.InPool(p) {
+			if t.State == pool.Draining && e.inFlight[t.VM] == 0 {
+				m.Drained = append(m.Drained, Drained{VM: t.VM, Number: e.view.Number(t.VM)})
+			}
+		}
+	}
+	return m
+}
+
+// deliverDocuments gives the leader every document as it stands.
+func (w *simulation) deliverDocuments(l *simLeader) {
+	for i, c := range w.shards[l.dc] {
+		w.deliver(l, ShardMsg{At: w.now, Shard: w.shards[l.dc][i].doc, Revision: c.revision})
+	}
+	for _, s := range simServices {
+		c := w.budgets[s.Name]
+		w.deliver(l, BudgetMsg{At: w.now, Service: s.Name, Budget: c.doc, Revision: c.revision})
+	}
+}
+
+// refreshView brings the entry's view up to the store.
+func (w *simulation) refreshView(e *simEntry) {
+	t := pool.NewTable(simShards)
+	for i, c := range w.shards[e.dc] {
+		t = t.Replace(i, c.doc, c.revision)
+	}
+	v, err := e.view.Apply(pool.Whole(t))
+	if err != nil {
+		w.addViolation("entry %s: %v", e.name, err)
+	}
+	e.view = v
+}
+
+// sendRequest starts a request to some VM that the entry's view shows serving.
+func (w *simulation) sendRequest(e *simEntry, n uint32) {
+	var l []string
+	for _, t := range append(e.view.InPool("orders"), e.view.InPool("grants")...) {
+		if t.State == pool.Serving {
+			l = append(l, t.VM)
+		}
+	}
+	if len(l) == 0 {
+		return
+	}
+	v := w.vm(l[int(n)%len(l)])
+	if v.planned {
+		w.addViolation("%s sent to %s during its planned reboot", e.name, v.name)
+	}
+	if v.alive {
+		e.inFlight[v.name]++
+	}
+}
+
+func (w *simulation) vm(name string) *simVM {
+	i := slices.IndexFunc(w.vms, func(v *simVM) bool { return v.name == name })
+	return w.vms[i]
+}
+
+// perform does one pending command; lose says what becomes of a write: 0 told, 1 applied but unknown, 2 never applied, 3 late.
+func (w *simulation) perform(l *simLeader, i int, lose uint32) {
+	if len(l.pending) == 0 {
+		return
+	}
+	i %= len(l.pending)
+	c := l.pending[i]
+	l.pending = slices.Delete(l.pending, i, i+1)
+	switch c := c.(type) {
+	case WriteShardCmd:
+		o, rev := w.performWrite(l, c, lose)
+		w.deliver(l, WroteShardMsg{At: w.now, Index: c.Shard.Index(), Outcome: o, Revision: rev})
+	case WriteBudgetCmd:
+		o, rev := w.performWrite(l, c, lose)
+		w.deliver(l, WroteBudgetMsg{At: w.now, Service: c.Service, Outcome: o, Revision: rev})
+	case ReadShardCmd:
+		d := w.shards[l.dc][c.Index]
+		w.deliver(l, ShardMsg{At: w.now, Shard: d.doc, Revision: d.revision})
+	case ReadBudgetCmd:
+		d := w.budgets[c.Service]
+		w.deliver(l, BudgetMsg{At: w.now, Service: c.Service, Budget: d.doc, Revision: d.revision})
+	default:
+		w.applyCall(c)
+		if lose%4 == 0 {
+			w.acknowledge(l, c)
+		}
+	}
+}
+
+func (w *simulation) performWrite(l *simLeader, c Cmd, lose uint32) (Outcome, int64) {
+	switch lose % 4 {
+	case 1:
+		w.commitWrite(l.dc, c)
+	case 2:
+	case 3:
+		l.lateCmds = append(l.lateCmds, c)
+	default:
+		return w.commitWrite(l.dc, c)
+	}
+	return Unknown, 0
+}
+
+// performLate performs one call of a process that is paused, replaced or has given the answer up.
+func (w *simulation) performLate(l *simLeader, i int) {
+	if len(l.lateCmds) == 0 {
+		return
+	}
+	i %= len(l.lateCmds)
+	c := l.lateCmds[i]
+	l.lateCmds = slices.Delete(l.lateCmds, i, i+1)
+	switch c.(type) {
+	case WriteShardCmd, WriteBudgetCmd:
+		w.commitWrite(l.dc, c)
+	default:
+		w.applyCall(c)
+	}
+}
+
+// commitWrite does a conditional write and checks what it changes.
+func (w *simulation) commitWrite(dc string, c Cmd) (Outcome, int64) {
+	switch c := c.(type) {
+	case WriteShardCmd:
+		d := &w.shards[dc][c.Shard.Index()]
+		if d.revision != c.Revision {
+			return Conflict, 0
+		}
+		w.checkShard(dc, d.doc, c.Shard)
+		w.revision++
+		d.doc, d.revision = c.Shard, w.revision
+	case WriteBudgetCmd:
+		d := w.budgets[c.Service]
+		if d.revision != c.Revision {
+			return Conflict, 0
+		}
+		w.checkBudget(c.Service, d.doc, c.Budget)
+		w.revision++
+		w.budgets[c.Service] = storedDoc[Budget]{doc: c.Budget, revision: w.revision}
+	}
+	return Applied, w.revision
+}
+
+// applyCall does what the platform is told.
+func (w *simulation) applyCall(c Cmd) {
+	switch c := c.(type) {
+	case DrainCmd:
+		w.vm(c.VM).drained = true
+	case UndrainCmd:
+		w.vm(c.VM).drained = false
+	case AssignCmd:
+		w.vm(c.VM).pool = c.Pool
+	case RebootCmd:
+		w.reboot(w.vm(c.VM), c.Op)
+	}
+}
+
+func (w *simulation) acknowledge(l *simLeader, c Cmd) {
+	switch c := c.(type) {
+	case RebootCmd:
+		w.deliver(l, RebootedMsg{At: w.now, VM: c.VM, Op: c.Op})
+	case AssignCmd:
+		w.deliver(l, AssignedMsg{At: w.now, VM: c.VM, Pool: c.Pool})
+	}
+}
+
+func (w *simulation) reboot(v *simVM, op string) {
+	if v.ops[op] {
+		return
+	}
+	v.ops[op] = true
+	w.reboots++
+	for _, e := range w.entries {
+		if e.inFlight[v.name] > 0 {
+			w.addViolation("reboot of %s cuts %d requests of %s", v.name, e.inFlight[v.name], e.name)
+		}
+	}
+	w.checkReserved(v.name, "reboot")
+	v.alive, v.planned, v.drained = false, true, false
+}
+
+// boot boots a VM that is down.
+func (w *simulation) boot(v *simVM) {
+	if !v.alive {
+		v.alive, v.planned, v.gone = true, false, false
+		v.boot++
+	}
+}
+
+func (w *simulation) crash(v *simVM) {
+	if !v.alive {
+		return
+	}
+	v.alive = false
+	for _, e := range w.entries {
+		e.inFlight[v.name] = 0
+	}
+}
--- a/fleet/wave/step.go
+++ b/fleet/wave/step.go
@@ -12,31 +12,31 @@
 	changes := p.changes()
 	for i, d := range p.shards {
 		s := p.table.Shard(i)
-		behind := d.restore || s.Number() < p.floors[i]
+		behind := d.mustRestore || s.Number() < p.minVersions[i]
 		if !d.writable() || len(changes[i].puts)+len(changes[i].drops) == 0 && !behind {
 			continue
 		}
-		if s.Number() < p.floors[i] {
-			changes[i] = change{puts: p.lift(s, p.floors[i])}
+		if s.Number() < p.minVersions[i] {
+			changes[i] = shardChange{puts: p.restoreMembers(s, p.minVersions[i])}
 		}
-		n, err := s.Above(p.floors[i]).Change(changes[i].puts, changes[i].drops)
+		n, err := s.Above(p.minVersions[i]).Change(changes[i].puts, changes[i].drops)
 		if err != nil {
 			continue
 		}
-		d.writing, d.wrote, p.sent[i] = true, p.now, n
+		d.writing, d.writeSentAt, p.sentShards[i] = true, p.now, n
 		l = append(l, WriteShardCmd{Shard: n, Revision: d.revision})
 	}
 	return l
 }
 
-// lift returns the members of a shard that has come back older than it was known: their stops count on from the version that
+// restoreMembers returns the members of a shard that has come back older than it was known: their stops count on from the version that
 // was seen, so that no reservation or op of the lost versions is taken for a later one, and drains are put back.
-func (p *Planner) lift(s pool.Shard, floor int64) []pool.Member {
+func (p *Planner) restoreMembers(s pool.Shard, floor int64) []pool.Member {
 	var l []pool.Member
 	for m := range s.All() {
 		switch {
 		case m.State == pool.Draining:
-			m = p.putBack(m)
+			m = p.cancelDrain(m)
 		case m.Op != "":
 			continue
 		}
@@ -46,98 +46,98 @@
 	return l
 }
 
-// change is what one shard's next write puts and drops.
-type change struct {
+// shardChange is what one shard's next write puts and drops.
+type shardChange struct {
 	puts  []pool.Member
 	drops []string
 }
 
-func (p *Planner) changes() []change {
-	l := make([]change, p.table.Count())
+func (p *Planner) changes() []shardChange {
+	l := make([]shardChange, p.table.Count())
 	put := func(m pool.Member) {
 		i := p.table.Index(m.VM)
 		l[i].puts = append(l[i].puts, m)
 	}
 	for m := range p.table.Busy() {
-		if p.isForgotten(m) && m.Op != "" {
-			put(p.end(m))
-		} else if p.isForgotten(m) {
+		if p.isExpired(m) && m.Op != "" {
+			put(p.endStop(m))
+		} else if p.isExpired(m) {
 			i := p.table.Index(m.VM)
 			l[i].drops = append(l[i].drops, m.VM)
-		} else if n := p.step(m); n != m {
+		} else if n := p.advance(m); n != m {
 			put(n)
 		}
 	}
 	for vm := range p.failing {
 		if m, ok := p.table.Find(vm); ok && m.State == pool.Serving {
-			put(p.fall(m))
+			put(p.markDown(m))
 		}
 	}
 	for _, m := range p.starts() {
 		put(m)
 	}
-	for _, m := range p.joins() {
+	for _, m := range p.newMembers() {
 		put(m)
 	}
 	return l
 }
 
-// step returns the member after the next step of what it is in, or the member itself.
-func (p *Planner) step(m pool.Member) pool.Member {
+// advance returns the member after the next advance of what it is in, or the member itself.
+func (p *Planner) advance(m pool.Member) pool.Member {
 	switch m.State {
 	case pool.Serving:
-		if m.Shut && p.isUp(m.VM) && p.hostsAt >= m.Since+p.limits.listLag {
+		if m.Shut && p.isUp(m.VM) && p.listedAt >= m.Since+p.limits.listLag {
 			m.Shut = false
 		}
 		return m
 	case pool.Draining:
-		return p.stepDraining(m)
+		return p.advanceDraining(m)
 	case pool.Rebooting:
-		return p.stepRebooting(m)
+		return p.advanceRebooting(m)
 	case pool.Failed:
 		if m.Op != "" {
-			return p.comeBack(m)
+			return p.finishReboot(m)
 		}
-		return p.rise(m)
+		return p.markUp(m)
 	case pool.Out:
 		if p.isDown(m.VM) {
-			return p.fall(m)
+			return p.markDown(m)
 		}
-		return p.rise(m)
+		return p.markUp(m)
 	default:
 		return m
 	}
 }
 
-func (p *Planner) stepDraining(m pool.Member) pool.Member {
+func (p *Planner) advanceDraining(m pool.Member) pool.Member {
 	switch {
 	case p.isDown(m.VM):
-		return p.fall(m)
+		return p.markDown(m)
 	case p.isDrained(m) && m.To != "":
-		return p.moveOn(m)
+		return p.finishMove(m)
 	case p.isDrained(m) && p.isListFresh() && p.isFresh(p.shards[p.table.Index(m.VM)]):
 		m.State, m.Since, m.Boot = pool.Rebooting, p.now, p.hosts[m.VM].Boot
 		return m
-	case !p.isWanted(m), p.isOver(m):
-		return p.putBack(m)
+	case !p.isStopWanted(m), p.isOverBudget(m):
+		return p.cancelDrain(m)
 	case p.now-m.Since > p.drainMillis(m.Pool):
-		return p.putBack(m)
+		return p.cancelDrain(m)
 	default:
 		return m
 	}
 }
 
-// moveOn puts the VM into its new pool once the platform has done so.
-func (p *Planner) moveOn(m pool.Member) pool.Member {
-	if p.assigned[m.VM] != m.To {
+// finishMove puts the VM into its new pool once the platform has done so.
+func (p *Planner) finishMove(m pool.Member) pool.Member {
+	if p.assignedPools[m.VM] != m.To {
 		return m
 	}
 	m.Pool, m.State, m.Since = m.To, pool.Serving, p.now
-	return p.end(m)
+	return p.endStop(m)
 }
 
-func (p *Planner) stepRebooting(m pool.Member) pool.Member {
-	if n := p.comeBack(m); n != m {
+func (p *Planner) advanceRebooting(m pool.Member) pool.Member {
+	if n := p.finishReboot(m); n != m {
 		return n
 	}
 	if p.now-m.Since > p.rebootMillis(m.Pool) {
@@ -146,31 +146,31 @@
 	return m
 }
 
-// comeBack lets the VM serve once the platform has accepted the reboot and a later list shows a later boot.
-func (p *Planner) comeBack(m pool.Member) pool.Member {
-	at, ok := p.rebooted[m.Op]
-	if !ok || p.hostsAt < at+p.limits.listLag || p.hosts[m.VM].Boot <= m.Boot || !p.isUp(m.VM) {
+// finishReboot lets the VM serve once the platform has accepted the reboot and a later list shows a later boot.
+func (p *Planner) finishReboot(m pool.Member) pool.Member {
+	at, ok := p.rebootAcceptedAt[m.Op]
+	if !ok || p.listedAt < at+p.limits.listLag || p.hosts[m.VM].Boot <= m.Boot || !p.isUp(m.VM) {
 		return m
 	}
 	m.Wave, m.State, m.Since, m.Shut = m.Doing, pool.Serving, p.now, false
-	return p.end(m)
+	return p.endStop(m)
 }
 
-// end marks the planned stop as ended, which lets its reservation be released.
-func (p *Planner) end(m pool.Member) pool.Member {
+// endStop marks the planned stop as ended, which lets its reservation be released.
+func (p *Planner) endStop(m pool.Member) pool.Member {
 	m.Op, m.Doing, m.To, m.Boot = "", "", "", 0
 	m.Seq++
 	return m
 }
 
-func (p *Planner) putBack(m pool.Member) pool.Member {
+func (p *Planner) cancelDrain(m pool.Member) pool.Member {
 	m.State, m.Since = pool.Serving, p.now
-	return p.end(m)
+	return p.endStop(m)
 }
 
-// fall marks the VM as failed, or as out while the platform is about to stop it, and voids its reservation.
-func (p *Planner) fall(m pool.Member) pool.Member {
-	m = p.end(m)
+// markDown marks the VM as failed, or as out while the platform is about to stop it, and voids its reservation.
+func (p *Planner) markDown(m pool.Member) pool.Member {
+	m = p.endStop(m)
 	m.State, m.Since = pool.Out, p.now
 	if p.isDown(m.VM) {
 		m.State = pool.Failed
@@ -178,30 +178,30 @@
 	return m
 }
 
-func (p *Planner) rise(m pool.Member) pool.Member {
+func (p *Planner) markUp(m pool.Member) pool.Member {
 	if p.isUp(m.VM) {
 		m.State, m.Since, m.Shut = pool.Serving, p.now, false
 	}
 	return m
 }
 
-// isForgotten tells whether the VM has been gone for so long that it leaves the membership; one that a wave has
+// isExpired tells whether the VM has been gone for so long that it leaves the membership; one that a wave has
 // wrecked stays while the wave is wanted, so that the wave stays stopped.
-func (p *Planner) isForgotten(m pool.Member) bool {
-	at, ok := p.goneAt[m.VM]
-	return ok && m.State == pool.Failed && p.now-at > forgetMillis && (m.Op == "" || !p.isKnown(m.Doing))
+func (p *Planner) isExpired(m pool.Member) bool {
+	at, ok := p.goneSince[m.VM]
+	return ok && m.State == pool.Failed && p.now-at > retentionMillis && (m.Op == "" || !p.isWaveWanted(m.Doing))
 }
 
-// joins returns the live VMs of the list that the membership lacks.
-func (p *Planner) joins() []pool.Member {
+// newMembers returns the live VMs of the list that the membership lacks.
+func (p *Planner) newMembers() []pool.Member {
 	var l []pool.Member
-	for _, vm := range p.newcomers {
+	for _, vm := range p.newHosts {
 		h := p.hosts[vm]
 		if _, ok := p.table.Find(vm); ok || h.State != Live || h.Entry || h.Pool == "" {
 			continue
 		}
 		i := p.table.Index(vm)
-		n := max(p.table.Shard(i).Number(), p.floors[i]) + 1
+		n := max(p.table.Shard(i).Number(), p.minVersions[i]) + 1
 		l = append(l, pool.Member{VM: vm, Pool: h.Pool, Rack: h.Rack, Since: p.now, Seq: n})
 	}
 	return l
@@ -210,29 +210,29 @@
 // starts returns the reserved VMs that now begin to drain, and those whose reservation is withdrawn.
 func (p *Planner) starts() []pool.Member {
 	var l []pool.Member
-	for _, m := range p.reserved() {
+	for _, m := range p.reservedMembers() {
 		a := p.reservation(m)
 		switch {
 		case !p.isStartable(m, a):
-			l = append(l, p.end(m))
-		case p.isClear(m):
-			l = append(l, p.start(m, a))
+			l = append(l, p.endStop(m))
+		case p.canStartNow(m):
+			l = append(l, p.startDrain(m, a))
 		}
 	}
 	return append(l, p.idleStarts()...)
 }
 
-func (p *Planner) start(m pool.Member, a Absence) pool.Member {
+func (p *Planner) startDrain(m pool.Member, a Absence) pool.Member {
 	m.State, m.Since, m.Op, m.Doing = pool.Draining, p.now, a.Op, a.Wave
 	m.Shut = m.Shut || a.Wave != ""
 	if a.Wave == "" {
-		m.To = p.moves[m.VM].To
+		m.To = p.moveRequests[m.VM].To
 	}
 	return m
 }
 
-// opOf names a planned stop; the same stop has the same name at every leader.
-func opOf(dataCentre string, m pool.Member, w string) string {
+// opID names a planned stop; the same stop has the same name at every leader.
+func opID(dataCentre string, m pool.Member, w string) string {
 	return fmt.Sprintf("%s/%s/%d/%s", dataCentre, m.VM, m.Seq+1, w)
 }
 
