--- a/fleet/wave/budget.go
+++ b/fleet/wave/budget.go
@@ -9,34 +9,35 @@
 )
 
 var (
-	// ErrBudget says that a planned stop would take more VMs out than the profile allows.
+	// ErrBudget means that a planned stop would take more VMs out than the profile allows.
 	ErrBudget = eris.New("wave: availability budget used up")
-	// ErrMalformed says that a document cannot be read.
+	// ErrMalformed means that a document cannot be parsed.
 	ErrMalformed = eris.New("wave: malformed document")
 )
 
-// Absence is one VM that a service does without.
+// Absence records that one VM of a service is out, or reserved for a planned stop.
 type Absence struct {
 	VM         string `json:"v"`
 	DataCentre string `json:"d"`
 	Rack       string `json:"r,omitempty"`
-	Since      int64  `json:"t"`           // Unix milliseconds.
-	Wave       string `json:"w,omitempty"` // the wave that a planned stop belongs to; empty for moves and failures.
-	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure alone.
-	Seq        int64  `json:"q,omitempty"` // number of the planned stop among the VM's own.
-	Failed     bool   `json:"f,omitempty"` // found dead, or did not come back.
+	Since      int64  `json:"t"`           // time of the reservation or failure, Unix milliseconds.
+	Wave       string `json:"w,omitempty"` // wave of a planned stop; empty for moves and failures.
+	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure without one.
+	Seq        int64  `json:"q,omitempty"` // number of the planned stop among those of the VM.
+	Failed     bool   `json:"f,omitempty"` // found dead, about to be stopped by the platform, or not back from its reboot.
 }
 
-// Planned tells whether the VM was reserved for a planned stop.
+// Planned reports whether the VM was reserved for a planned stop.
 func (a Absence) Planned() bool { return a.Op != "" }
 
-// Budget is the document of one service: every VM that is out in any data centre, each counted once.
+// Budget is the availability budget of one service: every VM that is out or reserved in any data centre, each counted once. It
+// is immutable.
 type Budget struct {
 	version  int64
 	absences []Absence // sorted by VM.
 }
 
-// budgetWire is the document's form in the service.
+// budgetWire is the stored form of a Budget.
 type budgetWire struct {
 	Version int64     `json:"n"`
 	Out     []Absence `json:"out"`
@@ -45,7 +46,7 @@
 // Number returns the version, which grows with each change.
 func (b Budget) Number() int64 { return b.version }
 
-// Out returns how many VMs are out, planned and unplanned together.
+// Out returns the number of VMs that are out, planned and unplanned together.
 func (b Budget) Out() int { return len(b.absences) }
 
 // Absences returns every VM that is out, sorted by name.
@@ -73,7 +74,7 @@
 	return b.withAbsence(a), nil
 }
 
-// Fail returns the budget with the VM counted as out; it is never refused, and keeps a reservation that it finds.
+// Fail returns the budget with the VM marked as failed, even beyond the limit. A reservation of the VM is kept.
 func (b Budget) Fail(a Absence) Budget {
 	if old, ok := b.Find(a.VM); ok {
 		if old.Failed {
@@ -105,7 +106,7 @@
 	return d, nil
 }
 
-// ParseBudget reads a budget; ErrMalformed if a VM is named twice or not at all.
+// ParseBudget parses a stored budget. It returns ErrMalformed if the JSON is not valid or a VM is named twice or not at all.
 func ParseBudget(d []byte) (Budget, error) {
 	var w budgetWire
 	if err := json.Unmarshal(d, &w); err != nil {
@@ -120,6 +121,7 @@
 	return Budget{version: w.Version, absences: w.Out}, nil
 }
 
+// withAbsence returns the budget with a added or replaced.
 func (b Budget) withAbsence(a Absence) Budget {
 	i, ok := b.find(a.VM)
 	if ok && b.absences[i] == a {
--- a/fleet/wave/call.go
+++ b/fleet/wave/call.go
@@ -2,7 +2,7 @@
 
 import "burdockreach.dev/fleet/pool"
 
-// platformCalls returns what the platform is to be told, each call repeated until its effect is known.
+// platformCalls returns the calls to the platform; each is repeated until its effect is known.
 func (p *Planner) platformCalls() []Cmd {
 	var l []Cmd
 	for m := range p.table.Busy() {
@@ -37,7 +37,7 @@
 	return l
 }
 
-// needsUndrain tells whether the platform holds a drain of ours on a VM that is not being stopped any more.
+// needsUndrain reports whether the platform shows a VM as leaving though no planned stop of it runs any more.
 func (p *Planner) needsUndrain(m pool.Member) bool {
 	if m.Op != "" || p.hosts[m.VM].State != Leaving || p.reportedDead[m.VM] {
 		return false
@@ -45,7 +45,7 @@
 	return m.Shut || m.State != pool.Serving && p.now-m.Since > leavingTimeoutMillis
 }
 
-// appendCall adds c unless the same appendCall was made a moment ago.
+// appendCall appends c unless the call with the same key was made within the retry interval.
 func (p *Planner) appendCall(l []Cmd, key string, c Cmd) []Cmd {
 	if at, ok := p.calledAt[key]; ok && p.now-at < retryMillis {
 		return l
--- a/fleet/wave/document.go
+++ b/fleet/wave/document.go
@@ -6,24 +6,24 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// document is what is known of one document in the service.
+// document tracks the state of one document in the store; times are in Unix milliseconds.
 type document struct {
 	loaded      bool // read at least once.
 	mustRead    bool // must be read before it is written again.
-	writing     bool // a write is on its way.
-	mustRestore bool // the service holds an older version than was seen, so ours is written back.
+	writing     bool // a write is in flight.
+	mustRestore bool // the store holds an older revision than the known one, which is written back.
 	revision    int64
-	confirmedAt int64 // last time at which the content was the newest.
+	confirmedAt int64 // last time at which the known content was the newest.
 	readSentAt  int64 // time of the last read command.
 	writeSentAt int64 // time of the last write command.
 }
 
 func newDocument() *document { return &document{mustRead: true, readSentAt: -retentionMillis} }
 
-// writable tells whether a write may be sent now.
+// writable reports whether a write may be sent now.
 func (d *document) writable() bool { return d.loaded && !d.mustRead && !d.writing }
 
-// acceptRead takes the revision that was read in and tells whether the content read replaces the known one.
+// acceptRead handles a read of the given revision, sent at time at, and reports whether the content read replaces the known one.
 func (d *document) acceptRead(revision, at int64) bool {
 	switch {
 	case !d.loaded || revision > d.revision:
@@ -41,7 +41,7 @@
 	return true
 }
 
-// acceptWrite takes the end of a write in and tells whether the content written is now the known one.
+// acceptWrite handles the outcome of a write and reports whether the content written is now the known one.
 func (d *document) acceptWrite(o Outcome, revision int64) bool {
 	d.writing = false
 	if o != Applied {
@@ -55,7 +55,8 @@
 	return true
 }
 
-// startRead tells whether a read command is due: the content is in doubt, or nobody has said for a while that it is the newest.
+// startRead reports whether a read is due and records its time. A read is due if the content is in doubt or was not confirmed
+// as the newest for half the allowed age.
 func (p *Planner) startRead(d *document) bool {
 	stale := p.now-max(d.confirmedAt, p.allFreshAt) > p.limits.maxAge/2
 	if d.writing || !d.mustRead && !stale || p.now-d.readSentAt < retryMillis {
@@ -65,11 +66,12 @@
 	return true
 }
 
-// isFresh tells whether the document was the newest within the allowed age.
+// isFresh reports whether the known content was the newest within the allowed age.
 func (p *Planner) isFresh(d *document) bool {
 	return d.loaded && !d.mustRead && !d.mustRestore && p.now-max(d.confirmedAt, p.allFreshAt) <= p.limits.maxAge
 }
 
+// readCommands returns a read of every document that is due for one.
 func (p *Planner) readCommands() []Cmd {
 	var l []Cmd
 	for i, d := range p.shards {
@@ -109,7 +111,7 @@
 	}
 }
 
-// setShard makes s the known content and notes which planned stops it shows.
+// setShard replaces the known content of the shard and records the drains that begin and end with it.
 func (p *Planner) setShard(s pool.Shard, revision int64) {
 	i := s.Index()
 	for o := range p.table.Shard(i).Busy() {
@@ -129,7 +131,8 @@
 	}
 }
 
-// handleDrainEnd forgets the move that o's drain was for, and holds a VM back whose drain took too long.
+// handleDrainEnd drops the move request of o, the draining member that n replaces. If the drain timed out, the VM gets a backoff
+// that doubles each time.
 func (p *Planner) handleDrainEnd(o, n pool.Member) {
 	delete(p.moveRequests, o.VM)
 	delete(p.assignedPools, o.VM)
@@ -159,7 +162,7 @@
 	}
 }
 
-// budgetDocument is one service's budget and what is known of its document.
+// budgetDocument is the document of one service's budget; sent is the content of its last write.
 type budgetDocument struct {
 	*document
 	budget, sent Budget
--- a/fleet/wave/message.go
+++ b/fleet/wave/message.go
@@ -2,45 +2,45 @@
 
 import "burdockreach.dev/fleet/pool"
 
-// ServiceRule is what the planner needs of a service and its profile.
+// ServiceRule holds the settings of a service and its profile that the planner needs.
 type ServiceRule struct {
 	Name         string
 	Pool         string
 	MaxOut       int   // VMs that may be out at once in all data centres, planned and unplanned together.
-	DrainMillis  int64 // longest wait for requests in flight.
-	RebootMillis int64 // longest wait for a VM to come back.
+	DrainMillis  int64 // drain timeout.
+	RebootMillis int64 // timeout for a VM to come back from a reboot.
 }
 
-// Wave is one maintenance wave over pools.
+// Wave is a maintenance wave, which reboots every VM of its pools once.
 type Wave struct {
 	ID     string
 	Pools  []string
 	Paused bool
 }
 
-// Host is one line of the platform's lagging list.
+// Host is one VM of the platform's host list, which lags behind changes.
 type Host struct {
 	Name  string
 	Pool  string
 	Rack  string
 	State HostState
-	Entry bool // runs an entry of the data centre instead of a target.
-	Boot  int64
+	Entry bool  // runs an entry of the data centre instead of a target.
+	Boot  int64 // boot number, which grows with each boot.
 }
 
-// HostState is what the platform's list says of a VM.
+// HostState is the state of a VM in the platform's host list.
 type HostState int
 
 const (
-	// Live means that the VM runs as far as the platform knows.
+	// Live means that the VM runs, as far as the platform knows.
 	Live HostState = iota
 	// Leaving means that the VM is drained, restarting or about to stop.
 	Leaving
-	// Gone means that the VM has stopped for good.
+	// Gone means that the VM has stopped and does not come back.
 	Gone
 )
 
-// Outcome is how a conditional write ended.
+// Outcome is the result of a conditional write.
 type Outcome int
 
 const (
@@ -48,31 +48,31 @@
 	Applied Outcome = iota
 	// Conflict means that another revision was found and nothing was written.
 	Conflict
-	// Unknown means that no answer came: the write may have taken effect, or may yet.
+	// Unknown means that no answer came: the write may have taken effect, or may do so later.
 	Unknown
 )
 
 // Msg is a message to the planner; every time is in Unix milliseconds.
 type Msg interface{ isMsg() }
 
-// TickMsg lets time pass: the planner looks the fleet over, repeats calls and checks its timeouts. One a second is meant.
+// TickMsg advances the time: the planner scans the fleet, repeats calls and checks its timeouts. It is meant to come once a second.
 type TickMsg struct{ At int64 }
 
-// PolicyMsg replaces the services and the waves that are wanted; all of a data centre's services are in it.
+// PolicyMsg replaces the services and the waves with those configured; it holds every service.
 type PolicyMsg struct {
 	At       int64
 	Services []ServiceRule
 	Waves    []Wave
 }
 
-// ShardMsg is one shard as it was read at time At; revision 0 means that the service holds none.
+// ShardMsg is one shard as read at time At; revision 0 means that the store holds none.
 type ShardMsg struct {
 	At       int64
 	Shard    pool.Shard
 	Revision int64
 }
 
-// BudgetMsg is one service's budget as it was read at time At; revision 0 means that the service holds none.
+// BudgetMsg is one service's budget as read at time At; revision 0 means that the store holds none.
 type BudgetMsg struct {
 	At       int64
 	Service  string
@@ -80,17 +80,17 @@
 	Revision int64
 }
 
-// FreshMsg says that every document given so far is the newest as of time At, as a caught-up watch shows.
+// FreshMsg reports that every document delivered so far was the newest at time At, as a watch without a backlog shows.
 type FreshMsg struct{ At int64 }
 
-// HostsMsg is the platform's list for this data centre, asked for at time At.
+// HostsMsg is the platform's host list for this data centre, requested at time At.
 type HostsMsg struct {
 	At    int64
 	Hosts []Host
 }
 
-// HeardMsg is word from an entry of the data centre; Drained lists the VMs that it sees as draining and has nothing in flight to,
-// and Numbers the versions of its view's shards, by which the planner knows a service that came back older.
+// HeardMsg is a report of an entry of the data centre. Drained lists the VMs that the entry sees as draining and has nothing in
+// flight to. Numbers holds the shard versions of its view, by which the planner detects a store that came back with older data.
 type HeardMsg struct {
 	At      int64
 	Entry   string
@@ -98,40 +98,40 @@
 	Numbers []int64
 }
 
-// Drained says that the entry, whose view held version Number of the VM's shard, has nothing in flight to the VM.
+// Drained reports that the entry has nothing in flight to the VM; its view holds version Number of the VM's shard.
 type Drained struct {
 	VM     string
 	Number int64
 }
 
-// FailedMsg says that the entries find the VM dead.
+// FailedMsg reports that the entries find the VM dead.
 type FailedMsg struct {
 	At int64
 	VM string
 }
 
-// RecoveredMsg says that the entries reach the VM again.
+// RecoveredMsg reports that the entries reach the VM again.
 type RecoveredMsg struct {
 	At int64
 	VM string
 }
 
-// UnheardMsg replaces the list of other data centres that cannot be heard; while there is one, no planned stop starts.
+// UnheardMsg replaces the list of other data centres that cannot be reached. While there is one, no planned stop starts.
 type UnheardMsg struct {
 	At          int64
 	DataCentres []string
 }
 
-// MoveMsg asks for VMs to be moved between pools.
+// MoveMsg requests moves of VMs between pools.
 type MoveMsg struct {
 	At    int64
 	Moves []Move
 }
 
-// Move leads one VM from one pool to another.
+// Move is the move of one VM from one pool to another.
 type Move struct{ VM, From, To string }
 
-// WroteShardMsg is how the write of a shard ended; Revision is the new one if it was applied.
+// WroteShardMsg is the outcome of a shard write; Revision is the new revision if the write was applied.
 type WroteShardMsg struct {
 	At       int64
 	Index    int
@@ -139,7 +139,7 @@
 	Revision int64
 }
 
-// WroteBudgetMsg is how the write of a budget ended; Revision is the new one if it was applied.
+// WroteBudgetMsg is the outcome of a budget write; Revision is the new revision if the write was applied.
 type WroteBudgetMsg struct {
 	At       int64
 	Service  string
@@ -147,13 +147,13 @@
 	Revision int64
 }
 
-// RebootedMsg says that the platform has accepted the reboot.
+// RebootedMsg reports that the platform has accepted the reboot.
 type RebootedMsg struct {
 	At     int64
 	VM, Op string
 }
 
-// AssignedMsg says that the platform has put the VM into the pool.
+// AssignedMsg reports that the platform has put the VM into the pool.
 type AssignedMsg struct {
 	At       int64
 	VM, Pool string
@@ -175,38 +175,38 @@
 func (RebootedMsg) isMsg()    {}
 func (AssignedMsg) isMsg()    {}
 
-// Cmd is what the planner wants done.
+// Cmd is a command of the planner to its caller.
 type Cmd interface{ isCmd() }
 
-// WriteShardCmd writes the shard if the service still holds Revision (0: if it holds none); a WroteShardMsg must follow.
+// WriteShardCmd writes the shard if the store still holds Revision (0: if it holds none). A WroteShardMsg must follow.
 type WriteShardCmd struct {
 	Shard    pool.Shard
 	Revision int64
 }
 
-// WriteBudgetCmd writes the budget if the service still holds Revision (0: if it holds none); a WroteBudgetMsg must follow.
+// WriteBudgetCmd writes the budget if the store still holds Revision (0: if it holds none). A WroteBudgetMsg must follow.
 type WriteBudgetCmd struct {
 	Service  string
 	Budget   Budget
 	Revision int64
 }
 
-// ReadShardCmd reads the shard; a ShardMsg must follow once the service answers.
+// ReadShardCmd reads the shard. A ShardMsg must follow once the store answers.
 type ReadShardCmd struct{ Index int }
 
-// ReadBudgetCmd reads the budget; a BudgetMsg must follow once the service answers.
+// ReadBudgetCmd reads the budget. A BudgetMsg must follow once the store answers.
 type ReadBudgetCmd struct{ Service string }
 
-// DrainCmd tells the platform that the VM is about to leave; it is repeated until the list shows it.
+// DrainCmd marks the VM as leaving on the platform. It is repeated until the host list shows it.
 type DrainCmd struct{ VM string }
 
-// UndrainCmd takes a drain back; it is repeated until the list shows it.
+// UndrainCmd cancels a drain on the platform. It is repeated until the host list shows it.
 type UndrainCmd struct{ VM string }
 
-// RebootCmd restarts the VM, at most once for each op; it is repeated until a RebootedMsg comes.
+// RebootCmd restarts the VM, at most once for each op. It is repeated until a RebootedMsg comes.
 type RebootCmd struct{ VM, Op string }
 
-// AssignCmd puts the VM into the pool on the platform's side; it is repeated until an AssignedMsg comes.
+// AssignCmd puts the VM into the pool on the platform. It is repeated until an AssignedMsg comes.
 type AssignCmd struct{ VM, Pool string }
 
 func (WriteShardCmd) isCmd()  {}
--- a/fleet/wave/planner.go
+++ b/fleet/wave/planner.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// DefaultMaxAge is the age in milliseconds above which a list or document starts no planned stop.
+	// DefaultMaxAge is the age in milliseconds above which no planned stop starts from a host list or document.
 	DefaultMaxAge = 10_000
-	// DefaultListLag is the time in milliseconds by which the platform's list may trail a change.
+	// DefaultListLag is the time in milliseconds by which the platform's host list may lag behind a change.
 	DefaultListLag = 1_000
-	// DefaultWreckLimit is how many VMs of a wave may fail to come back before the wave stops itself.
+	// DefaultWreckLimit is the number of VMs that do not come back from a wave's reboot at which the wave stops.
 	DefaultWreckLimit = 2
-	// DefaultCanary is how many VMs of a service a wave may take in a data centre before one of the wave has come back.
+	// DefaultCanary is the number of VMs of a pool that a wave may reserve in a data centre until the first has finished.
 	DefaultCanary = 1
-	// DefaultIdleOut is how many VMs of a pool that serves nothing may be out at once for maintenance.
+	// DefaultIdleOut is the number of VMs of an idle pool, one without services, that may be out at once for a wave.
 	DefaultIdleOut = 4
 
-	minCanaryBudget      = 4       // smaller budgets bound a bad wave as well by themselves, so canaries would only cost time.
-	retryMillis          = 2_000   // between repeats of an unanswered call or read.
-	retentionMillis      = 600_000 // before a VM that is gone leaves the membership.
-	entryGraceMillis     = 60_000  // before an entry that was heard but never listed counts as gone.
-	moveTimeoutMillis    = 120_000 // before a move that found no room is forgotten.
-	lateDrainMillis      = 60_000  // after a planned stop during which a drain is taken for a late one of our own.
-	leavingTimeoutMillis = 600_000 // after which a VM that the platform shows as leaving, but does not stop, is asked back.
-	idleDrainMillis      = 30_000  // longest drain in a pool that serves nothing.
-	idleRebootMillis     = 600_000 // longest reboot in a pool that serves nothing.
+	minCanaryBudget      = 4       // below this, the budget itself limits a bad wave as much, so canaries would only cost time.
+	retryMillis          = 2_000   // interval between repeats of an unanswered call or read.
+	retentionMillis      = 600_000 // time after which a VM that is gone leaves the membership.
+	entryGraceMillis     = 60_000  // time after its last report at which an unlisted entry counts as gone.
+	moveTimeoutMillis    = 120_000 // time after which a move that has not started is dropped.
+	lateDrainMillis      = 60_000  // time after a wave's stop in which a drain counts as a late call of this planner.
+	leavingTimeoutMillis = 600_000 // time after which a VM that the platform shows as leaving, but does not stop, is undrained.
+	idleDrainMillis      = 30_000  // drain timeout in an idle pool.
+	idleRebootMillis     = 600_000 // reboot timeout in an idle pool.
 )
 
-// Planner decides for one data centre's leader; a new one is made for each term, and the documents tell it where to go on.
+// Planner plans the maintenance and moves of one data centre for its leader. Each term of the leader has a new planner,
+// which continues from the documents in the store. All times are in Unix milliseconds.
 type Planner struct {
 	dataCentre string
 	now        int64
@@ -38,59 +39,59 @@
 
 	table       pool.Table
 	shards      []*document
-	minVersions []int64 // highest number that each shard was known at.
-	sentShards  []pool.Shard
+	minVersions []int64      // highest version seen of each shard.
+	sentShards  []pool.Shard // content of the last write of each shard.
 	budgets     map[string]*budgetDocument
-	allFreshAt  int64
+	allFreshAt  int64 // last time at which all known documents were the newest.
 
 	services        map[string][]ServiceRule // by pool, sorted by name.
 	waves           []Wave
-	hosts           map[string]Host
-	listedAt        int64
-	entries         []string // entries of the list that are not gone.
-	reportedAt      map[string]int64
-	drainedVersions map[string]map[string]int64 // by VM, then entry: the version at which the VM was drained.
-	drainStarts     map[string]drainStart
-	reportedDead    map[string]bool
-	goneSince       map[string]int64
-	unreachable     []string
+	hosts           map[string]Host             // the platform's host list, by name.
+	listedAt        int64                       // request time of the host list; 0 before the first.
+	entries         []string                    // entries of the host list that are not gone.
+	reportedAt      map[string]int64            // by entry: time of its last report.
+	drainedVersions map[string]map[string]int64 // by VM, then entry: the shard version at which the entry had nothing in flight to the VM.
+	drainStarts     map[string]drainStart       // by VM.
+	reportedDead    map[string]bool             // VMs that the entries find dead.
+	goneSince       map[string]int64            // by VM: when a scan first found it gone.
+	unreachable     []string                    // other data centres that cannot be reached.
 
-	moveRequests     map[string]moveRequest
-	backoffs         map[string]backoff
-	calledAt         map[string]int64
-	rebootAcceptedAt map[string]int64
-	assignedPools    map[string]string
-	queues           map[string][]queuedStop
-	failing          map[string]bool
-	canaryPassed     map[wavePool]bool // waves that some VM of the pool here has finished.
+	moveRequests     map[string]moveRequest  // by VM.
+	backoffs         map[string]backoff      // by VM.
+	calledAt         map[string]int64        // by call: when it was last made.
+	rebootAcceptedAt map[string]int64        // by op: when the platform accepted the reboot.
+	assignedPools    map[string]string       // by VM: the pool that the platform has put it into.
+	queues           map[string][]queuedStop // by pool.
+	failing          map[string]bool         // serving members that are dead or that the platform is about to stop.
+	canaryPassed     map[wavePool]bool       // set once a VM of the pool in this data centre has finished the wave.
 
-	newHosts    []string      // listed VMs that the membership lacks.
-	lateDrains  []string      // serving VMs that a late drain of ours may have reached.
-	misassigned []pool.Member // serving VMs that the platform holds in another pool.
+	newHosts    []string      // VMs of the host list that the membership lacks.
+	lateDrains  []string      // serving VMs that a late drain call of this planner may have reached.
+	misassigned []pool.Member // serving VMs that the platform has in another pool.
 }
 
-// limits are the constants that options change.
+// limits holds the settings that options change; times are in milliseconds.
 type limits struct {
 	maxAge, listLag                     int64
 	failureLimit, maxIdleOut, canaryVMs int
 }
 
-// drainStart is when the planner first saw that a planned stop drains, and at which version.
+// drainStart records when the planner first saw the drain of the VM's stop number seq, and at which shard version.
 type drainStart struct{ seq, seenAt, version int64 }
 
-// wavePool is a wave's part in one pool.
+// wavePool identifies the part of a wave in one pool.
 type wavePool struct{ wave, pool string }
 
-// moveRequest is a move that was asked for.
+// moveRequest is a requested move that has not ended.
 type moveRequest struct {
 	Move
 	requestedAt int64
 }
 
-// backoff keeps a VM whose drain did not end from being taken again at once.
+// backoff delays the next stop of a VM whose drain timed out: none starts before until.
 type backoff struct{ until, waitMillis int64 }
 
-// New returns a planner for the data centre that has read nothing yet; count is the number of membership shards.
+// New returns a planner for the data centre that has read no documents yet; count is the number of membership shards.
 func New(dataCentre string, count int, opts ...Option) *Planner {
 	p := &Planner{
 		dataCentre: dataCentre,
@@ -117,29 +118,29 @@
 	return p
 }
 
-// Option changes a planner's constants.
+// Option changes a default setting of a planner.
 type Option func(*Planner)
 
-// WithMaxAge sets the age in milliseconds above which a list or document starts no planned stop.
+// WithMaxAge sets the age in milliseconds above which no planned stop starts from a host list or document.
 func WithMaxAge(millis int64) Option { return func(p *Planner) { p.limits.maxAge = millis } }
 
-// WithListLag sets the time in milliseconds by which the platform's list may trail a change.
+// WithListLag sets the time in milliseconds by which the platform's host list may lag behind a change.
 func WithListLag(millis int64) Option { return func(p *Planner) { p.limits.listLag = millis } }
 
-// WithWreckLimit sets how many VMs of a wave may fail to come back before the wave stops itself.
+// WithWreckLimit sets the number of VMs that do not come back from a wave's reboot at which the wave stops.
 func WithWreckLimit(n int) Option { return func(p *Planner) { p.limits.failureLimit = n } }
 
-// WithIdleOut sets how many VMs of a pool that serves nothing may be out at once for maintenance.
+// WithIdleOut sets the number of VMs of an idle pool, one without services, that may be out at once for a wave.
 func WithIdleOut(n int) Option { return func(p *Planner) { p.limits.maxIdleOut = n } }
 
-// WithCanary sets how many VMs of a service a wave may take in a data centre before one of the wave has come back; 0
-// means no such bound. Budgets of fewer than four VMs have none.
+// WithCanary sets the number of VMs of a pool that a wave may reserve in a data centre until the first has finished; 0
+// means no limit. Budgets of fewer than four VMs have no such limit.
 func WithCanary(n int) Option { return func(p *Planner) { p.limits.canaryVMs = n } }
 
-// Table returns the membership as the planner knows it to be written.
+// Table returns the newest membership that the planner knows to be in the store.
 func (p *Planner) Table() pool.Table { return p.table }
 
-// Budget returns the service's budget as the planner knows it to be written.
+// Budget returns the newest budget of the service that the planner knows to be in the store.
 func (p *Planner) Budget(service string) Budget {
 	if d := p.budgets[service]; d != nil {
 		return d.budget
@@ -147,7 +148,7 @@
 	return Budget{}
 }
 
-// Update takes one message in and returns what is to be done.
+// Update handles one message and returns the commands to perform.
 func (p *Planner) Update(msg Msg) []Cmd {
 	if p.handle(msg) {
 		p.scan()
@@ -159,7 +160,7 @@
 	return append(l, p.platformCalls()...)
 }
 
-// handle notes the message and tells whether the whole fleet must be looked over again.
+// handle updates the state from the message and reports whether the fleet must be scanned again.
 func (p *Planner) handle(msg Msg) bool {
 	switch m := msg.(type) {
 	case TickMsg:
@@ -197,7 +198,7 @@
 	return false
 }
 
-// handleEvent notes the short messages.
+// handleEvent handles the messages that change a single VM, list or request.
 func (p *Planner) handleEvent(msg Msg) bool {
 	switch m := msg.(type) {
 	case FailedMsg:
@@ -229,8 +230,10 @@
 	return false
 }
 
+// advanceClock sets the planner's time to that of the message; time never goes back.
 func (p *Planner) advanceClock(at int64) { p.now = max(p.now, at) }
 
+// handlePolicy replaces services and waves, and adds a document for each new service's budget.
 func (p *Planner) handlePolicy(m PolicyMsg) {
 	p.waves = slices.Clone(m.Waves)
 	p.services = map[string][]ServiceRule{}
@@ -245,7 +248,7 @@
 	}
 }
 
-// pruneExpired lets go of what is too old to matter.
+// pruneExpired removes old call times and reboots, and the records of drains that have ended.
 func (p *Planner) pruneExpired() {
 	for k, at := range p.calledAt {
 		if p.now-at > retentionMillis {
--- a/fleet/wave/queue.go
+++ b/fleet/wave/queue.go
@@ -8,19 +8,20 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// queuedStop is a planned stop that waits for room in the budget; the wave is empty for a move.
+// queuedStop is a planned stop that waits for room in the budgets; the wave is empty for a move.
 type queuedStop struct {
 	vm, wave string
 	rack     *rack
 }
 
-// rack is what the order of a pool's VMs depends on.
+// rack holds the counts by which a pool's VMs are ordered: VMs of the rack that are out, done with the wave and left to do.
 type rack struct {
 	name            string
 	out, done, left int
 }
 
-// scan looks over the whole fleet: which VMs are dead, new or astray, and which come next in each pool.
+// scan goes through the host list and the membership. It finds the VMs that are failing, new or in the wrong pool, and queues
+// the next stops of each pool.
 func (p *Planner) scan() {
 	clear(p.failing)
 	p.newHosts, p.lateDrains, p.misassigned = nil, nil, nil
@@ -52,7 +53,7 @@
 	p.buildQueues(todo)
 }
 
-// scanHosts notes listed VMs that the membership lacks, and when VMs were first seen gone.
+// scanHosts collects the listed VMs that the membership lacks, and clears the gone times of VMs that are back or dropped.
 func (p *Planner) scanHosts() {
 	for vm, h := range p.hosts {
 		if h.Entry {
@@ -70,6 +71,7 @@
 	}
 }
 
+// scanMember records whether the VM is gone, failing, drained by a late call or in the wrong pool.
 func (p *Planner) scanMember(m pool.Member) {
 	if p.isGone(m.VM) {
 		if _, ok := p.goneSince[m.VM]; !ok {
@@ -92,7 +94,8 @@
 	}
 }
 
-// buildQueues queues each pool's moves and then its VMs rack by rack: first racks that miss VMs already, then racks that are begun.
+// buildQueues queues each pool's moves and then its wave stops, rack by rack: racks with VMs out first, then racks that the wave
+// has begun.
 func (p *Planner) buildQueues(todo map[string][]queuedStop) {
 	clear(p.queues)
 	for vm, v := range p.moveRequests {
@@ -122,6 +125,7 @@
 	}
 }
 
+// compareStops orders the stops of a wave by rack: most VMs out, begun by the wave, fewest left, name; then by VM.
 func compareStops(a, b queuedStop) int {
 	x, y := a.rack, b.rack
 	return cmp.Or(
@@ -143,15 +147,15 @@
 	return Wave{}, false
 }
 
-// isWaveWanted tells whether the operators still want the wave, paused or not.
+// isWaveWanted reports whether the wave is still configured, paused or not.
 func (p *Planner) isWaveWanted(id string) bool {
 	return slices.ContainsFunc(p.waves, func(w Wave) bool { return w.ID == id })
 }
 
-// isStopWanted tells whether the VM's running stop is still wanted.
+// isStopWanted reports whether the VM's running stop is a move, or of a wave that is still configured.
 func (p *Planner) isStopWanted(m pool.Member) bool { return m.Doing == "" || p.isWaveWanted(m.Doing) }
 
-// isWaveStopped tells whether so many VMs of the wave did not come back that it stops itself.
+// isWaveStopped reports whether so many VMs failed during their stop for the wave that the wave stops.
 func (p *Planner) isWaveStopped(id string) bool {
 	lost := map[string]bool{}
 	for _, d := range p.budgets {
@@ -169,7 +173,7 @@
 	return len(lost) >= p.limits.failureLimit
 }
 
-// idleStarts returns the VMs of pools that serve nothing and that now begin to drain; no budget is concerned.
+// idleStarts returns the VMs of idle pools, which have no services and so no budgets, that begin to drain.
 func (p *Planner) idleStarts() []pool.Member {
 	var l []pool.Member
 	for name, q := range p.queues {
@@ -194,6 +198,7 @@
 	return l
 }
 
+// countIdleOut returns how many VMs of an idle pool are out, not counting moves.
 func (p *Planner) countIdleOut(name string) int {
 	n := 0
 	for m := range p.table.Busy() {
--- a/fleet/wave/replay.go
+++ b/fleet/wave/replay.go
@@ -10,39 +10,39 @@
 
 const (
 	replayStepMillis   = 250
-	replayReportMillis = 1_000       // between lists, and between words from the entries.
-	replayStallMillis  = 20 * 60_000 // without a write, after which a wave counts as stopped.
+	replayReportMillis = 1_000       // between host lists, and between reports of the entries.
+	replayStallMillis  = 20 * 60_000 // time without a write after which a wave counts as stopped.
 	replayMaxMillis    = 24 * 3_600_000
 )
 
-// TraceVM is one VM of a replay with the times that its maintenance takes.
+// TraceVM is one VM of a replay with the durations of its maintenance.
 type TraceVM struct {
 	Name, DataCentre, Rack, Pool string
 	DrainMillis, RebootMillis    int64
-	Wrecked                      bool  // its reboot never ends.
-	FailsAt, BackAt              int64 // an unplanned failure; none if BackAt is 0.
+	Wrecked                      bool  // the reboot never ends.
+	FailsAt, BackAt              int64 // start and end of an unplanned failure, in milliseconds; none if BackAt is 0.
 }
 
-// Trace is a maintenance wave in virtual time.
+// Trace is the input of a replay: a fleet with one maintenance wave over all pools.
 type Trace struct {
 	VMs      []TraceVM
 	Services []ServiceRule
-	Entries  int // entries of each data centre.
+	Entries  int // number of entries in each data centre.
 }
 
-// Result is what a replay measured; times are in milliseconds.
+// Result holds the measurements of a replay; times are in milliseconds.
 type Result struct {
-	Took     int64 // until every VM that can has finished the wave; 0 if that never came.
-	Least    int64 // longest of the services' schedules, longest job first, with the same times and nothing in between.
-	Bound    int64 // no schedule is shorter: the larger of total time by room and the longest VM.
-	MaxOut   int   // most VMs of one service that were out at once.
-	Racks    float64
-	Lost     int // VMs that did not come back.
-	Messages int
-	Writes   int
+	Took     int64   // until every VM has finished the wave; 0 if that never happened.
+	Least    int64   // the longest of the services' schedules by the longest job first, with the same times and no gaps.
+	Bound    int64   // lower bound of any schedule: the larger of total time by MaxOut and the longest VM.
+	MaxOut   int     // most VMs of one service that were out at once.
+	Racks    float64 // mean number of racks with VMs out, over the samples with any out.
+	Lost     int     // VMs that did not come back.
+	Messages int     // messages to the planners.
+	Writes   int     // writes that were applied.
 }
 
-// DayTrace returns the wave over one deployment: five services in three data centres and a spare pool, four VMs a rack.
+// DayTrace returns a wave over one deployment: five services and an idle pool in three data centres, with four VMs a rack.
 func DayTrace(seed int64, perService, maxOut int) Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := Trace{Entries: 3}
@@ -68,7 +68,7 @@
 	return t
 }
 
-// replay is a small fleet in virtual time without faults of the store.
+// replay simulates a fleet in virtual time, with a store that never fails.
 type replay struct {
 	trace              Trace
 	now                int64
@@ -78,7 +78,7 @@
 	planners           map[string]*Planner
 	vms                map[string]*replayVM
 	names              []string         // data centres.
-	deliveredRevisions map[string]int64 // by data centre and service: revision that its planner was told of.
+	deliveredRevisions map[string]int64 // by data centre and service: revision last delivered to the planner.
 	result             Result
 	lastWriteAt        int64 // time of the last write.
 	rackSum            float64
@@ -89,12 +89,12 @@
 type replayVM struct {
 	TraceVM
 	boot          int64
-	drainingSince int64 // since when the entries see it draining.
-	rebootEndsAt  int64 // when a running reboot ends.
+	drainingSince int64 // start of the drain; 0 while the membership does not show one.
+	rebootEndsAt  int64 // end of the running reboot; 0 while none runs.
 	down, failing bool
 }
 
-// Replay runs the wave with one planner a data centre and returns what it measured.
+// Replay runs the wave with one planner for each data centre and returns the measurements.
 func Replay(t Trace, opts ...Option) Result {
 	r := newReplay(t, opts)
 	for r.now = 0; r.now < replayMaxMillis; r.now += replayStepMillis {
@@ -144,6 +144,7 @@
 	return r
 }
 
+// pools returns the names of all pools in order of first use.
 func (t Trace) pools() []string {
 	var l []string
 	for _, v := range t.VMs {
@@ -154,7 +155,7 @@
 	return l
 }
 
-// advanceVMs lets reboots and failures begin and end.
+// advanceVMs begins and ends reboots, failures and drains that are due.
 func (r *replay) advanceVMs() {
 	for _, v := range r.vms {
 		if v.rebootEndsAt > 0 && r.now >= v.rebootEndsAt && !v.Wrecked {
@@ -170,7 +171,7 @@
 	}
 }
 
-// deliverBudgets gives a planner the budgets that others have changed.
+// deliverBudgets delivers changed budgets to the data centre's planner.
 func (r *replay) deliverBudgets(dc string) {
 	for _, s := range r.trace.Services {
 		b, k := r.budgets[s.Name], dc+" "+s.Name
@@ -181,7 +182,7 @@
 	}
 }
 
-// deliverStatus gives a planner the platform's list and the entries' word.
+// deliverStatus delivers the host list and the entries' reports to the data centre's planner, then a tick.
 func (r *replay) deliverStatus(dc string) {
 	l := []Host{}
 	heard := HeardMsg{At: r.now}
@@ -208,7 +209,7 @@
 	r.deliver(dc, TickMsg{At: r.now})
 }
 
-// deliver gives the planner a message and performs all that follows from it.
+// deliver sends a message to the planner, performs its commands and delivers their results.
 func (r *replay) deliver(dc string, m Msg) {
 	queue := []Msg{m}
 	for len(queue) > 0 {
@@ -222,6 +223,7 @@
 	}
 }
 
+// perform runs one command and returns its result, or nil if it has none.
 func (r *replay) perform(dc string, c Cmd) Msg {
 	switch c := c.(type) {
 	case ReadShardCmd:
@@ -254,6 +256,7 @@
 	return nil
 }
 
+// measure samples the VMs and racks that are out.
 func (r *replay) measure() {
 	out, racks := map[string]int{}, map[string]bool{}
 	for _, dc := range r.names {
@@ -273,6 +276,7 @@
 	}
 }
 
+// isDone reports whether every VM has finished the wave and serves, and every budget is empty.
 func (r *replay) isDone() bool {
 	for _, v := range r.vms {
 		m, ok := r.shards[v.DataCentre].Find(v.Name)
--- a/fleet/wave/reserve.go
+++ b/fleet/wave/reserve.go
@@ -7,7 +7,8 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// writeBudgets returns the writes that lead the services' budgets on by one step.
+// writeBudgets returns a write for each service's budget that changes or must be restored. The first service of a pool, by
+// name, reserves the pool's stops; the others copy its reservations.
 func (p *Planner) writeBudgets() []Cmd {
 	var l []Cmd
 	for _, name := range p.servedPools() {
@@ -33,6 +34,7 @@
 	return l
 }
 
+// servedPools returns the pools that have services, sorted by name.
 func (p *Planner) servedPools() []string {
 	l := make([]string, 0, len(p.services))
 	for n := range p.services {
@@ -42,7 +44,7 @@
 	return l
 }
 
-// isMembershipLoaded tells whether the whole membership has been read.
+// isMembershipLoaded reports whether every shard of the membership has been read.
 func (p *Planner) isMembershipLoaded() bool {
 	for _, d := range p.shards {
 		if !d.loaded {
@@ -52,7 +54,8 @@
 	return true
 }
 
-// reconcile releases what has ended and turns ended stops of failed VMs into failures.
+// reconcile releases the absences that have ended, and turns planned stops of VMs that failed into failures. It leaves the
+// absences of other data centres to their planners.
 func (p *Planner) reconcile(s ServiceRule, b Budget) Budget {
 	for _, a := range b.Absences() {
 		if a.DataCentre != p.dataCentre {
@@ -81,14 +84,15 @@
 	return b
 }
 
-// hasLeftMembership tells whether the absence belongs to a VM that has left the membership, not to one that this planner has yet
-// to see join: a VM joins with the shard's version as its count of stops, so no later stop has the absence's number.
+// hasLeftMembership reports whether the absence's VM has left the membership, as opposed to having joined in a version that
+// this planner has not read yet. A VM joins with a stop number above the shard's version, so no later stop has the
+// absence's number.
 func (p *Planner) hasLeftMembership(a Absence) bool {
 	i := p.table.Index(a.VM)
 	return a.Seq <= p.table.Shard(i).Number() && (a.Planned() || p.isFresh(p.shards[i]))
 }
 
-// countOut adds every VM of the pool that is out and not yet counted.
+// countOut adds every VM of the pool that is out and not in the budget yet.
 func (p *Planner) countOut(s ServiceRule, b Budget) Budget {
 	for vm := range p.failing {
 		if m, ok := p.table.Find(vm); ok && m.Pool == s.Pool {
@@ -103,6 +107,7 @@
 	return b
 }
 
+// countVM adds the VM as failed unless the budget has it already.
 func (p *Planner) countVM(b Budget, m pool.Member) Budget {
 	if _, ok := b.Find(m.VM); ok {
 		return b
@@ -110,11 +115,12 @@
 	return b.Fail(p.newFailure(m))
 }
 
+// newFailure returns the absence of a VM that is out without a planned stop.
 func (p *Planner) newFailure(m pool.Member) Absence {
 	return Absence{VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: m.Since}
 }
 
-// reserveStops adds planned stops for the pool's next VMs while every budget concerned has room.
+// reserveStops adds planned stops for the next VMs of the pool's queue while the budget of every service of the pool has room.
 func (p *Planner) reserveStops(name string, b Budget) Budget {
 	if !p.areStopsAllowed() || !p.haveSendersReported() || !p.areBudgetsFresh(name) {
 		return b
@@ -122,7 +128,7 @@
 	wrecked, room := p.stoppedWave(name), p.services[name][0].MaxOut
 	for _, t := range p.queues[name] {
 		if t.wave == wrecked && wrecked != "" || p.backoffs[t.vm].until > p.now || !p.isUp(t.vm) {
-			continue // the queue is of the last tick; starts would withdraw it at once.
+			continue // the queue is as old as the last scan; starts would withdraw the reservation at once.
 		}
 		m, ok := p.table.Find(t.vm)
 		if !ok || m.State != pool.Serving || m.Pool != name || !p.canaryAllows(name, t, b, room) {
@@ -143,7 +149,7 @@
 	return b
 }
 
-// stoppedWave returns the pool's wave if that has stopped itself.
+// stoppedWave returns the id of the pool's wave if the wave has stopped because of lost VMs, or "".
 func (p *Planner) stoppedWave(name string) string {
 	if w, ok := p.waveOf(name); ok && p.isWaveStopped(w.ID) {
 		return w.ID
@@ -151,7 +157,7 @@
 	return ""
 }
 
-// othersHaveRoom tells whether the pool's other services can follow the reservations of the first.
+// othersHaveRoom reports whether the budgets of the pool's other services have room for the absences of the first.
 func (p *Planner) othersHaveRoom(name string, first Budget) bool {
 	for _, s := range p.services[name][1:] {
 		n := p.budgets[s.Name].budget.Out()
@@ -167,7 +173,7 @@
 	return true
 }
 
-// copyReservations adds the reservations that the pool's first service holds for this data centre.
+// copyReservations adds the reservations that the budget of the pool's first service holds for this data centre.
 func (p *Planner) copyReservations(name string, s ServiceRule, b Budget) Budget {
 	if !p.areStopsAllowed() || !p.areBudgetsFresh(name) {
 		return b
@@ -185,6 +191,7 @@
 	return b
 }
 
+// newReservation returns the absence that reserves the VM's next planned stop; w is the wave, empty for a move.
 func (p *Planner) newReservation(m pool.Member, w string) Absence {
 	return Absence{
 		VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: p.now,
@@ -192,7 +199,7 @@
 	}
 }
 
-// canaryAllows tells whether the task may be reserved in b, a budget of room VMs, as far as its wave is concerned.
+// canaryAllows reports whether the canary limit of the stop's wave allows a reservation in b, a budget of room VMs.
 func (p *Planner) canaryAllows(name string, t queuedStop, b Budget, room int) bool {
 	if t.wave == "" || room < minCanaryBudget {
 		return true
@@ -209,6 +216,7 @@
 	return n < p.limits.canaryVMs
 }
 
+// areBudgetsFresh reports whether the budget of every service of the pool is fresh.
 func (p *Planner) areBudgetsFresh(name string) bool {
 	for _, s := range p.services[name] {
 		if !p.isFresh(p.budgets[s.Name].document) {
@@ -218,7 +226,7 @@
 	return true
 }
 
-// reservedMembers returns the serving VMs of this data centre that some budget holds a reservation for.
+// reservedMembers returns the serving VMs of this data centre for whose next stop any budget holds a reservation.
 func (p *Planner) reservedMembers() []pool.Member {
 	var l []pool.Member
 	for _, name := range p.servedPools() {
@@ -245,7 +253,7 @@
 	return Absence{}
 }
 
-// isStartable tells whether the reserved stop is still wanted and within every budget; if not, it is withdrawn.
+// isStartable reports whether the reserved stop is still wanted and within every budget; if not, the stop is withdrawn.
 func (p *Planner) isStartable(m pool.Member, a Absence) bool {
 	if p.isOverBudget(m) || p.backoffs[m.VM].until > p.now || !p.isUp(m.VM) {
 		return false
@@ -258,7 +266,8 @@
 	return ok && w.ID == a.Wave && !w.Paused && m.Wave != w.ID && !p.isWaveStopped(w.ID)
 }
 
-// canStartNow tells whether the reserved stop may start now: every budget concerned holds it, and all that is known is young.
+// canStartNow reports whether the reserved stop may start now: the budget of every service of the pool holds the reservation,
+// every sender has reported, and the host list and documents are fresh.
 func (p *Planner) canStartNow(m pool.Member) bool {
 	if !p.areStopsAllowed() || !p.haveSendersReported() || !p.areBudgetsFresh(m.Pool) || !p.isFresh(p.shards[p.table.Index(m.VM)]) {
 		return false
@@ -272,7 +281,8 @@
 	return true
 }
 
-// isOverBudget tells whether failures have used up the budget that the VM's planned stop was reserved in; the newest give way first.
+// isOverBudget reports whether the VM's planned stop must give way because failures exceed a budget that it is reserved in.
+// The newest stops give way first.
 func (p *Planner) isOverBudget(m pool.Member) bool {
 	for _, s := range p.services[m.Pool] {
 		b := p.budgets[s.Name].budget
@@ -284,7 +294,7 @@
 	return false
 }
 
-// countNewerStops counts the planned stops that were reserved after a.
+// countNewerStops counts the planned stops of VMs that have not failed and that were reserved after a.
 func countNewerStops(b Budget, a Absence) int {
 	n := 0
 	for _, o := range b.absences {
--- a/fleet/wave/status.go
+++ b/fleet/wave/status.go
@@ -6,7 +6,8 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// handleHosts notes the platform's list, which the next tick looks over; a list without a single target tells nothing.
+// handleHosts stores the platform's host list, which the next scan uses. It ignores a list without any target,
+// which does not show that all targets are gone.
 func (p *Planner) handleHosts(m HostsMsg) {
 	if m.At < p.listedAt {
 		return
@@ -27,6 +28,7 @@
 	p.hosts, p.listedAt, p.entries = h, m.At, entries
 }
 
+// handleEntryReport stores the drained VMs of an entry's report, and the shard versions that it has seen.
 func (p *Planner) handleEntryReport(m HeardMsg) {
 	p.reportedAt[m.Entry] = m.At
 	for i, n := range m.Numbers {
@@ -42,7 +44,8 @@
 	}
 }
 
-// senders returns the entries that may still send to the data centre's targets.
+// senders returns the entries that may still send to the data centre's targets: those on the host list, and unlisted ones that
+// have reported lately.
 func (p *Planner) senders() []string {
 	l := slices.Clip(p.entries)
 	for e, at := range p.reportedAt {
@@ -53,7 +56,7 @@
 	return l
 }
 
-// haveSendersReported tells whether every entry that may still send was heard lately, so that a drain can end.
+// haveSendersReported reports whether every entry that may still send has reported within the allowed age, as a drain needs to end.
 func (p *Planner) haveSendersReported() bool {
 	l := p.senders()
 	for _, e := range l {
@@ -65,8 +68,9 @@
 	return len(l) > 0
 }
 
-// isDrained tells whether every entry that may still send has said that it has nothing in flight to the VM
-// under a version that shows it draining.
+// isDrained reports whether every entry that may still send has reported nothing in flight to the VM at a shard version that
+// shows the VM draining. The host list must have been requested at least the list lag after the drain was seen, so that it
+// has every such entry.
 func (p *Planner) isDrained(m pool.Member) bool {
 	if len(p.services[m.Pool]) == 0 {
 		return true
@@ -84,7 +88,7 @@
 	return len(l) > 0
 }
 
-// isDown tells whether the platform's list or the entries find the VM dead.
+// isDown reports whether the host list shows the VM gone or the entries find it dead.
 func (p *Planner) isDown(vm string) bool {
 	if p.reportedDead[vm] {
 		return true
@@ -92,6 +96,7 @@
 	return p.isGone(vm)
 }
 
+// isGone reports whether the host list lacks the VM or shows it as gone.
 func (p *Planner) isGone(vm string) bool {
 	if p.listedAt == 0 {
 		return false
@@ -100,18 +105,18 @@
 	return !ok || h.State == Gone
 }
 
-// isUp tells whether the list shows the VM live and no entry finds it dead.
+// isUp reports whether the host list shows the VM live and the entries do not find it dead.
 func (p *Planner) isUp(vm string) bool {
 	h, ok := p.hosts[vm]
 	return ok && h.State == Live && !p.reportedDead[vm]
 }
 
-// isListFresh tells whether the platform's list is young enough to start a planned stop by.
+// isListFresh reports whether the host list is young enough to start a planned stop.
 func (p *Planner) isListFresh() bool {
 	return p.listedAt > 0 && p.now-p.listedAt <= p.limits.maxAge
 }
 
-// areStopsAllowed tells whether nothing outside the documents forbids a planned stop.
+// areStopsAllowed reports whether planned stops may start as far as the host list and the other data centres are concerned.
 func (p *Planner) areStopsAllowed() bool {
 	return p.isListFresh() && len(p.unreachable) == 0
 }
--- a/fleet/wave/step.go
+++ b/fleet/wave/step.go
@@ -6,7 +6,7 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// writeShards returns the writes that lead the membership on by one step.
+// writeShards returns a write for each shard that has changes to make or must be restored.
 func (p *Planner) writeShards() []Cmd {
 	var l []Cmd
 	changes := p.changes()
@@ -29,9 +29,10 @@
 	return l
 }
 
-// restoreMembers returns the members of a shard that has come back older than it was known: their stops count on from the version that
-// was seen, so that no reservation or op of the lost versions is taken for a later one, and drains are put back.
-func (p *Planner) restoreMembers(s pool.Shard, floor int64) []pool.Member {
+// restoreMembers returns the members to write when the store holds an older version of a shard than one seen before.
+// Drains are cancelled. Stop numbers continue from at least minVersion, so that no reservation or op of the lost
+// versions matches a later stop.
+func (p *Planner) restoreMembers(s pool.Shard, minVersion int64) []pool.Member {
 	var l []pool.Member
 	for m := range s.All() {
 		switch {
@@ -40,18 +41,19 @@
 		case m.Op != "":
 			continue
 		}
-		m.Seq = max(m.Seq, floor)
+		m.Seq = max(m.Seq, minVersion)
 		l = append(l, m)
 	}
 	return l
 }
 
-// shardChange is what one shard's next write puts and drops.
+// shardChange holds the members that the next write of one shard puts and drops.
 type shardChange struct {
 	puts  []pool.Member
 	drops []string
 }
 
+// changes returns the change of each shard: next steps of busy members, new failures, starts and new members.
 func (p *Planner) changes() []shardChange {
 	l := make([]shardChange, p.table.Count())
 	put := func(m pool.Member) {
@@ -82,7 +84,7 @@
 	return l
 }
 
-// advance returns the member after the next advance of what it is in, or the member itself.
+// advance returns the member after the next step of its stop or failure, or unchanged if none is due.
 func (p *Planner) advance(m pool.Member) pool.Member {
 	switch m.State {
 	case pool.Serving:
@@ -109,6 +111,8 @@
 	}
 }
 
+// advanceDraining ends the drain: the VM fails, moves, reboots, or serves again if the stop is not wanted, does not fit
+// the budget or the drain timed out.
 func (p *Planner) advanceDraining(m pool.Member) pool.Member {
 	switch {
 	case p.isDown(m.VM):
@@ -127,7 +131,7 @@
 	}
 }
 
-// finishMove puts the VM into its new pool once the platform has done so.
+// finishMove changes the VM's pool once the platform has assigned the VM to it.
 func (p *Planner) finishMove(m pool.Member) pool.Member {
 	if p.assignedPools[m.VM] != m.To {
 		return m
@@ -136,6 +140,7 @@
 	return p.endStop(m)
 }
 
+// advanceRebooting finishes the reboot or marks the VM as failed after the timeout.
 func (p *Planner) advanceRebooting(m pool.Member) pool.Member {
 	if n := p.finishReboot(m); n != m {
 		return n
@@ -146,7 +151,7 @@
 	return m
 }
 
-// finishReboot lets the VM serve once the platform has accepted the reboot and a later list shows a later boot.
+// finishReboot returns the VM as serving once the platform has accepted the reboot and a later host list shows a later boot.
 func (p *Planner) finishReboot(m pool.Member) pool.Member {
 	at, ok := p.rebootAcceptedAt[m.Op]
 	if !ok || p.listedAt < at+p.limits.listLag || p.hosts[m.VM].Boot <= m.Boot || !p.isUp(m.VM) {
@@ -156,19 +161,20 @@
 	return p.endStop(m)
 }
 
-// endStop marks the planned stop as ended, which lets its reservation be released.
+// endStop marks the planned stop as ended, so that its reservations can be released.
 func (p *Planner) endStop(m pool.Member) pool.Member {
 	m.Op, m.Doing, m.To, m.Boot = "", "", "", 0
 	m.Seq++
 	return m
 }
 
+// cancelDrain ends the planned stop and returns the VM as serving.
 func (p *Planner) cancelDrain(m pool.Member) pool.Member {
 	m.State, m.Since = pool.Serving, p.now
 	return p.endStop(m)
 }
 
-// markDown marks the VM as failed, or as out while the platform is about to stop it, and voids its reservation.
+// markDown marks the VM as failed, or as out while the platform is about to stop it, and ends its planned stop.
 func (p *Planner) markDown(m pool.Member) pool.Member {
 	m = p.endStop(m)
 	m.State, m.Since = pool.Out, p.now
@@ -178,6 +184,7 @@
 	return m
 }
 
+// markUp returns a failed or out VM as serving once the platform lists it as live and no entry finds it dead.
 func (p *Planner) markUp(m pool.Member) pool.Member {
 	if p.isUp(m.VM) {
 		m.State, m.Since, m.Shut = pool.Serving, p.now, false
@@ -185,14 +192,15 @@
 	return m
 }
 
-// isExpired tells whether the VM has been gone for so long that it leaves the membership; one that a wave has
-// wrecked stays while the wave is wanted, so that the wave stays stopped.
+// isExpired reports whether the VM has been gone for so long that it leaves the membership. A VM that did not come back
+// from a wave's reboot stays while the wave is wanted, so that the wave stays stopped.
 func (p *Planner) isExpired(m pool.Member) bool {
 	at, ok := p.goneSince[m.VM]
 	return ok && m.State == pool.Failed && p.now-at > retentionMillis && (m.Op == "" || !p.isWaveWanted(m.Doing))
 }
 
-// newMembers returns the live VMs of the list that the membership lacks.
+// newMembers returns members for the live VMs of the host list that the membership lacks. Their stop numbers start above
+// the shard's version, so that no reservation for an earlier VM of the same name matches.
 func (p *Planner) newMembers() []pool.Member {
 	var l []pool.Member
 	for _, vm := range p.newHosts {
@@ -207,7 +215,7 @@
 	return l
 }
 
-// starts returns the reserved VMs that now begin to drain, and those whose reservation is withdrawn.
+// starts returns the reserved VMs that begin to drain, those whose reservation is withdrawn, and starts in idle pools.
 func (p *Planner) starts() []pool.Member {
 	var l []pool.Member
 	for _, m := range p.reservedMembers() {
@@ -222,6 +230,7 @@
 	return append(l, p.idleStarts()...)
 }
 
+// startDrain returns the VM as draining for the reserved stop.
 func (p *Planner) startDrain(m pool.Member, a Absence) pool.Member {
 	m.State, m.Since, m.Op, m.Doing = pool.Draining, p.now, a.Op, a.Wave
 	m.Shut = m.Shut || a.Wave != ""
@@ -231,11 +240,12 @@
 	return m
 }
 
-// opID names a planned stop; the same stop has the same name at every leader.
+// opID returns the id of the VM's next planned stop. It is the same at every leader, so the platform reboots at most once.
 func opID(dataCentre string, m pool.Member, w string) string {
 	return fmt.Sprintf("%s/%s/%d/%s", dataCentre, m.VM, m.Seq+1, w)
 }
 
+// drainMillis returns the longest drain timeout of the pool's services.
 func (p *Planner) drainMillis(name string) int64 {
 	var d int64
 	for _, s := range p.services[name] {
@@ -247,6 +257,7 @@
 	return d
 }
 
+// rebootMillis returns the longest reboot timeout of the pool's services.
 func (p *Planner) rebootMillis(name string) int64 {
 	var d int64
 	for _, s := range p.services[name] {
