--- a/fleet/pool/codec.go
+++ b/fleet/pool/codec.go
@@ -6,17 +6,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// shardWire is a shard's document: VMs by name, with names that recur held once.
+// shardWire is the stored form of a shard: its VMs by name. Each name of a pool, rack or wave is stored once.
 type shardWire struct {
 	Version int64                 `json:"n"`
-	Base    int64                 `json:"b,omitempty"` // subtracted from every time.
+	Base    int64                 `json:"b,omitempty"` // subtracted from every time, Unix milliseconds.
 	Pools   []string              `json:"pools,omitempty"`
 	Racks   []string              `json:"racks,omitempty"`
 	Waves   []string              `json:"waves,omitempty"`
 	VMs     map[string]memberWire `json:"vms"`
 }
 
-// memberWire is one VM's entry; names are positions in the lists, waves counted from 1.
+// memberWire is the stored form of a Member. Names are positions in the lists of shardWire; waves count from 1, and 0 is none.
 type memberWire struct {
 	Pool  int    `json:"p,omitempty"`
 	Rack  int    `json:"r,omitempty"`
@@ -31,12 +31,13 @@
 	Shut  bool   `json:"h,omitempty"`
 }
 
-// nameIndex gives each name its position in order of first use.
+// nameIndex assigns positions to names in order of first use.
 type nameIndex struct {
 	list  []string
 	index map[string]int
 }
 
+// add returns the position of s, which it appends if it is new.
 func (n *nameIndex) add(s string) int {
 	i, ok := n.index[s]
 	if ok {
@@ -50,6 +51,7 @@
 	return i
 }
 
+// addOptional returns the position of s counted from 1, or 0 for an empty s.
 func (n *nameIndex) addOptional(s string) int {
 	if s == "" {
 		return 0
@@ -80,7 +82,8 @@
 	return b, nil
 }
 
-// ParseShard reads the shard with the given index of count shards; ErrMalformed or ErrNotHere if it holds what it must not.
+// ParseShard parses the shard with the given index of count shards. It returns ErrMalformed if the JSON or an entry is not valid,
+// and ErrNotHere if a VM belongs to another shard.
 func ParseShard(b []byte, index, count int) (Shard, error) {
 	var w shardWire
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -100,6 +103,7 @@
 	return buildShard(index, count, w.Version, l), nil
 }
 
+// decode returns the member of entry e and whether the entry is valid.
 func (w shardWire) decode(vm string, e memberWire) (Member, bool) {
 	p, okPool := nameAt(w.Pools, e.Pool)
 	r, okRack := nameAt(w.Racks, e.Rack)
@@ -113,6 +117,7 @@
 	return m, ok
 }
 
+// nameAt returns the name at position i and whether the position is valid.
 func nameAt(l []string, i int) (string, bool) {
 	if i < 0 || i >= len(l) {
 		return "", false
@@ -120,6 +125,7 @@
 	return l[i], true
 }
 
+// optionalNameAt returns the name at position i counted from 1, "" for 0, and whether the position is valid.
 func optionalNameAt(l []string, i int) (string, bool) {
 	if i == 0 {
 		return "", true
--- a/fleet/pool/delta.go
+++ b/fleet/pool/delta.go
@@ -6,14 +6,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Target is what an entry needs to know of a VM.
+// Target holds the part of a Member that entries need to place requests.
 type Target struct {
 	VM    string `json:"v"`
 	Pool  string `json:"p"`
 	State State  `json:"s,omitempty"`
 }
 
-// ShardDelta leads one shard from version From to version To; From 0 means that it holds the whole shard.
+// ShardDelta is the change of one shard from version From to version To. From 0 means that it holds the full shard.
 type ShardDelta struct {
 	Index int      `json:"i"`
 	From  int64    `json:"f,omitempty"`
@@ -22,13 +22,13 @@
 	Drop  []string `json:"drop,omitempty"`
 }
 
-// Delta is what is sent to entries for their views to follow a table.
+// Delta is the change of a table that is sent to entries, which apply it to their views.
 type Delta struct {
 	Count  int          `json:"c"`
 	Shards []ShardDelta `json:"shards,omitempty"`
 }
 
-// Diff returns what leads a view of old to a view of new; both have the same number of shards.
+// Diff returns the delta from old to new, which must have the same number of shards. Shards that are not newer are left out.
 func Diff(old, new Table) Delta {
 	d := Delta{Count: new.Count()}
 	for i, n := range new.shards {
@@ -39,11 +39,12 @@
 	return d
 }
 
-// Whole returns the table as a delta that any view can apply.
+// Whole returns the full table as a delta, which any view of as many shards can apply.
 func Whole(t Table) Delta {
 	return Diff(NewTable(t.Count()), t)
 }
 
+// diffShard returns the delta from o to n, by a merge of their sorted members.
 func diffShard(o, n Shard) ShardDelta {
 	d := ShardDelta{Index: n.index, From: o.version, To: n.version}
 	a, b := o.members, n.members
@@ -65,21 +66,22 @@
 	return d
 }
 
+// newTarget returns the part of m that entries need.
 func newTarget(m Member) Target { return Target{VM: m.VM, Pool: m.Pool, State: m.State} }
 
-// History keeps the last versions of each shard, so that a view a few versions behind gets only what changed.
+// History keeps the last versions of each shard, so that a view that is a few versions behind gets only the changes.
 type History struct {
 	depth  int
 	latest Table
-	older  [][]Shard // newest last.
+	older  [][]Shard // by shard: kept versions before the latest, newest last.
 }
 
-// NewHistory returns an empty history that keeps depth versions of each of count shards.
+// NewHistory returns an empty history of count shards that keeps depth versions of each before the latest.
 func NewHistory(count, depth int) History {
 	return History{depth: depth, latest: NewTable(count), older: make([][]Shard, count)}
 }
 
-// Add returns the history with t as its newest table; a shard of t older than the kept one is passed over.
+// Add returns the history with t as its latest table. Shards of t that are not newer are ignored.
 func (h History) Add(t Table) History {
 	h.older = slices.Clone(h.older)
 	for i, s := range t.shards {
@@ -94,10 +96,10 @@
 	return h
 }
 
-// Table returns the newest table.
+// Table returns the latest table.
 func (h History) Table() Table { return h.latest }
 
-// Since returns what a view with these versions lacks; a shard whose version is not kept any more goes whole.
+// Since returns the delta for a view with the given shard versions. A shard whose version is not kept any more is sent in full.
 func (h History) Since(have []int64) Delta {
 	d := Delta{Count: h.latest.Count()}
 	for i, n := range h.latest.shards {
@@ -119,7 +121,7 @@
 	return d
 }
 
-// View is an entry's immutable copy of VM, pool and state; its versions only grow.
+// View is an entry's immutable copy of the VMs with their pools and states. Its shard versions only grow.
 type View struct {
 	versions []int64
 	shards   []map[string]Target
@@ -130,7 +132,8 @@
 	return View{versions: make([]int64, count), shards: make([]map[string]Target, count)}
 }
 
-// Apply returns the view led on by d; what is not newer is passed over, and ErrGap says that a whole shard is needed.
+// Apply returns the view with d applied. It ignores shards that are not newer. With ErrGap, it returns the view with the other
+// shards applied; the missing one is needed in full.
 func (v View) Apply(d Delta) (View, error) {
 	if d.Count != len(v.versions) {
 		return v, eris.Wrapf(ErrMalformed, "apply delta of %d shards to view of %d", d.Count, len(v.versions))
@@ -152,6 +155,7 @@
 	return n, gap
 }
 
+// apply returns a new map with the changes made; a full shard replaces old.
 func (s ShardDelta) apply(old map[string]Target) map[string]Target {
 	m := make(map[string]Target, len(old)+len(s.Put))
 	if s.From != 0 {
@@ -168,13 +172,13 @@
 	return m
 }
 
-// Numbers returns the version of each shard, for asking what is missing.
+// Numbers returns the version of each shard, to request the missing changes.
 func (v View) Numbers() []int64 { return slices.Clone(v.versions) }
 
 // Number returns the version of the shard that holds the VM.
 func (v View) Number(vm string) int64 { return v.versions[Index(vm, len(v.versions))] }
 
-// Find returns what the view knows of the VM.
+// Find returns the VM's pool and state.
 func (v View) Find(vm string) (Target, bool) {
 	t, ok := v.shards[Index(vm, len(v.versions))][vm]
 	return t, ok
--- a/fleet/pool/member.go
+++ b/fleet/pool/member.go
@@ -2,7 +2,7 @@
 
 import "github.com/rotisserie/eris"
 
-// State tells what a VM does for its pool.
+// State is the state of a VM in its pool.
 type State int
 
 const (
@@ -10,11 +10,11 @@
 	Serving State = iota
 	// Draining means that the VM takes no new work and finishes what it runs.
 	Draining
-	// Rebooting means that every entry has let the VM go and that it restarts.
+	// Rebooting means that no entry has requests in flight to the VM and that it restarts.
 	Rebooting
 	// Out means that the platform is about to stop the VM.
 	Out
-	// Failed means that the VM was found dead or did not come back.
+	// Failed means that the VM was found dead or did not come back from a reboot.
 	Failed
 )
 
@@ -27,7 +27,7 @@
 	return names[s]
 }
 
-// Member is one VM's line in the membership of its data centre.
+// Member is the entry of one VM in the membership of its data centre.
 type Member struct {
 	VM    string
 	Pool  string
@@ -35,21 +35,21 @@
 	State State
 	Wave  string // the last wave that the VM has finished.
 	Since int64  // time of the last change of state, Unix milliseconds.
-	Op    string // id of the running reboot or move; empty while none runs.
+	Op    string // id of the running planned stop, a reboot or a move; empty while none runs.
 	Doing string // the wave that the running reboot belongs to.
-	To    string // the pool that a running move leads to.
+	To    string // the destination pool of the running move.
 	Boot  int64  // boot number before the running reboot.
 	Seq   int64  // number of planned stops that have ended, with or without a reboot.
-	Shut  bool   // the platform may still hold a drain of a planned stop that has ended.
+	Shut  bool   // the platform may still show a drain of a planned stop that has ended.
 }
 
 var (
-	// ErrNoVM says that the shard holds no VM of that name.
+	// ErrNoVM means that the shard holds no VM of that name.
 	ErrNoVM = eris.New("pool: no such VM")
-	// ErrNotHere says that a VM's name belongs to another shard.
+	// ErrNotHere means that a VM's name belongs to another shard.
 	ErrNotHere = eris.New("pool: VM belongs to another shard")
-	// ErrMalformed says that a document cannot be read.
+	// ErrMalformed means that a document or delta is not valid.
 	ErrMalformed = eris.New("pool: malformed document")
-	// ErrGap says that a delta starts after the version that the view holds, so a whole shard is needed.
+	// ErrGap means that a delta does not start at the version that the view holds, so a full shard is needed.
 	ErrGap = eris.New("pool: version missed")
 )
--- a/fleet/pool/pool_test.go
+++ b/fleet/pool/pool_test.go
@@ -17,10 +17,10 @@
 
 const testShards = 3
 
-// model is the membership as one plain map.
+// model is the expected membership as a plain map.
 type model map[string]Member
 
-// applyChange does the trace's next applyChange to both forms and returns the table.
+// applyChange applies the change that u encodes to the table and the model, and returns the table.
 func applyChange(t *rapid.T, table Table, n model, u uint32) Table {
 	vm := fmt.Sprintf("vm%d", u%12)
 	s := table.Shard(table.Index(vm))
@@ -53,7 +53,7 @@
 	return table.Replace(s.Index(), roundTrip(t, s), int64(u))
 }
 
-// roundTrip returns the shard after a way through its document.
+// roundTrip marshals the shard and returns the parsed result.
 func roundTrip(t *rapid.T, s Shard) Shard {
 	b, err := s.Marshal()
 	if err != nil {
@@ -66,6 +66,7 @@
 	return p
 }
 
+// checkTable checks that the table holds exactly the members of n.
 func checkTable(t *rapid.T, table Table, n model) {
 	if table.Len() != len(n) {
 		t.Fatalf("%d members, want %d", table.Len(), len(n))
@@ -77,6 +78,7 @@
 	}
 }
 
+// checkView checks that the view holds exactly the VMs of the table.
 func checkView(t *rapid.T, v View, table Table) {
 	for m := range table.All() {
 		if got, ok := v.Find(m.VM); !ok || got != newTarget(m) {
@@ -92,7 +94,8 @@
 	}
 }
 
-// TestTraces changes a membership at random beside a plain map, and lets views follow it by late, lost and repeated deltas.
+// TestTraces applies random changes to a table and to a map, and compares them. A view follows by late, lost and repeated
+// deltas; its versions must never go back, and it must equal the table at the end.
 func TestTraces(t *testing.T) {
 	gaps := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -125,7 +128,7 @@
 		}
 		checkView(t, v, table)
 	})
-	is.New(t).True(gaps > 0) // the traces miss versions.
+	is.New(t).True(gaps > 0) // the traces include missed versions.
 }
 
 func TestParseShard(t *testing.T) {
@@ -165,7 +168,7 @@
 	// Output: checks serving 2
 }
 
-// newFleetTable returns a table of n VMs in k pools, racks of four, all of them through a wave.
+// newFleetTable returns a table of n VMs in k pools, with four VMs a rack, all of which have finished a wave.
 func newFleetTable(n, k int) Table {
 	t := NewTable(Count)
 	puts := make([][]Member, Count)
--- a/fleet/pool/shard.go
+++ b/fleet/pool/shard.go
@@ -13,17 +13,17 @@
 // Count is the usual number of shards of one data centre's membership.
 const Count = 16
 
-// Index returns the shard, 0 to count-1, that the VM's name belongs to.
+// Index returns the index, 0 to count-1, of the shard that the VM's name belongs to.
 func Index(vm string, count int) int {
 	return int(xxhash.Sum64String(vm) % uint64(count))
 }
 
-// Shard is an immutable part of one data centre's membership, one entry for each VM.
+// Shard is an immutable part of one data centre's membership, with one entry for each VM.
 type Shard struct {
 	index, count int
 	version      int64
 	members      []Member // sorted by VM.
-	busy         []int    // positions of members that are not plainly serving.
+	busy         []int    // positions of the members that Busy yields.
 }
 
 // NewShard returns the empty shard with the given index of count shards.
@@ -31,7 +31,7 @@
 	return Shard{index: index, count: count}
 }
 
-// Index returns the shard's place among its siblings.
+// Index returns the index of the shard in the membership.
 func (s Shard) Index() int { return s.index }
 
 // Number returns the version, which grows with each change.
@@ -49,7 +49,7 @@
 	return s.members[i], true
 }
 
-// Put returns the shard with m added or replaced; ErrNotHere if the VM belongs to another shard.
+// Put returns the shard with m added or replaced, or ErrNotHere if the VM belongs to another shard.
 func (s Shard) Put(m Member) (Shard, error) {
 	return s.Change([]Member{m}, nil)
 }
@@ -64,7 +64,7 @@
 	return s.Put(m)
 }
 
-// SetState returns the shard with the VM in state t since at (Unix milliseconds), or ErrNoVM.
+// SetState returns the shard with the VM in state t since time at (Unix milliseconds), or ErrNoVM.
 func (s Shard) SetState(vm string, t State, at int64) (Shard, error) {
 	m, ok := s.Find(vm)
 	if !ok {
@@ -82,7 +82,8 @@
 	return s.Change(nil, []string{vm})
 }
 
-// Change returns the next version with all puts and drops made at once; ErrNotHere if a put belongs to another shard.
+// Change returns the next version of the shard with all puts and drops, or ErrNotHere if a put belongs to another shard. A VM
+// that is both put and dropped is dropped.
 func (s Shard) Change(puts []Member, drops []string) (Shard, error) {
 	next := make(map[string]Member, len(puts))
 	for _, m := range puts {
@@ -110,10 +111,10 @@
 	return buildShard(s.index, s.count, s.version+1, l), nil
 }
 
-// All yields every member by name.
+// All yields every member, sorted by name.
 func (s Shard) All() iter.Seq[Member] { return slices.Values(s.members) }
 
-// Busy yields the members that are not plainly serving.
+// Busy yields the members that are not serving, have a planned stop running or may still be drained on the platform.
 func (s Shard) Busy() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for _, i := range s.busy {
@@ -124,7 +125,7 @@
 	}
 }
 
-// Above returns the shard with a version of at least number, for writing it back over an older one.
+// Above returns the shard with its version raised to at least number, to write it over an older one in the store.
 func (s Shard) Above(number int64) Shard {
 	s.version = max(s.version, number)
 	return s
@@ -134,6 +135,7 @@
 	return sort.Find(len(s.members), func(i int) int { return strings.Compare(vm, s.members[i].VM) })
 }
 
+// buildShard returns a shard of the members l, which it sorts.
 func buildShard(index, count int, number int64, l []Member) Shard {
 	if !slices.IsSortedFunc(l, compareVMs) {
 		slices.SortFunc(l, compareVMs)
--- a/fleet/pool/table.go
+++ b/fleet/pool/table.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Table is the whole membership of one data centre as it was last read, with the service's revision of each shard.
+// Table is the whole membership of one data centre as last read, with the store's revision of each shard.
 type Table struct {
 	shards    []Shard
 	revisions []int64
@@ -26,7 +26,7 @@
 // Shard returns shard i.
 func (t Table) Shard(i int) Shard { return t.shards[i] }
 
-// Revision returns the service's revision of shard i, 0 if it was never written.
+// Revision returns the store's revision of shard i, 0 if it was never written.
 func (t Table) Revision(i int) int64 { return t.revisions[i] }
 
 // Replace returns the table with shard i and its revision replaced.
@@ -36,7 +36,7 @@
 	return t
 }
 
-// Index returns the shard that the VM's name belongs to.
+// Index returns the index of the shard that the VM's name belongs to.
 func (t Table) Index(vm string) int { return Index(vm, len(t.shards)) }
 
 // Find returns the VM's entry.
@@ -56,7 +56,7 @@
 	return n
 }
 
-// All yields every member, by shard and name.
+// All yields every member, sorted by shard and name.
 func (t Table) All() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for _, s := range t.shards {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Busy yields the members that are not plainly serving.
+// Busy yields the members that are not serving, have a planned stop running or may still be drained on the platform.
 func (t Table) Busy() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for _, s := range t.shards {
@@ -82,7 +82,7 @@
 	}
 }
 
-// InPool returns the pool's members, by shard and name.
+// InPool returns the pool's members, sorted by shard and name.
 func (t Table) InPool(pool string) []Member {
 	var l []Member
 	for m := range t.All() {
--- a/fleet/wave/bench_test.go
+++ b/fleet/wave/bench_test.go
@@ -7,7 +7,7 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// newMidWavePlanner returns a planner that has read a whole data centre and whose wave is in the middle.
+// newMidWavePlanner returns a planner that has read all documents and is in the middle of a wave, and its host list.
 func newMidWavePlanner(vms, pools int) (*Planner, HostsMsg) {
 	p, h := New("a", pool.Count), HostsMsg{At: 1000}
 	var rules []ServiceRule
--- a/fleet/wave/doc.go
+++ b/fleet/wave/doc.go
@@ -9,7 +9,7 @@
 //  4. Mark the stop as ended in the membership.
 //  5. Release the reservations.
 //
-// Each VM counts its ended stops (pool.Member.Seq), and a reservation is for the next number. The write that starts a
-// stop requires a shard that does not count the stop as ended, and a reservation is released only after a shard does.
+// The membership counts the ended stops of each VM, and a reservation is for the next number. The write that starts a stop
+// is conditional on a shard that does not count the stop as ended, and a reservation is released only after a shard does.
 // So a leader that acts on an old budget fails its write, and a new leader can continue from the documents alone.
 package wave
--- a/fleet/wave/message.go
+++ b/fleet/wave/message.go
@@ -80,7 +80,7 @@
 	Revision int64
 }
 
-// FreshMsg reports that every document delivered so far was the newest at time At, as a watch without a backlog shows.
+// FreshMsg reports that every document delivered so far was the newest at time At, as a watch that has caught up shows.
 type FreshMsg struct{ At int64 }
 
 // HostsMsg is the platform's host list for this data centre, requested at time At.
@@ -89,8 +89,8 @@
 	Hosts []Host
 }
 
-// HeardMsg is a report of an entry of the data centre. Drained lists the VMs that the entry sees as draining and has nothing in
-// flight to. Numbers holds the shard versions of its view, by which the planner detects a store that came back with older data.
+// HeardMsg is a report of an entry of the data centre. It lists the VMs that the entry sees as draining and has nothing in
+// flight to, and the shard versions of its view, by which the planner detects a store that came back with older data.
 type HeardMsg struct {
 	At      int64
 	Entry   string
@@ -98,7 +98,7 @@
 	Numbers []int64
 }
 
-// Drained reports that the entry has nothing in flight to the VM; its view holds version Number of the VM's shard.
+// Drained reports that the entry has nothing in flight to the VM, and the version of the VM's shard in the entry's view.
 type Drained struct {
 	VM     string
 	Number int64
@@ -178,13 +178,15 @@
 // Cmd is a command of the planner to its caller.
 type Cmd interface{ isCmd() }
 
-// WriteShardCmd writes the shard if the store still holds Revision (0: if it holds none). A WroteShardMsg must follow.
+// WriteShardCmd writes the shard if the store still holds Revision (0: if it holds none). The outcome
+// must be sent to the planner.
 type WriteShardCmd struct {
 	Shard    pool.Shard
 	Revision int64
 }
 
-// WriteBudgetCmd writes the budget if the store still holds Revision (0: if it holds none). A WroteBudgetMsg must follow.
+// WriteBudgetCmd writes the budget if the store still holds Revision (0: if it holds none). The outcome
+// must be sent to the planner.
 type WriteBudgetCmd struct {
 	Service  string
 	Budget   Budget
--- a/fleet/wave/planner_test.go
+++ b/fleet/wave/planner_test.go
@@ -8,7 +8,7 @@
 	"burdockreach.dev/fleet/pool"
 )
 
-// run lets both data centres' leaders work for the given seconds; boots says whether rebooted VMs come back.
+// run runs one leader in each data centre for the given seconds; boots says whether rebooted VMs come back.
 func (w *simulation) run(seconds int, boots bool) {
 	for range seconds {
 		w.advanceClock(1000)
@@ -16,7 +16,7 @@
 			w.refreshView(e)
 		}
 		for _, v := range w.vms {
-			if boots && v.planned {
+			if boots && v.plannedReboot {
 				w.boot(v)
 			}
 		}
@@ -26,7 +26,7 @@
 	}
 }
 
-// newJoinedSimulation returns a world whose VMs have joined, with the wave put off.
+// newJoinedSimulation returns a simulation whose VMs have joined the membership and whose wave is paused.
 func newJoinedSimulation(opts ...Option) *simulation {
 	w := newSimulation(opts...)
 	w.setWavePaused(true)
@@ -34,6 +34,7 @@
 	return w
 }
 
+// setWavePaused pauses or resumes the wave and delivers the policy to every leader.
 func (w *simulation) setWavePaused(paused bool) {
 	w.wave.Paused = paused
 	for _, l := range w.leaders {
@@ -41,6 +42,7 @@
 	}
 }
 
+// checkStops checks whether any planned stop of a serving pool has started.
 func (w *simulation) checkStops(t *testing.T, want bool) {
 	t.Helper()
 	got := 0
@@ -49,10 +51,12 @@
 			got++
 		}
 	}
-	is.New(t).Equal(got > 0, want) // planned stops have started.
+	is.New(t).Equal(got > 0, want) // whether planned stops have started.
 	is.New(t).Equal(w.violations, nil)
 }
 
+// TestGates checks that no planned stop starts while the wave is paused, an entry or data centre cannot be reached, or the
+// documents or the host list are too old.
 func TestGates(t *testing.T) {
 	t.Run("open", func(t *testing.T) {
 		w := newJoinedSimulation()
@@ -76,7 +80,7 @@
 	})
 	t.Run("entry unheard", func(t *testing.T) {
 		w := newJoinedSimulation()
-		w.entries[0].name, w.entries[2].name = "a-new", "b-new" // the list still shows the old names.
+		w.entries[0].name, w.entries[2].name = "a-new", "b-new" // the host list still shows the old names.
 		w.setWavePaused(false)
 		for range 20 {
 			w.advanceClock(1000)
@@ -107,6 +111,7 @@
 	})
 }
 
+// performAll runs the pending commands of all leaders, up to 40 each.
 func (w *simulation) performAll() {
 	for _, l := range w.leaders {
 		for range 40 {
@@ -115,7 +120,8 @@
 	}
 }
 
-// checkNoWrites lets the leaders learn of the wave by refresh alone and sees that they write nothing, but do once they know all.
+// checkNoWrites resumes the wave, delivers only what refresh does, and checks that the first leader writes nothing. Then it
+// delivers everything and checks that planned stops start.
 func (w *simulation) checkNoWrites(t *testing.T, refresh func(*simLeader)) {
 	t.Helper()
 	w.wave.Paused = false
@@ -134,7 +140,7 @@
 }
 
 func TestStopsEnd(t *testing.T) {
-	t.Run("a request in flight puts the VM back", func(t *testing.T) {
+	t.Run("a request in flight cancels the drain", func(t *testing.T) {
 		w := newJoinedSimulation()
 		before := map[string]int64{}
 		for _, v := range w.vms {
@@ -149,20 +155,20 @@
 		w.run(400, true)
 		is.New(t).Equal(w.violations, nil)
 		for _, v := range w.vms {
-			is.New(t).True(serves(v.pool) == (w.member(v.name).Wave == "")) // only VMs that serve nothing were rebooted.
+			is.New(t).True(serves(v.pool) == (w.member(v.name).Wave == "")) // only VMs of the idle pool were rebooted.
 		}
 		tries := 0
 		for _, v := range w.vms {
 			n := int(w.member(v.name).Seq - before[v.name])
 			tries += n
-			is.New(t).True(n <= 6) // each drain that ended so is followed by a pause twice as long.
+			is.New(t).True(n <= 6) // each timed-out drain doubles the backoff.
 		}
 		is.New(t).True(tries >= 6)
 	})
-	t.Run("an entry that the list shows late holds a drain up", func(t *testing.T) {
+	t.Run("an entry missing from the host list delays a drain", func(t *testing.T) {
 		w := newJoinedSimulation()
 		w.setWavePaused(false)
-		for range 5 { // at one moment: the list is still the one without the new entry, which nobody has heard.
+		for range 5 { // the time stands still: the host list lacks the new entry, which has not reported yet.
 			for _, o := range w.entries {
 				w.refreshView(o)
 			}
@@ -194,9 +200,9 @@
 			w.boot(v)
 		}
 		w.run(60, true)
-		is.New(t).Equal(w.unfinished(), nil) // goes on once all are back.
+		is.New(t).Equal(w.unfinished(), nil) // the wave continues once all VMs are back.
 	})
-	t.Run("a canary bounds what a bad wave breaks", func(t *testing.T) {
+	t.Run("a canary limits the VMs lost to a bad wave", func(t *testing.T) {
 		w := newJoinedSimulation(WithCanary(1))
 		for i := range w.rules {
 			w.rules[i].MaxOut = len(w.vms)
@@ -213,7 +219,7 @@
 			is.New(t).Equal(n, 1)
 		}
 	})
-	t.Run("failures that use the budget up take drains back", func(t *testing.T) {
+	t.Run("failures that exceed the budget cancel drains", func(t *testing.T) {
 		w := newJoinedSimulation()
 		for _, e := range w.entries {
 			e.inFlight["a0"], e.inFlight["a1"], e.inFlight["b0"], e.inFlight["b1"] = 1, 1, 1, 1
@@ -243,7 +249,7 @@
 	w.advanceClock(DefaultMaxAge/2 + 1)
 	l := w.leaders[0]
 	w.deliver(l, TickMsg{At: w.now})
-	is.New(t).Equal(len(l.pending), simShards+len(w.rules)) // nobody has said that they are the newest.
+	is.New(t).Equal(len(l.pending), simShards+len(w.rules)) // no message has confirmed them as the newest.
 	w.performAll()
 	w.deliver(l, TickMsg{At: w.now})
 	is.New(t).Equal(len(l.pending), 0)
@@ -259,15 +265,15 @@
 		ask(w)
 		w.run(4, true)
 		is.New(t).Equal(w.member("a0").State, pool.Draining) // a request is in flight.
-		is.New(t).Equal(w.member("a6").Pool, "orders")       // nothing is sent to spare VMs.
+		is.New(t).Equal(w.member("a6").Pool, "orders")       // the idle pool gets no requests, so the move needs no drain.
 		clear(w.entries[0].inFlight)
 		w.run(4, true)
 		is.New(t).Equal(w.member("a0").Pool, "grants")
-		is.New(t).Equal(w.vm("a0").pool, "grants") // the platform's side too.
+		is.New(t).Equal(w.vm("a0").pool, "grants") // the platform has moved it too.
 		is.New(t).Equal(w.budgets["orders"].doc.Out(), 0)
 		is.New(t).Equal(w.violations, nil)
 	})
-	t.Run("no room in the budget that loses the VM", func(t *testing.T) {
+	t.Run("no room in the budget of the old pool", func(t *testing.T) {
 		w := newJoinedSimulation()
 		w.crash(w.vm("a1"))
 		w.crash(w.vm("a2"))
@@ -279,6 +285,7 @@
 	})
 }
 
+// TestRejoin guards against a VM that leaves the membership and joins again with a stop number used before.
 func TestRejoin(t *testing.T) {
 	w := newJoinedSimulation()
 	v := w.vms[0]
@@ -288,16 +295,17 @@
 	w.crash(v)
 	v.gone = true
 	w.run(retentionMillis/1000+10, true)
-	is.New(t).Equal(w.member(v.name), pool.Member{}) // forgotten, and not out any more.
+	is.New(t).Equal(w.member(v.name), pool.Member{}) // removed from the membership and not out any more.
 	is.New(t).Equal(w.budgets["orders"].doc.Out(), 0)
 	w.boot(v)
 	w.run(2, true)
-	is.New(t).True(w.member(v.name).Seq > before.Seq) // a later stop never has an older one's number.
+	is.New(t).True(w.member(v.name).Seq > before.Seq) // stop numbers are never used twice.
 }
 
+// TestOlderStore guards against a store that comes back with an older shard: versions must not repeat, and the wave must finish.
 func TestOlderStore(t *testing.T) {
-	// back brings an older state of one shard back, with its own revision or with one that another writer gave it.
-	back := func(t *testing.T, revision func(w *simulation, old int64) int64) {
+	// runRestored puts an older version of one shard into the store during a wave, with the revision that the callback returns.
+	runRestored := func(t *testing.T, revision func(w *simulation, old int64) int64) {
 		w := newJoinedSimulation()
 		old := w.shards["a"][0]
 		w.setWavePaused(false)
@@ -305,7 +313,7 @@
 		number := w.shards["a"][0].doc.Number()
 		is.New(t).True(number > old.doc.Number())
 		w.shards["a"][0] = storedDoc[pool.Shard]{doc: old.doc, revision: revision(w, old.revision)}
-		w.leaders[0].planner.shards[0].mustRead = true // as after a write that the older state refused.
+		w.leaders[0].planner.shards[0].mustRead = true // as after a write that conflicted with the older revision.
 		w.run(1, true)
 		is.New(t).True(w.shards["a"][0].doc.Number() > number) // entries never see a version twice.
 		w.run(60, true)
@@ -314,19 +322,19 @@
 		}
 		is.New(t).Equal(w.violations, nil)
 	}
-	t.Run("with its revision", func(t *testing.T) {
-		back(t, func(_ *simulation, old int64) int64 { return old })
+	t.Run("with its old revision", func(t *testing.T) {
+		runRestored(t, func(_ *simulation, old int64) int64 { return old })
 	})
-	t.Run("and a new leader", func(t *testing.T) {
-		back(t, func(w *simulation, old int64) int64 {
+	t.Run("with its old revision and new leaders", func(t *testing.T) {
+		runRestored(t, func(w *simulation, old int64) int64 {
 			for _, l := range w.leaders {
 				w.restart(l)
 			}
 			return old
 		})
 	})
-	t.Run("written again by another", func(t *testing.T) {
-		back(t, func(w *simulation, _ int64) int64 {
+	t.Run("with a newer revision of another writer", func(t *testing.T) {
+		runRestored(t, func(w *simulation, _ int64) int64 {
 			w.revision++
 			return w.revision
 		})
--- a/fleet/wave/random_test.go
+++ b/fleet/wave/random_test.go
@@ -18,7 +18,7 @@
 	_ = flag.Set("rapid.checks", "60")
 }
 
-// checkBudget sees every write of a budget: a planned stop is never added beyond the bound.
+// checkBudget checks a write of a budget: no planned stop is added beyond MaxOut, and no running stop is released.
 func (w *simulation) checkBudget(service string, o, n Budget) {
 	maxOut := 0
 	for _, s := range w.rules {
@@ -39,7 +39,8 @@
 	}
 }
 
-// checkShard sees every write of the membership.
+// checkShard checks a write of a shard: versions grow, drains are reserved, moved VMs get no requests, and no VM serves during
+// its planned reboot.
 func (w *simulation) checkShard(dc string, o, n pool.Shard) {
 	k := fmt.Sprint(dc, n.Index())
 	if n.Number() <= w.highestVersions[k] {
@@ -58,15 +59,15 @@
 		if a.Pool != b.Pool {
 			w.checkMove(a)
 		}
-		if b.State == pool.Serving && a.State != pool.Serving && v.planned {
-			w.addViolation("%s serves before it is back", v.name)
+		if b.State == pool.Serving && a.State != pool.Serving && v.plannedReboot {
+			w.addViolation("%s serves before its planned reboot ends", v.name)
 		}
 	}
 }
 
 func serves(name string) bool { return name != "office" }
 
-// checkMove sees a VM leave its pool: no entry may still send to it there.
+// checkMove checks a change of pool: no entry may still send to the VM in its old pool.
 func (w *simulation) checkMove(m pool.Member) {
 	for _, e := range w.entries {
 		if t, ok := e.view.Find(m.VM); ok && serves(m.Pool) && t.Pool == m.Pool && t.State == pool.Serving {
@@ -78,7 +79,7 @@
 	}
 }
 
-// checkReserved sees a planned act on a VM: every budget concerned holds its reservation at this moment.
+// checkReserved checks a drain or reboot: the budget of every service of the pool must hold the reservation at this moment.
 func (w *simulation) checkReserved(vm, act string) {
 	m := w.member(vm)
 	for _, s := range w.rules {
@@ -96,7 +97,7 @@
 	return m
 }
 
-// checkPools sees the readers: no two hold one VM as serving in different pools.
+// checkPools checks the entries' views: no two entries may see a VM as serving in different pools.
 func (w *simulation) checkPools() {
 	for _, v := range w.vms {
 		in := ""
@@ -113,7 +114,7 @@
 	}
 }
 
-// runRound is a healthy second of one leader.
+// runRound delivers all documents and statuses to the leader and performs its commands without loss.
 func (w *simulation) runRound(l *simLeader, old uint32) {
 	w.deliverDocuments(l)
 	w.deliverStatus(l, old)
@@ -122,7 +123,7 @@
 	}
 }
 
-// doAction does the trace's next action.
+// doAction runs the action that u encodes.
 func (w *simulation) doAction(u uint32) {
 	a, n := u%16, u/16
 	l, e, v := w.leaders[n%4], w.entries[n%4], w.vms[n%14]
@@ -154,7 +155,7 @@
 	}
 }
 
-// injectFault brings a failure, a restart of the leader or a stale list about.
+// injectFault crashes the VM, restarts the leader, lets the VM go for good or makes a data centre unreachable.
 func (w *simulation) injectFault(l *simLeader, v *simVM, n uint32) {
 	switch n % 4 {
 	case 0:
@@ -169,7 +170,8 @@
 	}
 }
 
-// runHealthy ends all failures and lets one leader a data centre run for the given number of seconds.
+// runHealthy ends all failures and runs one leader in each data centre for the given number of seconds, or until the wave is
+// done.
 func (w *simulation) runHealthy(seconds int) {
 	for i := range seconds {
 		if i%25 == 24 && len(w.unfinished()) == 0 {
@@ -192,7 +194,7 @@
 	}
 }
 
-// unfinished tells what keeps the wave from being done and the fleet from being whole.
+// unfinished describes each VM and budget that keeps the wave from being done or the fleet from being healthy.
 func (w *simulation) unfinished() []string {
 	var l []string
 	for _, v := range w.vms {
@@ -208,6 +210,8 @@
 	return l
 }
 
+// TestRandomTraces runs random actions, with lost and late writes, racing leaders and failures. It checks each write and call,
+// and that the wave finishes once the failures end.
 func TestRandomTraces(t *testing.T) {
 	reboots, runs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -226,6 +230,6 @@
 			t.Fatal(w.violations)
 		}
 	})
-	is.New(t).True(reboots > runs) // the traces reach the acts that they check.
+	is.New(t).True(reboots > runs) // the traces are long enough to reboot VMs.
 	t.Log("planned reboots during the faulty parts:", reboots)
 }
--- a/fleet/wave/replay.go
+++ b/fleet/wave/replay.go
@@ -77,7 +77,7 @@
 	budgets            map[string]BudgetMsg
 	planners           map[string]*Planner
 	vms                map[string]*replayVM
-	names              []string         // data centres.
+	dataCentres        []string         // data centres.
 	deliveredRevisions map[string]int64 // by data centre and service: revision last delivered to the planner.
 	result             Result
 	lastWriteAt        int64 // time of the last write.
@@ -99,7 +99,7 @@
 	r := newReplay(t, opts)
 	for r.now = 0; r.now < replayMaxMillis; r.now += replayStepMillis {
 		r.advanceVMs()
-		for _, dc := range r.names {
+		for _, dc := range r.dataCentres {
 			r.deliverBudgets(dc)
 			if r.now%replayReportMillis == 0 {
 				r.deliver(dc, FreshMsg{At: r.now})
@@ -132,11 +132,11 @@
 	}
 	for _, v := range t.VMs {
 		r.vms[v.Name] = &replayVM{TraceVM: v, boot: 1}
-		if !slices.Contains(r.names, v.DataCentre) {
-			r.names = append(r.names, v.DataCentre)
+		if !slices.Contains(r.dataCentres, v.DataCentre) {
+			r.dataCentres = append(r.dataCentres, v.DataCentre)
 		}
 	}
-	for _, dc := range r.names {
+	for _, dc := range r.dataCentres {
 		table := pool.NewTable(pool.Count)
 		r.shards[dc], r.planners[dc] = &table, New(dc, pool.Count, opts...)
 		r.deliver(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
@@ -259,7 +259,7 @@
 // measure samples the VMs and racks that are out.
 func (r *replay) measure() {
 	out, racks := map[string]int{}, map[string]bool{}
-	for _, dc := range r.names {
+	for _, dc := range r.dataCentres {
 		for m := range r.shards[dc].Busy() {
 			if m.State != pool.Serving {
 				out[m.Pool]++
@@ -292,8 +292,8 @@
 	return true
 }
 
-// bounds returns the longest of the services' schedules with the same times, and a bound under every schedule.
-func (t Trace) bounds() (least, bound int64) {
+// bounds returns the longest of the services' schedules by the longest job first, and a lower bound of any schedule.
+func (t Trace) bounds() (schedule, lowerBound int64) {
 	for _, s := range t.Services {
 		var l []int64
 		var sum int64
@@ -307,13 +307,13 @@
 			continue
 		}
 		slices.Sort(l)
-		bound = max(bound, sum/int64(s.MaxOut), l[len(l)-1])
+		lowerBound = max(lowerBound, sum/int64(s.MaxOut), l[len(l)-1])
 		room := make([]int64, s.MaxOut)
 		for _, d := range slices.Backward(l) {
 			room[0] += d
 			slices.Sort(room)
 		}
-		least = max(least, room[len(room)-1])
+		schedule = max(schedule, room[len(room)-1])
 	}
-	return least, bound
+	return schedule, lowerBound
 }
--- a/fleet/wave/replay_test.go
+++ b/fleet/wave/replay_test.go
@@ -7,6 +7,7 @@
 	"github.com/matryer/is"
 )
 
+// TestReplay checks that a wave keeps the budget and takes at most 10% longer than the longest-job-first schedule.
 func TestReplay(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -19,6 +20,7 @@
 	}
 }
 
+// TestBadWave checks that canaries at least halve the VMs lost to a wave whose reboots never end.
 func TestBadWave(t *testing.T) {
 	d := DayTrace(1, 60, 9)
 	for i := range d.VMs {
@@ -26,7 +28,7 @@
 	}
 	a, b := Replay(d), Replay(d, WithCanary(0))
 	t.Logf("lost with a canary %d, without %d of %d", a.Lost, b.Lost, len(d.VMs))
-	is.New(t).Equal(a.Took, int64(0)) // stopped itself.
+	is.New(t).Equal(a.Took, int64(0)) // the wave stops before it is done.
 	is.New(t).True(a.Lost*2 < b.Lost)
 }
 
--- a/fleet/wave/simulation_test.go
+++ b/fleet/wave/simulation_test.go
@@ -12,29 +12,30 @@
 	simMaxOut = 2
 )
 
-// storedDoc is one document of the store and its revision.
+// storedDoc is a document in the store with its revision.
 type storedDoc[T any] struct {
 	doc      T
 	revision int64
 }
 
-// simVM is the truth about one VM.
+// simVM is the actual state of one VM, as opposed to what documents and host lists show.
 type simVM struct {
 	name, dc, rack, pool string
 	alive, drained, gone bool
 	boot                 int64
-	ops                  map[string]bool
-	planned              bool // down by a planned reboot.
+	seenOps              map[string]bool
+	plannedReboot        bool // down by a planned reboot.
 }
 
-// simEntry is one simEntry with its view and its requests in flight.
+// simEntry is an entry with its view of the membership and its requests in flight by VM.
 type simEntry struct {
 	name, dc string
 	view     pool.View
 	inFlight map[string]int
 }
 
-// simLeader is one planner, with commands not yet performed and writes whose answer is given up but that may yet land.
+// simLeader is a leader with its planner, the commands not performed yet, and late ones: commands of a former process and
+// writes reported as unknown, which may still take effect.
 type simLeader struct {
 	dc       string
 	planner  *Planner
@@ -42,14 +43,14 @@
 	lateCmds []Cmd
 }
 
-// simulation runs several leaders a data centre against one store and one platform and checks every act.
+// simulation runs several leaders in each data centre against one store and one platform, and checks each write and call.
 type simulation struct {
 	now             int64
 	revision        int64
 	shards          map[string][]storedDoc[pool.Shard]
 	budgets         map[string]storedDoc[Budget]
 	vms             []*simVM
-	lists           map[string][][]Host // the last lists of each data centre, newest last.
+	lists           map[string][][]Host // by data centre: the host lists of the list lag, newest last.
 	entries         []*simEntry
 	leaders         []*simLeader
 	wave            Wave
@@ -60,7 +61,7 @@
 	violations      []string
 }
 
-// simPools are the pools of each data centre's VMs; office serves nothing.
+// simPools holds the pool of each VM of a data centre; office is an idle pool.
 var simPools = []string{"orders", "orders", "orders", "orders", "grants", "grants", "office"}
 
 var simServices = []ServiceRule{
@@ -82,7 +83,7 @@
 		for i, p := range simPools {
 			w.vms = append(w.vms, &simVM{
 				name: fmt.Sprintf("%s%d", dc, i), dc: dc, rack: fmt.Sprintf("%s-r%d", dc, i%3),
-				pool: p, alive: true, boot: 1, ops: map[string]bool{},
+				pool: p, alive: true, boot: 1, seenOps: map[string]bool{},
 			})
 		}
 		for i := range 2 {
@@ -111,7 +112,8 @@
 	l.pending = append(l.pending, l.planner.Update(m)...)
 }
 
-// advanceClock lets time go by and keeps the lists that a lagging platform may show.
+// advanceClock advances the time and records the current host lists; those within the list lag are kept, since the platform
+// may still show them.
 func (w *simulation) advanceClock(millis int64) {
 	w.now += millis
 	for _, dc := range []string{"a", "b"} {
@@ -144,7 +146,8 @@
 	}
 }
 
-// deliverStatus gives the leader the platform's list, the entries' word and the state of VMs that entries see.
+// deliverStatus delivers a host list, the entries' reports and the VMs' failures and recoveries to the leader, then a tick.
+// old selects the host list.
 func (w *simulation) deliverStatus(l *simLeader, old uint32) {
 	lists := w.lists[l.dc]
 	w.deliver(l, HostsMsg{At: w.now, Hosts: lists[int(old)%len(lists)]})
@@ -163,6 +166,7 @@
 	w.deliver(l, TickMsg{At: w.now})
 }
 
+// report returns the entry's report: the draining VMs that it has nothing in flight to.
 func (e *simEntry) report(at int64) HeardMsg {
 	m := HeardMsg{At: at, Entry: e.name, Numbers: e.view.Numbers()}
 	for _, p := range []string{"orders", "grants", "office"} {
@@ -175,7 +179,7 @@
 	return m
 }
 
-// deliverDocuments gives the leader every document as it stands.
+// deliverDocuments delivers the current version of every document to the leader.
 func (w *simulation) deliverDocuments(l *simLeader) {
 	for i, c := range w.shards[l.dc] {
 		w.deliver(l, ShardMsg{At: w.now, Shard: w.shards[l.dc][i].doc, Revision: c.revision})
@@ -186,7 +190,7 @@
 	}
 }
 
-// refreshView brings the entry's view up to the store.
+// refreshView updates the entry's view from the store.
 func (w *simulation) refreshView(e *simEntry) {
 	t := pool.NewTable(simShards)
 	for i, c := range w.shards[e.dc] {
@@ -199,7 +203,7 @@
 	e.view = v
 }
 
-// sendRequest starts a request to some VM that the entry's view shows serving.
+// sendRequest starts a request to one of the VMs that the entry's view shows as serving.
 func (w *simulation) sendRequest(e *simEntry, n uint32) {
 	var l []string
 	for _, t := range append(e.view.InPool("orders"), e.view.InPool("grants")...) {
@@ -211,7 +215,7 @@
 		return
 	}
 	v := w.vm(l[int(n)%len(l)])
-	if v.planned {
+	if v.plannedReboot {
 		w.addViolation("%s sent to %s during its planned reboot", e.name, v.name)
 	}
 	if v.alive {
@@ -224,7 +228,8 @@
 	return w.vms[i]
 }
 
-// perform does one pending command; lose says what becomes of a write: 0 told, 1 applied but unknown, 2 never applied, 3 late.
+// perform runs pending command i. For writes, lose%4 selects the outcome: 0 reported, 1 applied but unknown, 2 never applied,
+// 3 unknown and applied later. For other calls, the result is delivered only for 0.
 func (w *simulation) perform(l *simLeader, i int, lose uint32) {
 	if len(l.pending) == 0 {
 		return
@@ -253,6 +258,7 @@
 	}
 }
 
+// performWrite runs a write with the outcome that lose selects.
 func (w *simulation) performWrite(l *simLeader, c Cmd, lose uint32) (Outcome, int64) {
 	switch lose % 4 {
 	case 1:
@@ -266,7 +272,7 @@
 	return Unknown, 0
 }
 
-// performLate performs one call of a process that is paused, replaced or has given the answer up.
+// performLate runs late command i of the leader; no result is delivered.
 func (w *simulation) performLate(l *simLeader, i int) {
 	if len(l.lateCmds) == 0 {
 		return
@@ -282,7 +288,7 @@
 	}
 }
 
-// commitWrite does a conditional write and checks what it changes.
+// commitWrite applies a conditional write and checks the change.
 func (w *simulation) commitWrite(dc string, c Cmd) (Outcome, int64) {
 	switch c := c.(type) {
 	case WriteShardCmd:
@@ -305,7 +311,7 @@
 	return Applied, w.revision
 }
 
-// applyCall does what the platform is told.
+// applyCall applies a call to the platform.
 func (w *simulation) applyCall(c Cmd) {
 	switch c := c.(type) {
 	case DrainCmd:
@@ -319,6 +325,7 @@
 	}
 }
 
+// acknowledge delivers the platform's result of a call.
 func (w *simulation) acknowledge(l *simLeader, c Cmd) {
 	switch c := c.(type) {
 	case RebootCmd:
@@ -328,29 +335,31 @@
 	}
 }
 
+// reboot takes the VM down, once for each op. No request may be in flight and every budget must hold the reservation.
 func (w *simulation) reboot(v *simVM, op string) {
-	if v.ops[op] {
+	if v.seenOps[op] {
 		return
 	}
-	v.ops[op] = true
+	v.seenOps[op] = true
 	w.reboots++
 	for _, e := range w.entries {
 		if e.inFlight[v.name] > 0 {
-			w.addViolation("reboot of %s cuts %d requests of %s", v.name, e.inFlight[v.name], e.name)
+			w.addViolation("reboot of %s interrupts %d requests of %s", v.name, e.inFlight[v.name], e.name)
 		}
 	}
 	w.checkReserved(v.name, "reboot")
-	v.alive, v.planned, v.drained = false, true, false
+	v.alive, v.plannedReboot, v.drained = false, true, false
 }
 
-// boot boots a VM that is down.
+// boot starts a VM that is down.
 func (w *simulation) boot(v *simVM) {
 	if !v.alive {
-		v.alive, v.planned, v.gone = true, false, false
+		v.alive, v.plannedReboot, v.gone = true, false, false
 		v.boot++
 	}
 }
 
+// crash takes the VM down without a plan; its requests in flight fail.
 func (w *simulation) crash(v *simVM) {
 	if !v.alive {
 		return
