--- a/fleet/pool/codec.go
+++ b/fleet/pool/codec.go
@@ -92,11 +92,11 @@
 	l := make([]Member, 0, len(w.VMs))
 	for vm, e := range w.VMs {
 		if Index(vm, count) != index {
-			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: %s", index, vm)
+			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: VM %s", index, vm)
 		}
 		m, ok := w.decode(vm, e)
 		if !ok {
-			return Shard{}, eris.Wrapf(ErrMalformed, "parse shard %d: entry %s", index, vm)
+			return Shard{}, eris.Wrapf(ErrMalformed, "parse shard %d: entry of VM %s", index, vm)
 		}
 		l = append(l, m)
 	}
--- a/fleet/wave/budget.go
+++ b/fleet/wave/budget.go
@@ -20,7 +20,7 @@
 	VM         string `json:"v"`
 	DataCentre string `json:"d"`
 	Rack       string `json:"r,omitempty"`
-	Since      int64  `json:"t"`           // time of the reservation or failure, Unix milliseconds.
+	Since      int64  `json:"t"`           // time of the reservation, or of the VM's last change of state for a failure; Unix milliseconds.
 	Wave       string `json:"w,omitempty"` // wave of a planned stop; empty for moves and failures.
 	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure without one.
 	Seq        int64  `json:"q,omitempty"` // number of the planned stop among those of the VM.
@@ -115,7 +115,7 @@
 	slices.SortFunc(w.Out, func(a, b Absence) int { return strings.Compare(a.VM, b.VM) })
 	for i, a := range w.Out {
 		if a.VM == "" || i > 0 && w.Out[i-1].VM == a.VM {
-			return Budget{}, eris.Wrapf(ErrMalformed, "parse budget: entry %q", a.VM)
+			return Budget{}, eris.Wrapf(ErrMalformed, "parse budget: VM name %q is empty or repeated", a.VM)
 		}
 	}
 	return Budget{version: w.Version, absences: w.Out}, nil
--- a/fleet/wave/call.go
+++ b/fleet/wave/call.go
@@ -37,7 +37,8 @@
 	return l
 }
 
-// needsUndrain reports whether the platform shows a VM as leaving though no planned stop of it runs any more.
+// needsUndrain reports whether the platform shows a VM without a running stop as leaving, and the VM has a drain left over from
+// an ended stop, or has been out or failed for the leaving timeout.
 func (p *Planner) needsUndrain(m pool.Member) bool {
 	if m.Op != "" || p.hosts[m.VM].State != Leaving || p.reportedDead[m.VM] {
 		return false
--- a/fleet/wave/message.go
+++ b/fleet/wave/message.go
@@ -58,7 +58,8 @@
 // TickMsg advances the time: the planner scans the fleet, repeats calls and checks its timeouts. It is meant to come once a second.
 type TickMsg struct{ At int64 }
 
-// PolicyMsg replaces the services and the waves with those configured; it holds every service.
+// PolicyMsg replaces the services and the waves with those configured; it holds all services of the
+// data centre.
 type PolicyMsg struct {
 	At       int64
 	Services []ServiceRule
--- a/fleet/wave/planner.go
+++ b/fleet/wave/planner.go
@@ -19,13 +19,13 @@
 	// DefaultIdleOut is the number of VMs of an idle pool, one without services, that may be out at once for a wave.
 	DefaultIdleOut = 4
 
-	minCanaryBudget      = 4       // below this, the budget itself limits a bad wave as much, so canaries would only cost time.
+	minCanaryBudget      = 4       // smaller budgets limit a bad wave as well by themselves, so canaries would only cost time.
 	retryMillis          = 2_000   // interval between repeats of an unanswered call or read.
-	retentionMillis      = 600_000 // time after which a VM that is gone leaves the membership.
+	retentionMillis      = 600_000 // time after which a VM that is gone leaves the membership; also the longest backoff.
 	entryGraceMillis     = 60_000  // time after its last report at which an unlisted entry counts as gone.
 	moveTimeoutMillis    = 120_000 // time after which a move that has not started is dropped.
 	lateDrainMillis      = 60_000  // time after a wave's stop in which a drain counts as a late call of this planner.
-	leavingTimeoutMillis = 600_000 // time after which a VM that the platform shows as leaving, but does not stop, is undrained.
+	leavingTimeoutMillis = 600_000 // time after which a VM that is shown as leaving, but does not stop, is undrained.
 	idleDrainMillis      = 30_000  // drain timeout in an idle pool.
 	idleRebootMillis     = 600_000 // reboot timeout in an idle pool.
 )
@@ -50,7 +50,7 @@
 	listedAt        int64                       // request time of the host list; 0 before the first.
 	entries         []string                    // entries of the host list that are not gone.
 	reportedAt      map[string]int64            // by entry: time of its last report.
-	drainedVersions map[string]map[string]int64 // by VM, then entry: the shard version at which the entry had nothing in flight to the VM.
+	drainedVersions map[string]map[string]int64 // by VM, then entry: shard version at which nothing was in flight to the VM.
 	drainStarts     map[string]drainStart       // by VM.
 	reportedDead    map[string]bool             // VMs that the entries find dead.
 	goneSince       map[string]int64            // by VM: when a scan first found it gone.
--- a/fleet/wave/planner_test.go
+++ b/fleet/wave/planner_test.go
@@ -69,7 +69,7 @@
 		w.run(10, true)
 		w.checkStops(t, false)
 	})
-	t.Run("data centre unheard", func(t *testing.T) {
+	t.Run("data centre unreachable", func(t *testing.T) {
 		w := newJoinedSimulation()
 		for _, l := range w.leaders {
 			w.deliver(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}})
@@ -78,7 +78,7 @@
 		w.run(10, true)
 		w.checkStops(t, false)
 	})
-	t.Run("entry unheard", func(t *testing.T) {
+	t.Run("entry without a report", func(t *testing.T) {
 		w := newJoinedSimulation()
 		w.entries[0].name, w.entries[2].name = "a-new", "b-new" // the host list still shows the old names.
 		w.setWavePaused(false)
@@ -98,7 +98,7 @@
 		w.advanceClock(DefaultMaxAge + 1)
 		w.checkNoWrites(t, func(l *simLeader) { w.deliverStatus(l, 0) })
 	})
-	t.Run("list too old", func(t *testing.T) {
+	t.Run("host list too old", func(t *testing.T) {
 		w := newJoinedSimulation()
 		w.advanceClock(DefaultMaxAge + 1)
 		w.checkNoWrites(t, func(l *simLeader) {
--- a/fleet/wave/random_test.go
+++ b/fleet/wave/random_test.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// injectFault crashes the VM, restarts the leader, lets the VM go for good or makes a data centre unreachable.
+// injectFault crashes the VM, restarts the leader, makes the VM gone on the platform, or changes whether another data
+// centre can be reached.
 func (w *simulation) injectFault(l *simLeader, v *simVM, n uint32) {
 	switch n % 4 {
 	case 0:
--- a/fleet/wave/reserve.go
+++ b/fleet/wave/reserve.go
@@ -125,9 +125,9 @@
 	if !p.areStopsAllowed() || !p.haveSendersReported() || !p.areBudgetsFresh(name) {
 		return b
 	}
-	wrecked, room := p.stoppedWave(name), p.services[name][0].MaxOut
+	stopped, room := p.stoppedWave(name), p.services[name][0].MaxOut
 	for _, t := range p.queues[name] {
-		if t.wave == wrecked && wrecked != "" || p.backoffs[t.vm].until > p.now || !p.isUp(t.vm) {
+		if t.wave == stopped && stopped != "" || p.backoffs[t.vm].until > p.now || !p.isUp(t.vm) {
 			continue // the queue is as old as the last scan; starts would withdraw the reservation at once.
 		}
 		m, ok := p.table.Find(t.vm)
--- a/fleet/wave/simulation_test.go
+++ b/fleet/wave/simulation_test.go
@@ -50,7 +50,7 @@
 	shards          map[string][]storedDoc[pool.Shard]
 	budgets         map[string]storedDoc[Budget]
 	vms             []*simVM
-	lists           map[string][][]Host // by data centre: the host lists of the list lag, newest last.
+	lists           map[string][][]Host // by data centre: the host lists that the platform may still show, newest last.
 	entries         []*simEntry
 	leaders         []*simLeader
 	wave            Wave
--- a/fleet/wave/status.go
+++ b/fleet/wave/status.go
@@ -12,17 +12,17 @@
 	if m.At < p.listedAt {
 		return
 	}
-	h, workers := make(map[string]Host, len(m.Hosts)), 0
+	h, targets := make(map[string]Host, len(m.Hosts)), 0
 	var entries []string
 	for _, v := range m.Hosts {
 		h[v.Name] = v
 		if !v.Entry {
-			workers++
+			targets++
 		} else if v.State != Gone {
 			entries = append(entries, v.Name)
 		}
 	}
-	if workers == 0 {
+	if targets == 0 {
 		return
 	}
 	p.hosts, p.listedAt, p.entries = h, m.At, entries
@@ -56,7 +56,8 @@
 	return l
 }
 
-// haveSendersReported reports whether every entry that may still send has reported within the allowed age, as a drain needs to end.
+// haveSendersReported reports whether every entry that may still send has reported within the allowed age. No drain
+// can end otherwise.
 func (p *Planner) haveSendersReported() bool {
 	l := p.senders()
 	for _, e := range l {
--- a/fleet/wave/step.go
+++ b/fleet/wave/step.go
@@ -30,8 +30,8 @@
 }
 
 // restoreMembers returns the members to write when the store holds an older version of a shard than one seen before.
-// Drains are cancelled. Stop numbers continue from at least minVersion, so that no reservation or op of the lost
-// versions matches a later stop.
+// Drains are cancelled; members with a running reboot are left out. Stop numbers continue from at least minVersion, so that
+// no reservation or op of the lost versions matches a later stop.
 func (p *Planner) restoreMembers(s pool.Shard, minVersion int64) []pool.Member {
 	var l []pool.Member
 	for m := range s.All() {
@@ -240,7 +240,8 @@
 	return m
 }
 
-// opID returns the id of the VM's next planned stop. It is the same at every leader, so the platform reboots at most once.
+// opID returns the id of the VM's next planned stop. It is the same at every leader, so the platform
+// reboots the VM at most once for it.
 func opID(dataCentre string, m pool.Member, w string) string {
 	return fmt.Sprintf("%s/%s/%d/%s", dataCentre, m.VM, m.Seq+1, w)
 }
