--- a/fleet/pool/shard.go
+++ b/fleet/pool/shard.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// Above returns the shard with its version raised to at least number, to write it over an older one in the store.
-func (s Shard) Above(number int64) Shard {
-	s.version = max(s.version, number)
+// Above returns the shard with its version raised to at least minVersion, to write it over an older one in the store.
+func (s Shard) Above(minVersion int64) Shard {
+	s.version = max(s.version, minVersion)
 	return s
 }
 
--- a/fleet/wave/planner_test.go
+++ b/fleet/wave/planner_test.go
@@ -310,12 +310,12 @@
 		old := w.shards["a"][0]
 		w.setWavePaused(false)
 		w.run(40, true)
-		number := w.shards["a"][0].doc.Number()
-		is.New(t).True(number > old.doc.Number())
+		version := w.shards["a"][0].doc.Number()
+		is.New(t).True(version > old.doc.Number())
 		w.shards["a"][0] = storedDoc[pool.Shard]{doc: old.doc, revision: revision(w, old.revision)}
 		w.leaders[0].planner.shards[0].mustRead = true // as after a write that conflicted with the older revision.
 		w.run(1, true)
-		is.New(t).True(w.shards["a"][0].doc.Number() > number) // entries never see a version twice.
+		is.New(t).True(w.shards["a"][0].doc.Number() > version) // entries never see a version twice.
 		w.run(60, true)
 		for _, v := range w.vms {
 			is.New(t).Equal(w.member(v.name).Wave, "w1")
