--- a/fleet/pool/shard.go
+++ b/fleet/pool/shard.go
@@ -136,11 +136,11 @@
 }
 
 // buildShard returns a shard of the members l, which it sorts.
-func buildShard(index, count int, number int64, l []Member) Shard {
+func buildShard(index, count int, version int64, l []Member) Shard {
 	if !slices.IsSortedFunc(l, compareVMs) {
 		slices.SortFunc(l, compareVMs)
 	}
-	s := Shard{index: index, count: count, version: number, members: l}
+	s := Shard{index: index, count: count, version: version, members: l}
 	for i, m := range l {
 		if m.State != Serving || m.Op != "" || m.Shut {
 			s.busy = append(s.busy, i)
