--- a/fleet/pool/codec.go
+++ b/fleet/pool/codec.go
@@ -6,18 +6,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// shardWire is a shard's document: VMs by name, with names that recur held once.
+// shardWire is the stored form of a shard: its VMs by name. Each name of a pool, rack or wave is stored once.
 type shardWire struct {
-	Number int64           `json:"n"`
-	Base   int64           `json:"b,omitempty"` // subtracted from every time.
-	Pools  []string        `json:"pools,omitempty"`
-	Racks  []string        `json:"racks,omitempty"`
-	Waves  []string        `json:"waves,omitempty"`
-	VMs    map[string]line `json:"vms"`
+	Version int64                 `json:"n"`
+	Base    int64                 `json:"b,omitempty"` // subtracted from every time, Unix milliseconds.
+	Pools   []string              `json:"pools,omitempty"`
+	Racks   []string              `json:"racks,omitempty"`
+	Waves   []string              `json:"waves,omitempty"`
+	VMs     map[string]memberWire `json:"vms"`
 }
 
-// line is one VM's entry; names are positions in the lists, waves counted from 1.
-type line struct {
+// memberWire is the stored form of a Member. Names are positions in the lists of shardWire; waves count from 1, and 0 is none.
+type memberWire struct {
 	Pool  int    `json:"p,omitempty"`
 	Rack  int    `json:"r,omitempty"`
 	State State  `json:"s,omitempty"`
@@ -31,26 +31,28 @@
 	Shut  bool   `json:"h,omitempty"`
 }
 
-// names gives each name its position in order of first use.
-type names struct {
-	list []string
-	at   map[string]int
+// nameIndex assigns positions to names in order of first use.
+type nameIndex struct {
+	list  []string
+	index map[string]int
 }
 
-func (n *names) add(s string) int {
-	i, ok := n.at[s]
+// add returns the position of s, which it appends if it is new.
+func (n *nameIndex) add(s string) int {
+	i, ok := n.index[s]
 	if ok {
 		return i
 	}
-	if n.at == nil {
-		n.at = make(map[string]int)
+	if n.index == nil {
+		n.index = make(map[string]int)
 	}
 	i = len(n.list)
-	n.at[s], n.list = i, append(n.list, s)
+	n.index[s], n.list = i, append(n.list, s)
 	return i
 }
 
-func (n *names) addOptional(s string) int {
+// addOptional returns the position of s counted from 1, or 0 for an empty s.
+func (n *nameIndex) addOptional(s string) int {
 	if s == "" {
 		return 0
 	}
@@ -59,15 +61,15 @@
 
 // Marshal returns the shard as compact JSON.
 func (s Shard) Marshal() ([]byte, error) {
-	var pools, racks, waves names
-	w := shardWire{Number: s.number, VMs: make(map[string]line, len(s.members))}
+	var pools, racks, waves nameIndex
+	w := shardWire{Version: s.version, VMs: make(map[string]memberWire, len(s.members))}
 	for i, m := range s.members {
 		if i == 0 || m.Since < w.Base {
 			w.Base = m.Since
 		}
 	}
 	for _, m := range s.members {
-		w.VMs[m.VM] = line{
+		w.VMs[m.VM] = memberWire{
 			Pool: pools.add(m.Pool), Rack: racks.add(m.Rack), State: m.State, Wave: waves.addOptional(m.Wave),
 			Since: m.Since - w.Base, Op: m.Op, Doing: waves.addOptional(m.Doing), To: m.To, Boot: m.Boot, Seq: m.Seq, Shut: m.Shut,
 		}
@@ -80,7 +82,8 @@
 	return b, nil
 }
 
-// ParseShard reads the shard with the given index of count shards; ErrMalformed or ErrNotHere if it holds what it must not.
+// ParseShard parses the shard with the given index of count shards. It returns ErrMalformed if the JSON or an entry is not valid,
+// and ErrNotHere if a VM belongs to another shard.
 func ParseShard(b []byte, index, count int) (Shard, error) {
 	var w shardWire
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -89,22 +92,23 @@
 	l := make([]Member, 0, len(w.VMs))
 	for vm, e := range w.VMs {
 		if Index(vm, count) != index {
-			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: %s", index, vm)
+			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: VM %s", index, vm)
 		}
-		m, ok := w.member(vm, e)
+		m, ok := w.decode(vm, e)
 		if !ok {
-			return Shard{}, eris.Wrapf(ErrMalformed, "parse shard %d: entry %s", index, vm)
+			return Shard{}, eris.Wrapf(ErrMalformed, "parse shard %d: entry of VM %s", index, vm)
 		}
 		l = append(l, m)
 	}
-	return build(index, count, w.Number, l), nil
+	return buildShard(index, count, w.Version, l), nil
 }
 
-func (w shardWire) member(vm string, e line) (Member, bool) {
-	p, okPool := name(w.Pools, e.Pool)
-	r, okRack := name(w.Racks, e.Rack)
-	v, okWave := optional(w.Waves, e.Wave)
-	d, okDoing := optional(w.Waves, e.Doing)
+// decode returns the member of entry e and whether the entry is valid.
+func (w shardWire) decode(vm string, e memberWire) (Member, bool) {
+	p, okPool := nameAt(w.Pools, e.Pool)
+	r, okRack := nameAt(w.Racks, e.Rack)
+	v, okWave := optionalNameAt(w.Waves, e.Wave)
+	d, okDoing := optionalNameAt(w.Waves, e.Doing)
 	ok := vm != "" && okPool && okRack && okWave && okDoing && e.State >= Serving && e.State <= Failed
 	m := Member{
 		VM: vm, Pool: p, Rack: r, State: e.State, Wave: v, Since: e.Since + w.Base,
@@ -113,16 +117,18 @@
 	return m, ok
 }
 
-func name(l []string, i int) (string, bool) {
+// nameAt returns the name at position i and whether the position is valid.
+func nameAt(l []string, i int) (string, bool) {
 	if i < 0 || i >= len(l) {
 		return "", false
 	}
 	return l[i], true
 }
 
-func optional(l []string, i int) (string, bool) {
+// optionalNameAt returns the name at position i counted from 1, "" for 0, and whether the position is valid.
+func optionalNameAt(l []string, i int) (string, bool) {
 	if i == 0 {
 		return "", true
 	}
-	return name(l, i-1)
+	return nameAt(l, i-1)
 }
--- a/fleet/pool/pool_test.go
+++ b/fleet/pool/pool_test.go
@@ -17,11 +17,11 @@
 
 const testShards = 3
 
-// naive is the membership as one plain map.
-type naive map[string]Member
+// model is the expected membership as a plain map.
+type model map[string]Member
 
-// change does the trace's next change to both forms and returns the table.
-func change(t *rapid.T, table Table, n naive, u uint32) Table {
+// applyChange applies the change that u encodes to the table and the model, and returns the table.
+func applyChange(t *rapid.T, table Table, n model, u uint32) Table {
 	vm := fmt.Sprintf("vm%d", u%12)
 	s := table.Shard(table.Index(vm))
 	_, ok := n[vm]
@@ -50,11 +50,11 @@
 	if ok != (err == nil) || !ok && !errors.Is(err, ErrNoVM) {
 		t.Fatalf("%s known %v, error %v", vm, ok, err)
 	}
-	return table.Replace(s.Index(), reload(t, s), int64(u))
+	return table.Replace(s.Index(), roundTrip(t, s), int64(u))
 }
 
-// reload returns the shard after a way through its document.
-func reload(t *rapid.T, s Shard) Shard {
+// roundTrip marshals the shard and returns the parsed result.
+func roundTrip(t *rapid.T, s Shard) Shard {
 	b, err := s.Marshal()
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,8 @@
 	return p
 }
 
-func checkTable(t *rapid.T, table Table, n naive) {
+// checkTable checks that the table holds exactly the members of n.
+func checkTable(t *rapid.T, table Table, n model) {
 	if table.Len() != len(n) {
 		t.Fatalf("%d members, want %d", table.Len(), len(n))
 	}
@@ -77,9 +78,10 @@
 	}
 }
 
+// checkView checks that the view holds exactly the VMs of the table.
 func checkView(t *rapid.T, v View, table Table) {
 	for m := range table.All() {
-		if got, ok := v.Find(m.VM); !ok || got != target(m) {
+		if got, ok := v.Find(m.VM); !ok || got != newTarget(m) {
 			t.Fatalf("view has %+v, table %+v", got, m)
 		}
 	}
@@ -92,16 +94,17 @@
 	}
 }
 
-// TestTraces changes a membership at random beside a plain map, and lets views follow it by late, lost and repeated deltas.
+// TestTraces applies random changes to a table and to a map, and compares them. A view follows by late, lost and repeated
+// deltas; its versions must never go back, and it must equal the table at the end.
 func TestTraces(t *testing.T) {
 	gaps := 0
 	rapid.Check(t, func(t *rapid.T) {
-		table, n := NewTable(testShards), naive{}
+		table, n := NewTable(testShards), model{}
 		h, v := NewHistory(testShards, 4), NewView(testShards)
 		var late []Delta
 		for _, u := range rapid.SliceOfN(rapid.Uint32(), 1, 80).Draw(t, "trace") {
 			old := table
-			table = change(t, table, n, u)
+			table = applyChange(t, table, n, u)
 			checkTable(t, table, n)
 			h = h.Add(table)
 			late = append(late, Diff(old, table), h.Since(v.Numbers()))
@@ -125,7 +128,7 @@
 		}
 		checkView(t, v, table)
 	})
-	is.New(t).True(gaps > 0) // the traces miss versions.
+	is.New(t).True(gaps > 0) // the traces include missed versions.
 }
 
 func TestParseShard(t *testing.T) {
@@ -165,8 +168,8 @@
 	// Output: checks serving 2
 }
 
-// fleet returns a table of n VMs in k pools, racks of four, all of them through a wave.
-func fleet(n, k int) Table {
+// newFleetTable returns a table of n VMs in k pools, with four VMs a rack, all of which have finished a wave.
+func newFleetTable(n, k int) Table {
 	t := NewTable(Count)
 	puts := make([][]Member, Count)
 	for i := range n {
@@ -187,7 +190,7 @@
 func BenchmarkMarshal(b *testing.B) {
 	for _, c := range sizes {
 		b.Run(fmt.Sprintf("vms=%d/pools=%d", c.vms, c.pools), func(b *testing.B) {
-			s, n := fleet(c.vms, c.pools).Shard(0), 0
+			s, n := newFleetTable(c.vms, c.pools).Shard(0), 0
 			for range b.N {
 				d, _ := s.Marshal()
 				n = len(d)
@@ -201,7 +204,7 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, c := range sizes {
 		b.Run(fmt.Sprintf("vms=%d/pools=%d", c.vms, c.pools), func(b *testing.B) {
-			t := fleet(c.vms, c.pools)
+			t := newFleetTable(c.vms, c.pools)
 			s, _ := t.Shard(0).SetState(t.Shard(0).members[0].VM, Draining, 1)
 			n := t.Replace(0, s, 2)
 			b.ReportAllocs()
--- a/fleet/wave/budget.go
+++ b/fleet/wave/budget.go
@@ -9,43 +9,44 @@
 )
 
 var (
-	// ErrBudget says that a planned stop would take more VMs out than the profile allows.
+	// ErrBudget means that a planned stop would take more VMs out than the profile allows.
 	ErrBudget = eris.New("wave: availability budget used up")
-	// ErrMalformed says that a document cannot be read.
+	// ErrMalformed means that a document cannot be parsed.
 	ErrMalformed = eris.New("wave: malformed document")
 )
 
-// Absence is one VM that a service does without.
+// Absence records that one VM of a service is out, or reserved for a planned stop.
 type Absence struct {
 	VM         string `json:"v"`
 	DataCentre string `json:"d"`
 	Rack       string `json:"r,omitempty"`
-	Since      int64  `json:"t"`           // Unix milliseconds.
-	Wave       string `json:"w,omitempty"` // the wave that a planned stop belongs to; empty for moves and failures.
-	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure alone.
-	Seq        int64  `json:"q,omitempty"` // number of the planned stop among the VM's own.
-	Failed     bool   `json:"f,omitempty"` // found dead, or did not come back.
+	Since      int64  `json:"t"`           // time of the reservation, or of the VM's last change of state for a failure; Unix milliseconds.
+	Wave       string `json:"w,omitempty"` // wave of a planned stop; empty for moves and failures.
+	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure without one.
+	Seq        int64  `json:"q,omitempty"` // number of the planned stop among those of the VM.
+	Failed     bool   `json:"f,omitempty"` // found dead, about to be stopped by the platform, or not back from its reboot.
 }
 
-// Planned tells whether the VM was reserved for a planned stop.
+// Planned reports whether the VM was reserved for a planned stop.
 func (a Absence) Planned() bool { return a.Op != "" }
 
-// Budget is the document of one service: every VM that is out in any data centre, each counted once.
+// Budget is the availability budget of one service: every VM that is out or reserved in any data centre, each counted once. It
+// is immutable.
 type Budget struct {
-	number   int64
+	version  int64
 	absences []Absence // sorted by VM.
 }
 
-// budgetWire is the document's form in the service.
+// budgetWire is the stored form of a Budget.
 type budgetWire struct {
-	Number int64     `json:"n"`
-	Out    []Absence `json:"out"`
+	Version int64     `json:"n"`
+	Out     []Absence `json:"out"`
 }
 
 // Number returns the version, which grows with each change.
-func (b Budget) Number() int64 { return b.number }
+func (b Budget) Number() int64 { return b.version }
 
-// Out returns how many VMs are out, planned and unplanned together.
+// Out returns the number of VMs that are out, planned and unplanned together.
 func (b Budget) Out() int { return len(b.absences) }
 
 // Absences returns every VM that is out, sorted by name.
@@ -65,15 +66,15 @@
 func (b Budget) Reserve(a Absence, maxOut int) (Budget, error) {
 	if old, ok := b.Find(a.VM); ok {
 		a.Failed = a.Failed || old.Failed
-		return b.with(a), nil
+		return b.withAbsence(a), nil
 	}
 	if b.Out()+1 > maxOut {
 		return b, eris.Wrapf(ErrBudget, "reserve %s: %d of %d out", a.VM, b.Out(), maxOut)
 	}
-	return b.with(a), nil
+	return b.withAbsence(a), nil
 }
 
-// Fail returns the budget with the VM counted as out; it is never refused, and keeps a reservation that it finds.
+// Fail returns the budget with the VM marked as failed, even beyond the limit. A reservation of the VM is kept.
 func (b Budget) Fail(a Absence) Budget {
 	if old, ok := b.Find(a.VM); ok {
 		if old.Failed {
@@ -82,7 +83,7 @@
 		a = old
 	}
 	a.Failed = true
-	return b.with(a)
+	return b.withAbsence(a)
 }
 
 // Release returns the budget without the VM.
@@ -92,20 +93,20 @@
 		return b
 	}
 	b.absences = slices.Delete(slices.Clone(b.absences), i, i+1)
-	b.number++
+	b.version++
 	return b
 }
 
 // Marshal returns the budget as compact JSON.
 func (b Budget) Marshal() ([]byte, error) {
-	d, err := json.Marshal(budgetWire{Number: b.number, Out: b.absences})
+	d, err := json.Marshal(budgetWire{Version: b.version, Out: b.absences})
 	if err != nil {
 		return nil, eris.Wrap(err, "marshal budget")
 	}
 	return d, nil
 }
 
-// ParseBudget reads a budget; ErrMalformed if a VM is named twice or not at all.
+// ParseBudget parses a stored budget. It returns ErrMalformed if the JSON is not valid or a VM is named twice or not at all.
 func ParseBudget(d []byte) (Budget, error) {
 	var w budgetWire
 	if err := json.Unmarshal(d, &w); err != nil {
@@ -114,13 +115,14 @@
 	slices.SortFunc(w.Out, func(a, b Absence) int { return strings.Compare(a.VM, b.VM) })
 	for i, a := range w.Out {
 		if a.VM == "" || i > 0 && w.Out[i-1].VM == a.VM {
-			return Budget{}, eris.Wrapf(ErrMalformed, "parse budget: entry %q", a.VM)
+			return Budget{}, eris.Wrapf(ErrMalformed, "parse budget: VM name %q is empty or repeated", a.VM)
 		}
 	}
-	return Budget{number: w.Number, absences: w.Out}, nil
+	return Budget{version: w.Version, absences: w.Out}, nil
 }
 
-func (b Budget) with(a Absence) Budget {
+// withAbsence returns the budget with a added or replaced.
+func (b Budget) withAbsence(a Absence) Budget {
 	i, ok := b.find(a.VM)
 	if ok && b.absences[i] == a {
 		return b
@@ -131,7 +133,7 @@
 	} else {
 		l = slices.Insert(l, i, a)
 	}
-	return Budget{number: b.number + 1, absences: l}
+	return Budget{version: b.version + 1, absences: l}
 }
 
 func (b Budget) find(vm string) (int, bool) {
--- a/fleet/wave/planner.go
+++ b/fleet/wave/planner.go
@@ -8,105 +8,106 @@
 )
 
 const (
-	// DefaultMaxAge is the age in milliseconds above which a list or document starts no planned stop.
+	// DefaultMaxAge is the age in milliseconds above which no planned stop starts from a host list or document.
 	DefaultMaxAge = 10_000
-	// DefaultListLag is the time in milliseconds by which the platform's list may trail a change.
+	// DefaultListLag is the time in milliseconds by which the platform's host list may lag behind a change.
 	DefaultListLag = 1_000
-	// DefaultWreckLimit is how many VMs of a wave may fail to come back before the wave stops itself.
+	// DefaultWreckLimit is the number of VMs that do not come back from a wave's reboot at which the wave stops.
 	DefaultWreckLimit = 2
-	// DefaultCanary is how many VMs of a service a wave may take in a data centre before one of the wave has come back.
+	// DefaultCanary is the number of VMs of a pool that a wave may reserve in a data centre until the first has finished.
 	DefaultCanary = 1
-	// DefaultIdleOut is how many VMs of a pool that serves nothing may be out at once for maintenance.
+	// DefaultIdleOut is the number of VMs of an idle pool, one without services, that may be out at once for a wave.
 	DefaultIdleOut = 4
 
-	canaryRoom       = 4       // smaller budgets bound a bad wave as well by themselves, so canaries would only cost time.
-	repeatMillis     = 2_000   // between repeats of an unanswered call or read.
-	forgetMillis     = 600_000 // before a VM that is gone leaves the membership.
-	entryGraceMillis = 60_000  // before an entry that was heard but never listed counts as gone.
-	wishMillis       = 120_000 // before a move that found no room is forgotten.
-	strayMillis      = 60_000  // after a planned stop during which a drain is taken for a late one of our own.
-	outMillis        = 600_000 // after which a VM that the platform shows as leaving, but does not stop, is asked back.
-	idleDrainMillis  = 30_000  // longest drain in a pool that serves nothing.
-	idleRebootMillis = 600_000 // longest reboot in a pool that serves nothing.
+	minCanaryBudget      = 4       // smaller budgets limit a bad wave as well by themselves, so canaries would only cost time.
+	retryMillis          = 2_000   // interval between repeats of an unanswered call or read.
+	retentionMillis      = 600_000 // time after which a VM that is gone leaves the membership; also the longest backoff.
+	entryGraceMillis     = 60_000  // time after its last report at which an unlisted entry counts as gone.
+	moveTimeoutMillis    = 120_000 // time after which a move that has not started is dropped.
+	lateDrainMillis      = 60_000  // time after a wave's stop in which a drain counts as a late call of this planner.
+	leavingTimeoutMillis = 600_000 // time after which a VM that is shown as leaving, but does not stop, is undrained.
+	idleDrainMillis      = 30_000  // drain timeout in an idle pool.
+	idleRebootMillis     = 600_000 // reboot timeout in an idle pool.
 )
 
-// Planner decides for one data centre's leader; a new one is made for each term, and the documents tell it where to go on.
+// Planner plans the maintenance and moves of one data centre for its leader. Each term of the leader has a new planner,
+// which continues from the documents in the store. All times are in Unix milliseconds.
 type Planner struct {
 	dataCentre string
 	now        int64
 	limits     limits
 
-	table   pool.Table
-	shards  []*document
-	floors  []int64 // highest number that each shard was known at.
-	sent    []pool.Shard
-	budgets map[string]*budgetDocument
-	fresh   int64
+	table       pool.Table
+	shards      []*document
+	minVersions []int64      // highest version seen of each shard.
+	sentShards  []pool.Shard // content of the last write of each shard.
+	budgets     map[string]*budgetDocument
+	allFreshAt  int64 // last time at which all known documents were the newest.
 
-	services map[string][]ServiceRule // by pool, sorted by name.
-	waves    []Wave
-	hosts    map[string]Host
-	hostsAt  int64
-	entries  []string // entries of the list that are not gone.
-	heard    map[string]int64
-	said     map[string]map[string]int64 // by VM, then entry: the version at which the VM was drained.
-	draining map[string]sight
-	dead     map[string]bool
-	goneAt   map[string]int64
-	unheard  []string
+	services        map[string][]ServiceRule // by pool, sorted by name.
+	waves           []Wave
+	hosts           map[string]Host             // the platform's host list, by name.
+	listedAt        int64                       // request time of the host list; 0 before the first.
+	entries         []string                    // entries of the host list that are not gone.
+	reportedAt      map[string]int64            // by entry: time of its last report.
+	drainedVersions map[string]map[string]int64 // by VM, then entry: shard version at which nothing was in flight to the VM.
+	drainStarts     map[string]drainStart       // by VM.
+	reportedDead    map[string]bool             // VMs that the entries find dead.
+	goneSince       map[string]int64            // by VM: when a scan first found it gone.
+	unreachable     []string                    // other data centres that cannot be reached.
 
-	moves    map[string]wish
-	holds    map[string]hold
-	called   map[string]int64
-	rebooted map[string]int64
-	assigned map[string]string
-	queues   map[string][]task
-	failing  map[string]bool
-	finished map[stage]bool // waves that some VM of the pool here has finished.
+	moveRequests     map[string]moveRequest  // by VM.
+	backoffs         map[string]backoff      // by VM.
+	calledAt         map[string]int64        // by call: when it was last made.
+	rebootAcceptedAt map[string]int64        // by op: when the platform accepted the reboot.
+	assignedPools    map[string]string       // by VM: the pool that the platform has put it into.
+	queues           map[string][]queuedStop // by pool.
+	failing          map[string]bool         // serving members that are dead or that the platform is about to stop.
+	canaryPassed     map[wavePool]bool       // set once a VM of the pool in this data centre has finished the wave.
 
-	newcomers []string      // listed VMs that the membership lacks.
-	strays    []string      // serving VMs that a late drain of ours may have reached.
-	astray    []pool.Member // serving VMs that the platform holds in another pool.
+	newHosts    []string      // VMs of the host list that the membership lacks.
+	lateDrains  []string      // serving VMs that a late drain call of this planner may have reached.
+	misassigned []pool.Member // serving VMs that the platform has in another pool.
 }
 
-// limits are the constants that options change.
+// limits holds the settings that options change; times are in milliseconds.
 type limits struct {
-	maxAge, listLag             int64
-	wreckLimit, idleOut, canary int
+	maxAge, listLag                     int64
+	failureLimit, maxIdleOut, canaryVMs int
 }
 
-// sight is when the planner first saw that a planned stop drains, and at which version.
-type sight struct{ seq, at, number int64 }
+// drainStart records when the planner first saw the drain of the VM's stop number seq, and at which shard version.
+type drainStart struct{ seq, seenAt, version int64 }
 
-// stage is a wave's part in one pool.
-type stage struct{ wave, pool string }
+// wavePool identifies the part of a wave in one pool.
+type wavePool struct{ wave, pool string }
 
-// wish is a move that was asked for.
-type wish struct {
+// moveRequest is a requested move that has not ended.
+type moveRequest struct {
 	Move
-	at int64
+	requestedAt int64
 }
 
-// hold keeps a VM whose drain did not end from being taken again at once.
-type hold struct{ until, wait int64 }
+// backoff delays the next stop of a VM whose drain timed out: none starts before until.
+type backoff struct{ until, waitMillis int64 }
 
-// New returns a planner for the data centre that has read nothing yet; count is the number of membership shards.
+// New returns a planner for the data centre that has read no documents yet; count is the number of membership shards.
 func New(dataCentre string, count int, opts ...Option) *Planner {
 	p := &Planner{
 		dataCentre: dataCentre,
 		limits: limits{
 			maxAge: DefaultMaxAge, listLag: DefaultListLag,
-			wreckLimit: DefaultWreckLimit, idleOut: DefaultIdleOut, canary: DefaultCanary,
+			failureLimit: DefaultWreckLimit, maxIdleOut: DefaultIdleOut, canaryVMs: DefaultCanary,
 		},
 		table: pool.NewTable(count), shards: make([]*document, count),
-		floors: make([]int64, count), sent: make([]pool.Shard, count),
+		minVersions: make([]int64, count), sentShards: make([]pool.Shard, count),
 		budgets: map[string]*budgetDocument{}, services: map[string][]ServiceRule{},
-		hosts: map[string]Host{}, heard: map[string]int64{},
-		said: map[string]map[string]int64{}, draining: map[string]sight{},
-		dead: map[string]bool{}, goneAt: map[string]int64{},
-		moves: map[string]wish{}, holds: map[string]hold{}, called: map[string]int64{},
-		rebooted: map[string]int64{}, assigned: map[string]string{},
-		queues: map[string][]task{}, failing: map[string]bool{}, finished: map[stage]bool{},
+		hosts: map[string]Host{}, reportedAt: map[string]int64{},
+		drainedVersions: map[string]map[string]int64{}, drainStarts: map[string]drainStart{},
+		reportedDead: map[string]bool{}, goneSince: map[string]int64{},
+		moveRequests: map[string]moveRequest{}, backoffs: map[string]backoff{}, calledAt: map[string]int64{},
+		rebootAcceptedAt: map[string]int64{}, assignedPools: map[string]string{},
+		queues: map[string][]queuedStop{}, failing: map[string]bool{}, canaryPassed: map[wavePool]bool{},
 	}
 	for i := range p.shards {
 		p.shards[i] = newDocument()
@@ -117,29 +118,29 @@
 	return p
 }
 
-// Option changes a planner's constants.
+// Option changes a default setting of a planner.
 type Option func(*Planner)
 
-// WithMaxAge sets the age in milliseconds above which a list or document starts no planned stop.
+// WithMaxAge sets the age in milliseconds above which no planned stop starts from a host list or document.
 func WithMaxAge(millis int64) Option { return func(p *Planner) { p.limits.maxAge = millis } }
 
-// WithListLag sets the time in milliseconds by which the platform's list may trail a change.
+// WithListLag sets the time in milliseconds by which the platform's host list may lag behind a change.
 func WithListLag(millis int64) Option { return func(p *Planner) { p.limits.listLag = millis } }
 
-// WithWreckLimit sets how many VMs of a wave may fail to come back before the wave stops itself.
-func WithWreckLimit(n int) Option { return func(p *Planner) { p.limits.wreckLimit = n } }
+// WithWreckLimit sets the number of VMs that do not come back from a wave's reboot at which the wave stops.
+func WithWreckLimit(n int) Option { return func(p *Planner) { p.limits.failureLimit = n } }
 
-// WithIdleOut sets how many VMs of a pool that serves nothing may be out at once for maintenance.
-func WithIdleOut(n int) Option { return func(p *Planner) { p.limits.idleOut = n } }
+// WithIdleOut sets the number of VMs of an idle pool, one without services, that may be out at once for a wave.
+func WithIdleOut(n int) Option { return func(p *Planner) { p.limits.maxIdleOut = n } }
 
-// WithCanary sets how many VMs of a service a wave may take in a data centre before one of the wave has come back; 0
-// means no such bound. Budgets of fewer than four VMs have none.
-func WithCanary(n int) Option { return func(p *Planner) { p.limits.canary = n } }
+// WithCanary sets the number of VMs of a pool that a wave may reserve in a data centre until the first has finished; 0
+// means no limit. Budgets of fewer than four VMs have no such limit.
+func WithCanary(n int) Option { return func(p *Planner) { p.limits.canaryVMs = n } }
 
-// Table returns the membership as the planner knows it to be written.
+// Table returns the newest membership that the planner knows to be in the store.
 func (p *Planner) Table() pool.Table { return p.table }
 
-// Budget returns the service's budget as the planner knows it to be written.
+// Budget returns the newest budget of the service that the planner knows to be in the store.
 func (p *Planner) Budget(service string) Budget {
 	if d := p.budgets[service]; d != nil {
 		return d.budget
@@ -147,91 +148,93 @@
 	return Budget{}
 }
 
-// Update takes one message in and returns what is to be done.
+// Update handles one message and returns the commands to perform.
 func (p *Planner) Update(msg Msg) []Cmd {
-	if p.take(msg) {
-		p.survey()
+	if p.handle(msg) {
+		p.scan()
 	}
 	var l []Cmd
-	l = append(l, p.reads()...)
+	l = append(l, p.readCommands()...)
 	l = append(l, p.writeBudgets()...)
 	l = append(l, p.writeShards()...)
-	return append(l, p.calls()...)
+	return append(l, p.platformCalls()...)
 }
 
-// take notes the message and tells whether the whole fleet must be looked over again.
-func (p *Planner) take(msg Msg) bool {
+// handle updates the state from the message and reports whether the fleet must be scanned again.
+func (p *Planner) handle(msg Msg) bool {
 	switch m := msg.(type) {
 	case TickMsg:
-		p.pass(m.At)
-		p.forget()
+		p.advanceClock(m.At)
+		p.pruneExpired()
 		return true
 	case PolicyMsg:
-		p.pass(m.At)
-		p.takePolicy(m)
+		p.advanceClock(m.At)
+		p.handlePolicy(m)
 		return true
 	case ShardMsg:
-		p.pass(m.At)
-		return p.takeShard(m)
+		p.advanceClock(m.At)
+		return p.handleShard(m)
 	case BudgetMsg:
-		p.pass(m.At)
-		p.takeBudget(m)
+		p.advanceClock(m.At)
+		p.handleBudget(m)
 	case FreshMsg:
-		p.pass(m.At)
-		p.fresh = max(p.fresh, m.At)
+		p.advanceClock(m.At)
+		p.allFreshAt = max(p.allFreshAt, m.At)
 	case HostsMsg:
-		p.pass(m.At)
-		p.takeHosts(m)
+		p.advanceClock(m.At)
+		p.handleHosts(m)
 	case HeardMsg:
-		p.pass(m.At)
-		p.takeHeard(m)
+		p.advanceClock(m.At)
+		p.handleEntryReport(m)
 	case WroteShardMsg:
-		p.pass(m.At)
-		p.wroteShard(m)
+		p.advanceClock(m.At)
+		p.handleShardWritten(m)
 	case WroteBudgetMsg:
-		p.pass(m.At)
-		p.wroteBudget(m)
+		p.advanceClock(m.At)
+		p.handleBudgetWritten(m)
 	default:
-		return p.takeWord(msg)
+		return p.handleEvent(msg)
 	}
 	return false
 }
 
-// takeWord notes the short messages.
-func (p *Planner) takeWord(msg Msg) bool {
+// handleEvent handles the messages that change a single VM, list or request.
+func (p *Planner) handleEvent(msg Msg) bool {
 	switch m := msg.(type) {
 	case FailedMsg:
-		p.pass(m.At)
-		was := p.dead[m.VM]
-		p.dead[m.VM] = true
+		p.advanceClock(m.At)
+		was := p.reportedDead[m.VM]
+		p.reportedDead[m.VM] = true
 		return !was
 	case RecoveredMsg:
-		p.pass(m.At)
-		was := p.dead[m.VM]
-		delete(p.dead, m.VM)
+		p.advanceClock(m.At)
+		was := p.reportedDead[m.VM]
+		delete(p.reportedDead, m.VM)
 		return was
 	case UnheardMsg:
-		p.pass(m.At)
-		p.unheard = slices.Clone(m.DataCentres)
+		p.advanceClock(m.At)
+		p.unreachable = slices.Clone(m.DataCentres)
 	case MoveMsg:
-		p.pass(m.At)
+		p.advanceClock(m.At)
 		for _, v := range m.Moves {
-			p.moves[v.VM] = wish{Move: v, at: m.At}
+			p.moveRequests[v.VM] = moveRequest{Move: v, requestedAt: m.At}
 		}
 		return true
 	case RebootedMsg:
-		p.pass(m.At)
-		p.rebooted[m.Op] = m.At
+		p.advanceClock(m.At)
+		p.rebootAcceptedAt[m.Op] = m.At
 	case AssignedMsg:
-		p.pass(m.At)
-		p.assigned[m.VM] = m.Pool
+		p.advanceClock(m.At)
+		p.assignedPools[m.VM] = m.Pool
 	}
 	return false
 }
 
-func (p *Planner) pass(at int64) { p.now = max(p.now, at) }
+// advanceClock sets the planner's time to that of the message; time never goes back.
+func (p *Planner) advanceClock(at int64) { p.now = max(p.now, at) }
 
-func (p *Planner) takePolicy(m PolicyMsg) {
+// handlePolicy replaces services and waves, and adds a document for each new service's budget.
+func (p *Planner) handlePolicy(m PolicyMsg) {
 	p.waves = slices.Clone(m.Waves)
 	p.services = map[string][]ServiceRule{}
 	for _, s := range m.Services {
@@ -245,22 +248,22 @@
 	}
 }
 
-// forget lets go of what is too old to matter.
-func (p *Planner) forget() {
-	for k, at := range p.called {
-		if p.now-at > forgetMillis {
-			delete(p.called, k)
+// pruneExpired removes old call times and reboots, and the records of drains that have ended.
+func (p *Planner) pruneExpired() {
+	for k, at := range p.calledAt {
+		if p.now-at > retentionMillis {
+			delete(p.calledAt, k)
 		}
 	}
-	for vm, s := range p.draining {
+	for vm, s := range p.drainStarts {
 		if m, ok := p.table.Find(vm); !ok || m.Seq != s.seq {
-			delete(p.draining, vm)
-			delete(p.said, vm)
+			delete(p.drainStarts, vm)
+			delete(p.drainedVersions, vm)
 		}
 	}
-	for op, at := range p.rebooted {
-		if p.now-at > 2*forgetMillis {
-			delete(p.rebooted, op)
+	for op, at := range p.rebootAcceptedAt {
+		if p.now-at > 2*retentionMillis {
+			delete(p.rebootAcceptedAt, op)
 		}
 	}
 }
--- a/fleet/wave/replay.go
+++ b/fleet/wave/replay.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	replayStepMillis  = 250
-	replayBeatMillis  = 1_000       // between lists, and between words from the entries.
-	replayQuietMillis = 20 * 60_000 // without a write, after which a wave counts as stopped.
-	replayBound       = 24 * 3_600_000
+	replayStepMillis   = 250
+	replayReportMillis = 1_000       // between host lists, and between reports of the entries.
+	replayStallMillis  = 20 * 60_000 // time without a write after which a wave counts as stopped.
+	replayMaxMillis    = 24 * 3_600_000
 )
 
-// TraceVM is one VM of a replay with the times that its maintenance takes.
+// TraceVM is one VM of a replay with the durations of its maintenance.
 type TraceVM struct {
 	Name, DataCentre, Rack, Pool string
 	DrainMillis, RebootMillis    int64
-	Wrecked                      bool  // its reboot never ends.
-	FailsAt, BackAt              int64 // an unplanned failure; none if BackAt is 0.
+	Wrecked                      bool  // the reboot never ends.
+	FailsAt, BackAt              int64 // start and end of an unplanned failure, in milliseconds; none if BackAt is 0.
 }
 
-// Trace is a maintenance wave in virtual time.
+// Trace is the input of a replay: a fleet with one maintenance wave over all pools.
 type Trace struct {
 	VMs      []TraceVM
 	Services []ServiceRule
-	Entries  int // entries of each data centre.
+	Entries  int // number of entries in each data centre.
 }
 
-// Result is what a replay measured; times are in milliseconds.
+// Result holds the measurements of a replay; times are in milliseconds.
 type Result struct {
-	Took     int64 // until every VM that can has finished the wave; 0 if that never came.
-	Least    int64 // longest of the services' schedules, longest job first, with the same times and nothing in between.
-	Bound    int64 // no schedule is shorter: the larger of total time by room and the longest VM.
-	MaxOut   int   // most VMs of one service that were out at once.
-	Racks    float64
-	Lost     int // VMs that did not come back.
-	Messages int
-	Writes   int
+	Took     int64   // until every VM has finished the wave; 0 if that never happened.
+	Least    int64   // the longest of the services' schedules by the longest job first, with the same times and no gaps.
+	Bound    int64   // lower bound of any schedule: the larger of total time by MaxOut and the longest VM.
+	MaxOut   int     // most VMs of one service that were out at once.
+	Racks    float64 // mean number of racks with VMs out, over the samples with any out.
+	Lost     int     // VMs that did not come back.
+	Messages int     // messages to the planners.
+	Writes   int     // writes that were applied.
 }
 
-// DayTrace returns the wave over one deployment: five services in three data centres and a spare pool, four VMs a rack.
+// DayTrace returns a wave over one deployment: five services and an idle pool in three data centres, with four VMs a rack.
 func DayTrace(seed int64, perService, maxOut int) Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := Trace{Entries: 3}
@@ -68,42 +68,42 @@
 	return t
 }
 
-// replay is a small fleet in virtual time without faults of the store.
+// replay simulates a fleet in virtual time, with a store that never fails.
 type replay struct {
-	trace    Trace
-	now      int64
-	revision int64
-	shards   map[string]*pool.Table
-	budgets  map[string]BudgetMsg
-	planners map[string]*Planner
-	vms      map[string]*replayVM
-	names    []string         // data centres.
-	told     map[string]int64 // by data centre and service: revision that its planner was told of.
-	result   Result
-	wrote    int64 // time of the last write.
-	rackSum  float64
-	rackN    int
+	trace              Trace
+	now                int64
+	revision           int64
+	shards             map[string]*pool.Table
+	budgets            map[string]BudgetMsg
+	planners           map[string]*Planner
+	vms                map[string]*replayVM
+	dataCentres        []string         // data centres.
+	deliveredRevisions map[string]int64 // by data centre and service: revision last delivered to the planner.
+	result             Result
+	lastWriteAt        int64 // time of the last write.
+	rackSum            float64
+	rackSamples        int
 }
 
 // replayVM is the state of one VM of a replay.
 type replayVM struct {
 	TraceVM
-	boot        int64
-	draining    int64 // since when the entries see it draining.
-	back        int64 // when a running reboot ends.
-	down, fails bool
+	boot          int64
+	drainingSince int64 // start of the drain; 0 while the membership does not show one.
+	rebootEndsAt  int64 // end of the running reboot; 0 while none runs.
+	down, failing bool
 }
 
-// Replay runs the wave with one planner a data centre and returns what it measured.
+// Replay runs the wave with one planner for each data centre and returns the measurements.
 func Replay(t Trace, opts ...Option) Result {
 	r := newReplay(t, opts)
-	for r.now = 0; r.now < replayBound; r.now += replayStepMillis {
-		r.live()
-		for _, dc := range r.names {
-			r.watch(dc)
-			if r.now%replayBeatMillis == 0 {
-				r.tell(dc, FreshMsg{At: r.now})
-				r.beat(dc)
+	for r.now = 0; r.now < replayMaxMillis; r.now += replayStepMillis {
+		r.advanceVMs()
+		for _, dc := range r.dataCentres {
+			r.deliverBudgets(dc)
+			if r.now%replayReportMillis == 0 {
+				r.deliver(dc, FreshMsg{At: r.now})
+				r.deliverStatus(dc)
 			}
 		}
 		r.measure()
@@ -111,12 +111,12 @@
 			r.result.Took = r.now
 			break
 		}
-		if r.now-r.wrote > replayQuietMillis {
+		if r.now-r.lastWriteAt > replayStallMillis {
 			break
 		}
 	}
-	r.result.Least, r.result.Bound = t.least()
-	r.result.Racks = r.rackSum / float64(max(r.rackN, 1))
+	r.result.Least, r.result.Bound = t.bounds()
+	r.result.Racks = r.rackSum / float64(max(r.rackSamples, 1))
 	for _, v := range r.vms {
 		if v.Wrecked && v.down {
 			r.result.Lost++
@@ -128,22 +128,23 @@
 func newReplay(t Trace, opts []Option) *replay {
 	r := &replay{
 		trace: t, shards: map[string]*pool.Table{}, budgets: map[string]BudgetMsg{},
-		planners: map[string]*Planner{}, vms: map[string]*replayVM{}, told: map[string]int64{},
+		planners: map[string]*Planner{}, vms: map[string]*replayVM{}, deliveredRevisions: map[string]int64{},
 	}
 	for _, v := range t.VMs {
 		r.vms[v.Name] = &replayVM{TraceVM: v, boot: 1}
-		if !slices.Contains(r.names, v.DataCentre) {
-			r.names = append(r.names, v.DataCentre)
+		if !slices.Contains(r.dataCentres, v.DataCentre) {
+			r.dataCentres = append(r.dataCentres, v.DataCentre)
 		}
 	}
-	for _, dc := range r.names {
+	for _, dc := range r.dataCentres {
 		table := pool.NewTable(pool.Count)
 		r.shards[dc], r.planners[dc] = &table, New(dc, pool.Count, opts...)
-		r.tell(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
+		r.deliver(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
 	}
 	return r
 }
 
+// pools returns the names of all pools in order of first use.
 func (t Trace) pools() []string {
 	var l []string
 	for _, v := range t.VMs {
@@ -154,35 +155,35 @@
 	return l
 }
 
-// live lets reboots and failures begin and end.
-func (r *replay) live() {
+// advanceVMs begins and ends reboots, failures and drains that are due.
+func (r *replay) advanceVMs() {
 	for _, v := range r.vms {
-		if v.back > 0 && r.now >= v.back && !v.Wrecked {
-			v.back, v.down = 0, false
+		if v.rebootEndsAt > 0 && r.now >= v.rebootEndsAt && !v.Wrecked {
+			v.rebootEndsAt, v.down = 0, false
 			v.boot++
 		}
-		v.fails = v.BackAt > 0 && r.now >= v.FailsAt && r.now < v.BackAt
+		v.failing = v.BackAt > 0 && r.now >= v.FailsAt && r.now < v.BackAt
 		if m, ok := r.shards[v.DataCentre].Find(v.Name); !ok || m.State != pool.Draining {
-			v.draining = 0
-		} else if v.draining == 0 {
-			v.draining = r.now
+			v.drainingSince = 0
+		} else if v.drainingSince == 0 {
+			v.drainingSince = r.now
 		}
 	}
 }
 
-// watch gives a planner the budgets that others have changed.
-func (r *replay) watch(dc string) {
+// deliverBudgets delivers changed budgets to the data centre's planner.
+func (r *replay) deliverBudgets(dc string) {
 	for _, s := range r.trace.Services {
 		b, k := r.budgets[s.Name], dc+" "+s.Name
-		if b.Revision > r.told[k] {
-			r.told[k] = b.Revision
-			r.tell(dc, BudgetMsg{At: r.now, Service: s.Name, Budget: b.Budget, Revision: b.Revision})
+		if b.Revision > r.deliveredRevisions[k] {
+			r.deliveredRevisions[k] = b.Revision
+			r.deliver(dc, BudgetMsg{At: r.now, Service: s.Name, Budget: b.Budget, Revision: b.Revision})
 		}
 	}
 }
 
-// beat gives a planner the platform's list and the entries' word.
-func (r *replay) beat(dc string) {
+// deliverStatus delivers the host list and the entries' reports to the data centre's planner, then a tick.
+func (r *replay) deliverStatus(dc string) {
 	l := []Host{}
 	heard := HeardMsg{At: r.now}
 	for _, v := range r.trace.VMs {
@@ -191,25 +192,25 @@
 		}
 		s := r.vms[v.Name]
 		h := Host{Name: v.Name, Pool: v.Pool, Rack: v.Rack, Boot: s.boot}
-		if s.down || s.fails {
+		if s.down || s.failing {
 			h.State = Leaving
 		}
 		l = append(l, h)
-		if s.draining > 0 && r.now-s.draining >= v.DrainMillis {
+		if s.drainingSince > 0 && r.now-s.drainingSince >= v.DrainMillis {
 			heard.Drained = append(heard.Drained, Drained{VM: v.Name, Number: r.shards[dc].Shard(r.shards[dc].Index(v.Name)).Number()})
 		}
 	}
 	for i := range r.trace.Entries {
 		heard.Entry = fmt.Sprintf("%s-e%d", dc, i)
 		l = append(l, Host{Name: heard.Entry, Entry: true})
-		r.tell(dc, heard)
+		r.deliver(dc, heard)
 	}
-	r.tell(dc, HostsMsg{At: r.now, Hosts: l})
-	r.tell(dc, TickMsg{At: r.now})
+	r.deliver(dc, HostsMsg{At: r.now, Hosts: l})
+	r.deliver(dc, TickMsg{At: r.now})
 }
 
-// tell gives the planner a message and performs all that follows from it.
-func (r *replay) tell(dc string, m Msg) {
+// deliver sends a message to the planner, performs its commands and delivers their results.
+func (r *replay) deliver(dc string, m Msg) {
 	queue := []Msg{m}
 	for len(queue) > 0 {
 		for _, c := range r.planners[dc].Update(queue[0]) {
@@ -222,6 +223,7 @@
 	}
 }
 
+// perform runs one command and returns its result, or nil if it has none.
 func (r *replay) perform(dc string, c Cmd) Msg {
 	switch c := c.(type) {
 	case ReadShardCmd:
@@ -234,7 +236,7 @@
 			return WroteShardMsg{At: r.now, Index: i, Outcome: Conflict}
 		}
 		r.revision++
-		r.result.Writes, r.wrote = r.result.Writes+1, r.now
+		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		*r.shards[dc] = r.shards[dc].Replace(i, c.Shard, r.revision)
 		return WroteShardMsg{At: r.now, Index: i, Revision: r.revision}
 	case WriteBudgetCmd:
@@ -242,21 +244,22 @@
 			return WroteBudgetMsg{At: r.now, Service: c.Service, Outcome: Conflict}
 		}
 		r.revision++
-		r.result.Writes, r.wrote = r.result.Writes+1, r.now
+		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		r.budgets[c.Service] = BudgetMsg{Budget: c.Budget, Revision: r.revision}
 		return WroteBudgetMsg{At: r.now, Service: c.Service, Revision: r.revision}
 	case RebootCmd:
 		if v := r.vms[c.VM]; !v.down {
-			v.down, v.back = true, r.now+v.RebootMillis
+			v.down, v.rebootEndsAt = true, r.now+v.RebootMillis
 		}
 		return RebootedMsg{At: r.now, VM: c.VM, Op: c.Op}
 	}
 	return nil
 }
 
+// measure samples the VMs and racks that are out.
 func (r *replay) measure() {
 	out, racks := map[string]int{}, map[string]bool{}
-	for _, dc := range r.names {
+	for _, dc := range r.dataCentres {
 		for m := range r.shards[dc].Busy() {
 			if m.State != pool.Serving {
 				out[m.Pool]++
@@ -269,10 +272,11 @@
 	}
 	if len(racks) > 0 {
 		r.rackSum += float64(len(racks))
-		r.rackN++
+		r.rackSamples++
 	}
 }
 
+// isDone reports whether every VM has finished the wave and serves, and every budget is empty.
 func (r *replay) isDone() bool {
 	for _, v := range r.vms {
 		m, ok := r.shards[v.DataCentre].Find(v.Name)
@@ -288,8 +292,8 @@
 	return true
 }
 
-// least returns the longest of the services' schedules with the same times, and a bound under every schedule.
-func (t Trace) least() (least, bound int64) {
+// bounds returns the longest of the services' schedules by the longest job first, and a lower bound of any schedule.
+func (t Trace) bounds() (schedule, lowerBound int64) {
 	for _, s := range t.Services {
 		var l []int64
 		var sum int64
@@ -303,13 +307,13 @@
 			continue
 		}
 		slices.Sort(l)
-		bound = max(bound, sum/int64(s.MaxOut), l[len(l)-1])
+		lowerBound = max(lowerBound, sum/int64(s.MaxOut), l[len(l)-1])
 		room := make([]int64, s.MaxOut)
 		for _, d := range slices.Backward(l) {
 			room[0] += d
 			slices.Sort(room)
 		}
-		least = max(least, room[len(room)-1])
+		schedule = max(schedule, room[len(room)-1])
 	}
-	return least, bound
+	return schedule, lowerBound
 }
