--- a/flow/retry/doc.go
+++ b/flow/retry/doc.go
@@ -1,5 +1,5 @@
 // Package retry decides whether a request may be sent again.
 //
-// Only what certainly did not run, or is idempotent, is sent again, and only while the budget lasts:
-// retries are bounded by a share of first sends, so that they never multiply an overload.
+// A request is retried only if it certainly did not run or is idempotent, and only while the retry budget lasts.
+// The budget limits retries to a share of first sends, so that retries never multiply an overload.
 package retry
--- a/flow/retry/retry.go
+++ b/flow/retry/retry.go
@@ -1,56 +1,56 @@
 package retry
 
 const (
-	defaultShare    = 0.1
-	defaultBurst    = 10
-	defaultAttempts = 3
+	defaultShare    = 0.1 // retries per first send
+	defaultBurst    = 10  // retries
+	defaultAttempts = 3   // sends of one request, including the first
 )
 
-// Outcome is what one send came to.
+// Outcome is the result of one send.
 type Outcome uint8
 
 const (
-	// NotRun means that the target refused and certainly did not run the request.
+	// NotRun means that the target refused the request and certainly did not run it.
 	NotRun Outcome = iota
-	// Leaving means NotRun because the target is about to stop.
+	// Leaving is NotRun from a target that is about to stop.
 	Leaving
-	// Failed means that the request ran and the target answered with its own failure.
+	// Failed means that the request ran and the target answered with a failure of its own.
 	Failed
 	// Unknown means that the request may have run.
 	Unknown
 )
 
-// Verdict is what to do after a send.
+// Verdict is the decision on a request after a send.
 type Verdict uint8
 
 const (
-	// Again means to send the request again.
+	// Again means that the request is to be sent again.
 	Again Verdict = iota
-	// Stop means that the request may not be sent again because it ran or may have run.
+	// Stop means that the request must not be sent again because it ran or may have run.
 	Stop
-	// Spent means that attempts or the budget are used up.
+	// Spent means that the request has no attempts left or the retry budget is used up.
 	Spent
 )
 
-// Budget bounds retries to a share of first sends and a burst.
+// Budget is a token bucket for retries: each first send adds a share of a token, and each retry takes one token.
 type Budget struct {
 	share, burst, tokens float64
 	attempts             int
 }
 
-// Option changes a Budget at its making.
+// Option configures a new Budget.
 type Option func(*Budget)
 
-// WithShare sets the retries that each first send pays for.
+// WithShare sets the number of retries, or the fraction of one, that each first send adds to the budget.
 func WithShare(f float64) Option { return func(b *Budget) { b.share = f } }
 
-// WithBurst sets the number of retries that may be saved up; the budget starts with it.
+// WithBurst sets the largest number of retries that the budget can hold. A new budget is full.
 func WithBurst(n int) Option { return func(b *Budget) { b.burst = float64(n) } }
 
-// WithAttempts sets the number of sends of one request, the first included.
+// WithAttempts sets the maximum number of sends of one request, including the first.
 func WithAttempts(n int) Option { return func(b *Budget) { b.attempts = n } }
 
-// New returns a full budget of one retry for ten first sends, a burst of ten and three attempts.
+// New returns a full budget. By default it allows one retry per ten first sends, a burst of ten retries and three attempts.
 func New(opts ...Option) *Budget {
 	b := &Budget{share: defaultShare, burst: defaultBurst, attempts: defaultAttempts}
 	for _, o := range opts {
@@ -60,14 +60,15 @@
 	return b
 }
 
-// First counts a first send.
+// First adds the share of one first send to the budget.
 func (b *Budget) First() { b.tokens = min(b.burst, b.tokens+b.share) }
 
-// Left returns the number of retries that may be made at once.
+// Left returns the number of retries that the budget allows now.
 func (b *Budget) Left() int { return int(b.tokens) }
 
-// Decide returns what to do after send number attempt, counted from 1, and pays for a retry.
-// A refusal of a leaving target is not paid for: it comes at most once for each of the target's slots.
+// Decide returns what to do after send number attempt, counted from 1, and takes a retry from the budget if it allows one.
+// An idempotent request that failed is retried only after its first attempt.
+// A retry after Leaving takes nothing: a leaving target sends this refusal at most once for each of its slots.
 func (b *Budget) Decide(o Outcome, attempt int, idempotent bool) Verdict {
 	switch {
 	case !idempotent && o >= Failed:
@@ -85,5 +86,5 @@
 	return Again
 }
 
-// SetShare sets the retries that each first send pays for from now on; what is saved up stays.
+// SetShare sets the share that each first send adds from now on. Retries already in the budget stay.
 func (b *Budget) SetShare(f float64) { b.share = f }
