--- a/flow/retry/retry_test.go
+++ b/flow/retry/retry_test.go
@@ -23,11 +23,11 @@
 				continue
 			}
 			o := retry.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))
-			n, idem := rapid.IntRange(1, 4).Draw(t, "attempt"), rapid.Bool().Draw(t, "idempotent")
-			if b.Decide(o, n, idem) != retry.Again {
+			n, idempotent := rapid.IntRange(1, 4).Draw(t, "attempt"), rapid.Bool().Draw(t, "idempotent")
+			if b.Decide(o, n, idempotent) != retry.Again {
 				continue
 			}
-			if n >= 3 || !idem && o >= retry.Failed {
+			if n >= 3 || !idempotent && o >= retry.Failed {
 				t.Fatalf("outcome %d of attempt %d is tried again", o, n)
 			}
 			if o != retry.Leaving {
