--- a/flow/admit/doc.go
+++ b/flow/admit/doc.go
@@ -1,6 +1,6 @@
-// Package admit decides which team's request may use a service's capacity at one entry.
+// Package admit decides which teams' requests may use the capacity of a service at one entry.
 //
-// Each team has a rate. A team within its rate is always let in. The share of a team that asks for nothing
-// is lent to the others in proportion to their rates, and is the owner's again as soon as it asks.
-// Times are durations since a start that the owner of the Gate chooses.
+// Each team has a rate, and a team within its rate is admitted unless the service is overloaded. The share of an
+// idle team is lent to the others in proportion to their rates; the team gets it back with its next request.
+// All times are durations since a start time that the caller of the Gate chooses.
 package admit
--- a/flow/admit/gate.go
+++ b/flow/admit/gate.go
@@ -3,70 +3,71 @@
 import "time"
 
 const (
-	defaultBurst  = time.Second // of a team's own rate, let in at once
-	activeFor     = time.Second // after its last request a team's share is lent
-	headroom      = 1.1         // of the capacity is let in, so that the queue does not run dry
+	defaultBurst  = time.Second // a team may use one second of its own rate at once
+	activeFor     = time.Second // a team without a request for this long lends its share to the others
+	headroom      = 1.1         // admits 110% of the capacity, so that the queue does not run empty
 	minRetryAfter = 10 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	noQuotaRetry  = time.Second
+	noQuotaRetry  = time.Second // retry delay for a team without a rate
 )
 
-// Verdict is what a Gate says of one request.
+// Verdict is a Gate's decision on one request.
 type Verdict uint8
 
 const (
-	// Within means that the request is within its team's share.
+	// Within means that the request is admitted because its team is within its share.
 	Within Verdict = iota
-	// Lent means that the request uses capacity that nobody else wants now.
+	// Lent means that the request is admitted on capacity that no other team uses now.
 	Lent
-	// Over means that the team is over its rate and nothing is to be lent.
+	// Over means that the request is refused: the team is over its rate and there is no idle capacity to lend.
 	Over
-	// Crowded means that the service is overloaded and the team is over its part of the capacity.
+	// Crowded means that the request is refused: the service is overloaded and the team is over its part of the capacity.
 	Crowded
 )
 
-// In reports whether the request is let in.
+// In reports whether the request is admitted.
 func (v Verdict) In() bool { return v <= Lent }
 
-// Load is the state of the service that a request meets.
+// Load is the load of the service when a request arrives.
 type Load struct {
 	spare, tight bool
 	capacity     float64
 }
 
-// NewLoad returns a load: spare if a slot is idle and nothing waits, tight if requests are being shed, and the capacity in requests a second, 0 if unknown.
+// NewLoad returns a Load. spare says that a slot is idle and no request waits, tight that requests are being shed;
+// capacity is in requests per second, 0 if unknown.
 func NewLoad(spare, tight bool, capacity float64) Load {
 	return Load{spare: spare, tight: tight, capacity: capacity}
 }
 
-// team is one team's place in virtual time; it is in the list of active teams while it asks.
+// team is the state of one team with a rate. It is in the list of active teams while it sends requests.
 type team struct {
-	rate       float64 // requests a second
-	finish     float64 // virtual seconds
-	invited    float64 // virtual seconds at which the next refused request is to come back
-	seen       time.Duration
+	rate       float64       // requests per second
+	finish     float64       // virtual time, in seconds, up to which the team's admitted requests have used its rate
+	invited    float64       // virtual time, in seconds, at which the next refused request should be retried
+	seen       time.Duration // time of the last request
 	active     bool
 	prev, next *team
 }
 
-// Gate lets teams share capacity by weighted virtual time; the zero rate map lets everybody in.
+// Gate shares the capacity of a service among teams by weighted virtual time. Without rates it admits every request.
 type Gate struct {
 	teams       map[string]*team
 	limited     bool
 	burst       float64 // virtual seconds
 	now         time.Duration
-	virtual     float64 // seconds, running faster than now by what is lent
+	virtual     float64 // virtual time in seconds; it runs faster than real time by the capacity that is lent
 	active      float64 // sum of the rates of active teams
-	first, last *team   // active teams by their last request
+	first, last *team   // list of active teams, least recent request first
 }
 
-// Option changes a Gate at its making.
+// Option configures a new Gate.
 type Option func(*Gate)
 
-// WithBurst sets how much of its own rate a team may use at once.
+// WithBurst sets how much of its own rate, as a duration, a team may use at once.
 func WithBurst(d time.Duration) Option { return func(g *Gate) { g.burst = d.Seconds() } }
 
-// New returns a Gate that lets everybody in until rates are set.
+// New returns a Gate that admits every request until rates are set.
 func New(opts ...Option) *Gate {
 	g := &Gate{teams: map[string]*team{}, burst: defaultBurst.Seconds()}
 	for _, o := range opts {
@@ -75,8 +76,8 @@
 	return g
 }
 
-// SetRates replaces all teams' rates in requests a second; a team that is not named, or has rate 0, gets only what is lent.
-// A nil map lets everybody in.
+// SetRates replaces the rates of all teams, in requests per second. A team that is not in the map, or has rate 0, gets only
+// idle capacity. A nil map admits every request.
 func (g *Gate) SetRates(rates map[string]float64) {
 	g.limited = rates != nil
 	for n, t := range g.teams {
@@ -101,7 +102,7 @@
 	}
 }
 
-// Arrive decides on a request of the named team; it returns when to come back if the request is not let in.
+// Arrive decides on a request of the named team. If it refuses the request, it also returns the time to wait before a retry.
 func (g *Gate) Arrive(now time.Duration, name string, l Load) (Verdict, time.Duration) {
 	if !g.limited {
 		return Within, 0
@@ -130,7 +131,8 @@
 	return Over, wait
 }
 
-// invite returns when a refused request of the team is to come back: after those refused before it, at the team's rate.
+// invite returns how long a refused request of the team should wait before a retry. Retries are spaced at the team's rate, after
+// those of requests that were refused earlier.
 func (g *Gate) invite(t *team, speed float64) time.Duration {
 	at := max(t.finish-g.burst, t.invited)
 	t.invited = min(at+1/t.rate, g.virtual+maxRetryAfter.Seconds())
@@ -138,7 +140,7 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// speed returns how fast virtual time runs: at 1 each active team gets its own rate.
+// speed returns how fast virtual time runs relative to real time. At 1 each active team gets exactly its own rate.
 func (g *Gate) speed(l Load) float64 {
 	if l.capacity <= 0 || g.active <= 0 {
 		return 1
@@ -157,7 +159,7 @@
 	}
 }
 
-// touch makes t the latest active team and drops those that have asked for nothing lately.
+// touch moves t to the end of the list of active teams, and removes the teams without a request within activeFor.
 func (g *Gate) touch(now time.Duration, t *team) {
 	g.idle(t)
 	t.seen, t.active = now, true
