--- a/flow/admit/gate.go
+++ b/flow/admit/gate.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	defaultBurst  = time.Second // a team may use one second of its own rate at once
-	activeFor     = time.Second // a team without a request for this long lends its share to the others
-	headroom      = 1.1         // admits 110% of the capacity, so that the queue does not run empty
-	minRetryAfter = 10 * time.Millisecond
-	maxRetryAfter = 30 * time.Second
-	noQuotaRetry  = time.Second // retry delay for a team without a rate
+	defaultBurst     = time.Second // a team may use one second of its own rate at once
+	activeWindow     = time.Second // a team without a request for this long lends its share to the others
+	admissionFactor  = 1.1         // admits 110% of the capacity, so that the queue does not run empty
+	minRetryAfter    = 10 * time.Millisecond
+	maxRetryAfter    = 30 * time.Second
+	noRateRetryAfter = time.Second // retry delay for a team without a rate
 )
 
 // Verdict is a Gate's decision on one request.
@@ -30,35 +30,35 @@
 
 // Load is the load of the service when a request arrives.
 type Load struct {
-	spare, tight bool
-	capacity     float64
+	idleSlot, shedding bool
+	capacity           float64
 }
 
-// NewLoad returns a Load. spare says that a slot is idle and no request waits, tight that requests are being shed;
-// capacity is in requests per second, 0 if unknown.
-func NewLoad(spare, tight bool, capacity float64) Load {
-	return Load{spare: spare, tight: tight, capacity: capacity}
+// NewLoad returns a Load. Set idleSlot if a slot is idle and no request waits, and shedding if requests are being shed; capacity
+// is in requests per second, 0 if unknown.
+func NewLoad(idleSlot, shedding bool, capacity float64) Load {
+	return Load{idleSlot: idleSlot, shedding: shedding, capacity: capacity}
 }
 
 // team is the state of one team with a rate. It is in the list of active teams while it sends requests.
 type team struct {
-	rate       float64       // requests per second
-	finish     float64       // virtual time, in seconds, up to which the team's admitted requests have used its rate
-	invited    float64       // virtual time, in seconds, at which the next refused request should be retried
-	seen       time.Duration // time of the last request
-	active     bool
-	prev, next *team
+	rate        float64       // requests per second
+	usedUntil   float64       // virtual time, in seconds, up to which the team's admitted requests have used its rate
+	nextRetry   float64       // virtual time, in seconds, at which the next refused request should be retried
+	lastRequest time.Duration // time of the last request
+	active      bool
+	prev, next  *team
 }
 
 // Gate shares the capacity of a service among teams by weighted virtual time. Without rates it admits every request.
 type Gate struct {
-	teams       map[string]*team
-	limited     bool
-	burst       float64 // virtual seconds
-	now         time.Duration
-	virtual     float64 // virtual time in seconds; it runs faster than real time by the capacity that is lent
-	active      float64 // sum of the rates of active teams
-	first, last *team   // list of active teams, least recent request first
+	teams          map[string]*team
+	limited        bool
+	burst          float64       // virtual seconds
+	now            time.Duration // real time up to which virtualNow has advanced
+	virtualNow     float64       // virtual time in seconds; it runs faster than real time while capacity is lent, and slower under overload
+	activeRate     float64       // sum of the rates of active teams
+	oldest, newest *team         // list of active teams, least recent request first
 }
 
 // Option configures a new Gate.
@@ -82,7 +82,7 @@
 	g.limited = rates != nil
 	for n, t := range g.teams {
 		if rates[n] <= 0 {
-			g.idle(t)
+			g.markIdle(t)
 			delete(g.teams, n)
 		}
 	}
@@ -96,7 +96,7 @@
 			g.teams[n] = t
 		}
 		if t.active {
-			g.active += r - t.rate
+			g.activeRate += r - t.rate
 		}
 		t.rate = r
 	}
@@ -109,44 +109,44 @@
 	}
 	t, ok := g.teams[name]
 	if !ok {
-		if l.spare {
+		if l.idleSlot {
 			return Lent, 0
 		}
-		return Over, noQuotaRetry
+		return Over, noRateRetryAfter
 	}
-	g.touch(now, t)
-	speed := g.speed(l)
+	g.markActive(now, t)
+	speed := g.virtualSpeed(l)
 	g.advance(now, speed)
-	if t.finish <= g.virtual+g.burst {
-		t.finish = max(t.finish, g.virtual) + 1/t.rate
+	if t.usedUntil <= g.virtualNow+g.burst {
+		t.usedUntil = max(t.usedUntil, g.virtualNow) + 1/t.rate
 		return Within, 0
 	}
-	if l.spare {
+	if l.idleSlot {
 		return Lent, 0
 	}
-	wait := g.invite(t, speed)
+	wait := g.retryAfter(t, speed)
 	if speed < 1 {
 		return Crowded, wait
 	}
 	return Over, wait
 }
 
-// invite returns how long a refused request of the team should wait before a retry. Retries are spaced at the team's rate, after
+// retryAfter returns how long a refused request of the team should wait before a retry. Retries are spaced at the team's rate, after
 // those of requests that were refused earlier.
-func (g *Gate) invite(t *team, speed float64) time.Duration {
-	at := max(t.finish-g.burst, t.invited)
-	t.invited = min(at+1/t.rate, g.virtual+maxRetryAfter.Seconds())
-	wait := time.Duration((at - g.virtual) / speed * float64(time.Second))
+func (g *Gate) retryAfter(t *team, speed float64) time.Duration {
+	retryAt := max(t.usedUntil-g.burst, t.nextRetry)
+	t.nextRetry = min(retryAt+1/t.rate, g.virtualNow+maxRetryAfter.Seconds())
+	wait := time.Duration((retryAt - g.virtualNow) / speed * float64(time.Second))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// speed returns how fast virtual time runs relative to real time. At 1 each active team gets exactly its own rate.
-func (g *Gate) speed(l Load) float64 {
-	if l.capacity <= 0 || g.active <= 0 {
+// virtualSpeed returns how fast virtual time runs relative to real time. At 1 each active team gets exactly its own rate.
+func (g *Gate) virtualSpeed(l Load) float64 {
+	if l.capacity <= 0 || g.activeRate <= 0 {
 		return 1
 	}
-	s := headroom * l.capacity / g.active
-	if !l.tight {
+	s := admissionFactor * l.capacity / g.activeRate
+	if !l.shedding {
 		s = max(1, s)
 	}
 	return s
@@ -154,42 +154,42 @@
 
 func (g *Gate) advance(now time.Duration, speed float64) {
 	if d := now - g.now; d > 0 {
-		g.virtual += min(d, activeFor).Seconds() * speed
+		g.virtualNow += min(d, activeWindow).Seconds() * speed
 		g.now = now
 	}
 }
 
-// touch moves t to the end of the list of active teams, and removes the teams without a request within activeFor.
-func (g *Gate) touch(now time.Duration, t *team) {
-	g.idle(t)
-	t.seen, t.active = now, true
-	g.active += t.rate
-	t.prev = g.last
-	if g.last != nil {
-		g.last.next = t
+// markActive moves t to the end of the list of active teams, and removes the teams without a request within activeWindow.
+func (g *Gate) markActive(now time.Duration, t *team) {
+	g.markIdle(t)
+	t.lastRequest, t.active = now, true
+	g.activeRate += t.rate
+	t.prev = g.newest
+	if g.newest != nil {
+		g.newest.next = t
 	} else {
-		g.first = t
+		g.oldest = t
 	}
-	g.last = t
-	for g.first != t && g.first.seen+activeFor < now {
-		g.idle(g.first)
+	g.newest = t
+	for g.oldest != t && g.oldest.lastRequest+activeWindow < now {
+		g.markIdle(g.oldest)
 	}
 }
 
-func (g *Gate) idle(t *team) {
+func (g *Gate) markIdle(t *team) {
 	if !t.active {
 		return
 	}
-	g.active = max(0, g.active-t.rate)
+	g.activeRate = max(0, g.activeRate-t.rate)
 	if t.prev != nil {
 		t.prev.next = t.next
 	} else {
-		g.first = t.next
+		g.oldest = t.next
 	}
 	if t.next != nil {
 		t.next.prev = t.prev
 	} else {
-		g.last = t.prev
+		g.newest = t.prev
 	}
 	t.prev, t.next, t.active = nil, nil, false
 }
--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -16,8 +16,8 @@
 
 const capacity = 100.0 // requests a second
 
-// ask lets each team ask at its pace from one time to another and returns the requests a second that were let in.
-func ask(g *admit.Gate, from, to time.Duration, tight bool, perSecond map[string]float64) map[string]float64 {
+// admittedRates lets each team admittedRates at its pace from one time to another and returns the requests a second that were let in.
+func admittedRates(g *admit.Gate, from, to time.Duration, tight bool, perSecond map[string]float64) map[string]float64 {
 	got, next := map[string]float64{}, map[string]time.Duration{}
 	for now := from; now < to; now += time.Millisecond {
 		for _, n := range []string{"a", "b", "c", "none"} {
@@ -34,7 +34,7 @@
 	return got
 }
 
-func between(t *testing.T, x, least, most float64) {
+func expectBetween(t *testing.T, x, least, most float64) {
 	t.Helper()
 	if x < least || x > most {
 		t.Fatalf("%v is not between %v and %v", x, least, most)
@@ -52,22 +52,22 @@
 		is.New(t).Equal(v, admit.Within)
 	})
 	t.Run("shares by rate when all ask for too much", func(t *testing.T) {
-		got := ask(start(), 0, 20*time.Second, true, map[string]float64{"a": 300, "b": 300, "c": 300})
-		between(t, got["a"], 60, 72)
-		between(t, got["b"], 30, 36)
-		between(t, got["c"], 10, 12)
+		got := admittedRates(start(), 0, 20*time.Second, true, map[string]float64{"a": 300, "b": 300, "c": 300})
+		expectBetween(t, got["a"], 60, 72)
+		expectBetween(t, got["b"], 30, 36)
+		expectBetween(t, got["c"], 10, 12)
 	})
 	t.Run("lends an idle share and takes it back within a second", func(t *testing.T) {
 		g := start()
 		all := map[string]float64{"a": 60, "b": 30, "c": 300}
-		ask(g, 0, time.Second, false, all)
-		got := ask(g, time.Second, 10*time.Second, false, map[string]float64{"c": 300})
-		between(t, got["c"], 90, 125) // its own rate is 10
-		got = ask(g, 10*time.Second, 11*time.Second, false, all)
-		between(t, got["a"], 59, 61)
-		between(t, got["b"], 29, 31)
-		got = ask(g, 11*time.Second, 20*time.Second, false, all)
-		between(t, got["c"], 10, 12)
+		admittedRates(g, 0, time.Second, false, all)
+		got := admittedRates(g, time.Second, 10*time.Second, false, map[string]float64{"c": 300})
+		expectBetween(t, got["c"], 90, 125) // its own rate is 10
+		got = admittedRates(g, 10*time.Second, 11*time.Second, false, all)
+		expectBetween(t, got["a"], 59, 61)
+		expectBetween(t, got["b"], 29, 31)
+		got = admittedRates(g, 11*time.Second, 20*time.Second, false, all)
+		expectBetween(t, got["c"], 10, 12)
 	})
 	t.Run("a team without a rate gets only idle capacity", func(t *testing.T) {
 		i, g := is.New(t), start()
@@ -80,8 +80,8 @@
 	t.Run("the time to come back is enough", func(t *testing.T) {
 		i, g := is.New(t), admit.New()
 		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than there is
-		got := ask(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
-		between(t, got["a"], 1.4*got["b"], 1.6*got["b"])
+		got := admittedRates(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
+		expectBetween(t, got["a"], 1.4*got["b"], 1.6*got["b"])
 		v, after := admit.Within, time.Duration(0)
 		for k := 0; v.In() && k < 3; k++ {
 			v, after = g.Arrive(5*time.Second, "a", admit.NewLoad(false, true, capacity))
@@ -118,24 +118,24 @@
 	i.Equal(all, first) // nobody is refused twice
 }
 
-// naive finds the active teams by looking at all of them.
-type naive struct {
+// naiveGate finds the active teams by looking at all of them.
+type naiveGate struct {
 	rates, finish map[string]float64
-	seen          map[string]time.Duration
+	lastRequest   map[string]time.Duration
 	now           time.Duration
 	virtual       float64
 }
 
-func (n *naive) arrive(now time.Duration, name string, spare, tight bool) admit.Verdict {
+func (n *naiveGate) arrive(now time.Duration, name string, spare, tight bool) admit.Verdict {
 	if n.rates[name] == 0 {
 		if spare {
 			return admit.Lent
 		}
 		return admit.Over
 	}
-	n.seen[name] = now
+	n.lastRequest[name] = now
 	active := 0.0
-	for t, s := range n.seen {
+	for t, s := range n.lastRequest {
 		if s+time.Second >= now {
 			active += n.rates[t]
 		}
@@ -160,7 +160,7 @@
 
 func TestSameAsNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, n := admit.New(), &naive{rates: map[string]float64{}, finish: map[string]float64{}, seen: map[string]time.Duration{}}
+		g, n := admit.New(), &naiveGate{rates: map[string]float64{}, finish: map[string]float64{}, lastRequest: map[string]time.Duration{}}
 		for k := range rapid.IntRange(1, 6).Draw(t, "teams") {
 			n.rates[fmt.Sprint(k)] = float64(rapid.IntRange(0, 80).Draw(t, "rate"))
 		}
