--- a/flow/ledger/bench_test.go
+++ b/flow/ledger/bench_test.go
@@ -17,7 +17,7 @@
 	return l
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -29,14 +29,14 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			ids := benchIDs(2 * n)
-			before := heap()
-			k, number := lone(WithRecords(2 * n))
-			now, step := worldStart, Remember/time.Duration(n)
+			before := heapBytes()
+			k, number := singleMemberBook(WithRecords(2 * n))
+			now, step := clusterStart, Remember/time.Duration(n)
 			for _, id := range ids[:n] {
 				claimAndSettle(k, id, number, now)
 				now = now.Add(step)
 			}
-			bytes := float64(heap()-before) / float64(k.Len())
+			bytes := float64(heapBytes()-before) / float64(k.Len())
 			b.ResetTimer()
 			b.ReportAllocs()
 			for i := range b.N {
--- a/flow/ledger/book.go
+++ b/flow/ledger/book.go
@@ -10,24 +10,24 @@
 	// MaxAnswer is the longest answer that is kept, in bytes.
 	MaxAnswer = 16 << 10
 
-	renewalsMax     = uint8(Abandon/Remember) - 1
-	recordsDefault  = 250_000
-	bytesDefault    = 8 << 20
-	handoverRetryIn = 50 * time.Millisecond
+	maxRenewals           = uint8(Abandon/Remember) - 1
+	defaultMaxRecords     = 250_000
+	defaultMaxAnswerBytes = 8 << 20
+	handoverRetryDelay    = 50 * time.Millisecond
 )
 
 // Book is one holder's records of keys; it is changed only by messages and is not safe for concurrent use.
 type Book struct {
-	self       Member
-	table      *table
-	epoch      time.Time
-	maxRecords int
-	maxBytes   int
-	roster     Roster
-	holding    int64 // number of the newest roster in force here
-	wasHolding bool  // whether the roster before was in force here
-	sources    []source
-	gaps       []Lapse
+	self           Member
+	table          *table
+	epoch          time.Time
+	maxRecords     int
+	maxAnswerBytes int
+	roster         Roster
+	activeRoster   int64 // number of the newest roster in force here
+	priorWasActive bool  // whether the roster before was in force here
+	sources        []source
+	gaps           []Lapse
 }
 
 // BookOption changes a new Book.
@@ -37,11 +37,11 @@
 func WithRecords(n int) BookOption { return func(b *Book) { b.maxRecords = n } }
 
 // WithAnswerBytes bounds the bytes of all kept answers; the oldest are given up first, their records stay.
-func WithAnswerBytes(n int) BookOption { return func(b *Book) { b.maxBytes = n } }
+func WithAnswerBytes(n int) BookOption { return func(b *Book) { b.maxAnswerBytes = n } }
 
 // NewBook returns the empty records of one life of an entry.
 func NewBook(self Member, o ...BookOption) *Book {
-	b := &Book{self: self, table: newTable(), maxRecords: recordsDefault, maxBytes: bytesDefault}
+	b := &Book{self: self, table: newTable(), maxRecords: defaultMaxRecords, maxAnswerBytes: defaultMaxAnswerBytes}
 	for _, f := range o {
 		f(b)
 	}
@@ -75,15 +75,15 @@
 func (b *Book) Roster() Roster { return b.roster }
 
 // Holding returns the number of the newest roster that is in force at this holder.
-func (b *Book) Holding() int64 { return b.holding }
+func (b *Book) Holding() int64 { return b.activeRoster }
 
 // Len returns the number of records.
-func (b *Book) Len() int { return b.table.index.n }
+func (b *Book) Len() int { return b.table.index.count }
 
 // AnswerBytes returns the bytes of the kept answers.
-func (b *Book) AnswerBytes() int { return b.table.bytes }
+func (b *Book) AnswerBytes() int { return b.table.answerBytes }
 
-func (b *Book) since(t time.Time) time.Duration {
+func (b *Book) sinceEpoch(t time.Time) time.Duration {
 	if b.epoch.IsZero() {
 		b.epoch = t
 	}
@@ -92,12 +92,12 @@
 
 // Claim records the claim and grants it, or says why not.
 func (b *Book) Claim(m ClaimMsg) ClaimReply {
-	now := b.since(m.Now)
+	now := b.sinceEpoch(m.Now)
 	b.expire(now, 2)
-	if m.Roster != b.roster.number || !lists(b.roster.members, b.self) {
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryIn}
+	if m.Roster != b.roster.number || !containsMember(b.roster.members, b.self) {
+		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
 	}
-	r := b.standing(m.ID, m.Now)
+	r := b.checkReady(m.ID, m.Now)
 	if r.Verdict != Granted {
 		return r
 	}
@@ -107,15 +107,15 @@
 			return ClaimReply{Verdict: Full, Store: r.Store, Retry: time.Second}
 		}
 		i, s = b.table.add(m.ID, now)
-	} else if v := judge(s, m); v != Granted {
+	} else if v := compareClaim(s, m); v != Granted {
 		return ClaimReply{Verdict: v, Record: b.table.record(i, s, now)}
 	}
 	b.grant(i, s, m, now)
 	return r
 }
 
-// judge compares a claim with the record of its key.
-func judge(s *slot, m ClaimMsg) Verdict {
+// compareClaim compares a claim with the record of its key.
+func compareClaim(s *slot, m ClaimMsg) Verdict {
 	switch {
 	case s.phase == NotRun && s.attempt != m.Attempt:
 		return Granted
@@ -129,14 +129,14 @@
 }
 
 func (b *Book) grant(i uint32, s *slot, m ClaimMsg, now time.Duration) {
-	b.table.drop(i, s)
+	b.table.dropAnswer(i, s)
 	s.attempt, s.digest, s.phase, s.status, s.renewals = m.Attempt, m.Digest, Claimed, 0, 0
 	b.table.touch(i, s, now)
 }
 
 // Settle records what became of a copy; a message that comes late or twice does no harm.
 func (b *Book) Settle(m SettleMsg) {
-	now, r := b.since(m.Now), m.Record
+	now, r := b.sinceEpoch(m.Now), m.Record
 	if !r.Phase.Settled() {
 		return
 	}
@@ -161,13 +161,13 @@
 }
 
 func (b *Book) write(i uint32, s *slot, r Record, now time.Duration) {
-	b.table.drop(i, s)
+	b.table.dropAnswer(i, s)
 	s.attempt, s.phase, s.status, s.renewals = r.Attempt, r.Phase, int16(r.Status), 0
 	if r.Digest != 0 {
 		s.digest = r.Digest
 	}
 	if r.Kept && len(r.Answer) <= MaxAnswer {
-		b.table.keep(i, s, answer{contentType: r.ContentType, body: r.Answer}, b.maxBytes)
+		b.table.storeAnswer(i, s, answer{contentType: r.ContentType, body: r.Answer}, b.maxAnswerBytes)
 	}
 	b.table.touch(i, s, now)
 }
@@ -177,19 +177,19 @@
 
 // Tick forgets the records whose time is over and ends gaps.
 func (b *Book) Tick(m TickMsg) {
-	b.expire(b.since(m.Now), b.Len())
-	b.endGaps(m.Now)
+	b.expire(b.sinceEpoch(m.Now), b.Len())
+	b.expireGaps(m.Now)
 }
 
 // expire forgets at most n records that are due.
 func (b *Book) expire(now time.Duration, n int) {
-	for ; n > 0 && b.table.head != none; n-- {
+	for ; n > 0 && b.table.head != noSlot; n-- {
 		i := b.table.head
 		s := b.table.at(i)
 		if s.age(now) < Remember {
 			return
 		}
-		if s.phase == Claimed && s.renewed() < renewalsMax {
+		if s.phase == Claimed && s.renewalCount() < maxRenewals {
 			s.renewals++
 			b.table.touch(i, s, now)
 			continue
--- a/flow/ledger/book_test.go
+++ b/flow/ledger/book_test.go
@@ -8,24 +8,24 @@
 	"github.com/matryer/is"
 )
 
-// lone returns a book that holds every key of a roster of one, and the roster's number.
-func lone(o ...BookOption) (*Book, int64) {
+// singleMemberBook returns a book that holds every key of a roster of one, and the roster's number.
+func singleMemberBook(o ...BookOption) (*Book, int64) {
 	m := Member{Entry: "a", Incarnation: 1}
 	b := NewBook(m, o...)
 	r := NewRoster("east", []Member{m}, 1)
-	b.Adopt(RosterMsg{Now: worldStart, Roster: r})
+	b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
 	return b, r.Number()
 }
 
-func claimed(i *is.I, b *Book, after time.Duration, key, attempt string, d Digest, want Verdict) ClaimReply {
+func expectVerdict(i *is.I, b *Book, after time.Duration, key, attempt string, d Digest, want Verdict) ClaimReply {
 	i.Helper()
-	r := b.Claim(ClaimMsg{Now: worldStart.Add(after), ID: NewID(key), Roster: b.Roster().Number(), Attempt: NewAttempt(attempt), Digest: d})
+	r := b.Claim(ClaimMsg{Now: clusterStart.Add(after), ID: NewID(key), Roster: b.Roster().Number(), Attempt: NewAttempt(attempt), Digest: d})
 	i.Equal(r.Verdict, want)
 	return r
 }
 
-func settled(b *Book, after time.Duration, key, attempt string, p Phase, answer string) {
-	b.Settle(SettleMsg{Now: worldStart.Add(after), Record: Record{
+func settle(b *Book, after time.Duration, key, attempt string, p Phase, answer string) {
+	b.Settle(SettleMsg{Now: clusterStart.Add(after), Record: Record{
 		ID: NewID(key), Attempt: NewAttempt(attempt), Phase: p, Kept: p == Answered, Answer: []byte(answer), ContentType: "t",
 	}})
 }
@@ -33,51 +33,51 @@
 func TestBook(t *testing.T) {
 	t.Run("a copy that is released before its claim comes is never granted", func(t *testing.T) {
 		i := is.New(t)
-		b, _ := lone()
-		settled(b, 0, "k", "1", NotRun, "")
-		i.Equal(claimed(i, b, 0, "k", "1", 1, Repeat).Record.Phase, NotRun)
-		claimed(i, b, 0, "k", "2", 1, Granted)
-		settled(b, 0, "k", "1", NotRun, "") // late
-		claimed(i, b, 0, "k", "3", 1, Repeat)
+		b, _ := singleMemberBook()
+		settle(b, 0, "k", "1", NotRun, "")
+		i.Equal(expectVerdict(i, b, 0, "k", "1", 1, Repeat).Record.Phase, NotRun)
+		expectVerdict(i, b, 0, "k", "2", 1, Granted)
+		settle(b, 0, "k", "1", NotRun, "") // late
+		expectVerdict(i, b, 0, "k", "3", 1, Repeat)
 	})
 	t.Run("the same copy is granted again until it is settled", func(t *testing.T) {
 		i := is.New(t)
-		b, _ := lone()
-		claimed(i, b, 0, "k", "1", 1, Granted)
-		claimed(i, b, 0, "k", "1", 1, Granted)
-		claimed(i, b, 0, "k", "2", 2, Mismatch)
-		settled(b, 0, "k", "1", Unknown, "")
-		claimed(i, b, 0, "k", "1", 1, Repeat)
-		settled(b, 0, "k", "1", Answered, "late")
-		settled(b, 0, "k", "1", NotRun, "") // the first answer stays
-		settled(b, 0, "k", "1", Unknown, "")
-		i.Equal(string(claimed(i, b, 0, "k", "2", 1, Repeat).Record.Answer), "late")
+		b, _ := singleMemberBook()
+		expectVerdict(i, b, 0, "k", "1", 1, Granted)
+		expectVerdict(i, b, 0, "k", "1", 1, Granted)
+		expectVerdict(i, b, 0, "k", "2", 2, Mismatch)
+		settle(b, 0, "k", "1", Unknown, "")
+		expectVerdict(i, b, 0, "k", "1", 1, Repeat)
+		settle(b, 0, "k", "1", Answered, "late")
+		settle(b, 0, "k", "1", NotRun, "") // the first answer stays
+		settle(b, 0, "k", "1", Unknown, "")
+		i.Equal(string(expectVerdict(i, b, 0, "k", "2", 1, Repeat).Record.Answer), "late")
 	})
 	t.Run("an unsettled claim is remembered for an hour", func(t *testing.T) {
 		i := is.New(t)
-		b, _ := lone()
-		claimed(i, b, 0, "k", "1", 1, Granted)
+		b, _ := singleMemberBook()
+		expectVerdict(i, b, 0, "k", "1", 1, Granted)
 		for d := time.Duration(0); d < Abandon-time.Minute; d += time.Minute {
-			b.Tick(TickMsg{Now: worldStart.Add(d)})
-			claimed(i, b, d, "k", "2", 1, Repeat)
+			b.Tick(TickMsg{Now: clusterStart.Add(d)})
+			expectVerdict(i, b, d, "k", "2", 1, Repeat)
 		}
-		b.Tick(TickMsg{Now: worldStart.Add(Abandon)})
-		claimed(i, b, Abandon, "k", "2", 1, Granted)
+		b.Tick(TickMsg{Now: clusterStart.Add(Abandon)})
+		expectVerdict(i, b, Abandon, "k", "2", 1, Granted)
 	})
 	t.Run("new keys are refused rather than old ones forgotten", func(t *testing.T) {
 		i := is.New(t)
-		b, _ := lone(WithRecords(2), WithAnswerBytes(8))
-		claimed(i, b, 0, "k1", "1", 1, Granted)
-		claimed(i, b, 0, "k2", "1", 1, Granted)
-		claimed(i, b, 0, "k3", "1", 1, Full)
-		settled(b, 0, "k1", "1", Answered, "123456")
-		settled(b, 0, "k2", "1", Answered, "123456")
+		b, _ := singleMemberBook(WithRecords(2), WithAnswerBytes(8))
+		expectVerdict(i, b, 0, "k1", "1", 1, Granted)
+		expectVerdict(i, b, 0, "k2", "1", 1, Granted)
+		expectVerdict(i, b, 0, "k3", "1", 1, Full)
+		settle(b, 0, "k1", "1", Answered, "123456")
+		settle(b, 0, "k2", "1", Answered, "123456")
 		i.Equal(b.AnswerBytes(), 7)
-		i.Equal(claimed(i, b, 0, "k1", "2", 1, Repeat).Record.Kept, false) // run, answer given up
-		i.Equal(claimed(i, b, 0, "k2", "2", 1, Repeat).Record.Kept, true)
-		b.Tick(TickMsg{Now: worldStart.Add(Remember)})
+		i.Equal(expectVerdict(i, b, 0, "k1", "2", 1, Repeat).Record.Kept, false) // run, answer given up
+		i.Equal(expectVerdict(i, b, 0, "k2", "2", 1, Repeat).Record.Kept, true)
+		b.Tick(TickMsg{Now: clusterStart.Add(Remember)})
 		i.Equal(b.Len()+b.AnswerBytes(), 0)
-		claimed(i, b, Remember, "k3", "1", 1, Granted)
+		expectVerdict(i, b, Remember, "k3", "1", 1, Granted)
 	})
 }
 
@@ -85,13 +85,13 @@
 	a, z := Member{Entry: "a", Incarnation: 1}, Member{Entry: "z", Incarnation: 1}
 	t.Run("only one that held the roster before hands over, and all that it held", func(t *testing.T) {
 		i := is.New(t)
-		b, _ := lone()
+		b, _ := singleMemberBook()
 		for k := range 2500 {
-			claimed(i, b, 0, fmt.Sprint(k), "1", 1, Granted)
+			expectVerdict(i, b, 0, fmt.Sprint(k), "1", 1, Granted)
 		}
 		r := b.Roster().Next([]Member{z}, 1)
-		b.Adopt(RosterMsg{Now: worldStart, Roster: r})
-		n, m := 0, HandoverMsg{Now: worldStart, Entry: "z", Roster: r.Number(), Newcomer: true}
+		b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
+		n, m := 0, HandoverMsg{Now: clusterStart, Entry: "z", Roster: r.Number(), Newcomer: true}
 		for more := true; more; {
 			p := b.Handover(m)
 			i.True(p.Complete)
@@ -99,7 +99,7 @@
 		}
 		i.Equal(n, 2500)
 		skipped := r.Next([]Member{a, z}, 1).Next([]Member{z}, 1)
-		b.Adopt(RosterMsg{Now: worldStart, Roster: skipped})
+		b.Adopt(RosterMsg{Now: clusterStart, Roster: skipped})
 		m.Roster, m.After = skipped.Number(), ""
 		i.Equal(b.Handover(m).Complete, false)
 	})
@@ -107,13 +107,13 @@
 		i := is.New(t)
 		b := NewBook(z)
 		r := NewRoster("east", []Member{a, {Entry: "b", Incarnation: 1}}, 1).Next([]Member{a, z}, 1)
-		b.Adopt(RosterMsg{Now: worldStart, Roster: r})
-		l := Lapse{Roster: 1, Members: r.Previous(), Lost: r.Previous(), Until: worldStart.Add(time.Minute)}
+		b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
+		l := Lapse{Roster: 1, Members: r.Previous(), Lost: r.Previous(), Until: clusterStart.Add(time.Minute)}
 		for _, e := range []string{"a", "b"} {
-			b.Pulled(PulledMsg{Now: worldStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
+			b.Pulled(PulledMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
 		}
-		i.Equal(claimed(i, b, 0, "k", "1", 1, Gap).Retry, time.Minute)
-		claimed(i, b, time.Minute, "k", "1", 1, Granted)
+		i.Equal(expectVerdict(i, b, 0, "k", "1", 1, Gap).Retry, time.Minute)
+		expectVerdict(i, b, time.Minute, "k", "1", 1, Granted)
 	})
 	t.Run("sources may have lost different members", func(t *testing.T) {
 		i := is.New(t)
@@ -121,13 +121,13 @@
 		old := []Member{a, c, d}
 		b := NewBook(z)
 		r := NewRoster("east", old, 1).Next([]Member{a, z}, 1)
-		b.Adopt(RosterMsg{Now: worldStart, Roster: r})
+		b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
 		for e, lost := range map[string][]Member{"a": {c, d}, "c": {a, d}, "d": {a, c}} {
-			l := Lapse{Roster: 1, Members: old, Lost: lost, Until: worldStart.Add(time.Minute)}
-			b.Pulled(PulledMsg{Now: worldStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
+			l := Lapse{Roster: 1, Members: old, Lost: lost, Until: clusterStart.Add(time.Minute)}
+			b.Pulled(PulledMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
 		}
 		for k := range 20 {
-			claimed(i, b, 0, fmt.Sprint(k), "1", 1, Gap) // every pair was lost at one of them
+			expectVerdict(i, b, 0, fmt.Sprint(k), "1", 1, Gap) // every pair was lost at one of them
 		}
 	})
 }
@@ -135,15 +135,15 @@
 func TestClaimTestimony(t *testing.T) {
 	i := is.New(t)
 	r := NewRoster("east", []Member{{Entry: "a"}, {Entry: "b"}}, 1)
-	key := heldBy(r, "a", "b")
+	key := keyHeldBy(r, "a", "b")
 	start := func() *Claim {
 		c := NewClaim(NewID(key))
-		i.Equal(c.Update(StartMsg{Now: worldStart, Roster: r}), []Cmd{AskCmd{Holder: r.Members()[0], Roster: r.Number()}})
+		i.Equal(c.Update(StartMsg{Now: clusterStart, Roster: r}), []Cmd{AskCmd{Holder: r.Members()[0], Roster: r.Number()}})
 		return c
 	}
 	last := func(l []Cmd) Cmd { return l[len(l)-1] }
-	fail := func(h string) FailMsg { return FailMsg{Now: worldStart, Holder: h} }
-	late := ReplyMsg{Now: worldStart.Add(ClaimWithin + 1), Holder: "a"}
+	fail := func(h string) FailMsg { return FailMsg{Now: clusterStart, Holder: h} }
+	late := ReplyMsg{Now: clusterStart.Add(ClaimWithin + 1), Holder: "a"}
 
 	c := start()
 	i.Equal(last(c.Update(late)).(RefuseCmd).NotRun, false) // too late to speak for the time before
@@ -154,23 +154,23 @@
 	c = start()
 	c.Update(fail("a"))
 	i.Equal(last(c.Update(fail("a"))), AskCmd{Holder: r.Members()[1], Roster: r.Number()})
-	l := c.Update(ReplyMsg{Now: worldStart, Holder: "b"})
+	l := c.Update(ReplyMsg{Now: clusterStart, Holder: "b"})
 	i.Equal(l, []Cmd{ReleaseCmd{Holders: r.Members()}, ConfirmCmd{}})
 	i.Equal(c.Update(ConfirmMsg{Number: r.Number()})[0].(RefuseCmd).NotRun, true)
 	c = start()
-	c.Update(ReplyMsg{Now: worldStart, Holder: "a"})
+	c.Update(ReplyMsg{Now: clusterStart, Holder: "a"})
 	c.Update(fail("b"))
 	i.Equal(last(c.Update(fail("b"))), ConfirmCmd{})
 	i.Equal(c.Update(ConfirmMsg{Number: r.Number() + 1})[0].(RefuseCmd).NotRun, false) // a newer roster
 	c = start()
-	c.Update(ReplyMsg{Now: worldStart, Holder: "a"})
+	c.Update(ReplyMsg{Now: clusterStart, Holder: "a"})
 	next := r.Next(r.Members(), 1)
-	c.Update(ReplyMsg{Now: worldStart, Holder: "b", Reply: ClaimReply{Verdict: Stale}, Roster: next})
+	c.Update(ReplyMsg{Now: clusterStart, Holder: "b", Reply: ClaimReply{Verdict: Stale}, Roster: next})
 	c.Update(fail("a"))
 	_, probes := last(c.Update(fail("a"))).(AskCmd)
 	i.True(probes) // what was said under another roster does not count
 	c = start()
-	c.Update(ReplyMsg{Now: worldStart, Holder: "a", Reply: ClaimReply{Store: true}})
+	c.Update(ReplyMsg{Now: clusterStart, Holder: "a", Reply: ClaimReply{Store: true}})
 	c.Update(fail("b"))
 	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // a holder in a lapse does not know
 }
--- a/flow/ledger/claim.go
+++ b/flow/ledger/claim.go
@@ -6,8 +6,8 @@
 	// ClaimWithin is how long a claim may take before it is given up.
 	ClaimWithin = time.Second
 
-	askTries      = 2
-	refuseRetryIn = 500 * time.Millisecond
+	maxAskFailures    = 2
+	refusedRetryDelay = 500 * time.Millisecond
 )
 
 // Reason is why a claim was refused.
@@ -156,16 +156,16 @@
 
 // Claim is one copy's way to leave to be sent; it is changed only by Update.
 type Claim struct {
-	id      ID
-	step    claimStep
-	start   time.Time
-	roster  Roster
-	tries   int
-	asked   []Member // that may have granted
-	granted bool     // whether a holder in force has testified that there is no record
-	store   bool     // whether a holder demands the platform's service
-	stored  bool     // whether the platform's service may have the key
-	why     RefuseCmd
+	id          ID
+	step        claimStep
+	startedAt   time.Time
+	roster      Roster
+	askFailures int
+	asked       []Member // that may have granted
+	noRecord    bool     // whether a holder in force has testified that there is no record
+	needStore   bool     // whether a holder demands the platform's service
+	mayBeStored bool     // whether the platform's service may have the key
+	refusal     RefuseCmd
 }
 
 // NewClaim returns the claim of one copy of the key with the id.
@@ -177,28 +177,28 @@
 		return nil
 	}
 	if c.step == confirming {
-		return c.confirmed(m)
+		return c.handleConfirmation(m)
 	}
 	switch m := m.(type) {
 	case StartMsg:
-		c.start, c.roster = m.Now, m.Roster
+		c.startedAt, c.roster = m.Now, m.Roster
 		if m.Roster.number == 0 {
-			return c.refuse(RefuseCmd{Reason: NoRoster, RetryAfter: refuseRetryIn})
+			return c.refuse(RefuseCmd{Reason: NoRoster, RetryAfter: refusedRetryDelay})
 		}
 		return c.ask()
 	case ReplyMsg:
-		return c.replied(m)
+		return c.handleReply(m)
 	case FailMsg:
-		return c.failed(m)
+		return c.handleFailure(m)
 	case StoreMsg:
-		return c.wrote(m)
+		return c.handleStoreResult(m)
 	case EndMsg:
 		return c.refuse(RefuseCmd{Reason: Withdrawn})
 	}
 	return nil
 }
 
-func (c *Claim) holder() Member {
+func (c *Claim) currentHolder() Member {
 	f, s := c.roster.HoldersOf(c.id)
 	if c.step == askSecond || c.step == probeSecond {
 		f = s
@@ -208,58 +208,58 @@
 }
 
 func (c *Claim) ask() []Cmd {
-	h := c.holder()
-	if !lists(c.asked, h) {
+	h := c.currentHolder()
+	if !containsMember(c.asked, h) {
 		c.asked = append(c.asked, h)
 	}
 	return []Cmd{AskCmd{Holder: h, Roster: c.roster.number}}
 }
 
-// inTime reports whether records of copies that ran before the claim began cannot have lapsed since.
-func (c *Claim) inTime(now time.Time) bool { return now.Sub(c.start) <= ClaimWithin }
+// withinTimeout reports whether records of copies that ran before the claim began cannot have lapsed since.
+func (c *Claim) withinTimeout(now time.Time) bool { return now.Sub(c.startedAt) <= ClaimWithin }
 
-func (c *Claim) replied(m ReplyMsg) []Cmd {
-	if m.Holder != c.holder().Entry {
+func (c *Claim) handleReply(m ReplyMsg) []Cmd {
+	if m.Holder != c.currentHolder().Entry {
 		return nil
 	}
 	switch m.Reply.Verdict {
 	case Granted:
-		return c.grantedBy(m)
+		return c.handleGrant(m)
 	case Repeat, Mismatch:
-		return c.known(m)
+		return c.handleExisting(m)
 	case Gap:
-		return c.refuse(RefuseCmd{Reason: Lost, NotRun: c.granted, Holder: m.Holder, RetryAfter: m.Reply.Retry})
+		return c.refuse(RefuseCmd{Reason: Lost, NotRun: c.noRecord, Holder: m.Holder, RetryAfter: m.Reply.Retry})
 	case Full:
-		free := c.granted || !m.Reply.Store && c.inTime(m.Now)
+		free := c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
 		return c.refuse(RefuseCmd{Reason: NoRoom, NotRun: free, Holder: m.Holder, RetryAfter: m.Reply.Retry})
 	default:
-		return c.stale(m)
+		return c.handleStale(m)
 	}
 }
 
-func (c *Claim) known(m ReplyMsg) []Cmd {
+func (c *Claim) handleExisting(m ReplyMsg) []Cmd {
 	if m.Reply.Verdict == Mismatch {
-		return c.refuse(RefuseCmd{Reason: OtherRequest, NotRun: c.inTime(m.Now), Holder: m.Holder})
+		return c.refuse(RefuseCmd{Reason: OtherRequest, NotRun: c.withinTimeout(m.Now), Holder: m.Holder})
 	}
-	return c.end(RepeatCmd{Record: m.Reply.Record})
+	return c.finish(RepeatCmd{Record: m.Reply.Record})
 }
 
-func (c *Claim) grantedBy(m ReplyMsg) []Cmd {
-	c.store = c.store || m.Reply.Store
-	c.granted = c.granted || !m.Reply.Store && c.inTime(m.Now)
-	c.tries = 0
+func (c *Claim) handleGrant(m ReplyMsg) []Cmd {
+	c.needStore = c.needStore || m.Reply.Store
+	c.noRecord = c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
+	c.askFailures = 0
 	_, second := c.roster.HoldersOf(c.id)
 	switch {
 	case c.step == probeSecond:
-		c.why.NotRun = c.granted
-		return c.refuse(c.why)
-	case !c.inTime(m.Now):
-		return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.granted, Holder: m.Holder, RetryAfter: refuseRetryIn})
+		c.refusal.NotRun = c.noRecord
+		return c.refuse(c.refusal)
+	case !c.withinTimeout(m.Now):
+		return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.noRecord, Holder: m.Holder, RetryAfter: refusedRetryDelay})
 	case c.step == askFirst && second != "":
 		c.step = askSecond
 		return c.ask()
-	case c.store || second == "":
-		c.step, c.stored = writeStore, true
+	case c.needStore || second == "":
+		c.step, c.mayBeStored = writeStore, true
 		return []Cmd{StoreCmd{}}
 	default:
 		return c.allow()
@@ -268,90 +268,90 @@
 
 func (c *Claim) allow() []Cmd {
 	c.step = ended
-	return []Cmd{GoCmd{Holders: c.asked, Store: c.stored}}
+	return []Cmd{GoCmd{Holders: c.asked, Store: c.mayBeStored}}
 }
 
-// stale begins again when the roster has changed, and waits while it is changing.
-func (c *Claim) stale(m ReplyMsg) []Cmd {
+// handleStale begins again when the roster has changed, and waits while it is changing.
+func (c *Claim) handleStale(m ReplyMsg) []Cmd {
 	if c.step == probeSecond {
-		return c.refuse(c.why)
+		return c.refuse(c.refusal)
 	}
-	if !c.inTime(m.Now) {
-		return c.giveUp(RefuseCmd{Reason: Changing, Holder: m.Holder, RetryAfter: refuseRetryIn})
+	if !c.withinTimeout(m.Now) {
+		return c.giveUp(RefuseCmd{Reason: Changing, Holder: m.Holder, RetryAfter: refusedRetryDelay})
 	}
-	if c.renew(m.Roster) {
+	if c.adoptNewer(m.Roster) {
 		return c.ask()
 	}
-	return []Cmd{WaitCmd{For: handoverRetryIn}}
+	return []Cmd{WaitCmd{For: handoverRetryDelay}}
 }
 
-// renew takes up a newer roster, under which nothing has been granted yet.
-func (c *Claim) renew(r Roster) bool {
+// adoptNewer takes up a newer roster, under which nothing has been granted yet.
+func (c *Claim) adoptNewer(r Roster) bool {
 	if r.number <= c.roster.number {
 		return false
 	}
-	c.roster, c.step, c.tries, c.store, c.granted = r, askFirst, 0, false, false
+	c.roster, c.step, c.askFailures, c.needStore, c.noRecord = r, askFirst, 0, false, false
 	return true
 }
 
-func (c *Claim) failed(m FailMsg) []Cmd {
+func (c *Claim) handleFailure(m FailMsg) []Cmd {
 	if c.step == probeSecond {
-		return c.refuse(c.why)
+		return c.refuse(c.refusal)
 	}
-	c.tries++
+	c.askFailures++
 	switch {
-	case c.inTime(m.Now) && c.renew(m.Roster):
+	case c.withinTimeout(m.Now) && c.adoptNewer(m.Roster):
 		return c.ask()
-	case c.inTime(m.Now) && (m.Holder == "" || c.tries < askTries):
+	case c.withinTimeout(m.Now) && (m.Holder == "" || c.askFailures < maxAskFailures):
 		return c.ask()
 	default:
-		return c.giveUp(RefuseCmd{Reason: Unreachable, Holder: m.Holder, RetryAfter: refuseRetryIn})
+		return c.giveUp(RefuseCmd{Reason: Unreachable, Holder: m.Holder, RetryAfter: refusedRetryDelay})
 	}
 }
 
 // giveUp refuses, but first asks the second holder whether there is a record if no one has said so yet.
 func (c *Claim) giveUp(r RefuseCmd) []Cmd {
 	_, second := c.roster.HoldersOf(c.id)
-	if c.granted || c.step != askFirst || second == "" {
-		r.NotRun = c.granted
+	if c.noRecord || c.step != askFirst || second == "" {
+		r.NotRun = c.noRecord
 		return c.refuse(r)
 	}
-	c.step, c.why = probeSecond, r
+	c.step, c.refusal = probeSecond, r
 	return c.ask()
 }
 
-func (c *Claim) wrote(m StoreMsg) []Cmd {
+func (c *Claim) handleStoreResult(m StoreMsg) []Cmd {
 	switch {
 	case m.Outcome == StoreTaken:
-		return c.end(RepeatCmd{Record: m.Record})
-	case m.Outcome == StoreMade && c.inTime(m.Now):
+		return c.finish(RepeatCmd{Record: m.Record})
+	case m.Outcome == StoreMade && c.withinTimeout(m.Now):
 		return c.allow()
 	}
-	return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.granted, RetryAfter: refuseRetryIn})
+	return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.noRecord, RetryAfter: refusedRetryDelay})
 }
 
 // refuse gives back what may have been granted, and has the roster confirmed before it says that no copy was sent.
 func (c *Claim) refuse(r RefuseCmd) []Cmd {
 	if !r.NotRun {
-		return c.end(r)
+		return c.finish(r)
 	}
-	l := c.end(ConfirmCmd{})
-	c.step, c.why = confirming, r
+	l := c.finish(ConfirmCmd{})
+	c.step, c.refusal = confirming, r
 	return l
 }
 
-func (c *Claim) confirmed(m Msg) []Cmd {
+func (c *Claim) handleConfirmation(m Msg) []Cmd {
 	n, ok := m.(ConfirmMsg)
-	c.why.NotRun = ok && n.Number == c.roster.number
+	c.refusal.NotRun = ok && n.Number == c.roster.number
 	c.step = ended
-	return []Cmd{c.why}
+	return []Cmd{c.refusal}
 }
 
-// end gives back whatever may have been granted before it tells the outcome.
-func (c *Claim) end(last Cmd) []Cmd {
+// finish gives back whatever may have been granted before it tells the outcome.
+func (c *Claim) finish(last Cmd) []Cmd {
 	c.step = ended
 	if len(c.asked) == 0 {
 		return []Cmd{last}
 	}
-	return []Cmd{ReleaseCmd{Holders: c.asked, Store: c.stored}, last}
+	return []Cmd{ReleaseCmd{Holders: c.asked, Store: c.mayBeStored}, last}
 }
--- a/flow/ledger/gap.go
+++ b/flow/ledger/gap.go
@@ -15,27 +15,27 @@
 	Lost    []Member
 	Until   time.Time // zero while a lost member may still be alive
 
-	seeds []uint64
+	hashes []uint64
 }
 
 // Single reports whether the lapse is that of a first roster with one member, of which every send is in the platform's service.
 //
 // A later roster of one member also holds records of earlier sends, which the service does not have.
-func (l Lapse) Single() bool { return len(l.Members) == 1 && followsFirst(l.Roster) }
+func (l Lapse) Single() bool { return len(l.Members) == 1 && isSecondRoster(l.Roster) }
 
-func followsFirst(number int64) bool { return number>>tagBits == 2 }
+func isSecondRoster(number int64) bool { return number>>tagBits == 2 }
 
 func (l Lapse) covers(id ID) bool {
 	if len(l.Members) == 1 {
 		return true
 	}
-	f, s := top(l.Members, l.seeds, id)
-	_, x := find(l.Lost, f)
-	_, y := find(l.Lost, s)
+	f, s := topTwo(l.Members, l.hashes, id)
+	_, x := findMember(l.Lost, f)
+	_, y := findMember(l.Lost, s)
 	return x && y
 }
 
-func (b *Book) lapsed(id ID, now time.Time) ClaimReply {
+func (b *Book) checkGaps(id ID, now time.Time) ClaimReply {
 	r := ClaimReply{}
 	for _, l := range b.gaps {
 		if !l.Until.IsZero() && !now.Before(l.Until) || !l.covers(id) {
@@ -49,12 +49,12 @@
 	return r
 }
 
-// inherit takes up a source's lapses; sources that lost different members under one roster have different ones.
-func (b *Book) inherit(ls []Lapse) {
+// inheritGaps takes up a source's lapses; sources that lost different members under one roster have different ones.
+func (b *Book) inheritGaps(ls []Lapse) {
 	for _, l := range ls {
 		k := slices.IndexFunc(b.gaps, func(g Lapse) bool { return g.Roster == l.Roster && slices.Equal(g.Lost, l.Lost) })
 		if k < 0 {
-			l.seeds = seeds(l.Members)
+			l.hashes = entryHashes(l.Members)
 			b.gaps = append(b.gaps, l)
 		} else if l.Until.After(b.gaps[k].Until) {
 			b.gaps[k].Until = l.Until
@@ -62,8 +62,8 @@
 	}
 }
 
-func (b *Book) lapse(missing []source, now time.Time) Lapse {
-	l := Lapse{Roster: b.roster.number, Members: b.roster.previous, seeds: b.roster.priorSeeds}
+func (b *Book) newGap(missing []source, now time.Time) Lapse {
+	l := Lapse{Roster: b.roster.number, Members: b.roster.previous, hashes: b.roster.priorHashes}
 	for _, s := range missing {
 		l.Lost = append(l.Lost, s.member)
 		if s.state != gone {
@@ -80,12 +80,12 @@
 	return l
 }
 
-func (b *Book) endGaps(now time.Time) {
+func (b *Book) expireGaps(now time.Time) {
 	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return !l.Until.IsZero() && !now.Before(l.Until) })
 }
 
-// passOn returns the lapses that began before the roster in use.
-func (b *Book) passOn() []Lapse {
+// inheritedGaps returns the lapses that began before the roster in use.
+func (b *Book) inheritedGaps() []Lapse {
 	var o []Lapse
 	for _, l := range b.gaps {
 		if l.Roster < b.roster.number {
--- a/flow/ledger/handover.go
+++ b/flow/ledger/handover.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	pageRecords = 1000
-	pageBytes   = 256 << 10
+	maxPageRecords     = 1000
+	maxPageAnswerBytes = 256 << 10
 )
 
 // source is a member of the roster before, from which records are pulled.
@@ -22,7 +22,7 @@
 
 const (
 	pending sourceState = iota
-	unreached
+	unreachable
 	gone
 	done
 )
@@ -81,40 +81,40 @@
 
 // Adopt takes up a roster that is newer than the one in use and says from whom to pull.
 func (b *Book) Adopt(m RosterMsg) []PullCmd {
-	b.since(m.Now)
+	b.sinceEpoch(m.Now)
 	r := m.Roster
 	if r.number <= b.roster.number {
 		return nil
 	}
-	b.wasHolding = b.holding != 0 && b.holding == r.prior
-	if b.wasHolding {
-		b.sweep(r)
+	b.priorWasActive = b.activeRoster != 0 && b.activeRoster == r.prior
+	if b.priorWasActive {
+		b.dropUnheldRecords(r)
 	}
 	b.roster, b.sources = r, nil
-	if !lists(r.members, b.self) {
+	if !containsMember(r.members, b.self) {
 		return nil
 	}
-	if !b.gainsNothing() {
-		b.open()
+	if !b.holdsNoNewKeys() {
+		b.openSources()
 	}
-	b.settleSources(m.Now)
+	b.activateIfComplete(m.Now)
 	return b.Pulls()
 }
 
-// gainsNothing reports whether every key held here now was held here before.
-func (b *Book) gainsNothing() bool {
+// holdsNoNewKeys reports whether every key held here now was held here before.
+func (b *Book) holdsNoNewKeys() bool {
 	if b.roster.prior == 0 {
 		return true
 	}
-	return b.wasHolding && !slices.ContainsFunc(b.roster.previous, func(p Member) bool {
-		_, ok := find(b.roster.members, p.Entry)
+	return b.priorWasActive && !slices.ContainsFunc(b.roster.previous, func(p Member) bool {
+		_, ok := findMember(b.roster.members, p.Entry)
 		return !ok
-	}) && lists(b.roster.previous, b.self)
+	}) && containsMember(b.roster.previous, b.self)
 }
 
-func (b *Book) open() {
+func (b *Book) openSources() {
 	for _, p := range b.roster.previous {
-		if !p.Is(b.self) || !b.wasHolding {
+		if !p.Is(b.self) || !b.priorWasActive {
 			b.sources = append(b.sources, source{member: p})
 		}
 	}
@@ -130,51 +130,51 @@
 func (b *Book) Pulls() []PullCmd {
 	var c []PullCmd
 	for _, s := range b.sources {
-		if s.state == pending || s.state == unreached {
-			c = append(c, PullCmd{From: s.member, Roster: b.roster.number, Newcomer: !b.wasHolding})
+		if s.state == pending || s.state == unreachable {
+			c = append(c, PullCmd{From: s.member, Roster: b.roster.number, Newcomer: !b.priorWasActive})
 		}
 	}
 	return c
 }
 
-// sweep drops the records that are neither held under the roster in use nor under its successor r.
-func (b *Book) sweep(r Roster) {
-	for i := range b.table.used {
+// dropUnheldRecords drops the records that are neither held under the roster in use nor under its successor r.
+func (b *Book) dropUnheldRecords(r Roster) {
+	for i := range b.table.allocated {
 		s := b.table.at(i)
-		if s.phase != None && !holds(b.self.Entry, b.roster, s.id) && !holds(b.self.Entry, r, s.id) {
+		if s.phase != None && !isHolder(b.self.Entry, b.roster, s.id) && !isHolder(b.self.Entry, r, s.id) {
 			b.table.remove(i, s)
 		}
 	}
 }
 
-func holds(entry string, r Roster, id ID) bool {
+func isHolder(entry string, r Roster, id ID) bool {
 	f, s := r.HoldersOf(id)
 	return f == entry || s == entry
 }
 
-// standing says whether the holder knows all that was granted for the key before.
-func (b *Book) standing(id ID, now time.Time) ClaimReply {
-	if !holds(b.self.Entry, b.roster, id) {
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryIn}
+// checkReady says whether the holder knows all that was granted for the key before.
+func (b *Book) checkReady(id ID, now time.Time) ClaimReply {
+	if !isHolder(b.self.Entry, b.roster, id) {
+		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
 	}
-	r := b.lapsed(id, now)
-	if r.Verdict != Granted || b.holding == b.roster.number {
+	r := b.checkGaps(id, now)
+	if r.Verdict != Granted || b.activeRoster == b.roster.number {
 		return r
 	}
 	f, s := b.roster.priorHoldersOf(id)
 	switch {
-	case b.knows(f) || b.knows(s):
+	case b.hasRecordsOf(f) || b.hasRecordsOf(s):
 		return r
-	case s == "" && followsFirst(b.roster.number):
+	case s == "" && isSecondRoster(b.roster.number):
 		r.Store = true
 		return r
 	default:
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryIn}
+		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
 	}
 }
 
-// knows reports whether the records of a former holder are here.
-func (b *Book) knows(entry string) bool {
+// hasRecordsOf reports whether the records of a former holder are here.
+func (b *Book) hasRecordsOf(entry string) bool {
 	if entry == "" {
 		return false
 	}
@@ -183,7 +183,7 @@
 			return s.state == done
 		}
 	}
-	return entry == b.self.Entry && b.wasHolding
+	return entry == b.self.Entry && b.priorWasActive
 }
 
 // Gone notes that a life of an entry is over, which bounds what may still come from it.
@@ -197,11 +197,11 @@
 		}
 	}
 	for i := range b.gaps {
-		if l := &b.gaps[i]; l.Until.IsZero() && lists(l.Lost, m.Member) {
+		if l := &b.gaps[i]; l.Until.IsZero() && containsMember(l.Lost, m.Member) {
 			l.Until = m.Now.Add(Remember)
 		}
 	}
-	b.settleSources(m.Now)
+	b.activateIfComplete(m.Now)
 }
 
 // Unreached notes that a source does not answer; the holder does without it where another has the same records.
@@ -211,10 +211,10 @@
 	}
 	for i := range b.sources {
 		if s := &b.sources[i]; s.member.Entry == m.Entry && s.state == pending {
-			s.state = unreached
+			s.state = unreachable
 		}
 	}
-	b.settleSources(m.Now)
+	b.activateIfComplete(m.Now)
 }
 
 // Pulled takes in a page of a source's records; the last page of a complete source ends its part of the handover.
@@ -223,16 +223,16 @@
 	if m.Roster != b.roster.number || !m.Page.Complete || i < 0 {
 		return
 	}
-	now := b.since(m.Now)
+	now := b.sinceEpoch(m.Now)
 	for _, r := range m.Page.Records {
 		b.merge(r, now)
 	}
-	b.inherit(m.Page.Lapses)
+	b.inheritGaps(m.Page.Lapses)
 	if m.Page.More {
 		return
 	}
 	b.sources[i].state = done
-	b.settleSources(m.Now)
+	b.activateIfComplete(m.Now)
 }
 
 // merge takes in a source's record; handed-over records may exceed the bound, because forgetting one early could double a request.
@@ -246,25 +246,25 @@
 	b.write(i, s, r, now)
 }
 
-// settleSources puts the roster in force here when no record that can still be had is missing.
-func (b *Book) settleSources(now time.Time) {
-	if b.roster.number == 0 || !lists(b.roster.members, b.self) {
+// activateIfComplete puts the roster in force here when no record that can still be had is missing.
+func (b *Book) activateIfComplete(now time.Time) {
+	if b.roster.number == 0 || !containsMember(b.roster.members, b.self) {
 		return
 	}
-	missing, alive, open := b.missing()
+	missing, alive, open := b.missingSources()
 	few := len(b.roster.previous) > 1 && len(missing) <= 1
 	if !few && len(missing) > 0 && (open > 0 || alive > 1 && len(b.roster.previous) > 1) {
 		return
 	}
 	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return l.Roster == b.roster.number })
 	if !few && len(missing) > 0 {
-		b.gaps = append(b.gaps, b.lapse(missing, now))
+		b.gaps = append(b.gaps, b.newGap(missing, now))
 	}
-	b.holding = b.roster.number
+	b.activeRoster = b.roster.number
 }
 
-// missing returns the sources whose records are not here, how many of them may be alive, and how many may still answer.
-func (b *Book) missing() (m []source, alive, open int) {
+// missingSources returns the sources whose records are not here, how many of them may be alive, and how many may still answer.
+func (b *Book) missingSources() (m []source, alive, open int) {
 	for _, s := range b.sources {
 		if s.state == done {
 			continue
@@ -282,22 +282,22 @@
 
 // Handover returns a page of the records that the asker holds under the roster both use.
 func (b *Book) Handover(m HandoverMsg) Page {
-	if m.Roster != b.roster.number || !b.wasHolding {
+	if m.Roster != b.roster.number || !b.priorWasActive {
 		return Page{}
 	}
-	now := b.since(m.Now)
-	p := Page{Complete: true, Lapses: b.passOn()}
+	now := b.sinceEpoch(m.Now)
+	p := Page{Complete: true, Lapses: b.inheritedGaps()}
 	k, _ := strconv.ParseUint(m.After, 10, 32)
 	n := 0
-	for i := uint32(k); i < b.table.used; i++ {
+	for i := uint32(k); i < b.table.allocated; i++ {
 		s := b.table.at(i)
-		if s.phase == None || !b.owes(s.id, m) {
+		if s.phase == None || !b.mustHandOver(s.id, m) {
 			continue
 		}
 		r := b.table.record(i, s, now)
 		p.Records = append(p.Records, r)
 		n += len(r.Answer)
-		if len(p.Records) >= pageRecords || n >= pageBytes {
+		if len(p.Records) >= maxPageRecords || n >= maxPageAnswerBytes {
 			p.More, p.After = true, strconv.FormatUint(uint64(i)+1, 10)
 			break
 		}
@@ -305,8 +305,8 @@
 	return p
 }
 
-func (b *Book) owes(id ID, m HandoverMsg) bool {
-	if !holds(m.Entry, b.roster, id) {
+func (b *Book) mustHandOver(id ID, m HandoverMsg) bool {
+	if !isHolder(m.Entry, b.roster, id) {
 		return false
 	}
 	if m.Newcomer {
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -10,10 +10,10 @@
 const (
 	// UnheardAfter is how long a member must be unheard before it may be removed.
 	UnheardAfter = 4 * time.Second
-	// proposeEvery spaces the proposals of entries that stand behind the first.
-	proposeEvery = time.Second
-	// listLasts is how long the platform's list counts after it was read.
-	listLasts = 30 * time.Second
+	// proposalDelay spaces the proposals of entries that stand behind the first.
+	proposalDelay = time.Second
+	// vmListMaxAge is how long the platform's list counts after it was read.
+	vmListMaxAge = 30 * time.Second
 )
 
 // BeatMsg is what one entry of the data centre last said of itself; an entry tells its own Membership too.
@@ -36,21 +36,21 @@
 type ProposeCmd struct{ Roster Roster }
 
 type peer struct {
-	beat  BeatMsg
-	since time.Time // first beat of this life
+	beat      BeatMsg
+	firstBeat time.Time // first beat of this life
 }
 
 // Membership decides when the roster of a data centre changes; every entry runs one.
 type Membership struct {
-	self       Member
-	dataCentre string
-	roster     Roster
-	adopted    time.Time
-	wanted     time.Time // since when a change is wanted
-	peers      map[string]peer
-	gone       []string
-	listed     time.Time // when gone was read
-	stopping   bool
+	self              Member
+	dataCentre        string
+	roster            Roster
+	adoptedAt         time.Time
+	changeWantedSince time.Time // since when a change is wanted
+	peers             map[string]peer
+	goneEntries       []string
+	vmListReadAt      time.Time // when gone was read
+	stopping          bool
 }
 
 // NewMembership returns the decision of one entry.
@@ -65,7 +65,7 @@
 		return
 	}
 	if !ok || !p.beat.Member.Is(m.Member) {
-		p.since = m.Now
+		p.firstBeat = m.Now
 	}
 	p.beat = m
 	s.peers[m.Member.Entry] = p
@@ -73,24 +73,24 @@
 }
 
 // VMs notes which entries are gone for good.
-func (s *Membership) VMs(m VMsMsg) { s.gone, s.listed = m.Gone, m.Now }
+func (s *Membership) VMs(m VMsMsg) { s.goneEntries, s.vmListReadAt = m.Gone, m.Now }
 
 // Gone returns the members of the last two rosters, and of more, that this entry's own list says are gone.
 func (s *Membership) Gone(now time.Time, more []Member) []string {
-	if now.Sub(s.listed) > listLasts {
+	if now.Sub(s.vmListReadAt) > vmListMaxAge {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(s.gone), func(e string) bool {
-		_, a := find(s.roster.members, e)
-		_, b := find(s.roster.previous, e)
-		_, c := find(more, e)
+	return slices.DeleteFunc(slices.Clone(s.goneEntries), func(e string) bool {
+		_, a := findMember(s.roster.members, e)
+		_, b := findMember(s.roster.previous, e)
+		_, c := findMember(more, e)
 		return !a && !b && !c
 	})
 }
 
 // isGone reports whether this entry's list, or that of an entry heard lately, says that the entry is gone.
 func (s *Membership) isGone(entry string, now time.Time) bool {
-	if now.Sub(s.listed) <= listLasts && slices.Contains(s.gone, entry) {
+	if now.Sub(s.vmListReadAt) <= vmListMaxAge && slices.Contains(s.goneEntries, entry) {
 		return true
 	}
 	for _, p := range s.peers {
@@ -104,7 +104,7 @@
 // Adopt notes the roster in use.
 func (s *Membership) Adopt(m RosterMsg) {
 	if m.Roster.number > s.roster.number {
-		s.roster, s.adopted, s.wanted = m.Roster, m.Now, time.Time{}
+		s.roster, s.adoptedAt, s.changeWantedSince = m.Roster, m.Now, time.Time{}
 	}
 }
 
@@ -112,15 +112,15 @@
 func (s *Membership) Unheard(now time.Time) []string {
 	var u []string
 	for _, m := range s.roster.members {
-		if m.Entry != s.self.Entry && s.silent(m, now) {
+		if m.Entry != s.self.Entry && s.timedOut(m, now) {
 			u = append(u, m.Entry)
 		}
 	}
 	return u
 }
 
-func (s *Membership) silent(m Member, now time.Time) bool {
-	last := s.adopted
+func (s *Membership) timedOut(m Member, now time.Time) bool {
+	last := s.adoptedAt
 	if p, ok := s.peers[m.Entry]; ok && p.beat.Now.After(last) {
 		last = p.beat.Now
 	}
@@ -147,26 +147,26 @@
 
 // Tick returns a proposal when the roster should change and may.
 func (s *Membership) Tick(m TickMsg) []ProposeCmd {
-	next := s.next(m.Now)
-	if len(next) == 0 || slices.Equal(next, s.roster.members) || !s.may(next, m.Now) {
-		s.wanted = time.Time{}
+	next := s.desiredMembers(m.Now)
+	if len(next) == 0 || slices.Equal(next, s.roster.members) || !s.mayPropose(next, m.Now) {
+		s.changeWantedSince = time.Time{}
 		return nil
 	}
-	if s.wanted.IsZero() {
-		s.wanted = m.Now
+	if s.changeWantedSince.IsZero() {
+		s.changeWantedSince = m.Now
 	}
-	if m.Now.Sub(s.wanted) < time.Duration(s.place(next))*proposeEvery {
+	if m.Now.Sub(s.changeWantedSince) < time.Duration(s.proposalRank(next))*proposalDelay {
 		return nil
 	}
-	tag := uint64(m.Now.UnixNano()) ^ uint64(s.self.Incarnation) ^ seeds([]Member{s.self})[0]
+	tag := uint64(m.Now.UnixNano()) ^ uint64(s.self.Incarnation) ^ entryHashes([]Member{s.self})[0]
 	if s.roster.number == 0 {
 		return []ProposeCmd{{Roster: NewRoster(s.dataCentre, next, tag)}}
 	}
 	return []ProposeCmd{{Roster: s.roster.Next(next, tag)}}
 }
 
-// place is how many entries should propose before this one.
-func (s *Membership) place(next []Member) int {
+// proposalRank is how many entries should propose before this one.
+func (s *Membership) proposalRank(next []Member) int {
 	n := 0
 	for _, m := range next {
 		if m.Entry == s.self.Entry {
@@ -177,18 +177,18 @@
 	return n
 }
 
-// next returns the members that the roster should have.
-func (s *Membership) next(now time.Time) []Member {
+// desiredMembers returns the members that the roster should have.
+func (s *Membership) desiredMembers(now time.Time) []Member {
 	var n []Member
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.stops(m) && !s.cut(m, now) {
+		if !s.Over(m, now) && !s.isStopping(m) && !s.isCutOff(m, now) {
 			n = append(n, m)
 		}
 	}
-	return sorted(append(n, s.joiners(now)...))
+	return sortedByEntry(append(n, s.joiners(now)...))
 }
 
-func (s *Membership) stops(m Member) bool {
+func (s *Membership) isStopping(m Member) bool {
 	if m.Entry == s.self.Entry {
 		return s.stopping
 	}
@@ -196,15 +196,15 @@
 	return ok && p.beat.Member.Is(m) && p.beat.Stopping
 }
 
-// cut reports whether this entry and most of the members that it hears have not heard m.
-func (s *Membership) cut(m Member, now time.Time) bool {
-	if m.Entry == s.self.Entry || !s.silent(m, now) {
+// isCutOff reports whether this entry and most of the members that it hears have not heard m.
+func (s *Membership) isCutOff(m Member, now time.Time) bool {
+	if m.Entry == s.self.Entry || !s.timedOut(m, now) {
 		return false
 	}
 	yes, all := 1, 1
 	for _, o := range s.roster.members {
 		p, ok := s.peers[o.Entry]
-		if o.Entry == s.self.Entry || o.Entry == m.Entry || !ok || s.silent(o, now) {
+		if o.Entry == s.self.Entry || o.Entry == m.Entry || !ok || s.timedOut(o, now) {
 			continue
 		}
 		all++
@@ -217,13 +217,13 @@
 
 func (s *Membership) joiners(now time.Time) []Member {
 	var j []Member
-	if !s.stopping && !lists(s.roster.members, s.self) {
+	if !s.stopping && !containsMember(s.roster.members, s.self) {
 		j = append(j, s.self)
 	}
 	for _, p := range s.peers {
 		b := p.beat
 		fresh := now.Sub(b.Now) < UnheardAfter/2 && !b.Stopping
-		if fresh && b.Member.Entry != s.self.Entry && !lists(s.roster.members, b.Member) {
+		if fresh && b.Member.Entry != s.self.Entry && !containsMember(s.roster.members, b.Member) {
 			j = append(j, b.Member)
 		}
 	}
@@ -231,14 +231,14 @@
 	return j
 }
 
-// may reports whether the last change is complete at all members that stay, and whether enough of them stay.
-func (s *Membership) may(next []Member, now time.Time) bool {
+// mayPropose reports whether the last change is complete at all members that stay, and whether enough of them stay.
+func (s *Membership) mayPropose(next []Member, now time.Time) bool {
 	stay, alive := 0, 0
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.stops(m) {
+		if !s.Over(m, now) && !s.isStopping(m) {
 			alive++
 		}
-		if !lists(next, m) {
+		if !containsMember(next, m) {
 			continue
 		}
 		stay++
--- a/flow/ledger/random_test.go
+++ b/flow/ledger/random_test.go
@@ -10,36 +10,36 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var worldEntries = []string{"a", "b", "c", "d"}
+var entryNames = []string{"a", "b", "c", "d"}
 
-// act performs one drawn step of the trace.
-func act(t *rapid.T, w *world) {
-	l := w.lives[rapid.SampledFrom(worldEntries).Draw(t, "entry")]
+// performStep performs one drawn step of the trace.
+func performStep(t *rapid.T, w *cluster) {
+	l := w.processes[rapid.SampledFrom(entryNames).Draw(t, "entry")]
 	switch k := rapid.IntRange(0, 99).Draw(t, "step"); {
 	case k < 3:
-		l.cut, l.noStore = 1, true
-		w.note("cut off %s", l.member.Entry)
-		w.calm(12, false)
+		l.partition, l.noStore = 1, true
+		w.logf("cut off %s", l.member.Entry)
+		w.runRounds(12, false)
 	case k < 12:
-		w.calm(rapid.IntRange(1, 12).Draw(t, "rounds"), false)
+		w.runRounds(rapid.IntRange(1, 12).Draw(t, "rounds"), false)
 	case k < 20:
-		w.calm(rapid.IntRange(1, 4).Draw(t, "rounds"), true)
+		w.runRounds(rapid.IntRange(1, 4).Draw(t, "rounds"), true)
 	case k < 34:
 		if l.runs() {
-			l.take(rapid.SampledFrom([]string{"k1", "k2", "k3", "k4"}).Draw(t, "key"), Digest(1+k/33))
+			l.startCopy(rapid.SampledFrom([]string{"k1", "k2", "k3", "k4"}).Draw(t, "key"), Digest(1+k/33))
 		}
 	case k < 62:
-		if n := len(w.calls); n > 0 {
-			w.deliver(&w.calls, rapid.IntRange(0, n-1).Draw(t, "call"), k < 37)
+		if n := len(w.claimCalls); n > 0 {
+			w.deliver(&w.claimCalls, rapid.IntRange(0, n-1).Draw(t, "call"), k < 37)
 		}
 	case k < 66:
-		if n := len(w.queue); n > 0 {
-			w.deliver(&w.queue, rapid.IntRange(0, n-1).Draw(t, "message"), k < 63)
+		if n := len(w.messages); n > 0 {
+			w.deliver(&w.messages, rapid.IntRange(0, n-1).Draw(t, "message"), k < 63)
 		}
 	case k < 69:
-		if n := len(w.calls); n > 0 {
+		if n := len(w.claimCalls); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(t, "call")
-			w.calls = append(w.calls[:i:i], w.calls[i+1:]...)
+			w.claimCalls = append(w.claimCalls[:i:i], w.claimCalls[i+1:]...)
 		}
 	case k < 73:
 		for _, c := range l.copies {
@@ -48,12 +48,12 @@
 			}
 		}
 	default:
-		disturb(t, w, l, k)
+		performFault(t, w, l, k)
 	}
 }
 
-// disturb performs a failure or its end.
-func disturb(t *rapid.T, w *world, l *life, k int) {
+// performFault performs a failure or its end.
+func performFault(t *rapid.T, w *cluster, l *process, k int) {
 	switch {
 	case k < 77:
 		l.tick()
@@ -67,20 +67,20 @@
 		}
 	case k < 87:
 		l.frozen = !l.frozen
-		w.note("frozen %s %t", l.member.Entry, l.frozen)
+		w.logf("frozen %s %t", l.member.Entry, l.frozen)
 	case k < 90:
-		l.cut = rapid.IntRange(0, 1).Draw(t, "group")
-		w.note("group %s %d", l.member.Entry, l.cut)
+		l.partition = rapid.IntRange(0, 1).Draw(t, "group")
+		w.logf("group %s %d", l.member.Entry, l.partition)
 	case k < 92:
 		l.noStore = !l.noStore
-		w.note("noStore %s %t", l.member.Entry, l.noStore)
+		w.logf("noStore %s %t", l.member.Entry, l.noStore)
 	case k < 94:
-		w.list()
+		w.updateVMList()
 	case k < 95:
 		l.membership.Stop()
-		w.note("stop %s", l.member.Entry)
+		w.logf("stop %s", l.member.Entry)
 	case k < 96:
-		w.revert()
+		w.revertStore()
 	default:
 		w.now = w.now.Add(rapid.SampledFrom([]time.Duration{
 			50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, 5 * time.Second, time.Minute, 4 * time.Minute, Remember,
@@ -88,32 +88,32 @@
 	}
 }
 
-// list brings the platform's list up to date.
-func (w *world) list() {
-	w.gone = nil
-	for _, e := range worldEntries {
-		if !w.lives[e].alive {
-			w.gone = append(w.gone, e)
+// updateVMList brings the platform's updateVMList up to date.
+func (w *cluster) updateVMList() {
+	w.goneEntries = nil
+	for _, e := range entryNames {
+		if !w.processes[e].alive {
+			w.goneEntries = append(w.goneEntries, e)
 		}
 	}
-	w.note("gone %v", w.gone)
+	w.logf("gone %v", w.goneEntries)
 }
 
-// calm runs rounds in which every entry ticks and every message that can come does, in order, those of claims if asked.
-func (w *world) calm(rounds int, calls bool) {
+// runRounds runs rounds in which every entry ticks and every message that can come does, in order, those of claims if asked.
+func (w *cluster) runRounds(rounds int, calls bool) {
 	for range rounds {
-		for _, e := range worldEntries {
-			w.lives[e].tick()
+		for _, e := range entryNames {
+			w.processes[e].tick()
 		}
-		w.flush(&w.queue)
+		w.deliverAll(&w.messages)
 		if calls {
-			w.flush(&w.calls)
+			w.deliverAll(&w.claimCalls)
 		}
 		w.now = w.now.Add(500 * time.Millisecond)
 	}
 }
 
-func (w *world) flush(q *[]message) {
+func (w *cluster) deliverAll(q *[]message) {
 	for n := len(*q) + 60; n > 0 && len(*q) > 0; n-- {
 		m := (*q)[0]
 		if !m.store && m.to.alive && m.to.frozen {
@@ -124,55 +124,55 @@
 	}
 }
 
-// live runs one drawn trace.
-func live(t *rapid.T, w *world) {
-	for _, e := range worldEntries[rapid.IntRange(1, len(worldEntries)).Draw(t, "alive"):] {
+// runTrace runs one drawn trace.
+func runTrace(t *rapid.T, w *cluster) {
+	for _, e := range entryNames[rapid.IntRange(1, len(entryNames)).Draw(t, "alive"):] {
 		w.kill(e)
 	}
-	w.calm(4, true)
+	w.runRounds(4, true)
 	for range rapid.IntRange(20, 120).Draw(t, "steps") {
-		act(t, w)
+		performStep(t, w)
 	}
 }
 
 // TestRandom holds that no key runs twice and no "not run" is untrue, whatever fails, and that claims pass once all is well.
 func TestRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, worldEntries...)
-		live(t, w)
+		w := newCluster(t, entryNames...)
+		runTrace(t, w)
 		if rapid.IntRange(0, 3).Draw(t, "heal") == 0 {
 			w.heal()
-			w.progress()
+			w.expectProgress()
 		}
 	})
 }
 
-func (w *world) heal() {
-	w.note("heal")
-	for _, e := range worldEntries {
-		if !w.lives[e].alive || w.lives[e].membership.Stopping() {
+func (w *cluster) heal() {
+	w.logf("heal")
+	for _, e := range entryNames {
+		if !w.processes[e].alive || w.processes[e].membership.Stopping() {
 			w.kill(e)
 			w.start(e)
 		}
-		l := w.lives[e]
-		l.frozen, l.cut, l.noStore = false, 0, false
+		l := w.processes[e]
+		l.frozen, l.partition, l.noStore = false, 0, false
 	}
-	w.list()
-	w.calm(60, true)
+	w.updateVMList()
+	w.runRounds(60, true)
 	w.now = w.now.Add(Remember)
-	w.calm(30, true)
+	w.runRounds(30, true)
 }
 
-func (w *world) progress() {
+func (w *cluster) expectProgress() {
 	w.t.Helper()
-	for _, e := range worldEntries {
-		l := w.lives[e]
-		if l.book.Holding() != w.doc.Number() || len(w.doc.Members()) != len(worldEntries) {
-			w.fail("%s holds %x of %x with %v", e, l.book.Holding(), w.doc.Number(), w.doc.Members())
+	for _, e := range entryNames {
+		l := w.processes[e]
+		if l.book.Holding() != w.storedRoster.Number() || len(w.storedRoster.Members()) != len(entryNames) {
+			w.fail("%s holds %x of %x with %v", e, l.book.Holding(), w.storedRoster.Number(), w.storedRoster.Members())
 		}
-		c := l.take("fresh"+e, 1)
-		w.calm(2, true)
-		if !c.over || len(c.holders) < 2 {
+		c := l.startCopy("fresh"+e, 1)
+		w.runRounds(2, true)
+		if !c.ended || len(c.holders) < 2 {
 			w.fail("a fresh key was not claimed at %s", e)
 		}
 	}
--- a/flow/ledger/roster.go
+++ b/flow/ledger/roster.go
@@ -27,10 +27,10 @@
 
 // Roster is the immutable list of the entries of a data centre that hold its keys; the zero Roster has number zero.
 type Roster struct {
-	number, prior     int64
-	dataCentre        string
-	members, previous []Member
-	seeds, priorSeeds []uint64
+	number, prior       int64
+	dataCentre          string
+	members, previous   []Member
+	hashes, priorHashes []uint64
 }
 
 type rosterWire struct {
@@ -43,33 +43,33 @@
 
 // NewRoster returns the first roster of a data centre; tag tells it from another first roster proposed at the same time.
 func NewRoster(dataCentre string, members []Member, tag uint64) Roster {
-	return build(rosterWire{Number: numberAfter(0, tag), DataCentre: dataCentre, Members: members})
+	return newFromWire(rosterWire{Number: nextNumber(0, tag), DataCentre: dataCentre, Members: members})
 }
 
 // Next returns the roster that follows r with other members; tag tells it from another one proposed to follow r.
 func (r Roster) Next(members []Member, tag uint64) Roster {
-	return build(rosterWire{
-		Number: numberAfter(r.number, tag), Prior: r.number, DataCentre: r.dataCentre, Members: members, Previous: r.members,
+	return newFromWire(rosterWire{
+		Number: nextNumber(r.number, tag), Prior: r.number, DataCentre: r.dataCentre, Members: members, Previous: r.members,
 	})
 }
 
-func numberAfter(n int64, tag uint64) int64 {
+func nextNumber(n int64, tag uint64) int64 {
 	return (n>>tagBits+1)<<tagBits | int64(mix(tag)&(1<<tagBits-1))
 }
 
-func build(w rosterWire) Roster {
-	r := Roster{number: w.Number, prior: w.Prior, dataCentre: w.DataCentre, members: sorted(w.Members), previous: sorted(w.Previous)}
-	r.seeds, r.priorSeeds = seeds(r.members), seeds(r.previous)
+func newFromWire(w rosterWire) Roster {
+	r := Roster{number: w.Number, prior: w.Prior, dataCentre: w.DataCentre, members: sortedByEntry(w.Members), previous: sortedByEntry(w.Previous)}
+	r.hashes, r.priorHashes = entryHashes(r.members), entryHashes(r.previous)
 	return r
 }
 
-func sorted(m []Member) []Member {
+func sortedByEntry(m []Member) []Member {
 	m = slices.Clone(m)
 	slices.SortFunc(m, func(a, b Member) int { return strings.Compare(a.Entry, b.Entry) })
 	return m
 }
 
-func seeds(m []Member) []uint64 {
+func entryHashes(m []Member) []uint64 {
 	s := make([]uint64, len(m))
 	for i := range m {
 		s[i] = xxhash.Sum64String(m[i].Entry)
@@ -86,7 +86,7 @@
 	if w.Number <= w.Prior || len(w.Members) == 0 {
 		return Roster{}, eris.Wrap(ErrRoster, "no members or numbers out of order")
 	}
-	return build(w), nil
+	return newFromWire(w), nil
 }
 
 // Marshal returns the roster's document in JSON.
@@ -116,19 +116,19 @@
 func (r Roster) Previous() []Member { return r.previous }
 
 // Member returns the member with the entry's id and whether there is one.
-func (r Roster) Member(entry string) (Member, bool) { return find(r.members, entry) }
+func (r Roster) Member(entry string) (Member, bool) { return findMember(r.members, entry) }
 
 // Holders returns the entries that hold key; the second is empty when the roster has one member.
 func (r Roster) Holders(key string) (first, second string) { return r.HoldersOf(NewID(key)) }
 
 // HoldersOf returns the entries that hold the key with the id; the second is empty when the roster has one member.
-func (r Roster) HoldersOf(id ID) (first, second string) { return top(r.members, r.seeds, id) }
+func (r Roster) HoldersOf(id ID) (first, second string) { return topTwo(r.members, r.hashes, id) }
 
 func (r Roster) priorHoldersOf(id ID) (first, second string) {
-	return top(r.previous, r.priorSeeds, id)
+	return topTwo(r.previous, r.priorHashes, id)
 }
 
-func find(m []Member, entry string) (Member, bool) {
+func findMember(m []Member, entry string) (Member, bool) {
 	i := slices.IndexFunc(m, func(m Member) bool { return m.Entry == entry })
 	if i < 0 {
 		return Member{}, false
@@ -136,13 +136,13 @@
 	return m[i], true
 }
 
-func lists(m []Member, o Member) bool {
-	f, ok := find(m, o.Entry)
+func containsMember(m []Member, o Member) bool {
+	f, ok := findMember(m, o.Entry)
 	return ok && f.Is(o)
 }
 
-// top returns the two members that score highest for id.
-func top(m []Member, seeds []uint64, id ID) (first, second string) {
+// topTwo returns the two members that score highest for id.
+func topTwo(m []Member, seeds []uint64, id ID) (first, second string) {
 	i, j := -1, -1
 	var x, y uint64
 	l := id.low()
--- a/flow/ledger/table.go
+++ b/flow/ledger/table.go
@@ -8,7 +8,7 @@
 const (
 	chunkBits = 12
 	chunkSize = 1 << chunkBits // records
-	none      = ^uint32(0)
+	noSlot    = ^uint32(0)
 )
 
 // slot is one record in memory; slots are linked in the order in which they expire.
@@ -16,7 +16,7 @@
 	id         ID
 	attempt    Attempt
 	digest     Digest
-	changed    uint32 // last change in units of stamp since the first message, rounded up
+	changedAt  uint32 // last change in units of stamp since the first message, rounded up
 	prev, next uint32
 	status     int16
 	phase      Phase
@@ -24,85 +24,85 @@
 }
 
 const (
-	keptBit = 0x80
-	stamp   = 100 * time.Millisecond
+	hasAnswerBit = 0x80
+	timeUnit     = 100 * time.Millisecond
 )
 
-func (s *slot) kept() bool { return s.renewals&keptBit != 0 }
+func (s *slot) hasAnswer() bool { return s.renewals&hasAnswerBit != 0 }
 
-func (s *slot) renewed() uint8 { return s.renewals &^ keptBit }
+func (s *slot) renewalCount() uint8 { return s.renewals &^ hasAnswerBit }
 
 // age returns how long ago the slot changed, at most a stamp too little.
 func (s *slot) age(now time.Duration) time.Duration {
-	return max(now-time.Duration(s.changed)*stamp, 0)
+	return max(now-time.Duration(s.changedAt)*timeUnit, 0)
 }
 
 type answer struct {
 	contentType string
 	body        []byte
-	number      uint64
+	sequence    uint64
 }
 
 func (a answer) size() int { return len(a.body) + len(a.contentType) }
 
-// turn is one answer's place in the order in which answers are given up.
-type turn struct {
-	slot   uint32
-	number uint64
+// evictionEntry is one answer's place in the order in which answers are given up.
+type evictionEntry struct {
+	slot     uint32
+	sequence uint64
 }
 
 // table keeps records compactly: chunks that never move, an index by id, and the few answers apart.
 type table struct {
-	index      index
-	chunks     []*[chunkSize]slot
-	used       uint32
-	free       []uint32
-	head, tail uint32
-	answers    map[uint32]answer
-	turns      []turn
-	number     uint64 // of the last answer
-	bytes      int    // of kept answers
+	index         index
+	chunks        []*[chunkSize]slot
+	allocated     uint32
+	freeSlots     []uint32
+	head, tail    uint32
+	answers       map[uint32]answer
+	evictionQueue []evictionEntry
+	lastSequence  uint64 // of the last answer
+	answerBytes   int    // of kept answers
 }
 
 func newTable() *table {
-	return &table{answers: map[uint32]answer{}, head: none, tail: none}
+	return &table{answers: map[uint32]answer{}, head: noSlot, tail: noSlot}
 }
 
 func (t *table) at(i uint32) *slot { return &t.chunks[i>>chunkBits][i&(chunkSize-1)] }
 
 func (t *table) find(id ID) (uint32, *slot) {
 	i := t.index.find(t, id)
-	if i == none {
-		return none, nil
+	if i == noSlot {
+		return noSlot, nil
 	}
 	return i, t.at(i)
 }
 
 func (t *table) add(id ID, now time.Duration) (uint32, *slot) {
-	i := t.take()
+	i := t.allocate()
 	s := t.at(i)
 	*s = slot{id: id}
 	t.index.add(t, id, i)
-	t.append(i, s, now)
+	t.linkLast(i, s, now)
 	return i, s
 }
 
-func (t *table) take() uint32 {
-	if n := len(t.free); n > 0 {
-		i := t.free[n-1]
-		t.free = t.free[:n-1]
+func (t *table) allocate() uint32 {
+	if n := len(t.freeSlots); n > 0 {
+		i := t.freeSlots[n-1]
+		t.freeSlots = t.freeSlots[:n-1]
 		return i
 	}
-	if t.used&(chunkSize-1) == 0 {
+	if t.allocated&(chunkSize-1) == 0 {
 		t.chunks = append(t.chunks, new([chunkSize]slot))
 	}
-	t.used++
-	return t.used - 1
+	t.allocated++
+	return t.allocated - 1
 }
 
-func (t *table) append(i uint32, s *slot, now time.Duration) {
-	s.changed, s.prev, s.next = uint32((now+stamp-1)/stamp), t.tail, none
-	if t.tail == none {
+func (t *table) linkLast(i uint32, s *slot, now time.Duration) {
+	s.changedAt, s.prev, s.next = uint32((now+timeUnit-1)/timeUnit), t.tail, noSlot
+	if t.tail == noSlot {
 		t.head = i
 	} else {
 		t.at(t.tail).next = i
@@ -111,12 +111,12 @@
 }
 
 func (t *table) unlink(s *slot) {
-	if s.prev == none {
+	if s.prev == noSlot {
 		t.head = s.next
 	} else {
 		t.at(s.prev).next = s.next
 	}
-	if s.next == none {
+	if s.next == noSlot {
 		t.tail = s.prev
 	} else {
 		t.at(s.next).prev = s.prev
@@ -126,46 +126,46 @@
 // touch makes the record the last to expire.
 func (t *table) touch(i uint32, s *slot, now time.Duration) {
 	t.unlink(s)
-	t.append(i, s, now)
+	t.linkLast(i, s, now)
 }
 
 func (t *table) remove(i uint32, s *slot) {
-	t.drop(i, s)
+	t.dropAnswer(i, s)
 	t.unlink(s)
 	t.index.remove(t, s.id)
 	s.phase = None
-	t.free = append(t.free, i)
+	t.freeSlots = append(t.freeSlots, i)
 }
 
-// keep stores an answer and gives up the oldest ones while all together are longer than most bytes.
-func (t *table) keep(i uint32, s *slot, a answer, most int) {
-	t.drop(i, s)
-	t.number++
-	a.number = t.number
+// storeAnswer stores an answer and gives up the oldest ones while all together are longer than most bytes.
+func (t *table) storeAnswer(i uint32, s *slot, a answer, most int) {
+	t.dropAnswer(i, s)
+	t.lastSequence++
+	a.sequence = t.lastSequence
 	t.answers[i] = a
-	t.turns = append(t.turns, turn{slot: i, number: a.number})
-	t.bytes += a.size()
-	s.renewals |= keptBit
-	for t.bytes > most {
-		o := t.turns[0]
-		t.turns = t.turns[1:]
-		if t.current(o) {
-			t.drop(o.slot, t.at(o.slot))
+	t.evictionQueue = append(t.evictionQueue, evictionEntry{slot: i, sequence: a.sequence})
+	t.answerBytes += a.size()
+	s.renewals |= hasAnswerBit
+	for t.answerBytes > most {
+		o := t.evictionQueue[0]
+		t.evictionQueue = t.evictionQueue[1:]
+		if t.isCurrent(o) {
+			t.dropAnswer(o.slot, t.at(o.slot))
 		}
 	}
-	if len(t.turns) > 2*len(t.answers)+chunkSize {
-		t.turns = slices.DeleteFunc(t.turns, func(o turn) bool { return !t.current(o) })
+	if len(t.evictionQueue) > 2*len(t.answers)+chunkSize {
+		t.evictionQueue = slices.DeleteFunc(t.evictionQueue, func(o evictionEntry) bool { return !t.isCurrent(o) })
 	}
 }
 
-func (t *table) current(o turn) bool { return t.answers[o.slot].number == o.number }
+func (t *table) isCurrent(o evictionEntry) bool { return t.answers[o.slot].sequence == o.sequence }
 
-func (t *table) drop(i uint32, s *slot) {
-	if !s.kept() {
+func (t *table) dropAnswer(i uint32, s *slot) {
+	if !s.hasAnswer() {
 		return
 	}
-	s.renewals &^= keptBit
-	t.bytes -= t.answers[i].size()
+	s.renewals &^= hasAnswerBit
+	t.answerBytes -= t.answers[i].size()
 	delete(t.answers, i)
 }
 
@@ -173,6 +173,6 @@
 	a := t.answers[i]
 	return Record{
 		ID: s.id, Attempt: s.attempt, Digest: s.digest, Phase: s.phase, Status: int(s.status),
-		Kept: s.kept(), ContentType: a.contentType, Answer: a.body, Age: s.age(now),
+		Kept: s.hasAnswer(), ContentType: a.contentType, Answer: a.body, Age: s.age(now),
 	}
 }
--- a/flow/ledger/table_test.go
+++ b/flow/ledger/table_test.go
@@ -32,16 +32,16 @@
 				x.remove(i, s)
 				delete(naive, d)
 			}
-			if x.index.n != len(naive) {
-				t.Fatalf("%d records, want %d", x.index.n, len(naive))
+			if x.index.count != len(naive) {
+				t.Fatalf("%d records, want %d", x.index.count, len(naive))
 			}
 		}
 		n, last := 0, uint32(0)
-		for i := x.head; i != none; i = x.at(i).next {
-			if x.at(i).changed < last {
+		for i := x.head; i != noSlot; i = x.at(i).next {
+			if x.at(i).changedAt < last {
 				t.Fatalf("out of order")
 			}
-			n, last = n+1, x.at(i).changed
+			n, last = n+1, x.at(i).changedAt
 		}
 		if n != len(naive) {
 			t.Fatalf("%d linked, want %d", n, len(naive))
