--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -16,8 +16,8 @@
 
 const capacity = 100.0 // requests a second
 
-// admittedRates lets each team admittedRates at its pace from one time to another and returns the requests a second that were let in.
-func admittedRates(g *admit.Gate, from, to time.Duration, tight bool, perSecond map[string]float64) map[string]float64 {
+// admittedRates sends requests of each team at its rate from one time to another, and returns the admitted requests per second.
+func admittedRates(g *admit.Gate, from, to time.Duration, shedding bool, perSecond map[string]float64) map[string]float64 {
 	got, next := map[string]float64{}, map[string]time.Duration{}
 	for now := from; now < to; now += time.Millisecond {
 		for _, n := range []string{"a", "b", "c", "none"} {
@@ -26,7 +26,7 @@
 				continue
 			}
 			next[n] = max(next[n], from) + time.Duration(float64(time.Second)/p)
-			if v, _ := g.Arrive(now, n, admit.NewLoad(false, tight, capacity)); v.In() {
+			if v, _ := g.Arrive(now, n, admit.NewLoad(false, shedding, capacity)); v.In() {
 				got[n] += 1 / (to - from).Seconds()
 			}
 		}
@@ -79,7 +79,7 @@
 	})
 	t.Run("the time to come back is enough", func(t *testing.T) {
 		i, g := is.New(t), admit.New()
-		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than there is
+		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than the capacity
 		got := admittedRates(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
 		expectBetween(t, got["a"], 1.4*got["b"], 1.6*got["b"])
 		v, after := admit.Within, time.Duration(0)
@@ -97,7 +97,7 @@
 	g.SetRates(map[string]float64{"a": 10})
 	busy := admit.NewLoad(false, false, 0)
 	due := map[time.Duration]int{}
-	first, all := 0, 0
+	firstRefusals, refusals := 0, 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 		n := due[now]
 		if now == 0 {
@@ -106,19 +106,19 @@
 		for range n {
 			v, after := g.Arrive(now, "a", busy)
 			if !v.In() {
-				due[now+after.Truncate(10*time.Millisecond)+20*time.Millisecond]++ // not before the time
-				all++
+				due[now+after.Truncate(10*time.Millisecond)+20*time.Millisecond]++ // retries after the wait, never earlier
+				refusals++
 				if now == 0 {
-					first++
+					firstRefusals++
 				}
 			}
 		}
 	}
-	i.True(first >= 89)
-	i.Equal(all, first) // nobody is refused twice
+	i.True(firstRefusals >= 89)
+	i.Equal(refusals, firstRefusals) // no request is refused twice
 }
 
-// naiveGate finds the active teams by looking at all of them.
+// naiveGate is a reference implementation that finds the active teams by a scan of all teams.
 type naiveGate struct {
 	rates, finish map[string]float64
 	lastRequest   map[string]time.Duration
@@ -126,9 +126,9 @@
 	virtual       float64
 }
 
-func (n *naiveGate) arrive(now time.Duration, name string, spare, tight bool) admit.Verdict {
+func (n *naiveGate) arrive(now time.Duration, name string, idleSlot, shedding bool) admit.Verdict {
 	if n.rates[name] == 0 {
-		if spare {
+		if idleSlot {
 			return admit.Lent
 		}
 		return admit.Over
@@ -141,7 +141,7 @@
 		}
 	}
 	speed := 1.1 * capacity / active
-	if !tight {
+	if !shedding {
 		speed = max(1, speed)
 	}
 	n.virtual += min(now-n.now, time.Second).Seconds() * speed
@@ -150,7 +150,7 @@
 	case n.finish[name] <= n.virtual+1:
 		n.finish[name] = max(n.finish[name], n.virtual) + 1/n.rates[name]
 		return admit.Within
-	case spare:
+	case idleSlot:
 		return admit.Lent
 	case speed < 1:
 		return admit.Crowded
@@ -169,9 +169,9 @@
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 50, 400}).Draw(t, "pass")) * time.Millisecond
 			name := fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "team"))
-			spare, tight := rapid.IntRange(0, 9).Draw(t, "spare") == 0, rapid.Bool().Draw(t, "tight")
-			a, _ := g.Arrive(now, name, admit.NewLoad(spare, tight, capacity))
-			if b := n.arrive(now, name, spare, tight); a != b {
+			idleSlot, shedding := rapid.IntRange(0, 9).Draw(t, "spare") == 0, rapid.Bool().Draw(t, "tight")
+			a, _ := g.Arrive(now, name, admit.NewLoad(idleSlot, shedding, capacity))
+			if b := n.arrive(now, name, idleSlot, shedding); a != b {
 				t.Fatalf("verdict %v on %s, naive %v", a, name, b)
 			}
 		}
