--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -47,11 +47,11 @@
 		g.SetRates(map[string]float64{"a": 60, "b": 30, "c": 10})
 		return g
 	}
-	t.Run("lets everybody in without rates", func(t *testing.T) {
+	t.Run("admits every request without rates", func(t *testing.T) {
 		v, _ := admit.New().Arrive(0, "a", admit.NewLoad(false, true, capacity))
 		is.New(t).Equal(v, admit.Within)
 	})
-	t.Run("shares by rate when all ask for too much", func(t *testing.T) {
+	t.Run("shares by rate when all teams are over their rates", func(t *testing.T) {
 		got := admittedRates(start(), 0, 20*time.Second, true, map[string]float64{"a": 300, "b": 300, "c": 300})
 		expectBetween(t, got["a"], 60, 72)
 		expectBetween(t, got["b"], 30, 36)
@@ -77,7 +77,7 @@
 		v, _ = g.Arrive(0, "none", admit.NewLoad(true, false, capacity))
 		i.Equal(v, admit.Lent)
 	})
-	t.Run("the time to come back is enough", func(t *testing.T) {
+	t.Run("a retry after the returned time is admitted", func(t *testing.T) {
 		i, g := is.New(t), admit.New()
 		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than the capacity
 		got := admittedRates(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
