--- a/flow/ledger/bench_test.go
+++ b/flow/ledger/bench_test.go
@@ -24,7 +24,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkBook tells the time of a claim with its settlement, and the bytes of a record, at a size that stays the same.
+// BenchmarkBook measures the time of a claim with its settlement, and the bytes per record, in a book of constant size.
 func BenchmarkBook(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/flow/ledger/book.go
+++ b/flow/ledger/book.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// Remember is how long a key is remembered after its last change.
+	// Remember is how long a record is kept after its last change.
 	Remember = 10 * time.Minute
-	// Abandon is how long a claim that nobody settles is remembered.
+	// Abandon is how long the record of an unsettled claim is kept.
 	Abandon = time.Hour
-	// MaxAnswer is the longest answer that is kept, in bytes.
+	// MaxAnswer is the maximum size, in bytes, of an answer that is kept.
 	MaxAnswer = 16 << 10
 
 	maxRenewals           = uint8(Abandon/Remember) - 1
@@ -16,30 +16,31 @@
 	handoverRetryDelay    = 50 * time.Millisecond
 )
 
-// Book is one holder's records of keys; it is changed only by messages and is not safe for concurrent use.
+// Book has the key records of one holder. It changes only by messages and is not safe for concurrent use.
 type Book struct {
 	self           Member
 	table          *table
-	epoch          time.Time
+	epoch          time.Time // time of the first message, from which the table counts time
 	maxRecords     int
 	maxAnswerBytes int
 	roster         Roster
-	activeRoster   int64 // number of the newest roster in force here
-	priorWasActive bool  // whether the roster before was in force here
+	activeRoster   int64 // number of the newest roster that is active here
+	priorWasActive bool  // whether the predecessor of roster was active here when roster was adopted
 	sources        []source
 	gaps           []Lapse
 }
 
-// BookOption changes a new Book.
+// BookOption configures a new Book.
 type BookOption func(*Book)
 
-// WithRecords bounds the number of records.
+// WithRecords limits the number of records. A full Book refuses new keys.
 func WithRecords(n int) BookOption { return func(b *Book) { b.maxRecords = n } }
 
-// WithAnswerBytes bounds the bytes of all kept answers; the oldest are given up first, their records stay.
+// WithAnswerBytes limits the total size of the kept answers in bytes. Over the limit, the oldest answers are evicted; their
+// records stay.
 func WithAnswerBytes(n int) BookOption { return func(b *Book) { b.maxAnswerBytes = n } }
 
-// NewBook returns the empty records of one life of an entry.
+// NewBook returns an empty Book for one incarnation of an entry.
 func NewBook(self Member, o ...BookOption) *Book {
 	b := &Book{self: self, table: newTable(), maxRecords: defaultMaxRecords, maxAnswerBytes: defaultMaxAnswerBytes}
 	for _, f := range o {
@@ -48,7 +49,7 @@
 	return b
 }
 
-// ClaimMsg asks whether a copy of a keyed request may be sent, as far as this holder knows.
+// ClaimMsg asks a holder to grant the sending of one copy of a keyed request.
 type ClaimMsg struct {
 	Now     time.Time
 	ID      ID
@@ -60,12 +61,12 @@
 // ClaimReply is a holder's answer to a ClaimMsg.
 type ClaimReply struct {
 	Verdict Verdict
-	Record  Record        // with Repeat
-	Store   bool          // whether the key must be created in the platform's service too
-	Retry   time.Duration // when to come back, after Stale and Gap
+	Record  Record        // the existing record, with Repeat and Mismatch
+	Store   bool          // whether the key must also be created in the platform's service
+	Retry   time.Duration // how long to wait before the next claim, with Stale, Gap and Full
 }
 
-// SettleMsg tells what became of a claimed copy.
+// SettleMsg reports the outcome of a claimed copy.
 type SettleMsg struct {
 	Now    time.Time
 	Record Record
@@ -74,13 +75,13 @@
 // Roster returns the newest roster that the book has adopted.
 func (b *Book) Roster() Roster { return b.roster }
 
-// Holding returns the number of the newest roster that is in force at this holder.
+// Holding returns the number of the newest roster that is active at this holder.
 func (b *Book) Holding() int64 { return b.activeRoster }
 
 // Len returns the number of records.
 func (b *Book) Len() int { return b.table.index.count }
 
-// AnswerBytes returns the bytes of the kept answers.
+// AnswerBytes returns the total size of the kept answers in bytes.
 func (b *Book) AnswerBytes() int { return b.table.answerBytes }
 
 func (b *Book) sinceEpoch(t time.Time) time.Duration {
@@ -90,7 +91,7 @@
 	return t.Sub(b.epoch)
 }
 
-// Claim records the claim and grants it, or says why not.
+// Claim grants the claim and records it, or returns the reason for not granting it.
 func (b *Book) Claim(m ClaimMsg) ClaimReply {
 	now := b.sinceEpoch(m.Now)
 	b.expire(now, 2)
@@ -114,7 +115,7 @@
 	return r
 }
 
-// compareClaim compares a claim with the record of its key.
+// compareClaim returns the verdict on a claim whose key already has a record.
 func compareClaim(s *slot, m ClaimMsg) Verdict {
 	switch {
 	case s.phase == NotRun && s.attempt != m.Attempt:
@@ -134,7 +135,7 @@
 	b.table.touch(i, s, now)
 }
 
-// Settle records what became of a copy; a message that comes late or twice does no harm.
+// Settle records the outcome of a copy. Late and duplicate messages are harmless.
 func (b *Book) Settle(m SettleMsg) {
 	now, r := b.sinceEpoch(m.Now), m.Record
 	if !r.Phase.Settled() {
@@ -152,7 +153,7 @@
 	b.write(i, s, r, now)
 }
 
-// supersedes reports whether r says more than the record in s.
+// supersedes reports whether r replaces the record in s, because it has a later phase of the same copy or a higher rank.
 func supersedes(r Record, s *slot) bool {
 	if r.Attempt == s.attempt {
 		return s.phase == Claimed || s.phase == Unknown && r.Phase == Answered
@@ -172,16 +173,16 @@
 	b.table.touch(i, s, now)
 }
 
-// TickMsg lets time pass.
+// TickMsg carries the current time.
 type TickMsg struct{ Now time.Time }
 
-// Tick forgets the records whose time is over and ends gaps.
+// Tick removes the expired records and the gaps that have ended.
 func (b *Book) Tick(m TickMsg) {
 	b.expire(b.sinceEpoch(m.Now), b.Len())
 	b.expireGaps(m.Now)
 }
 
-// expire forgets at most n records that are due.
+// expire handles at most n records that are due: it renews unsettled claims, up to maxRenewals times, and removes the others.
 func (b *Book) expire(now time.Duration, n int) {
 	for ; n > 0 && b.table.head != noSlot; n-- {
 		i := b.table.head
--- a/flow/ledger/book_test.go
+++ b/flow/ledger/book_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// singleMemberBook returns a book that holds every key of a roster of one, and the roster's number.
+// singleMemberBook returns the book of the only member of a roster, which holds every key, and the roster's number.
 func singleMemberBook(o ...BookOption) (*Book, int64) {
 	m := Member{Entry: "a", Incarnation: 1}
 	b := NewBook(m, o...)
@@ -73,7 +73,7 @@
 		settle(b, 0, "k1", "1", Answered, "123456")
 		settle(b, 0, "k2", "1", Answered, "123456")
 		i.Equal(b.AnswerBytes(), 7)
-		i.Equal(expectVerdict(i, b, 0, "k1", "2", 1, Repeat).Record.Kept, false) // run, answer given up
+		i.Equal(expectVerdict(i, b, 0, "k1", "2", 1, Repeat).Record.Kept, false) // the copy ran, but its answer was evicted
 		i.Equal(expectVerdict(i, b, 0, "k2", "2", 1, Repeat).Record.Kept, true)
 		b.Tick(TickMsg{Now: clusterStart.Add(Remember)})
 		i.Equal(b.Len()+b.AnswerBytes(), 0)
@@ -127,12 +127,14 @@
 			b.Pulled(PulledMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
 		}
 		for k := range 20 {
-			expectVerdict(i, b, 0, fmt.Sprint(k), "1", 1, Gap) // every pair was lost at one of them
+			expectVerdict(i, b, 0, fmt.Sprint(k), "1", 1, Gap) // each pair of holders is lost at one of the sources
 		}
 	})
 }
 
-func TestClaimTestimony(t *testing.T) {
+// TestClaimNotRun checks that a refusal says "not run" only if a holder has reported in time that it has no record, and the
+// roster has not changed since.
+func TestClaimNotRun(t *testing.T) {
 	i := is.New(t)
 	r := NewRoster("east", []Member{{Entry: "a"}, {Entry: "b"}}, 1)
 	key := keyHeldBy(r, "a", "b")
@@ -146,11 +148,11 @@
 	late := ReplyMsg{Now: clusterStart.Add(ClaimWithin + 1), Holder: "a"}
 
 	c := start()
-	i.Equal(last(c.Update(late)).(RefuseCmd).NotRun, false) // too late to speak for the time before
+	i.Equal(last(c.Update(late)).(RefuseCmd).NotRun, false) // after the timeout, records of earlier copies may have expired
 	c = start()
 	c.Update(fail("a"))
 	c.Update(fail("a"))
-	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // no one has said so
+	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // no holder has reported that it has no record
 	c = start()
 	c.Update(fail("a"))
 	i.Equal(last(c.Update(fail("a"))), AskCmd{Holder: r.Members()[1], Roster: r.Number()})
@@ -168,11 +170,11 @@
 	c.Update(ReplyMsg{Now: clusterStart, Holder: "b", Reply: ClaimReply{Verdict: Stale}, Roster: next})
 	c.Update(fail("a"))
 	_, probes := last(c.Update(fail("a"))).(AskCmd)
-	i.True(probes) // what was said under another roster does not count
+	i.True(probes) // a grant under an older roster does not count
 	c = start()
 	c.Update(ReplyMsg{Now: clusterStart, Holder: "a", Reply: ClaimReply{Store: true}})
 	c.Update(fail("b"))
-	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // a holder in a lapse does not know
+	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // in a gap a holder does not know whether a copy ran
 }
 
 func TestRoster(t *testing.T) {
--- a/flow/ledger/claim.go
+++ b/flow/ledger/claim.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// ClaimWithin is how long a claim may take before it is given up.
+	// ClaimWithin is the timeout of a claim.
 	ClaimWithin = time.Second
 
 	maxAskFailures    = 2
 	refusedRetryDelay = 500 * time.Millisecond
 )
 
-// Reason is why a claim was refused.
+// Reason is the reason why a claim was refused.
 type Reason uint8
 
 const (
 	// Unreachable means that a holder or the platform's service did not answer.
 	Unreachable Reason = iota
-	// Changing means that the roster changed and was not in force in time.
+	// Changing means that the roster changed and did not become active in time.
 	Changing
 	// Lost means that the records of the key may have been lost.
 	Lost
-	// NoRoom means that a holder can remember no more keys.
+	// NoRoom means that a holder has no room for another record.
 	NoRoom
-	// OtherRequest means that the key was used for another request.
+	// OtherRequest means that the key was used for a different request.
 	OtherRequest
 	// NoRoster means that no roster of the key's data centre is known.
 	NoRoster
-	// Withdrawn means that the caller or the entry ended the request.
+	// Withdrawn means that the caller or the entry canceled the request.
 	Withdrawn
 )
 
@@ -35,16 +35,16 @@
 	return [...]string{"unreachable", "rosterChanging", "recordsLost", "full", "otherRequest", "noRoster", "withdrawn"}[r]
 }
 
-// Msg is anything that changes a Claim.
+// Msg is a message that changes a Claim.
 type Msg interface{ isMsg() }
 
-// StartMsg begins the claim.
+// StartMsg starts the claim.
 type StartMsg struct {
 	Now    time.Time
 	Roster Roster
 }
 
-// ReplyMsg is a holder's answer; Roster is the newest that is known by now.
+// ReplyMsg is a holder's reply to AskCmd. Roster is the newest roster known when it arrives.
 type ReplyMsg struct {
 	Now    time.Time
 	Holder string
@@ -52,36 +52,38 @@
 	Roster Roster
 }
 
-// FailMsg says that a holder did not answer, so that it may or may not have granted.
+// FailMsg reports that a holder did not reply, or with an empty Holder that a WaitCmd is over. A holder that did not reply
+// may have granted the claim.
 type FailMsg struct {
 	Now    time.Time
 	Holder string
 	Roster Roster
 }
 
-// StoreMsg is the outcome of the write to the platform's service.
+// StoreMsg is the result of StoreCmd.
 type StoreMsg struct {
 	Now     time.Time
 	Outcome StoreOutcome
-	Record  Record // with StoreTaken
+	Record  Record // the record of the other copy, with StoreTaken
 }
 
-// StoreOutcome is what became of a create-only write.
+// StoreOutcome is the outcome of a create-only write to the platform's service.
 type StoreOutcome uint8
 
 const (
-	// StoreMade means that the key is this copy's.
+	// StoreMade means that the key was created for this copy.
 	StoreMade StoreOutcome = iota
-	// StoreTaken means that the key is another copy's.
+	// StoreTaken means that the key exists and belongs to another copy.
 	StoreTaken
-	// StoreFailed means that the write's outcome is not known or that it was not made.
+	// StoreFailed means that the write was not made or that its outcome is unknown.
 	StoreFailed
 )
 
-// ConfirmMsg tells the number of the roster that the platform's service held after the claim began; zero if it could not be read.
+// ConfirmMsg is the result of ConfirmCmd: the number of the roster in the platform's service, read after the claim began, or
+// zero if it could not be read.
 type ConfirmMsg struct{ Number int64 }
 
-// EndMsg ends the claim before its outcome.
+// EndMsg cancels the claim.
 type EndMsg struct{}
 
 func (StartMsg) isMsg() {}
@@ -92,38 +94,40 @@
 
 func (ConfirmMsg) isMsg() {}
 
-// Cmd is anything that a Claim asks its runner to do.
+// Cmd is a command from a Claim to its runner.
 type Cmd interface{ isCmd() }
 
-// AskCmd asks a holder to grant the claim under a roster's number.
+// AskCmd sends the claim to a holder, under the roster with the given number.
 type AskCmd struct {
 	Holder Member
 	Roster int64
 }
 
-// WaitCmd asks for a FailMsg, with the newest roster, after a time.
+// WaitCmd requests a FailMsg with the newest roster after a delay.
 type WaitCmd struct{ For time.Duration }
 
-// StoreCmd asks for a create-only write of the key in the platform's service.
+// StoreCmd requests a create-only write of the key in the platform's service.
 type StoreCmd struct{}
 
-// ConfirmCmd asks to read the roster in the platform's service: a holder may have been removed without knowing, and then
-// its word that there is no record says nothing of the newer roster's holders.
+// ConfirmCmd requests a read of the roster in the platform's service. A holder may have been removed without knowing it, and
+// the holders of a newer roster may then have a record that this holder does not have.
 type ConfirmCmd struct{}
 
-// ReleaseCmd asks to tell the holders, until they have it, that this copy is not run; Store tells of the platform's service.
+// ReleaseCmd reports to the holders that this copy does not run, with retries until they have received it. Store is set if the
+// key may also have to be released in the platform's service.
 type ReleaseCmd struct {
 	Holders []Member
 	Store   bool
 }
 
-// GoCmd allows the copy to be sent.
+// GoCmd allows the copy to be sent. Holders are to be told the outcome; Store is set if the key may have been created in the
+// platform's service.
 type GoCmd struct {
 	Holders []Member
 	Store   bool
 }
 
-// RefuseCmd refuses the copy; NotRun says that no copy of the key had been sent when the claim was made.
+// RefuseCmd refuses the copy. NotRun is set if certainly no copy of the key had been sent when the claim began.
 type RefuseCmd struct {
 	Reason     Reason
 	NotRun     bool
@@ -131,7 +135,7 @@
 	RetryAfter time.Duration
 }
 
-// RepeatCmd says that another copy was claimed before.
+// RepeatCmd reports that another copy was claimed before; Record is the record of that copy.
 type RepeatCmd struct{ Record Record }
 
 func (AskCmd) isCmd()     {}
@@ -154,24 +158,24 @@
 	ended
 )
 
-// Claim is one copy's way to leave to be sent; it is changed only by Update.
+// Claim decides whether one copy of a keyed request may be sent. It changes only by Update.
 type Claim struct {
 	id          ID
 	step        claimStep
 	startedAt   time.Time
 	roster      Roster
 	askFailures int
-	asked       []Member // that may have granted
-	noRecord    bool     // whether a holder in force has testified that there is no record
-	needStore   bool     // whether a holder demands the platform's service
-	mayBeStored bool     // whether the platform's service may have the key
-	refusal     RefuseCmd
+	asked       []Member  // holders that may have granted the claim
+	noRecord    bool      // whether a holder with an active roster has reported in time that it has no record
+	needStore   bool      // whether a holder requires the key in the platform's service
+	mayBeStored bool      // whether the platform's service may have the key
+	refusal     RefuseCmd // the refusal to give after probeSecond or confirming
 }
 
-// NewClaim returns the claim of one copy of the key with the id.
+// NewClaim returns the claim of one copy of the request whose key has the given id.
 func NewClaim(id ID) *Claim { return &Claim{id: id} }
 
-// Update takes a message and returns what is to be done; after GoCmd, RefuseCmd or RepeatCmd the claim has ended.
+// Update handles a message and returns the commands to run. After GoCmd, RefuseCmd or RepeatCmd the claim has ended.
 func (c *Claim) Update(m Msg) []Cmd {
 	if c.step == ended {
 		return nil
@@ -215,7 +219,8 @@
 	return []Cmd{AskCmd{Holder: h, Roster: c.roster.number}}
 }
 
-// withinTimeout reports whether records of copies that ran before the claim began cannot have lapsed since.
+// withinTimeout reports whether now is within ClaimWithin of the start. Records of copies that ran before the claim began
+// cannot have expired in that time.
 func (c *Claim) withinTimeout(now time.Time) bool { return now.Sub(c.startedAt) <= ClaimWithin }
 
 func (c *Claim) handleReply(m ReplyMsg) []Cmd {
@@ -230,8 +235,8 @@
 	case Gap:
 		return c.refuse(RefuseCmd{Reason: Lost, NotRun: c.noRecord, Holder: m.Holder, RetryAfter: m.Reply.Retry})
 	case Full:
-		free := c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
-		return c.refuse(RefuseCmd{Reason: NoRoom, NotRun: free, Holder: m.Holder, RetryAfter: m.Reply.Retry})
+		notRun := c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
+		return c.refuse(RefuseCmd{Reason: NoRoom, NotRun: notRun, Holder: m.Holder, RetryAfter: m.Reply.Retry})
 	default:
 		return c.handleStale(m)
 	}
@@ -271,7 +276,7 @@
 	return []Cmd{GoCmd{Holders: c.asked, Store: c.mayBeStored}}
 }
 
-// handleStale begins again when the roster has changed, and waits while it is changing.
+// handleStale starts over with a newer roster if there is one, and otherwise waits for the change to complete.
 func (c *Claim) handleStale(m ReplyMsg) []Cmd {
 	if c.step == probeSecond {
 		return c.refuse(c.refusal)
@@ -285,7 +290,7 @@
 	return []Cmd{WaitCmd{For: handoverRetryDelay}}
 }
 
-// adoptNewer takes up a newer roster, under which nothing has been granted yet.
+// adoptNewer switches to r if it is newer. Grants under the old roster do not count under the new one.
 func (c *Claim) adoptNewer(r Roster) bool {
 	if r.number <= c.roster.number {
 		return false
@@ -309,7 +314,7 @@
 	}
 }
 
-// giveUp refuses, but first asks the second holder whether there is a record if no one has said so yet.
+// giveUp refuses the claim. If no holder has reported yet whether it has a record, giveUp first asks the second holder.
 func (c *Claim) giveUp(r RefuseCmd) []Cmd {
 	_, second := c.roster.HoldersOf(c.id)
 	if c.noRecord || c.step != askFirst || second == "" {
@@ -330,7 +335,7 @@
 	return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.noRecord, RetryAfter: refusedRetryDelay})
 }
 
-// refuse gives back what may have been granted, and has the roster confirmed before it says that no copy was sent.
+// refuse releases the grants and ends the claim. A refusal with NotRun is given only after the roster has been confirmed.
 func (c *Claim) refuse(r RefuseCmd) []Cmd {
 	if !r.NotRun {
 		return c.finish(r)
@@ -347,7 +352,7 @@
 	return []Cmd{c.refusal}
 }
 
-// finish gives back whatever may have been granted before it tells the outcome.
+// finish ends the claim. It releases every grant that may have been given, and then returns the last command.
 func (c *Claim) finish(last Cmd) []Cmd {
 	c.step = ended
 	if len(c.asked) == 0 {
--- a/flow/ledger/cluster_test.go
+++ b/flow/ledger/cluster_test.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// reporter is what a world reports to; a rapid.T and a testing.T are both one.
+// reporter receives the log and the failures of a cluster. Both rapid.T and testing.T implement it.
 type reporter interface {
 	Helper()
 	Log(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// send is one copy that a target has run.
+// send records that a target has run a copy.
 type send struct {
 	attempt string
 	sentAt  time.Time
 	digest  Digest
 }
 
-// message is on its way between two lives, or to the platform's service.
+// message is in transit between two processes, or between a process and the platform's service.
 type message struct {
 	from, to *process
-	store    bool
+	store    bool // whether it goes to or comes from the platform's service
 	run      func()
 }
 
-// requestCopy is one copy of a keyed request at the entry that claims it.
+// requestCopy is one copy of a keyed request at the process that claims it.
 type requestCopy struct {
 	process    *process
 	key, id    string
 	digest     Digest
 	startedAt  time.Time
 	claim      *Claim
-	waitNumber int // number of the wait for an answer; late answers carry an older one
+	waitNumber int // number of the current wait for a reply; a late reply has an older one
 	waiting    bool
-	holder     string // last asked
+	holder     string // last holder asked
 	ended      bool
 	phase      Phase
 	holders    []Member
@@ -45,45 +45,45 @@
 	resends    int
 }
 
-// process is one process of an entry.
+// process is one incarnation of an entry.
 type process struct {
 	cluster        *cluster
 	member         Member
 	book           *Book
 	membership     *Membership
 	roster         Roster
-	naiveRecords   map[string]string // a naive holder's records: key → copy
+	naiveRecords   map[string]string // records of the naive protocols: key → copy
 	alive          bool
 	frozen         bool
-	partition      int // group of the partition that the entry is in
-	noStore        bool
-	storedNumber   int64
-	readRev        int
+	partition      int   // network partition of the process
+	noStore        bool  // whether it cannot reach the platform's service
+	storedNumber   int64 // number of the roster in the service, as last read
+	readRev        int   // revision of that roster
 	hasReadStore   bool
 	copies         []*requestCopy
 	pullsStartedAt time.Time
 	pullsRoster    int64
 }
 
-// cluster is entries, network and the platform's service under one scheduler that a trace drives.
+// cluster simulates entries, their network and the platform's service. A trace decides the order of all events.
 type cluster struct {
 	t               reporter
 	now             time.Time
 	processes       map[string]*process
 	started         []*process
-	messages        []message // of rosters, beats and handovers
-	claimCalls      []message // of claims and what became of them
+	messages        []message // roster writes, heartbeats and handovers
+	claimCalls      []message // claims and settlements
 	lastIncarnation int64
-	copies          int
+	copies          int // copies started; it decides the outcome of each send
 
 	storedRoster  Roster
-	formerRosters []Roster // former ones
+	formerRosters []Roster // earlier values of storedRoster
 	storeRev      int
 	storeKeys     map[ID]Attempt
 	goneEntries   []string
 	sends         map[string][]send
 	log           []string
-	naive         naiveProtocol // zero for the ledger itself
+	naive         naiveProtocol // empty for the ledger itself
 }
 
 var clusterStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -123,13 +123,14 @@
 	w.processes[e].alive = false
 }
 
-// revertStore brings the service back older than it was, if an entry that knows what was lost is there to write it again.
+// revertStore restores an older state of the service, if a running entry that can reach it knows the lost roster and so can
+// write it again.
 func (w *cluster) revertStore() {
 	i := slices.IndexFunc(w.started, func(l *process) bool { return l.runs() && !l.noStore && l.roster.Number() == w.storedRoster.Number() })
 	if n := len(w.formerRosters); n > 0 && i >= 0 {
 		w.storedRoster, w.formerRosters = w.formerRosters[n-1], w.formerRosters[:n-1]
 		w.storeRev++
-		w.logf("store is back at %x", w.storedRoster.Number())
+		w.logf("store reverted to %x", w.storedRoster.Number())
 		w.started[i].tick()
 		w.deliverAll(&w.messages)
 	}
@@ -139,12 +140,12 @@
 
 func (w *cluster) connected(a, b *process) bool { return a == b || a.partition == b.partition }
 
-// call queues f, a part of a claim, to be performed at to, or at the platform's service.
+// call queues f, a part of a claim, to run at to, or at the platform's service if to is nil.
 func (w *cluster) call(from, to *process, f func()) {
 	w.claimCalls = append(w.claimCalls, message{from: from, to: to, store: to == nil, run: f})
 }
 
-// post queues f to be performed at to.
+// post queues f to run at to.
 func (w *cluster) post(from, to *process, f func()) {
 	if len(w.messages) > 80 {
 		w.messages = w.messages[1:]
@@ -156,13 +157,14 @@
 	w.messages = append(w.messages, message{from: from, store: true, run: f})
 }
 
-// deliver performs the i-th message of q unless its way is cut; one to a frozen life waits.
-func (w *cluster) deliver(q *[]message, i int, again bool) {
+// deliver runs the i-th message of q, or loses it if its path is cut. A message to a frozen process stays queued. With duplicate
+// set, the message also stays queued, to be delivered a second time.
+func (w *cluster) deliver(q *[]message, i int, duplicate bool) {
 	m := (*q)[i]
 	if !m.store && m.to.alive && m.to.frozen {
 		return
 	}
-	if !again {
+	if !duplicate {
 		*q = slices.Delete(*q, i, i+1)
 	}
 	switch {
@@ -184,7 +186,8 @@
 	l.cluster.logf("%s/%d adopts %x holding %x", l.member.Entry, l.member.Incarnation, r.Number(), l.book.Holding())
 }
 
-// tick is a round of an entry's loop: read the service, let time pass, propose, pull, beat, repeat what was not heard.
+// tick runs one round of the entry's loop: read the service, update timers, propose, pull, send heartbeats, and repeat
+// settlements.
 func (l *process) tick() {
 	w := l.cluster
 	if !l.runs() {
@@ -206,7 +209,7 @@
 	if l.noStore {
 		return
 	}
-	if l.member.Entry < "c" { // the others learn it from beats
+	if l.member.Entry < "c" { // the others learn it from heartbeats
 		l.membership.VMs(VMsMsg{Now: l.cluster.now, Gone: l.cluster.goneEntries})
 	}
 	l.hasReadStore, l.readRev, l.storedNumber = true, l.cluster.storeRev, l.cluster.storedRoster.Number()
@@ -294,7 +297,7 @@
 	}
 }
 
-// startCopy begins a copy of a keyed request at l.
+// startCopy starts a copy of a keyed request at l.
 func (l *process) startCopy(key string, d Digest) *requestCopy {
 	w := l.cluster
 	w.copies++
@@ -345,7 +348,7 @@
 	return c.waitNumber
 }
 
-// answer takes in a message unless the copy no longer waits for it.
+// answer passes a message to the claim unless the copy no longer waits for it.
 func (c *requestCopy) answer(wait int, m func() Msg) {
 	if c.waitNumber != wait || !c.waiting {
 		return
@@ -354,7 +357,7 @@
 	c.perform(c.claim.Update(m()))
 }
 
-// timeout ends the wait for an answer.
+// timeout ends the wait for a reply.
 func (c *requestCopy) timeout() {
 	if c.waiting {
 		c.answer(c.waitNumber, func() Msg { return FailMsg{Now: c.process.cluster.now, Holder: c.holder, Roster: c.process.roster} })
@@ -369,7 +372,7 @@
 	w.call(l, h, func() {
 		msg.Now = w.now
 		r := h.book.Claim(msg)
-		w.logf("%s/%d says %v to %s of %s", h.member.Entry, h.member.Incarnation, r.Verdict, c.id, c.key)
+		w.logf("%s/%d replies %v to %s of %s", h.member.Entry, h.member.Incarnation, r.Verdict, c.id, c.key)
 		doc := h.roster
 		w.call(h, l, func() {
 			l.adopt(doc)
@@ -410,7 +413,7 @@
 	})
 }
 
-// send lets a target run the copy; every fourth target says that it certainly did not.
+// send lets a target run the copy. One copy in four is refused by its target as certainly not run.
 func (c *requestCopy) send() {
 	w := c.process.cluster
 	c.ended = true
@@ -427,7 +430,7 @@
 	}
 }
 
-// settle tells the holders of then and of now what became of the copy.
+// settle reports the outcome of the copy to the holders that it claimed from and to the current ones.
 func (c *requestCopy) settle() {
 	l, w := c.process, c.process.cluster
 	if c.phase == None || c.resends > 20 {
@@ -455,7 +458,7 @@
 	}
 }
 
-// checkSend demands that no other copy of the key ran within the time for which keys are remembered.
+// checkSend fails the test if another copy of the key ran within the time for which keys are remembered.
 func (w *cluster) checkSend(c *requestCopy) {
 	for _, s := range w.sends[c.key] {
 		if w.now.Sub(s.sentAt) < Remember-ClaimWithin {
@@ -464,17 +467,17 @@
 	}
 }
 
-// checkNotRun demands that no copy had run when the claim began.
+// checkNotRun fails the test if a claim is refused as not run although a copy had run when the claim began.
 func (w *cluster) checkNotRun(c *requestCopy, m RefuseCmd) {
 	for _, s := range w.sends[c.key] {
 		other := m.Reason == OtherRequest && s.digest != c.digest
 		if m.NotRun && !other && !s.sentAt.After(c.startedAt) && c.startedAt.Sub(s.sentAt) < Remember-ClaimWithin {
-			w.fail("%s of %s told not run, but %s ran %s before", c.id, c.key, s.attempt, c.startedAt.Sub(s.sentAt))
+			w.fail("%s of %s reported as not run, but %s ran %s before", c.id, c.key, s.attempt, c.startedAt.Sub(s.sentAt))
 		}
 	}
 }
 
-// checkRepeat demands that a kept answer is one that a target gave.
+// checkRepeat fails the test if a repeat returns an answer that no target gave.
 func (w *cluster) checkRepeat(c *requestCopy, r Record) {
 	if r.Phase == Answered && (len(w.sends[c.key]) == 0 || r.Kept && string(r.Answer) != c.key) {
 		w.fail("%s of %s got an answer that no target gave", c.id, c.key)
--- a/flow/ledger/example_test.go
+++ b/flow/ledger/example_test.go
@@ -7,7 +7,7 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// A claim asks both holders of its key before it may be sent.
+// A claim asks both holders of its key before the copy may be sent.
 func Example() {
 	now := time.Date(2026, 1, 1, 6, 0, 0, 0, time.UTC)
 	r := ledger.NewRoster("east", []ledger.Member{{Entry: "a", Incarnation: 1}, {Entry: "b", Incarnation: 1}}, 1)
--- a/flow/ledger/gap.go
+++ b/flow/ledger/gap.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// Lapse is a part of the keys whose records may have been lost: those of which every holder among Members is in Lost.
+// Lapse is a gap in the records: the keys of which every holder among Members is in Lost, so that their records may have been
+// lost.
 //
-// The keys of a single member's roster are in the platform's service too, so they may be claimed in a lapse if the
-// service agrees; the keys of other rosters may not.
+// The keys of a first roster with a single member are also in the platform's service. They may be claimed during the gap if
+// the service has no other copy; the keys of other rosters may not be claimed.
 type Lapse struct {
-	Roster  int64 // under which the lapse began
-	Members []Member
-	Lost    []Member
-	Until   time.Time // zero while a lost member may still be alive
+	Roster  int64     // number of the roster under which the gap began
+	Members []Member  // members of its predecessor
+	Lost    []Member  // members whose records are missing
+	Until   time.Time // end of the gap; zero while a lost member may still be alive
 
 	hashes []uint64
 }
 
-// Single reports whether the lapse is that of a first roster with one member, of which every send is in the platform's service.
+// Single reports whether the gap is that of a first roster with a single member. The platform's service then has a key
+// for every request that the member sent.
 //
-// A later roster of one member also holds records of earlier sends, which the service does not have.
+// A later single member also holds records of earlier sends, which the service does not have.
 func (l Lapse) Single() bool { return len(l.Members) == 1 && isSecondRoster(l.Roster) }
 
 func isSecondRoster(number int64) bool { return number>>tagBits == 2 }
@@ -49,7 +51,7 @@
 	return r
 }
 
-// inheritGaps takes up a source's lapses; sources that lost different members under one roster have different ones.
+// inheritGaps adds the gaps of a source. Sources that lost different members under the same roster have different gaps.
 func (b *Book) inheritGaps(ls []Lapse) {
 	for _, l := range ls {
 		k := slices.IndexFunc(b.gaps, func(g Lapse) bool { return g.Roster == l.Roster && slices.Equal(g.Lost, l.Lost) })
@@ -69,11 +71,11 @@
 		if s.state != gone {
 			continue
 		}
-		at := s.goneAt
-		if at.IsZero() {
-			at = now
+		goneAt := s.goneAt
+		if goneAt.IsZero() {
+			goneAt = now
 		}
-		if u := at.Add(Remember); u.After(l.Until) {
+		if u := goneAt.Add(Remember); u.After(l.Until) {
 			l.Until = u
 		}
 	}
@@ -84,7 +86,7 @@
 	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return !l.Until.IsZero() && !now.Before(l.Until) })
 }
 
-// inheritedGaps returns the lapses that began before the roster in use.
+// inheritedGaps returns the gaps that began before the current roster.
 func (b *Book) inheritedGaps() []Lapse {
 	var o []Lapse
 	for _, l := range b.gaps {
@@ -95,7 +97,7 @@
 	return o
 }
 
-// Lost returns the members that may still be alive and whose records are missing here.
+// Lost returns the members whose records are missing here and that may still be alive.
 func (b *Book) Lost() []Member {
 	var l []Member
 	for _, g := range b.gaps {
--- a/flow/ledger/handover.go
+++ b/flow/ledger/handover.go
@@ -11,42 +11,42 @@
 	maxPageAnswerBytes = 256 << 10
 )
 
-// source is a member of the roster before, from which records are pulled.
+// source is a member of the roster's predecessor, from which records are pulled.
 type source struct {
 	member Member
 	state  sourceState
-	goneAt time.Time
+	goneAt time.Time // when the end of this incarnation was reported
 }
 
 type sourceState uint8
 
 const (
-	pending sourceState = iota
-	unreachable
-	gone
-	done
+	pending     sourceState = iota // records are still to be pulled
+	unreachable                    // pulls have failed for too long
+	gone                           // the incarnation has ended
+	done                           // all its records are here
 )
 
-// RosterMsg brings a roster of the holder's data centre.
+// RosterMsg carries a roster of the holder's data centre.
 type RosterMsg struct {
 	Now    time.Time
 	Roster Roster
 }
 
-// GoneMsg says that a life of an entry is certainly over.
+// GoneMsg reports that an incarnation of an entry has certainly ended.
 type GoneMsg struct {
 	Now    time.Time
 	Member Member
 }
 
-// UnreachedMsg says that pulling from a source has failed for long.
+// UnreachedMsg reports that pulls from a source have failed for too long.
 type UnreachedMsg struct {
 	Now    time.Time
 	Roster int64
 	Entry  string
 }
 
-// PulledMsg brings a page of records from a source.
+// PulledMsg carries a page of records from a source.
 type PulledMsg struct {
 	Now    time.Time
 	Roster int64
@@ -54,14 +54,16 @@
 	Page   Page
 }
 
-// PullCmd asks for the records of a source; a newcomer needs also those of keys that it held before.
+// PullCmd asks the runner to pull the records of a source. Newcomer is set if the predecessor of the roster was not active
+// here: then the holder also needs the records of keys that it held under the predecessor.
 type PullCmd struct {
 	From     Member
 	Roster   int64
 	Newcomer bool
 }
 
-// HandoverMsg asks a source for a page of the records that an entry holds under a roster.
+// HandoverMsg asks a source for a page of the records that an entry holds under a roster. After is the cursor of the previous
+// page, or empty for the first one.
 type HandoverMsg struct {
 	Now      time.Time
 	Entry    string
@@ -70,16 +72,17 @@
 	After    string
 }
 
-// Page is a part of a source's records; they count only if it is complete.
+// Page is a part of a source's records. It is valid only if Complete is set, that is, if the source had all records under
+// the predecessor of the roster.
 type Page struct {
 	Records  []Record
 	Lapses   []Lapse
-	After    string
-	More     bool
+	After    string // cursor for the next page
+	More     bool   // whether there is another page
 	Complete bool
 }
 
-// Adopt takes up a roster that is newer than the one in use and says from whom to pull.
+// Adopt switches to a roster that is newer than the current one, and returns the pulls that it needs.
 func (b *Book) Adopt(m RosterMsg) []PullCmd {
 	b.sinceEpoch(m.Now)
 	r := m.Roster
@@ -101,7 +104,7 @@
 	return b.Pulls()
 }
 
-// holdsNoNewKeys reports whether every key held here now was held here before.
+// holdsNoNewKeys reports whether this holder already held all of its keys under the predecessor of the roster.
 func (b *Book) holdsNoNewKeys() bool {
 	if b.roster.prior == 0 {
 		return true
@@ -118,7 +121,7 @@
 			b.sources = append(b.sources, source{member: p})
 		}
 	}
-	// An earlier life of this very entry has nothing to give.
+	// A former incarnation of this entry has no records left to hand over.
 	for i := range b.sources {
 		if p := b.sources[i].member; p.Entry == b.self.Entry && !p.Is(b.self) {
 			b.sources[i].state = gone
@@ -126,7 +129,7 @@
 	}
 }
 
-// Pulls returns the pulls that are still to be made.
+// Pulls returns the pulls that have not succeeded yet.
 func (b *Book) Pulls() []PullCmd {
 	var c []PullCmd
 	for _, s := range b.sources {
@@ -137,7 +140,7 @@
 	return c
 }
 
-// dropUnheldRecords drops the records that are neither held under the roster in use nor under its successor r.
+// dropUnheldRecords removes the records of keys that this entry holds neither under the current roster nor under its successor r.
 func (b *Book) dropUnheldRecords(r Roster) {
 	for i := range b.table.allocated {
 		s := b.table.at(i)
@@ -152,7 +155,8 @@
 	return f == entry || s == entry
 }
 
-// checkReady says whether the holder knows all that was granted for the key before.
+// checkReady returns Granted if the holder knows every grant that was given for the key before. Store is set if it knows them only
+// together with the platform's service.
 func (b *Book) checkReady(id ID, now time.Time) ClaimReply {
 	if !isHolder(b.self.Entry, b.roster, id) {
 		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
@@ -173,7 +177,7 @@
 	}
 }
 
-// hasRecordsOf reports whether the records of a former holder are here.
+// hasRecordsOf reports whether all records of a former holder are here.
 func (b *Book) hasRecordsOf(entry string) bool {
 	if entry == "" {
 		return false
@@ -186,7 +190,8 @@
 	return entry == b.self.Entry && b.priorWasActive
 }
 
-// Gone notes that a life of an entry is over, which bounds what may still come from it.
+// Gone records that an incarnation of an entry has ended. It grants no claims from now on, so a gap that waited for it ends
+// after Remember.
 func (b *Book) Gone(m GoneMsg) {
 	for i := range b.sources {
 		if s := &b.sources[i]; s.member.Is(m.Member) && s.goneAt.IsZero() {
@@ -204,7 +209,7 @@
 	b.activateIfComplete(m.Now)
 }
 
-// Unreached notes that a source does not answer; the holder does without it where another has the same records.
+// Unreached records that a source does not answer. The holder goes on without it if another source has the same records.
 func (b *Book) Unreached(m UnreachedMsg) {
 	if m.Roster != b.roster.number {
 		return
@@ -217,7 +222,7 @@
 	b.activateIfComplete(m.Now)
 }
 
-// Pulled takes in a page of a source's records; the last page of a complete source ends its part of the handover.
+// Pulled merges a page of a source's records. The last page completes the handover from this source.
 func (b *Book) Pulled(m PulledMsg) {
 	i := slices.IndexFunc(b.sources, func(s source) bool { return s.member.Entry == m.Entry })
 	if m.Roster != b.roster.number || !m.Page.Complete || i < 0 {
@@ -235,7 +240,8 @@
 	b.activateIfComplete(m.Now)
 }
 
-// merge takes in a source's record; handed-over records may exceed the bound, because forgetting one early could double a request.
+// merge adds a record of a source. Records that are handed over may exceed maxRecords, because dropping a record early could
+// let a request run twice.
 func (b *Book) merge(r Record, now time.Duration) {
 	i, s := b.table.find(r.ID)
 	if s == nil {
@@ -246,25 +252,25 @@
 	b.write(i, s, r, now)
 }
 
-// activateIfComplete puts the roster in force here when no record that can still be had is missing.
+// activateIfComplete makes the roster active here once no record that can still be obtained is missing.
 func (b *Book) activateIfComplete(now time.Time) {
 	if b.roster.number == 0 || !containsMember(b.roster.members, b.self) {
 		return
 	}
-	missing, alive, open := b.missingSources()
-	few := len(b.roster.previous) > 1 && len(missing) <= 1
-	if !few && len(missing) > 0 && (open > 0 || alive > 1 && len(b.roster.previous) > 1) {
+	missing, alive, mayAnswer := b.missingSources()
+	covered := len(b.roster.previous) > 1 && len(missing) <= 1 // every key has a former holder that has handed over
+	if !covered && len(missing) > 0 && (mayAnswer > 0 || alive > 1 && len(b.roster.previous) > 1) {
 		return
 	}
 	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return l.Roster == b.roster.number })
-	if !few && len(missing) > 0 {
+	if !covered && len(missing) > 0 {
 		b.gaps = append(b.gaps, b.newGap(missing, now))
 	}
 	b.activeRoster = b.roster.number
 }
 
-// missingSources returns the sources whose records are not here, how many of them may be alive, and how many may still answer.
-func (b *Book) missingSources() (m []source, alive, open int) {
+// missingSources returns the sources whose records are not here, how many of those may be alive, and how many may still answer.
+func (b *Book) missingSources() (m []source, alive, mayAnswer int) {
 	for _, s := range b.sources {
 		if s.state == done {
 			continue
@@ -274,13 +280,13 @@
 			alive++
 		}
 		if s.state == pending {
-			open++
+			mayAnswer++
 		}
 	}
-	return m, alive, open
+	return m, alive, mayAnswer
 }
 
-// Handover returns a page of the records that the asker holds under the roster both use.
+// Handover returns a page of the records that the asking entry holds under the roster that both use.
 func (b *Book) Handover(m HandoverMsg) Page {
 	if m.Roster != b.roster.number || !b.priorWasActive {
 		return Page{}
@@ -305,6 +311,8 @@
 	return p
 }
 
+// mustHandOver reports whether the asking entry needs the record of a key: it holds the key now, and did not hold it under the
+// predecessor of the roster or is a newcomer.
 func (b *Book) mustHandOver(id ID, m HandoverMsg) bool {
 	if !isHolder(m.Entry, b.roster, id) {
 		return false
--- a/flow/ledger/id.go
+++ b/flow/ledger/id.go
@@ -9,10 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrID reports a text that is not the form of an ID.
+// ErrID reports a string that is not the text form of an ID.
 var ErrID = eris.New("ledger: not a key id")
 
-// ID stands for a key in records, in handovers and in the platform's service.
+// ID identifies a key in records, in handovers and in the platform's service.
 type ID [16]byte
 
 // NewID returns the id of key.
@@ -21,7 +21,7 @@
 	return ID(s[:16])
 }
 
-// ParseID returns the id that s is the String of; ErrID if it is none.
+// ParseID parses the text form that String returns. It returns ErrID if s is not one.
 func ParseID(s string) (ID, error) {
 	var i ID
 	if hex.DecodedLen(len(s)) != len(i) {
@@ -38,19 +38,19 @@
 
 func (i ID) low() uint64 { return binary.LittleEndian.Uint64(i[:8]) }
 
-// Attempt stands for one copy of a keyed request; zero is none.
+// Attempt identifies one copy of a keyed request; zero means none.
 type Attempt uint64
 
-// NewAttempt returns the form of an attempt's id, which must be unique among the copies of one key.
+// NewAttempt returns the hash of an attempt's id, which must be unique among the copies of one key.
 func NewAttempt(id string) Attempt { return Attempt(xxhash.Sum64String(id)) }
 
-// Digest stands for the contents of a keyed request.
+// Digest identifies the contents of a keyed request.
 type Digest uint64
 
-// NewDigest shortens a digest of service, team, method, path and body.
+// NewDigest shortens a digest of the request's service, team, method, path and body to 64 bits.
 func NewDigest(d []byte) Digest { return Digest(xxhash.Sum64(d)) }
 
-// mix spreads the bits of x over the whole word.
+// mix is a 64-bit hash finalizer: every bit of x affects the whole result.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/flow/ledger/index.go
+++ b/flow/ledger/index.go
@@ -5,13 +5,14 @@
 	minCells    = 8
 )
 
-// index finds slots by id: open addressing with linear probing, in shards that grow one by one so that no call pays for all.
+// index finds slots by id. It is a hash table with open addressing and linear probing, split into shards that grow one at a
+// time, so that no single call has to move the whole table.
 type index struct {
 	count  int
 	shards [indexShards]shard
 }
 
-// shard holds slot numbers plus one; zero is an empty cell. At most three cells in four are in use.
+// shard is one part of an index. A cell holds a slot number plus one; zero is an empty cell. At most 3/4 of the cells are in use.
 type shard struct {
 	count int
 	cells []uint32
@@ -21,7 +22,7 @@
 
 func (s *shard) homeCell(id ID) int { return int(id.low() & uint64(len(s.cells)-1)) }
 
-// findCell returns the cell of id, or the empty one where it belongs.
+// findCell returns the cell that holds id, or else the empty cell where id belongs.
 func (s *shard) findCell(t *table, id ID) int {
 	k := s.homeCell(id)
 	for s.cells[k] != 0 && t.at(s.cells[k]-1).id != id {
@@ -35,10 +36,10 @@
 	if s.count == 0 {
 		return noSlot
 	}
-	return s.cells[s.findCell(t, id)] - 1 // an empty cell gives none
+	return s.cells[s.findCell(t, id)] - 1 // an empty cell, 0, wraps around to noSlot
 }
 
-// add enters the slot of an id that is not there yet.
+// add inserts slot i for an id that the index does not have yet.
 func (x *index) add(t *table, id ID, i uint32) {
 	s := x.shard(id)
 	if 4*(s.count+1) > 3*len(s.cells) {
@@ -59,7 +60,8 @@
 	}
 }
 
-// remove takes out an id that is there, and moves back those behind it that its cell kept from their home.
+// remove deletes an id that the index has. It moves later entries of the same probe sequence back into the freed cell, so
+// that findCell does not stop in front of them.
 func (x *index) remove(t *table, id ID) {
 	s := x.shard(id)
 	hole := s.findCell(t, id)
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -8,57 +8,57 @@
 )
 
 const (
-	// UnheardAfter is how long a member must be unheard before it may be removed.
+	// UnheardAfter is the heartbeat timeout after which a member may be removed.
 	UnheardAfter = 4 * time.Second
-	// proposalDelay spaces the proposals of entries that stand behind the first.
+	// proposalDelay is how much longer each entry waits with its proposal than the entry ranked before it.
 	proposalDelay = time.Second
-	// vmListMaxAge is how long the platform's list counts after it was read.
+	// vmListMaxAge is how long the platform's VM list is used after it was read.
 	vmListMaxAge = 30 * time.Second
 )
 
-// BeatMsg is what one entry of the data centre last said of itself; an entry tells its own Membership too.
+// BeatMsg is a heartbeat of one entry of the data centre. Each entry also passes its own heartbeats to its Membership.
 type BeatMsg struct {
 	Now      time.Time
 	Member   Member
-	Holding  int64 // number of the newest roster in force at the entry
+	Holding  int64 // number of the newest roster that is active at the entry
 	Stopping bool
-	Unheard  []string // members that the entry has not heard for UnheardAfter
-	Gone     []string // entries that the platform's list says are gone, if this entry reads it
+	Unheard  []string // members without a heartbeat at this entry for UnheardAfter
+	Gone     []string // entries that are gone from the platform's VM list, if this entry reads it
 }
 
-// VMsMsg brings the entries that the platform's list says are gone.
+// VMsMsg lists the entries that are gone according to the platform's VM list.
 type VMsMsg struct {
 	Now  time.Time
 	Gone []string
 }
 
-// ProposeCmd asks to write a roster in place of the one in use.
+// ProposeCmd asks the runner to write a roster in place of the current one.
 type ProposeCmd struct{ Roster Roster }
 
 type peer struct {
 	beat      BeatMsg
-	firstBeat time.Time // first beat of this life
+	firstBeat time.Time // first heartbeat of this incarnation
 }
 
-// Membership decides when the roster of a data centre changes; every entry runs one.
+// Membership decides when to propose a new roster for a data centre. Every entry runs one.
 type Membership struct {
 	self              Member
 	dataCentre        string
 	roster            Roster
 	adoptedAt         time.Time
-	changeWantedSince time.Time // since when a change is wanted
+	changeWantedSince time.Time // zero while no change is wanted or allowed
 	peers             map[string]peer
 	goneEntries       []string
-	vmListReadAt      time.Time // when gone was read
+	vmListReadAt      time.Time // when goneEntries was read
 	stopping          bool
 }
 
-// NewMembership returns the decision of one entry.
+// NewMembership returns the Membership that the entry self runs.
 func NewMembership(self Member, dataCentre string) *Membership {
 	return &Membership{self: self, dataCentre: dataCentre, peers: map[string]peer{}}
 }
 
-// Beat notes what an entry says of itself.
+// Beat records a heartbeat. A heartbeat of a former incarnation is ignored.
 func (s *Membership) Beat(m BeatMsg) {
 	p, ok := s.peers[m.Member.Entry]
 	if ok && p.beat.Member.Incarnation > m.Member.Incarnation {
@@ -72,10 +72,10 @@
 	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.beat.Now) > Remember })
 }
 
-// VMs notes which entries are gone for good.
+// VMs records which entries are permanently gone.
 func (s *Membership) VMs(m VMsMsg) { s.goneEntries, s.vmListReadAt = m.Gone, m.Now }
 
-// Gone returns the members of the last two rosters, and of more, that this entry's own list says are gone.
+// Gone returns the members of the last two rosters and of more that are gone according to the VM list of this entry.
 func (s *Membership) Gone(now time.Time, more []Member) []string {
 	if now.Sub(s.vmListReadAt) > vmListMaxAge {
 		return nil
@@ -88,7 +88,7 @@
 	})
 }
 
-// isGone reports whether this entry's list, or that of an entry heard lately, says that the entry is gone.
+// isGone reports whether an entry is gone according to the VM list of this entry or of one with a recent heartbeat.
 func (s *Membership) isGone(entry string, now time.Time) bool {
 	if now.Sub(s.vmListReadAt) <= vmListMaxAge && slices.Contains(s.goneEntries, entry) {
 		return true
@@ -101,14 +101,14 @@
 	return false
 }
 
-// Adopt notes the roster in use.
+// Adopt records the current roster.
 func (s *Membership) Adopt(m RosterMsg) {
 	if m.Roster.number > s.roster.number {
 		s.roster, s.adoptedAt, s.changeWantedSince = m.Roster, m.Now, time.Time{}
 	}
 }
 
-// Unheard returns the members not heard for UnheardAfter.
+// Unheard returns the members without a heartbeat for UnheardAfter.
 func (s *Membership) Unheard(now time.Time) []string {
 	var u []string
 	for _, m := range s.roster.members {
@@ -127,9 +127,10 @@
 	return now.Sub(last) >= UnheardAfter
 }
 
-// Over reports whether the member's life is certainly over: a later life was heard, or it is gone.
+// Over reports whether the member's incarnation has certainly ended: a later incarnation has sent a heartbeat, or the VM list
+// says that the entry is gone.
 //
-// A life that was heard lately is not the one that the lagging list means.
+// The VM list lags: if this incarnation has sent a recent heartbeat, the list refers to a former one.
 func (s *Membership) Over(m Member, now time.Time) bool {
 	if m.Entry == s.self.Entry {
 		return s.self.Incarnation > m.Incarnation
@@ -145,7 +146,7 @@
 	}
 }
 
-// Tick returns a proposal when the roster should change and may.
+// Tick returns a proposal if the roster should change and is allowed to.
 func (s *Membership) Tick(m TickMsg) []ProposeCmd {
 	next := s.desiredMembers(m.Now)
 	if len(next) == 0 || slices.Equal(next, s.roster.members) || !s.mayPropose(next, m.Now) {
@@ -165,7 +166,7 @@
 	return []ProposeCmd{{Roster: s.roster.Next(next, tag)}}
 }
 
-// proposalRank is how many entries should propose before this one.
+// proposalRank returns the number of entries that should propose before this one.
 func (s *Membership) proposalRank(next []Member) int {
 	n := 0
 	for _, m := range next {
@@ -177,7 +178,7 @@
 	return n
 }
 
-// desiredMembers returns the members that the roster should have.
+// desiredMembers returns the members that the next roster should have.
 func (s *Membership) desiredMembers(now time.Time) []Member {
 	var n []Member
 	for _, m := range s.roster.members {
@@ -196,23 +197,23 @@
 	return ok && p.beat.Member.Is(m) && p.beat.Stopping
 }
 
-// isCutOff reports whether this entry and most of the members that it hears have not heard m.
+// isCutOff reports whether m has timed out at this entry and at a majority of the members that it hears, itself included.
 func (s *Membership) isCutOff(m Member, now time.Time) bool {
 	if m.Entry == s.self.Entry || !s.timedOut(m, now) {
 		return false
 	}
-	yes, all := 1, 1
+	votes, voters := 1, 1
 	for _, o := range s.roster.members {
 		p, ok := s.peers[o.Entry]
 		if o.Entry == s.self.Entry || o.Entry == m.Entry || !ok || s.timedOut(o, now) {
 			continue
 		}
-		all++
+		voters++
 		if slices.Contains(p.beat.Unheard, m.Entry) {
-			yes++
+			votes++
 		}
 	}
-	return 2*yes > all
+	return 2*votes > voters
 }
 
 func (s *Membership) joiners(now time.Time) []Member {
@@ -231,7 +232,8 @@
 	return j
 }
 
-// mayPropose reports whether the last change is complete at all members that stay, and whether enough of them stay.
+// mayPropose reports whether the current roster is active at all members that stay, and whether enough of them stay: at least
+// half of those that may be alive.
 func (s *Membership) mayPropose(next []Member, now time.Time) bool {
 	stay, alive := 0, 0
 	for _, m := range s.roster.members {
@@ -249,10 +251,10 @@
 	return 2*stay >= alive
 }
 
-// Stop says that this entry is about to leave, so that the next roster is without it.
+// Stop marks this entry as leaving, so that the next roster is without it.
 func (s *Membership) Stop() { s.stopping = true }
 
-// Complete reports whether the roster in use is in force at all of its members, so that an entry that has left it may end.
+// Complete reports whether the current roster is active at all of its members. An entry that has left the roster may then exit.
 func (s *Membership) Complete() bool {
 	for _, m := range s.roster.members {
 		if p := s.peers[m.Entry]; !p.beat.Member.Is(m) || p.beat.Holding != s.roster.number {
@@ -262,5 +264,5 @@
 	return true
 }
 
-// Stopping reports whether this entry is about to leave.
+// Stopping reports whether this entry is leaving.
 func (s *Membership) Stopping() bool { return s.stopping }
--- a/flow/ledger/naive_test.go
+++ b/flow/ledger/naive_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// naiveProtocol names a simpler way to claim, against which the ledger is compared.
+// naiveProtocol names a simpler claim protocol that the ledger is compared with.
 type naiveProtocol string
 
 const (
@@ -16,7 +16,7 @@
 	twoHolders naiveProtocol = "two holders without a roster's number or a handover"
 )
 
-// startNaively asks the holders that this entry believes in, and sends when all say that they have no record.
+// startNaively asks the holders under the roster that this entry knows, and sends if none of them has a record.
 func (c *requestCopy) startNaively() {
 	f, s := c.process.roster.Holders(c.key)
 	if c.process.cluster.naive == oneHolder || s == f {
@@ -48,17 +48,17 @@
 	})
 }
 
-// failedTrace is what a recorder panics with.
+// failedTrace is the value that a recorder panics with.
 type failedTrace struct{ reason string }
 
-// recorder keeps the first failure of a trace.
+// recorder is a reporter that stops a trace at its first failure.
 type recorder struct{ log string }
 
 func (*recorder) Helper()                   {}
 func (r *recorder) Log(a ...any)            { r.log = fmt.Sprint(a...) }
 func (*recorder) Fatalf(f string, a ...any) { panic(failedTrace{fmt.Sprintf(f, a...)}) }
 
-// runSeed runs the trace of a seed and returns how it failed.
+// runSeed runs the trace of a seed and returns the reason of its failure, or the empty string.
 func runSeed(n naiveProtocol, seed int) (reason string) {
 	return rapid.Custom(func(t *rapid.T) (reason string) {
 		defer func() {
@@ -87,7 +87,7 @@
 	return count, first
 }
 
-// TestNaive holds that the same traces catch the simpler ways and not the ledger.
+// TestNaive checks that the random traces find faults in the simpler protocols and none in the ledger.
 func TestNaive(t *testing.T) {
 	for _, n := range []naiveProtocol{oneHolder, twoHolders} {
 		t.Run(string(n), func(t *testing.T) {
--- a/flow/ledger/random_test.go
+++ b/flow/ledger/random_test.go
@@ -12,7 +12,7 @@
 
 var entryNames = []string{"a", "b", "c", "d"}
 
-// performStep performs one drawn step of the trace.
+// performStep draws one step of the trace and performs it.
 func performStep(t *rapid.T, w *cluster) {
 	l := w.processes[rapid.SampledFrom(entryNames).Draw(t, "entry")]
 	switch k := rapid.IntRange(0, 99).Draw(t, "step"); {
@@ -52,7 +52,7 @@
 	}
 }
 
-// performFault performs a failure or its end.
+// performFault starts or ends a failure.
 func performFault(t *rapid.T, w *cluster, l *process, k int) {
 	switch {
 	case k < 77:
@@ -88,7 +88,7 @@
 	}
 }
 
-// updateVMList brings the platform's updateVMList up to date.
+// updateVMList updates the platform's list of entries that are gone.
 func (w *cluster) updateVMList() {
 	w.goneEntries = nil
 	for _, e := range entryNames {
@@ -99,7 +99,8 @@
 	w.logf("gone %v", w.goneEntries)
 }
 
-// runRounds runs rounds in which every entry ticks and every message that can come does, in order, those of claims if asked.
+// runRounds runs rounds of half a second in which every entry ticks and every message that can arrive is delivered in order.
+// Messages of claims are delivered only if calls is set.
 func (w *cluster) runRounds(rounds int, calls bool) {
 	for range rounds {
 		for _, e := range entryNames {
@@ -124,7 +125,7 @@
 	}
 }
 
-// runTrace runs one drawn trace.
+// runTrace draws one trace and runs it.
 func runTrace(t *rapid.T, w *cluster) {
 	for _, e := range entryNames[rapid.IntRange(1, len(entryNames)).Draw(t, "alive"):] {
 		w.kill(e)
@@ -135,7 +136,8 @@
 	}
 }
 
-// TestRandom holds that no key runs twice and no "not run" is untrue, whatever fails, and that claims pass once all is well.
+// TestRandom checks under random failures that no key runs twice and that every "not run" is true, and that claims succeed
+// again once the failures have ended.
 func TestRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newCluster(t, entryNames...)
--- a/flow/ledger/record.go
+++ b/flow/ledger/record.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Phase is how far a keyed request has come.
+// Phase is the state of a keyed request in a record.
 type Phase uint8
 
 const (
-	// None is no record.
+	// None means that there is no record.
 	None Phase = iota
-	// Claimed means that a copy may be sent or has been.
+	// Claimed means that a copy may be sent or has been sent.
 	Claimed
-	// Answered means that a copy ran and was answered.
+	// Answered means that a copy ran and its answer arrived.
 	Answered
-	// Unknown means that a copy was sent and its outcome was lost.
+	// Unknown means that a copy was sent and its outcome is not known.
 	Unknown
 	// NotRun means that the copy certainly did not run and never will.
 	NotRun
 )
 
-// Settled reports whether nothing more is expected of the copy.
+// Settled reports whether the outcome of the copy has been recorded.
 func (p Phase) Settled() bool { return p >= Answered }
 
-// rank orders phases by how much they forbid, for two records of one key.
+// rank orders phases by how far they restrict a further copy. Of two records of one key, the one with the higher rank stays.
 func (p Phase) rank() int {
 	return [...]int{None: 0, NotRun: 1, Claimed: 2, Unknown: 3, Answered: 4}[p]
 }
 
-// Record is what a holder remembers of a key.
+// Record is what a holder stores about a key.
 type Record struct {
 	ID          ID
 	Attempt     Attempt
@@ -35,8 +35,8 @@
 	Status      int
 	ContentType string
 	Answer      []byte
-	Kept        bool // whether Answer is the whole answer
-	Age         time.Duration
+	Kept        bool          // whether Answer is the whole answer
+	Age         time.Duration // time since the last change
 }
 
 // Verdict is a holder's answer to a claim.
@@ -45,7 +45,7 @@
 const (
 	// Granted means that the holder has recorded the claim.
 	Granted Verdict = iota
-	// Repeat means that a copy was claimed before; the record tells how far it came.
+	// Repeat means that a copy was claimed before; the reply has its record.
 	Repeat
 	// Mismatch means that the key was used for another request.
 	Mismatch
@@ -53,7 +53,7 @@
 	Stale
 	// Gap means that records of this key may have been lost.
 	Gap
-	// Full means that the holder has no record of the key and can remember no more.
+	// Full means that the holder has no record of the key and no room for another record.
 	Full
 )
 
--- a/flow/ledger/roster.go
+++ b/flow/ledger/roster.go
@@ -12,20 +12,21 @@
 // ErrRoster reports a roster document that cannot be read.
 var ErrRoster = eris.New("ledger: malformed roster")
 
-// tagBits is the number of low bits of a roster's number that tell apart rosters proposed for the same place in the order.
+// tagBits is the number of low bits of a roster's number that distinguish rosters proposed as successors of the same roster.
 const tagBits = 20
 
-// Member is one entry that holds records; a restarted entry has another incarnation and holds nothing of the former one.
+// Member is one incarnation of an entry that holds records. A restarted entry has a new incarnation, and none of the records
+// of the former one.
 type Member struct {
 	Entry       string `json:"entry"`
 	Addr        string `json:"addr"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Is reports whether m and o are the same life of the same entry.
+// Is reports whether m and o are the same incarnation of the same entry.
 func (m Member) Is(o Member) bool { return m.Entry == o.Entry && m.Incarnation == o.Incarnation }
 
-// Roster is the immutable list of the entries of a data centre that hold its keys; the zero Roster has number zero.
+// Roster is the immutable, numbered list of the entries that hold the keys of a data centre. The zero Roster has number zero.
 type Roster struct {
 	number, prior       int64
 	dataCentre          string
@@ -41,12 +42,14 @@
 	Previous   []Member `json:"previous,omitempty"`
 }
 
-// NewRoster returns the first roster of a data centre; tag tells it from another first roster proposed at the same time.
+// NewRoster returns the first roster of a data centre. The tag makes its number differ from that of another first roster that is
+// proposed at the same time.
 func NewRoster(dataCentre string, members []Member, tag uint64) Roster {
 	return newFromWire(rosterWire{Number: nextNumber(0, tag), DataCentre: dataCentre, Members: members})
 }
 
-// Next returns the roster that follows r with other members; tag tells it from another one proposed to follow r.
+// Next returns the successor of r with the given members. The tag makes its number differ from that of another proposed
+// successor of r.
 func (r Roster) Next(members []Member, tag uint64) Roster {
 	return newFromWire(rosterWire{
 		Number: nextNumber(r.number, tag), Prior: r.number, DataCentre: r.dataCentre, Members: members, Previous: r.members,
@@ -77,7 +80,7 @@
 	return s
 }
 
-// ParseRoster reads what Marshal wrote; ErrRoster if it cannot.
+// ParseRoster parses a document written by Marshal. It returns ErrRoster if the document is malformed.
 func ParseRoster(b []byte) (Roster, error) {
 	var w rosterWire
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -100,28 +103,28 @@
 	return b
 }
 
-// Number returns the roster's number; a later roster has a higher one, and no two rosters share one.
+// Number returns the roster's number. It is unique, and a later roster has a higher number.
 func (r Roster) Number() int64 { return r.number }
 
-// Prior returns the number of the roster that this one follows; zero for the first.
+// Prior returns the number of the roster's predecessor, or zero for the first roster.
 func (r Roster) Prior() int64 { return r.prior }
 
-// DataCentre returns the data centre whose keys the members hold.
+// DataCentre returns the name of the data centre whose keys the members hold.
 func (r Roster) DataCentre() string { return r.dataCentre }
 
-// Members returns the members in order of their entries; the caller must not change them.
+// Members returns the members, sorted by entry. The caller must not modify the slice.
 func (r Roster) Members() []Member { return r.members }
 
-// Previous returns the members of the roster that this one follows; the caller must not change them.
+// Previous returns the members of the roster's predecessor, sorted by entry. The caller must not modify the slice.
 func (r Roster) Previous() []Member { return r.previous }
 
-// Member returns the member with the entry's id and whether there is one.
+// Member returns the member with the given entry id, and whether there is one.
 func (r Roster) Member(entry string) (Member, bool) { return findMember(r.members, entry) }
 
-// Holders returns the entries that hold key; the second is empty when the roster has one member.
+// Holders returns the two entries that hold key. The second is empty if the roster has only one member.
 func (r Roster) Holders(key string) (first, second string) { return r.HoldersOf(NewID(key)) }
 
-// HoldersOf returns the entries that hold the key with the id; the second is empty when the roster has one member.
+// HoldersOf returns the two entries that hold the key with the given id. The second is empty if the roster has only one member.
 func (r Roster) HoldersOf(id ID) (first, second string) { return topTwo(r.members, r.hashes, id) }
 
 func (r Roster) priorHoldersOf(id ID) (first, second string) {
@@ -141,7 +144,7 @@
 	return ok && f.Is(o)
 }
 
-// topTwo returns the two members that score highest for id.
+// topTwo returns the entries of the two members with the highest rendezvous hash for id.
 func topTwo(m []Member, seeds []uint64, id ID) (first, second string) {
 	i, j := -1, -1
 	var x, y uint64
@@ -164,7 +167,8 @@
 	return first, second
 }
 
-// Home returns the data centre that a key belongs to: the one that it names before its first slash, else one by rendezvous hash.
+// Home returns the home data centre of a key: the one named before the key's first slash, or else the one with the highest
+// rendezvous hash.
 func Home(key string, dataCentres []string) string {
 	if n, _, ok := strings.Cut(key, "/"); ok && slices.Contains(dataCentres, n) {
 		return n
--- a/flow/ledger/scenario_test.go
+++ b/flow/ledger/scenario_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// keyHeldBy returns a key that just these entries hold under r, in this order.
+// keyHeldBy returns a key whose first and second holder under r are the given entries.
 func keyHeldBy(r Roster, first, second string) string {
 	for i := 0; ; i++ {
 		k := fmt.Sprint("key", i)
@@ -17,14 +17,14 @@
 	}
 }
 
-// startRemote returns a claimant of another data centre that knows r and is cut from everyone.
+// startRemote starts a claimant of another data centre that knows r and is cut off from all entries.
 func (w *cluster) startRemote(r Roster) *process {
 	l := w.start("far")
 	l.roster, l.partition = r, 9
 	return l
 }
 
-// expectSent runs the calls of a copy and demands that it was expectSent or not.
+// expectSent starts a copy, delivers its calls and checks whether it was sent.
 func (w *cluster) expectSent(i *is.I, l *process, key string, want bool) {
 	i.Helper()
 	n := len(w.sends[key])
@@ -43,8 +43,9 @@
 	})
 }
 
+// TestScenarios runs fixed sequences of failures and checks which copies may be sent.
 func TestScenarios(t *testing.T) {
-	scenario(t, "holders left behind in two rosters do not make a pair", func(i *is.I, w *cluster) {
+	scenario(t, "two holders that stayed at different old rosters do not grant a claim", func(i *is.I, w *cluster) {
 		w.runRounds(4, true)
 		r := w.storedRoster
 		f := w.startRemote(r)
@@ -52,7 +53,7 @@
 		w.processes["b"].partition, w.processes["b"].noStore = 1, true
 		w.runRounds(20, true)
 		w.processes["a"].partition, w.processes["a"].noStore = 1, true
-		w.processes["a"].frozen = true // keeps the roster without b
+		w.processes["a"].frozen = true // a stays at the roster without b
 		w.runRounds(20, true)
 		i.Equal(len(w.storedRoster.Members()), 2)
 		w.expectSent(i, w.processes["c"], key, true)
@@ -77,7 +78,7 @@
 		}
 		w.expectSent(i, f, key, false)
 	})
-	scenario(t, "a lone member's keys are in the service", func(i *is.I, w *cluster) {
+	scenario(t, "the keys of a single member are in the service", func(i *is.I, w *cluster) {
 		for _, e := range entryNames[1:] {
 			w.kill(e)
 		}
@@ -97,7 +98,7 @@
 		w.runRounds(4, true)
 		i.Equal(b.book.Claim(ClaimMsg{Now: w.now, ID: NewID(keyHeldBy(w.storedRoster, "b", "c")), Roster: w.storedRoster.Number()}).Store, false)
 	})
-	scenario(t, "a newcomer of a lone member asks the service until it has its records", func(i *is.I, w *cluster) {
+	scenario(t, "a successor of a single member uses the service until it has the records", func(i *is.I, w *cluster) {
 		for _, e := range entryNames[1:] {
 			w.kill(e)
 		}
@@ -123,7 +124,7 @@
 		i.Equal(len(w.storedRoster.Members()), 2)
 		w.expectSent(i, w.processes["c"], key, false)
 		f.partition = 1
-		w.expectSent(i, f, key, true) // the pair still serves its side
+		w.expectSent(i, f, key, true) // the pair still grants claims on its side of the partition
 		w.kill("a")
 		w.updateVMList()
 		w.now = w.now.Add(Remember - ClaimWithin)
@@ -144,14 +145,14 @@
 		w.expectSent(i, w.processes["c"], key, false)
 		w.expectSent(i, w.processes["c"], "fresh", true)
 	})
-	scenario(t, "a holder that was removed unknowingly does not vouch for its keys", func(i *is.I, w *cluster) {
+	scenario(t, "a holder that does not know of its removal does not make a refusal not run", func(i *is.I, w *cluster) {
 		w.runRounds(4, true)
 		key := keyHeldBy(w.storedRoster, "a", "b")
 		a := w.processes["a"]
 		a.partition, a.noStore = 1, true
 		w.runRounds(20, true)
 		w.expectSent(i, w.processes["c"], key, true)
-		c := a.startCopy(key, 1) // a grants, b cannot be reached; checkNotRun judges the refusal
+		c := a.startCopy(key, 1) // a grants, b cannot be reached; checkNotRun checks the refusal
 		for range 3 {
 			w.deliverAll(&w.claimCalls)
 			c.timeout()
--- a/flow/ledger/table.go
+++ b/flow/ledger/table.go
@@ -11,16 +11,16 @@
 	noSlot    = ^uint32(0)
 )
 
-// slot is one record in memory; slots are linked in the order in which they expire.
+// slot is one record in memory. The slots form a linked list in the order in which they expire.
 type slot struct {
 	id         ID
 	attempt    Attempt
 	digest     Digest
-	changedAt  uint32 // last change in units of stamp since the first message, rounded up
+	changedAt  uint32 // time of the last change since the first message, in timeUnits, rounded up
 	prev, next uint32
 	status     int16
 	phase      Phase
-	renewals   uint8 // with keptBit when the answer is kept
+	renewals   uint8 // number of renewals of an unsettled claim; hasAnswerBit is set while the answer is kept
 }
 
 const (
@@ -32,36 +32,37 @@
 
 func (s *slot) renewalCount() uint8 { return s.renewals &^ hasAnswerBit }
 
-// age returns how long ago the slot changed, at most a stamp too little.
+// age returns the time since the last change. Because changedAt is rounded up, the result is up to one timeUnit too short.
 func (s *slot) age(now time.Duration) time.Duration {
 	return max(now-time.Duration(s.changedAt)*timeUnit, 0)
 }
 
+// answer is the kept answer of a record.
 type answer struct {
 	contentType string
 	body        []byte
-	sequence    uint64
+	sequence    uint64 // tells it apart from earlier answers of the same slot
 }
 
 func (a answer) size() int { return len(a.body) + len(a.contentType) }
 
-// evictionEntry is one answer's place in the order in which answers are given up.
+// evictionEntry is the position of an answer in the order of eviction. It is outdated once the answer is dropped or replaced.
 type evictionEntry struct {
 	slot     uint32
 	sequence uint64
 }
 
-// table keeps records compactly: chunks that never move, an index by id, and the few answers apart.
+// table stores records compactly: slots in chunks that never move, an index by id, and the few kept answers in a map.
 type table struct {
 	index         index
 	chunks        []*[chunkSize]slot
 	allocated     uint32
 	freeSlots     []uint32
-	head, tail    uint32
+	head, tail    uint32 // slots that expire first and last
 	answers       map[uint32]answer
-	evictionQueue []evictionEntry
-	lastSequence  uint64 // of the last answer
-	answerBytes   int    // of kept answers
+	evictionQueue []evictionEntry // oldest first, some outdated
+	lastSequence  uint64          // sequence of the newest answer
+	answerBytes   int             // size of the kept answers in bytes
 }
 
 func newTable() *table {
@@ -123,7 +124,7 @@
 	}
 }
 
-// touch makes the record the last to expire.
+// touch sets the time of the last change to now, so that the record is the last to expire.
 func (t *table) touch(i uint32, s *slot, now time.Duration) {
 	t.unlink(s)
 	t.linkLast(i, s, now)
@@ -137,8 +138,8 @@
 	t.freeSlots = append(t.freeSlots, i)
 }
 
-// storeAnswer stores an answer and gives up the oldest ones while all together are longer than most bytes.
-func (t *table) storeAnswer(i uint32, s *slot, a answer, most int) {
+// storeAnswer keeps an answer, and evicts the oldest answers while the kept ones have more than maxBytes bytes together.
+func (t *table) storeAnswer(i uint32, s *slot, a answer, maxBytes int) {
 	t.dropAnswer(i, s)
 	t.lastSequence++
 	a.sequence = t.lastSequence
@@ -146,7 +147,7 @@
 	t.evictionQueue = append(t.evictionQueue, evictionEntry{slot: i, sequence: a.sequence})
 	t.answerBytes += a.size()
 	s.renewals |= hasAnswerBit
-	for t.answerBytes > most {
+	for t.answerBytes > maxBytes {
 		o := t.evictionQueue[0]
 		t.evictionQueue = t.evictionQueue[1:]
 		if t.isCurrent(o) {
--- a/flow/ledger/table_test.go
+++ b/flow/ledger/table_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTable holds the table to a map on random traces, in few shards so that its cells collide.
+// TestTable compares the table with a map on random traces. Its ids fall into few shards, so that their cells collide.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, naive := newTable(), map[ID]Attempt{}
