--- a/flow/ledger/table.go
+++ b/flow/ledger/table.go
@@ -84,7 +84,7 @@
 	s := t.at(i)
 	*s = slot{id: id}
 	t.index.add(t, id, i)
-	t.linkLast(i, s, now)
+	t.append(i, s, now)
 	return i, s
 }
 
@@ -101,7 +101,7 @@
 	return t.allocated - 1
 }
 
-func (t *table) linkLast(i uint32, s *slot, now time.Duration) {
+func (t *table) append(i uint32, s *slot, now time.Duration) {
 	s.changedAt, s.prev, s.next = uint32((now+timeUnit-1)/timeUnit), t.tail, noSlot
 	if t.tail == noSlot {
 		t.head = i
@@ -127,7 +127,7 @@
 // touch sets the time of the last change to now, so that the record is the last to expire.
 func (t *table) touch(i uint32, s *slot, now time.Duration) {
 	t.unlink(s)
-	t.linkLast(i, s, now)
+	t.append(i, s, now)
 }
 
 func (t *table) remove(i uint32, s *slot) {
