--- a/flow/admit/gate.go
+++ b/flow/admit/gate.go
@@ -56,7 +56,7 @@
 	limited        bool
 	burst          float64       // virtual seconds
 	now            time.Duration // real time up to which virtualNow has advanced
-	virtualNow     float64       // virtual time in seconds; it runs faster than real time while capacity is lent, and slower under overload
+	virtualNow     float64       // virtual time in seconds
 	activeRate     float64       // sum of the rates of active teams
 	oldest, newest *team         // list of active teams, least recent request first
 }
@@ -64,7 +64,7 @@
 // Option configures a new Gate.
 type Option func(*Gate)
 
-// WithBurst sets how much of its own rate, as a duration, a team may use at once.
+// WithBurst sets how much of its own rate a team may use at once: the requests that the rate allows in d.
 func WithBurst(d time.Duration) Option { return func(g *Gate) { g.burst = d.Seconds() } }
 
 // New returns a Gate that admits every request until rates are set.
@@ -131,8 +131,8 @@
 	return Over, wait
 }
 
-// retryAfter returns how long a refused request of the team should wait before a retry. Retries are spaced at the team's rate, after
-// those of requests that were refused earlier.
+// retryAfter returns how long a refused request of the team should wait before a retry. It spaces retries at the team's rate,
+// after those of requests that were refused earlier.
 func (g *Gate) retryAfter(t *team, speed float64) time.Duration {
 	retryAt := max(t.usedUntil-g.burst, t.nextRetry)
 	t.nextRetry = min(retryAt+1/t.rate, g.virtualNow+maxRetryAfter.Seconds())
@@ -140,7 +140,8 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// virtualSpeed returns how fast virtual time runs relative to real time. At 1 each active team gets exactly its own rate.
+// virtualSpeed returns how fast virtual time runs relative to real time. At 1 each active team gets exactly its
+// own rate, above 1 it also gets capacity that idle teams lend, and below 1 the service is overloaded and each team gets less.
 func (g *Gate) virtualSpeed(l Load) float64 {
 	if l.capacity <= 0 || g.activeRate <= 0 {
 		return 1
--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -120,10 +120,10 @@
 
 // naiveGate is a reference implementation that finds the active teams by a scan of all teams.
 type naiveGate struct {
-	rates, finish map[string]float64
-	lastRequest   map[string]time.Duration
-	now           time.Duration
-	virtual       float64
+	rates, usedUntil map[string]float64
+	lastRequest      map[string]time.Duration
+	now              time.Duration
+	virtual          float64
 }
 
 func (n *naiveGate) arrive(now time.Duration, name string, idleSlot, shedding bool) admit.Verdict {
@@ -147,8 +147,8 @@
 	n.virtual += min(now-n.now, time.Second).Seconds() * speed
 	n.now = now
 	switch {
-	case n.finish[name] <= n.virtual+1:
-		n.finish[name] = max(n.finish[name], n.virtual) + 1/n.rates[name]
+	case n.usedUntil[name] <= n.virtual+1:
+		n.usedUntil[name] = max(n.usedUntil[name], n.virtual) + 1/n.rates[name]
 		return admit.Within
 	case idleSlot:
 		return admit.Lent
@@ -160,7 +160,7 @@
 
 func TestSameAsNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, n := admit.New(), &naiveGate{rates: map[string]float64{}, finish: map[string]float64{}, lastRequest: map[string]time.Duration{}}
+		g, n := admit.New(), &naiveGate{rates: map[string]float64{}, usedUntil: map[string]float64{}, lastRequest: map[string]time.Duration{}}
 		for k := range rapid.IntRange(1, 6).Draw(t, "teams") {
 			n.rates[fmt.Sprint(k)] = float64(rapid.IntRange(0, 80).Draw(t, "rate"))
 		}
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -36,7 +36,7 @@
 type ProposeCmd struct{ Roster Roster }
 
 type peer struct {
-	beat      BeatMsg
+	lastBeat  BeatMsg
 	firstBeat time.Time // first heartbeat of this incarnation
 }
 
@@ -61,15 +61,15 @@
 // Beat records a heartbeat. A heartbeat of a former incarnation is ignored.
 func (s *Membership) Beat(m BeatMsg) {
 	p, ok := s.peers[m.Member.Entry]
-	if ok && p.beat.Member.Incarnation > m.Member.Incarnation {
+	if ok && p.lastBeat.Member.Incarnation > m.Member.Incarnation {
 		return
 	}
-	if !ok || !p.beat.Member.Is(m.Member) {
+	if !ok || !p.lastBeat.Member.Is(m.Member) {
 		p.firstBeat = m.Now
 	}
-	p.beat = m
+	p.lastBeat = m
 	s.peers[m.Member.Entry] = p
-	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.beat.Now) > Remember })
+	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.lastBeat.Now) > Remember })
 }
 
 // VMs records which entries are permanently gone.
@@ -94,7 +94,7 @@
 		return true
 	}
 	for _, p := range s.peers {
-		if now.Sub(p.beat.Now) < UnheardAfter && slices.Contains(p.beat.Gone, entry) {
+		if now.Sub(p.lastBeat.Now) < UnheardAfter && slices.Contains(p.lastBeat.Gone, entry) {
 			return true
 		}
 	}
@@ -121,8 +121,8 @@
 
 func (s *Membership) timedOut(m Member, now time.Time) bool {
 	last := s.adoptedAt
-	if p, ok := s.peers[m.Entry]; ok && p.beat.Now.After(last) {
-		last = p.beat.Now
+	if p, ok := s.peers[m.Entry]; ok && p.lastBeat.Now.After(last) {
+		last = p.lastBeat.Now
 	}
 	return now.Sub(last) >= UnheardAfter
 }
@@ -137,9 +137,9 @@
 	}
 	p, ok := s.peers[m.Entry]
 	switch {
-	case ok && p.beat.Member.Incarnation > m.Incarnation:
+	case ok && p.lastBeat.Member.Incarnation > m.Incarnation:
 		return true
-	case ok && p.beat.Member.Is(m) && now.Sub(p.beat.Now) < UnheardAfter/2:
+	case ok && p.lastBeat.Member.Is(m) && now.Sub(p.lastBeat.Now) < UnheardAfter/2:
 		return false
 	default:
 		return s.isGone(m.Entry, now)
@@ -194,7 +194,7 @@
 		return s.stopping
 	}
 	p, ok := s.peers[m.Entry]
-	return ok && p.beat.Member.Is(m) && p.beat.Stopping
+	return ok && p.lastBeat.Member.Is(m) && p.lastBeat.Stopping
 }
 
 // isCutOff reports whether m has timed out at this entry and at a majority of the members that it hears, itself included.
@@ -209,7 +209,7 @@
 			continue
 		}
 		voters++
-		if slices.Contains(p.beat.Unheard, m.Entry) {
+		if slices.Contains(p.lastBeat.Unheard, m.Entry) {
 			votes++
 		}
 	}
@@ -222,7 +222,7 @@
 		j = append(j, s.self)
 	}
 	for _, p := range s.peers {
-		b := p.beat
+		b := p.lastBeat
 		fresh := now.Sub(b.Now) < UnheardAfter/2 && !b.Stopping
 		if fresh && b.Member.Entry != s.self.Entry && !containsMember(s.roster.members, b.Member) {
 			j = append(j, b.Member)
@@ -244,7 +244,7 @@
 			continue
 		}
 		stay++
-		if p := s.peers[m.Entry]; !p.beat.Member.Is(m) || p.beat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
 			return false
 		}
 	}
@@ -257,7 +257,7 @@
 // Complete reports whether the current roster is active at all of its members. An entry that has left the roster may then exit.
 func (s *Membership) Complete() bool {
 	for _, m := range s.roster.members {
-		if p := s.peers[m.Entry]; !p.beat.Member.Is(m) || p.beat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
 			return false
 		}
 	}
--- a/flow/ledger/record.go
+++ b/flow/ledger/record.go
@@ -21,7 +21,8 @@
 // Settled reports whether the outcome of the copy has been recorded.
 func (p Phase) Settled() bool { return p >= Answered }
 
-// rank orders phases by how far they restrict a further copy. Of two records of one key, the one with the higher rank stays.
+// rank orders phases by how far they restrict a further copy. Of the records of two copies, the one with the
+// higher rank stays.
 func (p Phase) rank() int {
 	return [...]int{None: 0, NotRun: 1, Claimed: 2, Unknown: 3, Answered: 4}[p]
 }
--- a/flow/ledger/roster.go
+++ b/flow/ledger/roster.go
@@ -145,11 +145,11 @@
 }
 
 // topTwo returns the entries of the two members with the highest rendezvous hash for id.
-func topTwo(m []Member, seeds []uint64, id ID) (first, second string) {
+func topTwo(m []Member, hashes []uint64, id ID) (first, second string) {
 	i, j := -1, -1
 	var x, y uint64
 	l := id.low()
-	for k, s := range seeds {
+	for k, s := range hashes {
 		z := mix(s ^ l)
 		switch {
 		case i < 0 || z > x:
