--- a/flow/ledger/claim.go
+++ b/flow/ledger/claim.go
@@ -219,8 +219,8 @@
 	return []Cmd{AskCmd{Holder: h, Roster: c.roster.number}}
 }
 
-// withinTimeout reports whether now is within ClaimWithin of the start. Records of copies that ran before the claim began
-// cannot have expired in that time.
+// withinTimeout reports whether the claim has not timed out. Records of copies that ran before the claim began cannot have
+// expired in that time.
 func (c *Claim) withinTimeout(now time.Time) bool { return now.Sub(c.startedAt) <= ClaimWithin }
 
 func (c *Claim) handleReply(m ReplyMsg) []Cmd {
--- a/flow/ledger/handover.go
+++ b/flow/ledger/handover.go
@@ -191,7 +191,7 @@
 }
 
 // Gone records that an incarnation of an entry has ended. It grants no claims from now on, so a gap that waited for it ends
-// after Remember.
+// after the retention time of records.
 func (b *Book) Gone(m GoneMsg) {
 	for i := range b.sources {
 		if s := &b.sources[i]; s.member.Is(m.Member) && s.goneAt.IsZero() {
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -22,7 +22,7 @@
 	Member   Member
 	Holding  int64 // number of the newest roster that is active at the entry
 	Stopping bool
-	Unheard  []string // members without a heartbeat at this entry for UnheardAfter
+	Unheard  []string // members from which the entry has had no heartbeat within the timeout
 	Gone     []string // entries that are gone from the platform's VM list, if this entry reads it
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// Unheard returns the members without a heartbeat for UnheardAfter.
+// Unheard returns the members from which no heartbeat has come within the timeout.
 func (s *Membership) Unheard(now time.Time) []string {
 	var u []string
 	for _, m := range s.roster.members {
