--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -16,8 +16,8 @@
 
 const capacity = 100.0 // requests a second
 
-// ask lets each team ask at its pace from one time to another and returns the requests a second that were let in.
-func ask(g *admit.Gate, from, to time.Duration, tight bool, perSecond map[string]float64) map[string]float64 {
+// admittedRates sends requests of each team at its rate from one time to another, and returns the admitted requests per second.
+func admittedRates(g *admit.Gate, from, to time.Duration, shedding bool, perSecond map[string]float64) map[string]float64 {
 	got, next := map[string]float64{}, map[string]time.Duration{}
 	for now := from; now < to; now += time.Millisecond {
 		for _, n := range []string{"a", "b", "c", "none"} {
@@ -26,7 +26,7 @@
 				continue
 			}
 			next[n] = max(next[n], from) + time.Duration(float64(time.Second)/p)
-			if v, _ := g.Arrive(now, n, admit.NewLoad(false, tight, capacity)); v.In() {
+			if v, _ := g.Arrive(now, n, admit.NewLoad(false, shedding, capacity)); v.In() {
 				got[n] += 1 / (to - from).Seconds()
 			}
 		}
@@ -34,7 +34,7 @@
 	return got
 }
 
-func between(t *testing.T, x, least, most float64) {
+func expectBetween(t *testing.T, x, least, most float64) {
 	t.Helper()
 	if x < least || x > most {
 		t.Fatalf("%v is not between %v and %v", x, least, most)
@@ -47,27 +47,27 @@
 		g.SetRates(map[string]float64{"a": 60, "b": 30, "c": 10})
 		return g
 	}
-	t.Run("lets everybody in without rates", func(t *testing.T) {
+	t.Run("admits every request without rates", func(t *testing.T) {
 		v, _ := admit.New().Arrive(0, "a", admit.NewLoad(false, true, capacity))
 		is.New(t).Equal(v, admit.Within)
 	})
-	t.Run("shares by rate when all ask for too much", func(t *testing.T) {
-		got := ask(start(), 0, 20*time.Second, true, map[string]float64{"a": 300, "b": 300, "c": 300})
-		between(t, got["a"], 60, 72)
-		between(t, got["b"], 30, 36)
-		between(t, got["c"], 10, 12)
+	t.Run("shares by rate when all teams are over their rates", func(t *testing.T) {
+		got := admittedRates(start(), 0, 20*time.Second, true, map[string]float64{"a": 300, "b": 300, "c": 300})
+		expectBetween(t, got["a"], 60, 72)
+		expectBetween(t, got["b"], 30, 36)
+		expectBetween(t, got["c"], 10, 12)
 	})
 	t.Run("lends an idle share and takes it back within a second", func(t *testing.T) {
 		g := start()
 		all := map[string]float64{"a": 60, "b": 30, "c": 300}
-		ask(g, 0, time.Second, false, all)
-		got := ask(g, time.Second, 10*time.Second, false, map[string]float64{"c": 300})
-		between(t, got["c"], 90, 125) // its own rate is 10
-		got = ask(g, 10*time.Second, 11*time.Second, false, all)
-		between(t, got["a"], 59, 61)
-		between(t, got["b"], 29, 31)
-		got = ask(g, 11*time.Second, 20*time.Second, false, all)
-		between(t, got["c"], 10, 12)
+		admittedRates(g, 0, time.Second, false, all)
+		got := admittedRates(g, time.Second, 10*time.Second, false, map[string]float64{"c": 300})
+		expectBetween(t, got["c"], 90, 125) // its own rate is 10
+		got = admittedRates(g, 10*time.Second, 11*time.Second, false, all)
+		expectBetween(t, got["a"], 59, 61)
+		expectBetween(t, got["b"], 29, 31)
+		got = admittedRates(g, 11*time.Second, 20*time.Second, false, all)
+		expectBetween(t, got["c"], 10, 12)
 	})
 	t.Run("a team without a rate gets only idle capacity", func(t *testing.T) {
 		i, g := is.New(t), start()
@@ -77,11 +77,11 @@
 		v, _ = g.Arrive(0, "none", admit.NewLoad(true, false, capacity))
 		i.Equal(v, admit.Lent)
 	})
-	t.Run("the time to come back is enough", func(t *testing.T) {
+	t.Run("a retry after the returned time is admitted", func(t *testing.T) {
 		i, g := is.New(t), admit.New()
-		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than there is
-		got := ask(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
-		between(t, got["a"], 1.4*got["b"], 1.6*got["b"])
+		g.SetRates(map[string]float64{"a": 120, "b": 80}) // more than the capacity
+		got := admittedRates(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
+		expectBetween(t, got["a"], 1.4*got["b"], 1.6*got["b"])
 		v, after := admit.Within, time.Duration(0)
 		for k := 0; v.In() && k < 3; k++ {
 			v, after = g.Arrive(5*time.Second, "a", admit.NewLoad(false, true, capacity))
@@ -97,7 +97,7 @@
 	g.SetRates(map[string]float64{"a": 10})
 	busy := admit.NewLoad(false, false, 0)
 	due := map[time.Duration]int{}
-	first, all := 0, 0
+	firstRefusals, refusals := 0, 0
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 		n := due[now]
 		if now == 0 {
@@ -106,51 +106,51 @@
 		for range n {
 			v, after := g.Arrive(now, "a", busy)
 			if !v.In() {
-				due[now+after.Truncate(10*time.Millisecond)+20*time.Millisecond]++ // not before the time
-				all++
+				due[now+after.Truncate(10*time.Millisecond)+20*time.Millisecond]++ // retries after the wait, never earlier
+				refusals++
 				if now == 0 {
-					first++
+					firstRefusals++
 				}
 			}
 		}
 	}
-	i.True(first >= 89)
-	i.Equal(all, first) // nobody is refused twice
+	i.True(firstRefusals >= 89)
+	i.Equal(refusals, firstRefusals) // no request is refused twice
 }
 
-// naive finds the active teams by looking at all of them.
-type naive struct {
-	rates, finish map[string]float64
-	seen          map[string]time.Duration
-	now           time.Duration
-	virtual       float64
+// naiveGate is a reference implementation that finds the active teams by a scan of all teams.
+type naiveGate struct {
+	rates, usedUntil map[string]float64
+	lastRequest      map[string]time.Duration
+	now              time.Duration
+	virtual          float64
 }
 
-func (n *naive) arrive(now time.Duration, name string, spare, tight bool) admit.Verdict {
+func (n *naiveGate) arrive(now time.Duration, name string, idleSlot, shedding bool) admit.Verdict {
 	if n.rates[name] == 0 {
-		if spare {
+		if idleSlot {
 			return admit.Lent
 		}
 		return admit.Over
 	}
-	n.seen[name] = now
+	n.lastRequest[name] = now
 	active := 0.0
-	for t, s := range n.seen {
+	for t, s := range n.lastRequest {
 		if s+time.Second >= now {
 			active += n.rates[t]
 		}
 	}
 	speed := 1.1 * capacity / active
-	if !tight {
+	if !shedding {
 		speed = max(1, speed)
 	}
 	n.virtual += min(now-n.now, time.Second).Seconds() * speed
 	n.now = now
 	switch {
-	case n.finish[name] <= n.virtual+1:
-		n.finish[name] = max(n.finish[name], n.virtual) + 1/n.rates[name]
+	case n.usedUntil[name] <= n.virtual+1:
+		n.usedUntil[name] = max(n.usedUntil[name], n.virtual) + 1/n.rates[name]
 		return admit.Within
-	case spare:
+	case idleSlot:
 		return admit.Lent
 	case speed < 1:
 		return admit.Crowded
@@ -160,7 +160,7 @@
 
 func TestSameAsNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, n := admit.New(), &naive{rates: map[string]float64{}, finish: map[string]float64{}, seen: map[string]time.Duration{}}
+		g, n := admit.New(), &naiveGate{rates: map[string]float64{}, usedUntil: map[string]float64{}, lastRequest: map[string]time.Duration{}}
 		for k := range rapid.IntRange(1, 6).Draw(t, "teams") {
 			n.rates[fmt.Sprint(k)] = float64(rapid.IntRange(0, 80).Draw(t, "rate"))
 		}
@@ -169,9 +169,9 @@
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 50, 400}).Draw(t, "pass")) * time.Millisecond
 			name := fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "team"))
-			spare, tight := rapid.IntRange(0, 9).Draw(t, "spare") == 0, rapid.Bool().Draw(t, "tight")
-			a, _ := g.Arrive(now, name, admit.NewLoad(spare, tight, capacity))
-			if b := n.arrive(now, name, spare, tight); a != b {
+			idleSlot, shedding := rapid.IntRange(0, 9).Draw(t, "spare") == 0, rapid.Bool().Draw(t, "tight")
+			a, _ := g.Arrive(now, name, admit.NewLoad(idleSlot, shedding, capacity))
+			if b := n.arrive(now, name, idleSlot, shedding); a != b {
 				t.Fatalf("verdict %v on %s, naive %v", a, name, b)
 			}
 		}
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -8,165 +8,166 @@
 )
 
 const (
-	// UnheardAfter is how long a member must be unheard before it may be removed.
+	// UnheardAfter is the heartbeat timeout after which a member may be removed.
 	UnheardAfter = 4 * time.Second
-	// proposeEvery spaces the proposals of entries that stand behind the first.
-	proposeEvery = time.Second
-	// listLasts is how long the platform's list counts after it was read.
-	listLasts = 30 * time.Second
+	// proposalDelay is how much longer each entry waits with its proposal than the entry ranked before it.
+	proposalDelay = time.Second
+	// vmListMaxAge is how long the platform's VM list is used after it was read.
+	vmListMaxAge = 30 * time.Second
 )
 
-// BeatMsg is what one entry of the data centre last said of itself; an entry tells its own Membership too.
+// BeatMsg is a heartbeat of one entry of the data centre. Each entry also passes its own heartbeats to its Membership.
 type BeatMsg struct {
 	Now      time.Time
 	Member   Member
-	Holding  int64 // number of the newest roster in force at the entry
+	Holding  int64 // number of the newest roster that is active at the entry
 	Stopping bool
-	Unheard  []string // members that the entry has not heard for UnheardAfter
-	Gone     []string // entries that the platform's list says are gone, if this entry reads it
+	Unheard  []string // members from which the entry has had no heartbeat within the timeout
+	Gone     []string // entries that are gone from the platform's VM list, if this entry reads it
 }
 
-// VMsMsg brings the entries that the platform's list says are gone.
+// VMsMsg lists the entries that are gone according to the platform's VM list.
 type VMsMsg struct {
 	Now  time.Time
 	Gone []string
 }
 
-// ProposeCmd asks to write a roster in place of the one in use.
+// ProposeCmd asks the runner to write a roster in place of the current one.
 type ProposeCmd struct{ Roster Roster }
 
 type peer struct {
-	beat  BeatMsg
-	since time.Time // first beat of this life
+	lastBeat  BeatMsg
+	firstBeat time.Time // first heartbeat of this incarnation
 }
 
-// Membership decides when the roster of a data centre changes; every entry runs one.
+// Membership decides when to propose a new roster for a data centre. Every entry runs one.
 type Membership struct {
-	self       Member
-	dataCentre string
-	roster     Roster
-	adopted    time.Time
-	wanted     time.Time // since when a change is wanted
-	peers      map[string]peer
-	gone       []string
-	listed     time.Time // when gone was read
-	stopping   bool
+	self              Member
+	dataCentre        string
+	roster            Roster
+	adoptedAt         time.Time
+	changeWantedSince time.Time // zero while no change is wanted or allowed
+	peers             map[string]peer
+	goneEntries       []string
+	vmListReadAt      time.Time // when goneEntries was read
+	stopping          bool
 }
 
-// NewMembership returns the decision of one entry.
+// NewMembership returns the Membership that the entry self runs.
 func NewMembership(self Member, dataCentre string) *Membership {
 	return &Membership{self: self, dataCentre: dataCentre, peers: map[string]peer{}}
 }
 
-// Beat notes what an entry says of itself.
+// Beat records a heartbeat. A heartbeat of a former incarnation is ignored.
 func (s *Membership) Beat(m BeatMsg) {
 	p, ok := s.peers[m.Member.Entry]
-	if ok && p.beat.Member.Incarnation > m.Member.Incarnation {
+	if ok && p.lastBeat.Member.Incarnation > m.Member.Incarnation {
 		return
 	}
-	if !ok || !p.beat.Member.Is(m.Member) {
-		p.since = m.Now
+	if !ok || !p.lastBeat.Member.Is(m.Member) {
+		p.firstBeat = m.Now
 	}
-	p.beat = m
+	p.lastBeat = m
 	s.peers[m.Member.Entry] = p
-	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.beat.Now) > Remember })
+	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.lastBeat.Now) > Remember })
 }
 
-// VMs notes which entries are gone for good.
-func (s *Membership) VMs(m VMsMsg) { s.gone, s.listed = m.Gone, m.Now }
+// VMs records which entries are permanently gone.
+func (s *Membership) VMs(m VMsMsg) { s.goneEntries, s.vmListReadAt = m.Gone, m.Now }
 
-// Gone returns the members of the last two rosters, and of more, that this entry's own list says are gone.
+// Gone returns the members of the last two rosters and of more that are gone according to the VM list of this entry.
 func (s *Membership) Gone(now time.Time, more []Member) []string {
-	if now.Sub(s.listed) > listLasts {
+	if now.Sub(s.vmListReadAt) > vmListMaxAge {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(s.gone), func(e string) bool {
-		_, a := find(s.roster.members, e)
-		_, b := find(s.roster.previous, e)
-		_, c := find(more, e)
+	return slices.DeleteFunc(slices.Clone(s.goneEntries), func(e string) bool {
+		_, a := findMember(s.roster.members, e)
+		_, b := findMember(s.roster.previous, e)
+		_, c := findMember(more, e)
 		return !a && !b && !c
 	})
 }
 
-// isGone reports whether this entry's list, or that of an entry heard lately, says that the entry is gone.
+// isGone reports whether an entry is gone according to the VM list of this entry or of one with a recent heartbeat.
 func (s *Membership) isGone(entry string, now time.Time) bool {
-	if now.Sub(s.listed) <= listLasts && slices.Contains(s.gone, entry) {
+	if now.Sub(s.vmListReadAt) <= vmListMaxAge && slices.Contains(s.goneEntries, entry) {
 		return true
 	}
 	for _, p := range s.peers {
-		if now.Sub(p.beat.Now) < UnheardAfter && slices.Contains(p.beat.Gone, entry) {
+		if now.Sub(p.lastBeat.Now) < UnheardAfter && slices.Contains(p.lastBeat.Gone, entry) {
 			return true
 		}
 	}
 	return false
 }
 
-// Adopt notes the roster in use.
+// Adopt records the current roster.
 func (s *Membership) Adopt(m RosterMsg) {
 	if m.Roster.number > s.roster.number {
-		s.roster, s.adopted, s.wanted = m.Roster, m.Now, time.Time{}
+		s.roster, s.adoptedAt, s.changeWantedSince = m.Roster, m.Now, time.Time{}
 	}
 }
 
-// Unheard returns the members not heard for UnheardAfter.
+// Unheard returns the members from which no heartbeat has come within the timeout.
 func (s *Membership) Unheard(now time.Time) []string {
 	var u []string
 	for _, m := range s.roster.members {
-		if m.Entry != s.self.Entry && s.silent(m, now) {
+		if m.Entry != s.self.Entry && s.timedOut(m, now) {
 			u = append(u, m.Entry)
 		}
 	}
 	return u
 }
 
-func (s *Membership) silent(m Member, now time.Time) bool {
-	last := s.adopted
-	if p, ok := s.peers[m.Entry]; ok && p.beat.Now.After(last) {
-		last = p.beat.Now
+func (s *Membership) timedOut(m Member, now time.Time) bool {
+	last := s.adoptedAt
+	if p, ok := s.peers[m.Entry]; ok && p.lastBeat.Now.After(last) {
+		last = p.lastBeat.Now
 	}
 	return now.Sub(last) >= UnheardAfter
 }
 
-// Over reports whether the member's life is certainly over: a later life was heard, or it is gone.
+// Over reports whether the member's incarnation has certainly ended: a later incarnation has sent a heartbeat, or the VM list
+// says that the entry is gone.
 //
-// A life that was heard lately is not the one that the lagging list means.
+// The VM list lags: if this incarnation has sent a recent heartbeat, the list refers to a former one.
 func (s *Membership) Over(m Member, now time.Time) bool {
 	if m.Entry == s.self.Entry {
 		return s.self.Incarnation > m.Incarnation
 	}
 	p, ok := s.peers[m.Entry]
 	switch {
-	case ok && p.beat.Member.Incarnation > m.Incarnation:
+	case ok && p.lastBeat.Member.Incarnation > m.Incarnation:
 		return true
-	case ok && p.beat.Member.Is(m) && now.Sub(p.beat.Now) < UnheardAfter/2:
+	case ok && p.lastBeat.Member.Is(m) && now.Sub(p.lastBeat.Now) < UnheardAfter/2:
 		return false
 	default:
 		return s.isGone(m.Entry, now)
 	}
 }
 
-// Tick returns a proposal when the roster should change and may.
+// Tick returns a proposal if the roster should change and is allowed to.
 func (s *Membership) Tick(m TickMsg) []ProposeCmd {
-	next := s.next(m.Now)
-	if len(next) == 0 || slices.Equal(next, s.roster.members) || !s.may(next, m.Now) {
-		s.wanted = time.Time{}
+	next := s.desiredMembers(m.Now)
+	if len(next) == 0 || slices.Equal(next, s.roster.members) || !s.mayPropose(next, m.Now) {
+		s.changeWantedSince = time.Time{}
 		return nil
 	}
-	if s.wanted.IsZero() {
-		s.wanted = m.Now
+	if s.changeWantedSince.IsZero() {
+		s.changeWantedSince = m.Now
 	}
-	if m.Now.Sub(s.wanted) < time.Duration(s.place(next))*proposeEvery {
+	if m.Now.Sub(s.changeWantedSince) < time.Duration(s.proposalRank(next))*proposalDelay {
 		return nil
 	}
-	tag := uint64(m.Now.UnixNano()) ^ uint64(s.self.Incarnation) ^ seeds([]Member{s.self})[0]
+	tag := uint64(m.Now.UnixNano()) ^ uint64(s.self.Incarnation) ^ entryHashes([]Member{s.self})[0]
 	if s.roster.number == 0 {
 		return []ProposeCmd{{Roster: NewRoster(s.dataCentre, next, tag)}}
 	}
 	return []ProposeCmd{{Roster: s.roster.Next(next, tag)}}
 }
 
-// place is how many entries should propose before this one.
-func (s *Membership) place(next []Member) int {
+// proposalRank returns the number of entries that should propose before this one.
+func (s *Membership) proposalRank(next []Member) int {
 	n := 0
 	for _, m := range next {
 		if m.Entry == s.self.Entry {
@@ -177,53 +178,53 @@
 	return n
 }
 
-// next returns the members that the roster should have.
-func (s *Membership) next(now time.Time) []Member {
+// desiredMembers returns the members that the next roster should have.
+func (s *Membership) desiredMembers(now time.Time) []Member {
 	var n []Member
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.stops(m) && !s.cut(m, now) {
+		if !s.Over(m, now) && !s.isStopping(m) && !s.isCutOff(m, now) {
 			n = append(n, m)
 		}
 	}
-	return sorted(append(n, s.joiners(now)...))
+	return sortedByEntry(append(n, s.joiners(now)...))
 }
 
-func (s *Membership) stops(m Member) bool {
+func (s *Membership) isStopping(m Member) bool {
 	if m.Entry == s.self.Entry {
 		return s.stopping
 	}
 	p, ok := s.peers[m.Entry]
-	return ok && p.beat.Member.Is(m) && p.beat.Stopping
+	return ok && p.lastBeat.Member.Is(m) && p.lastBeat.Stopping
 }
 
-// cut reports whether this entry and most of the members that it hears have not heard m.
-func (s *Membership) cut(m Member, now time.Time) bool {
-	if m.Entry == s.self.Entry || !s.silent(m, now) {
+// isCutOff reports whether m has timed out at this entry and at a majority of the members that it hears, itself included.
+func (s *Membership) isCutOff(m Member, now time.Time) bool {
+	if m.Entry == s.self.Entry || !s.timedOut(m, now) {
 		return false
 	}
-	yes, all := 1, 1
+	votes, voters := 1, 1
 	for _, o := range s.roster.members {
 		p, ok := s.peers[o.Entry]
-		if o.Entry == s.self.Entry || o.Entry == m.Entry || !ok || s.silent(o, now) {
+		if o.Entry == s.self.Entry || o.Entry == m.Entry || !ok || s.timedOut(o, now) {
 			continue
 		}
-		all++
-		if slices.Contains(p.beat.Unheard, m.Entry) {
-			yes++
+		voters++
+		if slices.Contains(p.lastBeat.Unheard, m.Entry) {
+			votes++
 		}
 	}
-	return 2*yes > all
+	return 2*votes > voters
 }
 
 func (s *Membership) joiners(now time.Time) []Member {
 	var j []Member
-	if !s.stopping && !lists(s.roster.members, s.self) {
+	if !s.stopping && !containsMember(s.roster.members, s.self) {
 		j = append(j, s.self)
 	}
 	for _, p := range s.peers {
-		b := p.beat
+		b := p.lastBeat
 		fresh := now.Sub(b.Now) < UnheardAfter/2 && !b.Stopping
-		if fresh && b.Member.Entry != s.self.Entry && !lists(s.roster.members, b.Member) {
+		if fresh && b.Member.Entry != s.self.Entry && !containsMember(s.roster.members, b.Member) {
 			j = append(j, b.Member)
 		}
 	}
@@ -231,36 +232,37 @@
 	return j
 }
 
-// may reports whether the last change is complete at all members that stay, and whether enough of them stay.
-func (s *Membership) may(next []Member, now time.Time) bool {
+// mayPropose reports whether the current roster is active at all members that stay, and whether enough of them stay: at least
+// half of those that may be alive.
+func (s *Membership) mayPropose(next []Member, now time.Time) bool {
 	stay, alive := 0, 0
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.stops(m) {
+		if !s.Over(m, now) && !s.isStopping(m) {
 			alive++
 		}
-		if !lists(next, m) {
+		if !containsMember(next, m) {
 			continue
 		}
 		stay++
-		if p := s.peers[m.Entry]; !p.beat.Member.Is(m) || p.beat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
 			return false
 		}
 	}
 	return 2*stay >= alive
 }
 
-// Stop says that this entry is about to leave, so that the next roster is without it.
+// Stop marks this entry as leaving, so that the next roster is without it.
 func (s *Membership) Stop() { s.stopping = true }
 
-// Complete reports whether the roster in use is in force at all of its members, so that an entry that has left it may end.
+// Complete reports whether the current roster is active at all of its members. An entry that has left the roster may then exit.
 func (s *Membership) Complete() bool {
 	for _, m := range s.roster.members {
-		if p := s.peers[m.Entry]; !p.beat.Member.Is(m) || p.beat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
 			return false
 		}
 	}
 	return true
 }
 
-// Stopping reports whether this entry is about to leave.
+// Stopping reports whether this entry is leaving.
 func (s *Membership) Stopping() bool { return s.stopping }
