--- a/flow/share/bench_test.go
+++ b/flow/share/bench_test.go
@@ -12,12 +12,12 @@
 func BenchmarkLoad(b *testing.B) {
 	for _, targets := range []int{4, 40, 200} {
 		for _, lent := range []int{0, 16} {
-			b.Run(fmt.Sprintf("targets=%d/lent=%d", targets, lent), func(b *testing.B) { load(b, targets, lent) })
+			b.Run(fmt.Sprintf("targets=%d/lent=%d", targets, lent), func(b *testing.B) { benchmarkLoad(b, targets, lent) })
 		}
 	}
 }
 
-func load(b *testing.B, targets, lent int) {
+func benchmarkLoad(b *testing.B, targets, lent int) {
 	now := time.Unix(0, 0)
 	l, slots, names := share.New("entry-0"), map[string]int{}, []string{}
 	for i := range targets {
--- a/flow/share/borrow.go
+++ b/flow/share/borrow.go
@@ -5,117 +5,117 @@
 	"slices"
 )
 
-// take accepts the answer that a peer was asked for; any other is a copy or too old.
-func (l *Loans) take(m LentMsg) {
+// acceptReply accepts the answer that a peer was asked for; any other is a copy or too old.
+func (l *Loans) acceptReply(m LentMsg) {
 	p := l.peers[m.From]
-	if p == nil || !p.waiting || m.Number != p.number {
+	if p == nil || !p.awaitingReply || m.Number != p.requestNumber {
 		return
 	}
-	p.waiting = false
+	p.awaitingReply = false
 	for _, g := range m.Grants {
-		p.held[g.ID] = &held{target: g.Target}
-		l.table.row(g.Target).open++
+		p.slots[g.ID] = &borrowedSlot{target: g.Target}
+		l.table.row(g.Target).borrowedOpen++
 	}
 	for _, i := range m.Recalled {
-		if h := p.held[i]; h != nil {
-			l.close(h)
+		if h := p.slots[i]; h != nil {
+			l.closeSlot(h)
 		}
 	}
 	switch {
 	case len(m.Grants) > 0 || !m.Busy:
-		p.pause = firstPause
-	case p.ask.Want > 0:
-		p.pause = min(lastPause, max(firstPause, 2*p.pause))
+		p.backoff = minBackoff
+	case p.request.Want > 0:
+		p.backoff = min(maxBackoff, max(minBackoff, 2*p.backoff))
 	}
-	if len(m.Grants) < p.ask.Want {
-		p.after = l.now.Add(p.pause)
+	if len(m.Grants) < p.request.Want {
+		p.wantAgainAt = l.now.Add(p.backoff)
 	}
 }
 
-// close keeps new requests out of a borrowed slot.
-func (l *Loans) close(h *held) {
+// closeSlot keeps new requests out of a borrowed slot.
+func (l *Loans) closeSlot(h *borrowedSlot) {
 	if !h.closed {
 		h.closed = true
 		r := l.table.row(h.target)
-		r.open--
-		r.closed++
+		r.borrowedOpen--
+		r.borrowedClosed++
 	}
 }
 
-// lose forgets all that was borrowed from a peer that is no more.
-func (l *Loans) lose(p *lender) {
-	for _, h := range p.held {
-		l.close(h)
-		l.table.row(h.target).closed--
+// forgetBorrowed forgets all that was borrowed from a peer that is no more.
+func (l *Loans) forgetBorrowed(p *lender) {
+	for _, h := range p.slots {
+		l.closeSlot(h)
+		l.table.row(h.target).borrowedClosed--
 	}
 }
 
-// release closes borrowed slots that are idle for long or of no use, and gives back those that no request holds.
-func (l *Loans) release() {
-	long := l.queued == 0 && l.now.Sub(l.idle) >= idleBefore
-	for _, e := range l.names {
+// returnSlots closes borrowed slots that are idle for long or of no use, and gives back those that no request holds.
+func (l *Loans) returnSlots() {
+	idleLong := l.demand == 0 && l.now.Sub(l.lastDemandAt) >= returnAfterIdle
+	for _, e := range l.peerNames {
 		p := l.peers[e]
-		if len(p.held) == 0 {
+		if len(p.slots) == 0 {
 			continue
 		}
-		for _, i := range slices.Sorted(maps.Keys(p.held)) {
-			l.releaseOne(p, i, long)
+		for _, i := range slices.Sorted(maps.Keys(p.slots)) {
+			l.returnSlot(p, i, idleLong)
 		}
 	}
 }
 
-func (l *Loans) releaseOne(p *lender, id int64, long bool) {
-	h := p.held[id]
+func (l *Loans) returnSlot(p *lender, id int64, idleLong bool) {
+	h := p.slots[id]
 	r := l.table.row(h.target)
-	if !r.listed || long && r.busy < r.usable() {
-		l.close(h)
+	if !r.listed || idleLong && r.busy < r.usable() {
+		l.closeSlot(h)
 	}
 	// The requests at the target must fit into what remains here without this slot.
-	if h.closed && r.busy <= r.usable()+r.closed-1 {
-		r.closed--
-		delete(p.held, id)
-		p.changed = true
+	if h.closed && r.busy <= r.usable()+r.borrowedClosed-1 {
+		r.borrowedClosed--
+		delete(p.slots, id)
+		p.returnedSlots = true
 	}
 }
 
 // borrow asks peers for slots, and tells them what is still held.
 func (l *Loans) borrow() {
-	want := l.wanted()
-	for _, e := range l.names {
+	want := l.wantedPerPeer()
+	for _, e := range l.peerNames {
 		p := l.peers[e]
-		again := l.now.Sub(p.sent) >= askAgain
-		if p.waiting {
-			if again {
-				l.ask(p)
+		resendDue := l.now.Sub(p.requestedAt) >= resendAfter
+		if p.awaitingReply {
+			if resendDue {
+				l.sendRequest(p)
 			}
 			continue
 		}
-		more := want > 0 && !l.now.Before(p.after)
-		if !more && !p.changed && (len(p.held) == 0 || !again) {
+		wantMore := want > 0 && !l.now.Before(p.wantAgainAt)
+		if !wantMore && !p.returnedSlots && (len(p.slots) == 0 || !resendDue) {
 			continue
 		}
-		p.number++
-		p.waiting, p.changed = true, false
-		p.ask = BorrowCmd{To: e, Number: p.number, Holding: slices.Sorted(maps.Keys(p.held))}
-		if more {
-			p.ask.Want = want
+		p.requestNumber++
+		p.awaitingReply, p.returnedSlots = true, false
+		p.request = BorrowCmd{To: e, Number: p.requestNumber, Holding: slices.Sorted(maps.Keys(p.slots))}
+		if wantMore {
+			p.request.Want = want
 		}
-		l.ask(p)
+		l.sendRequest(p)
 	}
 }
 
-func (l *Loans) ask(p *lender) {
-	p.sent = l.now
-	c := p.ask
+func (l *Loans) sendRequest(p *lender) {
+	p.requestedAt = l.now
+	c := p.request
 	c.Holding = slices.Clone(c.Holding)
 	l.cmds = append(l.cmds, c)
 }
 
-// wanted returns how many slots to ask of each peer.
-func (l *Loans) wanted() int {
-	if l.queued == 0 || len(l.peers) == 0 {
+// wantedPerPeer returns how many slots to ask of each peer.
+func (l *Loans) wantedPerPeer() int {
+	if l.demand == 0 || len(l.peers) == 0 {
 		return 0
 	}
-	n := min(l.queued, maxBorrowed)
+	n := min(l.demand, maxWanted)
 	return (n + len(l.peers) - 1) / len(l.peers)
 }
--- a/flow/share/loans_test.go
+++ b/flow/share/loans_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestStaticTurnsTheRemainder(t *testing.T) {
+func TestStaticSpreadsRemainder(t *testing.T) {
 	i, l := is.New(t), []string{"a", "b", "c"}
 	sum := map[string]int{}
 	for k := range 300 {
@@ -46,16 +46,16 @@
 	}
 }
 
-const slotsEach = 8
+const slotsPerTarget = 8
 
-// world is a set of entries, the messages between them and what they use.
-type world struct {
+// simulation is a set of entries, the messages between them and what they use.
+type simulation struct {
 	*rapid.T
-	now     time.Time
-	names   []string // of the newest roster
-	number  int64
-	entries map[string]*entry
-	post    []parcel
+	now      time.Time
+	names    []string // of the newest roster
+	number   int64
+	entries  map[string]*entry
+	inFlight []envelope
 }
 
 type entry struct {
@@ -66,12 +66,12 @@
 	number int64
 }
 
-type parcel struct {
+type envelope struct {
 	to  string
 	msg share.Msg
 }
 
-func (w *world) give(to string, m share.Msg) {
+func (w *simulation) deliver(to string, m share.Msg) {
 	e := w.entries[to]
 	if e == nil {
 		return
@@ -86,81 +86,81 @@
 				}
 			}
 		case share.BorrowCmd:
-			w.post = append(w.post, parcel{c.To, share.BorrowMsg{From: to, Number: c.Number, Want: c.Want, Holding: c.Holding}})
+			w.inFlight = append(w.inFlight, envelope{c.To, share.BorrowMsg{From: to, Number: c.Number, Want: c.Want, Holding: c.Holding}})
 		case share.LentCmd:
-			w.post = append(w.post, parcel{c.To, share.LentMsg{From: to, Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy}})
+			w.inFlight = append(w.inFlight, envelope{c.To, share.LentMsg{From: to, Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy}})
 		}
 	}
 	w.check()
 }
 
 // check holds the sum of what is in use, or may be at once, to each target's slots.
-func (w *world) check() {
+func (w *simulation) check() {
 	for _, t := range []string{"vm-0", "vm-1"} {
-		may, used := 0, 0
+		allowed, used := 0, 0
 		for _, e := range w.entries {
-			may += e.shares[t]
+			allowed += e.shares[t]
 			used += max(e.shares[t], e.busy[t])
 		}
-		if may > slotsEach || used > slotsEach {
-			w.Fatalf("%s: %d slots may be used and %d are", t, may, used)
+		if allowed > slotsPerTarget || used > slotsPerTarget {
+			w.Fatalf("%s: %d slots may be used and %d are", t, allowed, used)
 		}
 	}
 }
 
-func (w *world) join(e string) {
+func (w *simulation) addEntry(e string) {
 	w.names = append(w.names, e)
 	w.entries[e] = &entry{Loans: share.New(e), busy: map[string]int{}}
-	w.give(e, share.TargetsMsg{Now: w.now, Slots: map[string]int{"vm-0": slotsEach, "vm-1": slotsEach}})
+	w.deliver(e, share.TargetsMsg{Now: w.now, Slots: map[string]int{"vm-0": slotsPerTarget, "vm-1": slotsPerTarget}})
 	w.number++
 }
 
-// die ends an entry and its requests.
-func (w *world) die(e string) {
+// removeEntry ends an entry and its requests.
+func (w *simulation) removeEntry(e string) {
 	w.names = slices.DeleteFunc(w.names, func(x string) bool { return x == e })
 	delete(w.entries, e)
 	w.number++
 }
 
-func (w *world) some() string { return rapid.SampledFrom(w.names).Draw(w.T, "entry") }
+func (w *simulation) drawEntry() string { return rapid.SampledFrom(w.names).Draw(w.T, "entry") }
 
-// hear tells an entry the newest roster and which peers keep to theirs.
-func (w *world) hear(e string) {
+// deliverRoster tells an entry the newest roster and which peers keep to theirs.
+func (w *simulation) deliverRoster(e string) {
 	w.entries[e].number = w.number
-	w.give(e, share.RosterMsg{Now: w.now, Number: w.number, Entries: slices.Clone(w.names)})
+	w.deliver(e, share.RosterMsg{Now: w.now, Number: w.number, Entries: slices.Clone(w.names)})
 	for _, p := range w.names {
 		if n := w.entries[p].Settled(); n > 0 && p != e {
-			w.give(e, share.SettledMsg{Now: w.now, From: p, Number: n})
+			w.deliver(e, share.SettledMsg{Now: w.now, From: p, Number: n})
 		}
 	}
 }
 
-func (w *world) load(e string) {
-	w.give(e, share.LoadMsg{Now: w.now, Load: w.entries[e].load()})
+func (w *simulation) reportLoad(e string) {
+	w.deliver(e, share.LoadMsg{Now: w.now, Load: w.entries[e].load()})
 }
 
 func (e *entry) load() share.Load { return share.Load{Queued: e.queued, Busy: e.busy} }
 
-// work starts what may be started or ends some of what runs; its Loans do not hear of it.
-func (w *world) work(e string) {
+// changeWork starts what may be started or ends some of what runs; its Loans do not hear of it.
+func (w *simulation) changeWork(e string) {
 	x := w.entries[e]
 	x.queued = max(0, rapid.IntRange(-8, 8).Draw(w.T, "queued"))
 	for _, t := range []string{"vm-0", "vm-1"} {
-		n := rapid.IntRange(0, slotsEach).Draw(w.T, "busy")
+		n := rapid.IntRange(0, slotsPerTarget).Draw(w.T, "busy")
 		x.busy[t] = max(min(x.busy[t], n), min(n, x.shares[t]))
 	}
 	w.check()
 }
 
-// carry delivers one message, loses it, or delivers it and keeps it for once more.
-func (w *world) carry() {
-	if len(w.post) == 0 {
+// deliverOne delivers one message, loses it, or delivers it and keeps it for once more.
+func (w *simulation) deliverOne() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.post)-1).Draw(w.T, "parcel")
-	p := w.post[i]
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.T, "parcel")
+	p := w.inFlight[i]
 	if rapid.IntRange(0, 3).Draw(w.T, "copies") > 0 {
-		w.post = slices.Delete(w.post, i, i+1)
+		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
 	if rapid.IntRange(0, 3).Draw(w.T, "fate") == 0 || w.entries[p.to] == nil {
 		return
@@ -168,77 +168,77 @@
 	switch m := p.msg.(type) {
 	case share.BorrowMsg:
 		m.Now, m.Load = w.now, w.entries[p.to].load()
-		w.give(p.to, m)
+		w.deliver(p.to, m)
 	case share.LentMsg:
 		m.Now = w.now
-		w.give(p.to, m)
+		w.deliver(p.to, m)
 	}
 }
 
-func (w *world) change() {
+func (w *simulation) changeMembers() {
 	switch rapid.IntRange(0, 12).Draw(w.T, "change") {
 	case 0:
 		if len(w.names) > 1 {
-			w.die(w.some())
+			w.removeEntry(w.drawEntry())
 		}
 	case 1:
 		if len(w.names) < 4 {
-			w.join(fmt.Sprint("entry-", w.number))
+			w.addEntry(fmt.Sprint("entry-", w.number))
 		}
 	}
 }
 
-func TestNoMoreSlotsInUseThanATargetHas(t *testing.T) {
-	most := 0
+func TestNeverExceedsTargetSlots(t *testing.T) {
+	maxBorrowed := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{T: t, now: time.Unix(1000, 0), entries: map[string]*entry{}}
+		w := &simulation{T: t, now: time.Unix(1000, 0), entries: map[string]*entry{}}
 		for i := range 3 {
-			w.join(fmt.Sprint("first-", i))
+			w.addEntry(fmt.Sprint("first-", i))
 		}
-		acts := []func(){
-			func() { w.hear(w.some()) }, func() { w.hear(w.some()) }, func() { w.work(w.some()) },
-			func() { w.work(w.some()) }, func() { w.load(w.some()) }, func() { w.load(w.some()) }, func() { w.load(w.some()) }, w.carry, w.carry, w.carry, w.carry, w.change,
+		steps := []func(){
+			func() { w.deliverRoster(w.drawEntry()) }, func() { w.deliverRoster(w.drawEntry()) }, func() { w.changeWork(w.drawEntry()) },
+			func() { w.changeWork(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, w.deliverOne, w.deliverOne, w.deliverOne, w.deliverOne, w.changeMembers,
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pass")) * time.Millisecond)
-			acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]()
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
 			for _, e := range w.entries {
-				most = max(most, e.Borrowed())
+				maxBorrowed = max(maxBorrowed, e.Borrowed())
 			}
 		}
 	})
-	is.New(t).True(most > 0) // the traces do borrow
+	is.New(t).True(maxBorrowed > 0) // the traces do borrow
 }
 
 // All entries keep to one roster, so that most of what happens is lending.
-func TestLoansUnderLossAndCopies(t *testing.T) {
-	lent := 0
+func TestLoansWithLostAndDuplicatedMessages(t *testing.T) {
+	borrowed := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{T: t, now: time.Unix(1000, 0), entries: map[string]*entry{}}
+		w := &simulation{T: t, now: time.Unix(1000, 0), entries: map[string]*entry{}}
 		for i := range 3 {
-			w.join(fmt.Sprint("entry-", i))
+			w.addEntry(fmt.Sprint("entry-", i))
 		}
 		for range 2 {
 			for _, e := range w.names {
-				w.hear(e)
-				w.load(e)
+				w.deliverRoster(e)
+				w.reportLoad(e)
 			}
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "pass")) * time.Millisecond)
-			e := w.some()
+			e := w.drawEntry()
 			switch rapid.IntRange(0, 5).Draw(t, "act") {
 			case 0:
-				w.work(e)
+				w.changeWork(e)
 			case 1, 2:
-				w.load(e)
+				w.reportLoad(e)
 			default:
-				w.carry()
+				w.deliverOne()
 			}
-			lent += w.entries[e].Borrowed()
+			borrowed += w.entries[e].Borrowed()
 		}
 	})
-	is.New(t).True(lent > 1000) // in all, after each step
+	is.New(t).True(borrowed > 1000) // in all, after each step
 }
 
 func TestLoans(t *testing.T) {
@@ -255,8 +255,8 @@
 		is.New(t).Equal(a.Usable("vm")+b.Usable("vm"), 8)
 		return a, b
 	}
-	// meet lets both tell their load after d and passes the messages between them.
-	meet := func(a, b *share.Loans, d time.Duration, queuedA, busyA, queuedB, busyB int) {
+	// exchange lets both tell their load after d and passes the messages between them.
+	exchange := func(a, b *share.Loans, d time.Duration, queuedA, busyA, queuedB, busyB int) {
 		now = now.Add(d)
 		x := share.Load{Queued: queuedB, Busy: map[string]int{"vm": busyB}}
 		b.Update(share.LoadMsg{Now: now, Load: x})
@@ -271,11 +271,11 @@
 	t.Run("idle slots are lent and come back within a second when the lender needs them", func(t *testing.T) {
 		i := is.New(t)
 		a, b := start(t)
-		meet(a, b, 0, 5, 4, 0, 0)
+		exchange(a, b, 0, 5, 4, 0, 0)
 		i.Equal(a.Usable("vm"), 8)
 		i.True(!a.Quiet() && !b.Quiet())
 		for range 20 {
-			meet(a, b, 50*time.Millisecond, 5, min(8, a.Usable("vm")), 3, 1)
+			exchange(a, b, 50*time.Millisecond, 5, min(8, a.Usable("vm")), 3, 1)
 		}
 		i.Equal(a.Usable("vm"), 4)
 		i.Equal(b.Usable("vm"), 4)
@@ -304,9 +304,9 @@
 	t.Run("what the borrower leaves idle goes back", func(t *testing.T) {
 		i := is.New(t)
 		a, b := start(t)
-		meet(a, b, 0, 5, 4, 0, 0)
+		exchange(a, b, 0, 5, 4, 0, 0)
 		for range 4 {
-			meet(a, b, 200*time.Millisecond, 0, 1, 0, 0)
+			exchange(a, b, 200*time.Millisecond, 0, 1, 0, 0)
 		}
 		i.Equal(b.Usable("vm"), 4)
 		i.Equal(a.Borrowed(), 0)
--- a/flow/share/replay.go
+++ b/flow/share/replay.go
@@ -36,7 +36,7 @@
 	return "fixed"
 }
 
-const loadEvery = 10 * time.Millisecond
+const loadInterval = 10 * time.Millisecond
 
 // replay is the state of a Replay in virtual time.
 type replay struct {
@@ -46,41 +46,41 @@
 	events  events
 	entries []*replayEntry
 	busy    []int // requests at each target
-	out     Result
+	result  Result
 }
 
 type replayEntry struct {
-	s     *sched.Scheduler
-	loans *Loans
-	naive *fifo
-	busy  map[string]int
+	scheduler *sched.Scheduler
+	loans     *Loans
+	fifo      *fifo
+	busy      map[string]int
 }
 
 // Replay runs the trace under the policy in virtual time; the same trace and policy give the same result.
 func Replay(t Trace, p Policy) Result {
 	r := &replay{Trace: t, policy: p, busy: make([]int, t.targets)}
-	r.out = newResult(t)
+	r.result = newResult(t)
 	r.start()
 	for i, q := range t.requests {
-		r.in(q.at, func() { r.arrive(i) })
+		r.schedule(q.arrivesAt, func() { r.arrive(i) })
 	}
 	for d := time.Duration(0); d < t.end+drainTime; d += 10 * time.Millisecond {
-		r.in(d, func() { r.tick(d) })
+		r.schedule(d, func() { r.tick(d) })
 	}
 	for len(r.events) > 0 {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
 		e.run()
 	}
-	return r.out
+	return r.result
 }
 
-func (r *replay) in(at time.Duration, f func()) {
-	r.out.seq++
-	heap.Push(&r.events, event{at: at, seq: r.out.seq, run: f})
+func (r *replay) schedule(at time.Duration, f func()) {
+	r.result.lastEventSeq++
+	heap.Push(&r.events, event{at: at, seq: r.result.lastEventSeq, run: f})
 }
 
-func (r *replay) time() time.Time { return time.Unix(1000, 0).Add(r.now) }
+func (r *replay) clock() time.Time { return time.Unix(1000, 0).Add(r.now) }
 
 func entryName(i int) string { return fmt.Sprint("entry-", i) }
 
@@ -88,102 +88,102 @@
 
 // start makes the entries, with shares as the policy has them.
 func (r *replay) start() {
-	var all []string
+	var names []string
 	for i := range r.Trace.entries {
-		all = append(all, entryName(i))
+		names = append(names, entryName(i))
 	}
 	slots := map[string]int{}
 	for i := range r.targets {
 		slots[targetName(i)] = r.slots
 	}
-	for _, n := range all {
-		e := &replayEntry{s: sched.New("orders"), busy: map[string]int{}}
+	for _, n := range names {
+		e := &replayEntry{scheduler: sched.New("orders"), busy: map[string]int{}}
 		if r.policy == Queueing {
-			e.naive = &fifo{}
+			e.fifo = &fifo{}
 		}
 		if r.policy == Lending {
 			e.loans = New(n)
 		}
 		r.entries = append(r.entries, e)
-		r.list(e, n, all)
+		r.setTargets(e, n, names)
 	}
 	if r.policy == Lending {
-		r.agree(all, slots)
+		r.adoptRoster(names, slots)
 	}
 }
 
-func (r *replay) list(e *replayEntry, name string, all []string) {
+func (r *replay) setTargets(e *replayEntry, name string, names []string) {
 	var l []sched.Target
 	for i := range r.targets {
-		n := Static(targetName(i), r.slots, all, name)
+		n := Static(targetName(i), r.slots, names, name)
 		if r.policy == Refusing {
 			n = r.slots
 		}
 		l = append(l, sched.NewTarget(targetName(i), fmt.Sprint("rack-", i), n))
 	}
-	e.s.Update(sched.TargetsMsg{Now: r.time(), Targets: l})
-	if e.naive != nil {
-		e.naive.targets = l
+	e.scheduler.Update(sched.TargetsMsg{Now: r.clock(), Targets: l})
+	if e.fifo != nil {
+		e.fifo.targets = l
 	}
 }
 
-// agree lets all entries keep to the first roster.
-func (r *replay) agree(all []string, slots map[string]int) {
+// adoptRoster lets all entries keep to the first roster.
+func (r *replay) adoptRoster(names []string, slots map[string]int) {
 	for i := range r.entries {
-		r.loan(i, TargetsMsg{Now: r.time(), Slots: slots})
-		r.loan(i, RosterMsg{Now: r.time(), Number: 1, Entries: all})
+		r.updateLoans(i, TargetsMsg{Now: r.clock(), Slots: slots})
+		r.updateLoans(i, RosterMsg{Now: r.clock(), Number: 1, Entries: names})
 	}
 	for i := range r.entries {
-		r.loan(i, LoadMsg{Now: r.time()})
+		r.updateLoans(i, LoadMsg{Now: r.clock()})
 	}
 	for i := range r.entries {
-		for _, n := range all {
-			r.loan(i, SettledMsg{Now: r.time(), From: n, Number: 1})
+		for _, n := range names {
+			r.updateLoans(i, SettledMsg{Now: r.clock(), From: n, Number: 1})
 		}
 	}
 }
 
 func (r *replay) tick(d time.Duration) {
 	for i, e := range r.entries {
-		if e.naive == nil {
-			r.perform(i, e.s.Update(sched.TickMsg{Now: r.time()}))
+		if e.fifo == nil {
+			r.perform(i, e.scheduler.Update(sched.TickMsg{Now: r.clock()}))
 		}
-		if e.loans != nil && d%loadEvery == 0 {
-			r.loan(i, LoadMsg{Now: r.time(), Load: r.load(i)})
+		if e.loans != nil && d%loadInterval == 0 {
+			r.updateLoans(i, LoadMsg{Now: r.clock(), Load: r.load(i)})
 		}
 	}
 }
 
 func (r *replay) load(i int) Load {
 	e := r.entries[i]
-	t := e.s.Stats()
+	t := e.scheduler.Stats()
 	clear(e.busy)
-	e.s.Taken(e.busy)
+	e.scheduler.Taken(e.busy)
 	return Load{Queued: t.Pressing(), Yielding: t.Yielding(), Keep: t.Held(), Busy: e.busy}
 }
 
-// loan gives a message to the loans of entry i and performs the commands; messages between entries take two hops.
-func (r *replay) loan(i int, m Msg) {
+// updateLoans gives a message to the loans of entry i and performs the commands; messages between entries take two hops.
+func (r *replay) updateLoans(i int, m Msg) {
 	for _, c := range slices.Clone(r.entries[i].loans.Update(m)) {
 		switch c := c.(type) {
 		case SharesCmd:
-			r.perform(i, r.entries[i].s.Update(sched.SharesMsg{Now: r.time(), Shares: c.Shares}))
+			r.perform(i, r.entries[i].scheduler.Update(sched.SharesMsg{Now: r.clock(), Shares: c.Shares}))
 		case BorrowCmd:
-			r.out.messages++
-			r.in(r.now+2*r.hop, func() {
-				j := r.index(c.To)
-				r.loan(j, BorrowMsg{Now: r.time(), From: entryName(i), Number: c.Number, Want: c.Want, Holding: c.Holding, Load: r.load(j)})
+			r.result.messages++
+			r.schedule(r.now+2*r.hopDelay, func() {
+				j := r.entryIndex(c.To)
+				r.updateLoans(j, BorrowMsg{Now: r.clock(), From: entryName(i), Number: c.Number, Want: c.Want, Holding: c.Holding, Load: r.load(j)})
 			})
 		case LentCmd:
-			r.out.messages++
-			r.in(r.now+2*r.hop, func() {
-				r.loan(r.index(c.To), LentMsg{Now: r.time(), From: entryName(i), Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy})
+			r.result.messages++
+			r.schedule(r.now+2*r.hopDelay, func() {
+				r.updateLoans(r.entryIndex(c.To), LentMsg{Now: r.clock(), From: entryName(i), Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy})
 			})
 		}
 	}
 }
 
-func (r *replay) index(name string) int {
+func (r *replay) entryIndex(name string) int {
 	i := 0
 	for entryName(i) != name {
 		i++
@@ -194,21 +194,21 @@
 func (r *replay) arrive(i int) {
 	q := r.requests[i]
 	m := sched.ArriveMsg{
-		Now: r.time(), ID: sched.ID(i), Team: "kitchen", Class: q.class,
-		Deadline: r.time().Add(q.timeout), Idempotent: q.idempotent,
+		Now: r.clock(), ID: sched.ID(i), Team: "kitchen", Class: q.class,
+		Deadline: r.clock().Add(q.timeout), Idempotent: q.idempotent,
 	}
-	r.out.arrived[q.class]++
-	r.update(q.entry, m)
+	r.result.arrived[q.class]++
+	r.updateScheduler(q.entry, m)
 }
 
-// update gives a message to the scheduler of entry i, or to its naive version.
-func (r *replay) update(i int, m sched.Msg) {
+// updateScheduler gives a message to the scheduler of entry i, or to its naive version.
+func (r *replay) updateScheduler(i int, m sched.Msg) {
 	e := r.entries[i]
-	if e.naive != nil {
-		r.perform(i, e.naive.update(m))
+	if e.fifo != nil {
+		r.perform(i, e.fifo.update(m))
 		return
 	}
-	r.perform(i, e.s.Update(m))
+	r.perform(i, e.scheduler.Update(m))
 }
 
 func (r *replay) perform(i int, l []sched.Cmd) {
@@ -217,55 +217,55 @@
 		case sched.SendCmd:
 			r.send(i, c)
 		case sched.EndCmd:
-			r.out.ended[c.Reason]++
-			r.out.lost(r.now)
+			r.result.ended[c.Reason]++
+			r.result.addLoss(r.now)
 		}
 	}
 }
 
 func (r *replay) send(i int, c sched.SendCmd) {
-	r.out.sends++
+	r.result.sends++
 	q := r.requests[c.ID]
-	r.in(r.now+r.hop, func() {
+	r.schedule(r.now+r.hopDelay, func() {
 		var k int
 		_, _ = fmt.Sscanf(c.Target, "vm-%d", &k)
-		if k == 0 && r.silent > 0 && r.now >= r.silent {
-			r.done(i, c, r.patience(q, c.Attempt), sched.Unknown)
+		if k == 0 && r.silentFrom > 0 && r.now >= r.silentFrom {
+			r.done(i, c, r.giveUpAt(q, c.Attempt), sched.Unknown)
 			return
 		}
 		if r.busy[k] >= r.slots {
-			r.out.refused++
-			r.done(i, c, r.now+r.hop, sched.NotRun)
+			r.result.refused++
+			r.done(i, c, r.now+r.hopDelay, sched.NotRun)
 			return
 		}
 		r.busy[k]++
-		from, to := r.now, r.now+q.run
-		r.in(to, func() { r.busy[k]-- })
-		if by := q.at + q.timeout; to+r.hop > by {
-			r.done(i, c, max(by, r.now), sched.Unknown)
+		from, to := r.now, r.now+q.runTime
+		r.schedule(to, func() { r.busy[k]-- })
+		if deadline := q.arrivesAt + q.timeout; to+r.hopDelay > deadline {
+			r.done(i, c, max(deadline, r.now), sched.Unknown)
 			return
 		}
-		r.out.work(from, to)
-		r.out.answered(q, to+r.hop)
-		r.done(i, c, to+r.hop, sched.Answered)
+		r.result.addRun(from, to)
+		r.result.addAnswer(q, to+r.hopDelay)
+		r.done(i, c, to+r.hopDelay, sched.Answered)
 	})
 }
 
-// patience returns when a runner gives a silent target up: an idempotent request keeps half of its time for another one.
-func (r *replay) patience(q Request, attempt int) time.Duration {
-	by := max(q.at+q.timeout, r.now)
+// giveUpAt returns when a runner gives a silent target up: an idempotent request keeps half of its time for another one.
+func (r *replay) giveUpAt(q Request, attempt int) time.Duration {
+	deadline := max(q.arrivesAt+q.timeout, r.now)
 	if q.idempotent && attempt == 1 {
-		return r.now + (by-r.now)/2
+		return r.now + (deadline-r.now)/2
 	}
-	return by
+	return deadline
 }
 
 func (r *replay) done(i int, c sched.SendCmd, at time.Duration, x sched.Result) {
-	r.in(at, func() {
+	r.schedule(at, func() {
 		if x == sched.Unknown {
-			r.out.lost(r.now)
+			r.result.addLoss(r.now)
 		}
-		r.update(i, sched.DoneMsg{Now: r.time(), ID: c.ID, Target: c.Target, Result: x})
+		r.updateScheduler(i, sched.DoneMsg{Now: r.clock(), ID: c.ID, Target: c.Target, Result: x})
 	})
 }
 
--- a/flow/share/replay_test.go
+++ b/flow/share/replay_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	leastGoodput = 0.97        // of the capacity while more is asked for than it holds
-	mostRecovery = time.Second // after a turn
+	minGoodput  = 0.97        // of the capacity while more is asked for than it holds
+	maxRecovery = time.Second // after a turn
 )
 
-// shapes are the run times and classes that the turns are tried with.
-var shapes = map[string][]share.ShapeOption{
+// workloads are the run times and classes that the turns are tried with.
+var workloads = map[string][]share.ShapeOption{
 	"even run times":        nil,
 	"exponential run times": {share.WithExponentialRuns()},
 	"much urgent work":      {share.WithClasses(0.45, 0.1)},
@@ -26,36 +26,36 @@
 	"long runs":             {share.WithMeanRun(200 * time.Millisecond)},
 }
 
-func TestFiveFoldTurns(t *testing.T) {
-	for name, o := range shapes {
+func TestFiveFoldBursts(t *testing.T) {
+	for name, o := range workloads {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprint(name, " seed ", seed+1), func(t *testing.T) {
 				one := append([]share.ShapeOption{share.WithEntries(1)}, o...)
 				r := share.Replay(share.FiveFold(seed+1, one...), share.Fixed)
-				holds(t, &r, leastGoodput)
+				checkBounds(t, &r, minGoodput)
 			})
 		}
 	}
 	t.Run("through three entries alike", func(t *testing.T) {
 		r := share.Replay(share.FiveFold(1), share.Lending)
-		holds(t, &r, leastGoodput)
+		checkBounds(t, &r, minGoodput)
 		// Where nobody has a slot to spare, few messages say so.
 		is.New(t).True(float64(r.Messages()) <= 4*3*share.FiveFold(1).End().Seconds())
 	})
 }
 
-// holds checks goodput, and that all urgent and background requests are answered in time.
-func holds(t *testing.T, r *share.Result, least float64) {
+// checkBounds checks goodput, and that all urgent and background requests are answered in time.
+func checkBounds(t *testing.T, r *share.Result, least float64) {
 	t.Helper()
 	i := is.New(t)
 	t.Log(r)
 	i.True(r.Goodput() >= least)
 	i.Equal(r.InTime(sched.Urgent), 1.0)
 	i.Equal(r.InTime(sched.Background), 1.0)
-	i.True(r.Recovery() <= mostRecovery)
+	i.True(r.Recovery() <= maxRecovery)
 }
 
-func TestLendingBeatsTheOtherWays(t *testing.T) {
+func TestLendingBeatsOtherPolicies(t *testing.T) {
 	i := is.New(t)
 	x := share.FiveFold(1, share.WithSkew(3))
 	run := func(p share.Policy) *share.Result {
@@ -64,7 +64,7 @@
 		return &r
 	}
 	f, l, r, q := run(share.Fixed), run(share.Lending), run(share.Refusing), run(share.Queueing)
-	holds(t, l, leastGoodput)
+	checkBounds(t, l, minGoodput)
 	i.True(l.Goodput() > f.Goodput()+0.1)
 	i.True(l.Goodput() > q.Goodput()+0.1)
 	i.True(q.Recovery() > 2*l.Recovery())
@@ -72,13 +72,13 @@
 	i.True(r.Refused() > 100*(l.Refused()+1))
 }
 
-func TestSilentTargetCostsLittleMoreThanItself(t *testing.T) {
+func TestSilentTargetCostsLittleBeyondItsCapacity(t *testing.T) {
 	i := is.New(t)
 	x := share.FiveFold(1, share.WithEntries(1), share.WithSilentTarget(5*time.Second), share.WithTurns(6))
 	r := share.Replay(x, share.Fixed)
 	t.Log(&r, x.Requests())
 	i.True(r.Ended(sched.ReasonUnknown)+r.Ended(sched.ReasonDeadline) <= 5)
-	i.True(r.Goodput() >= leastGoodput*0.75)
+	i.True(r.Goodput() >= minGoodput*0.75)
 	i.True(r.InTime(sched.Urgent) >= 0.99)
 }
 
--- a/flow/share/result.go
+++ b/flow/share/result.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	sliceTime = 100 * time.Millisecond // in which work is counted
-	burstRest = 10 * time.Second       // after a turn, in which the recovery is looked for
+	sliceLength    = 100 * time.Millisecond // in which work is counted
+	recoveryWindow = 10 * time.Second       // after a turn, in which the recovery is looked for
 )
 
 // Result is what came of a trace under a policy.
 type Result struct {
 	trace             Trace
-	seq               int
+	lastEventSeq      int
 	arrived           [3]int
 	inTime            [3]int
 	latency           [3][]time.Duration
 	ended             map[sched.Reason]int
-	done              []float64 // slot seconds of answers in time, in each slice
+	slotSeconds       []float64 // slot seconds of answers in time, in each slice
 	sends             int
 	recovery          time.Duration
 	refused, messages int
 }
 
 func newResult(t Trace) Result {
-	return Result{trace: t, ended: map[sched.Reason]int{}, done: make([]float64, int((t.end+2*drainTime)/sliceTime)+1)}
+	return Result{trace: t, ended: map[sched.Reason]int{}, slotSeconds: make([]float64, int((t.end+2*drainTime)/sliceLength)+1)}
 }
 
-// work counts a run that is answered in time.
-func (r *Result) work(from, to time.Duration) {
-	for k := int(from / sliceTime); k < len(r.done) && time.Duration(k)*sliceTime < to; k++ {
-		a, b := time.Duration(k)*sliceTime, time.Duration(k+1)*sliceTime
-		r.done[k] += (min(b, to) - max(a, from)).Seconds()
+// addRun counts a run that is answered in time.
+func (r *Result) addRun(from, to time.Duration) {
+	for k := int(from / sliceLength); k < len(r.slotSeconds) && time.Duration(k)*sliceLength < to; k++ {
+		a, b := time.Duration(k)*sliceLength, time.Duration(k+1)*sliceLength
+		r.slotSeconds[k] += (min(b, to) - max(a, from)).Seconds()
 	}
 }
 
-func (r *Result) answered(q Request, at time.Duration) {
+func (r *Result) addAnswer(q Request, at time.Duration) {
 	r.inTime[q.class]++
-	r.latency[q.class] = append(r.latency[q.class], at-q.at)
+	r.latency[q.class] = append(r.latency[q.class], at-q.arrivesAt)
 }
 
-// lost counts a request that ended without an answer.
-func (r *Result) lost(now time.Duration) {
+// addLoss counts a request that ended without an answer.
+func (r *Result) addLoss(now time.Duration) {
 	for _, b := range r.trace.bursts {
-		if now >= b.to && now < b.to+burstRest {
+		if now >= b.to && now < b.to+recoveryWindow {
 			r.recovery = max(r.recovery, now-b.to)
 		}
 	}
@@ -58,14 +58,14 @@
 
 // Goodput returns the work that was answered in time as a share of the capacity, over the turns.
 func (r *Result) Goodput() float64 {
-	sum, all := 0.0, 0.0
+	sum, capacity := 0.0, 0.0
 	for _, b := range r.trace.bursts {
-		for k := int(b.from / sliceTime); k < int(b.to/sliceTime); k++ {
-			sum += r.done[k]
-			all += sliceTime.Seconds() * float64(r.trace.targets*r.trace.slots)
+		for k := int(b.from / sliceLength); k < int(b.to/sliceLength); k++ {
+			sum += r.slotSeconds[k]
+			capacity += sliceLength.Seconds() * float64(r.trace.targets*r.trace.slots)
 		}
 	}
-	return sum / all
+	return sum / capacity
 }
 
 // InTime returns the share of the requests of class c that were answered in time.
@@ -86,7 +86,7 @@
 }
 
 // Ended returns the number of requests that ended for the reason.
-func (r *Result) Ended(why sched.Reason) int { return r.ended[why] }
+func (r *Result) Ended(reason sched.Reason) int { return r.ended[reason] }
 
 // Refused returns the number of sends that a target refused because its slots were taken.
 func (r *Result) Refused() int { return r.refused }
--- a/flow/share/static.go
+++ b/flow/share/static.go
@@ -6,14 +6,14 @@
 // Entries that rank first by rendezvous hash for this target have the slots that do not divide evenly.
 func Static(target string, slots int, entries []string, self string) int {
 	n, rank, found := 0, 0, false
-	mine := weight(target, self)
+	mine := rendezvousHash(target, self)
 	for _, e := range entries {
 		n++
 		if e == self {
 			found = true
 			continue
 		}
-		w := weight(target, e)
+		w := rendezvousHash(target, e)
 		if w > mine || w == mine && e < self {
 			rank++
 		}
@@ -28,7 +28,7 @@
 	return s
 }
 
-func weight(target, entry string) uint64 {
+func rendezvousHash(target, entry string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(target)
--- a/flow/share/table.go
+++ b/flow/share/table.go
@@ -7,32 +7,32 @@
 
 // row is one target's slots as an entry has them.
 type row struct {
-	name    string
-	slots   int
-	listed  bool
-	limit   int // the entry's own share
-	lent    int // of the share
-	cleared int // of the share, that are being emptied for a borrower
-	open    int // borrowed, for new requests
-	closed  int // borrowed, to be given back
-	busy    int
-	told    int // that the runner was last told to use
+	name           string
+	slots          int
+	listed         bool
+	ownShare       int // the entry's own share
+	lent           int // of the share
+	draining       int // of the share, that are being emptied for a borrower
+	borrowedOpen   int // borrowed, for new requests
+	borrowedClosed int // borrowed, to be given back
+	busy           int
+	announced      int // that the runner was last told to use
 }
 
 // usable returns the slots that may be used for new requests.
-func (r *row) usable() int { return max(0, r.limit-r.lent-r.cleared) + r.open }
+func (r *row) usable() int { return max(0, r.ownShare-r.lent-r.draining) + r.borrowedOpen }
 
-// idle returns the slots of the own share that may be lent now.
-func (r *row) idle() int { return max(0, min(r.limit-r.lent, r.usable()-r.busy)) }
+// lendable returns the slots of the own share that may be lent now.
+func (r *row) lendable() int { return max(0, min(r.ownShare-r.lent, r.usable()-r.busy)) }
 
 // unused reports whether nothing is known of the target any more.
-func (r *row) unused() bool { return !r.listed && r.lent+r.open+r.closed+r.busy == 0 }
+func (r *row) unused() bool { return !r.listed && r.lent+r.borrowedOpen+r.borrowedClosed+r.busy == 0 }
 
 // table holds the rows of all targets that are listed or in use.
 type table struct {
-	rows    map[string]*row
-	order   []*row // by name
-	cleared bool
+	rows        map[string]*row
+	order       []*row // by name
+	anyDraining bool
 }
 
 func newTable() table { return table{rows: map[string]*row{}} }
@@ -41,7 +41,7 @@
 func (t *table) row(name string) *row {
 	r := t.rows[name]
 	if r == nil {
-		r = &row{name: name, told: -1}
+		r = &row{name: name, announced: -1}
 		t.rows[name] = r
 		i, _ := slices.BinarySearchFunc(t.order, name, func(r *row, n string) int { return strings.Compare(r.name, n) })
 		t.order = slices.Insert(t.order, i, r)
@@ -49,11 +49,11 @@
 	return r
 }
 
-// list replaces the targets and their slots.
-func (t *table) list(slots map[string]int) {
+// setTargets replaces the targets and their slots.
+func (t *table) setTargets(slots map[string]int) {
 	for _, r := range t.order {
 		if _, ok := slots[r.name]; !ok {
-			r.listed, r.told = false, -1
+			r.listed, r.announced = false, -1
 		}
 	}
 	for n, k := range slots {
@@ -63,8 +63,8 @@
 	t.prune()
 }
 
-// read replaces the requests at each target.
-func (t *table) read(busy map[string]int) {
+// setBusy replaces the requests at each target.
+func (t *table) setBusy(busy map[string]int) {
 	for _, r := range t.order {
 		r.busy = 0
 	}
@@ -76,14 +76,14 @@
 	t.prune()
 }
 
-// fill lets new requests into the slots that were being emptied.
-func (t *table) fill() {
-	if !t.cleared {
+// stopDraining lets new requests into the slots that were being emptied.
+func (t *table) stopDraining() {
+	if !t.anyDraining {
 		return
 	}
-	t.cleared = false
+	t.anyDraining = false
 	for _, r := range t.order {
-		r.cleared = 0
+		r.draining = 0
 	}
 }
 
--- a/flow/share/trace.go
+++ b/flow/share/trace.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	burstFactor = 5.0  // of the mean rate in a turn
-	calmFactor  = 0.05 // of the mean rate between turns
-	drainTime   = 5 * time.Second
+	burstLoadFactor = 5.0  // of the mean rate in a turn
+	calmLoadFactor  = 0.05 // of the mean rate between turns
+	drainTime       = 5 * time.Second
 )
 
 // Request is one request of a Trace.
 type Request struct {
-	at, run, timeout time.Duration
-	entry            int
-	class            sched.Class
-	idempotent       bool
+	arrivesAt, runTime, timeout time.Duration
+	entry                       int
+	class                       sched.Class
+	idempotent                  bool
 }
 
 // Trace is what callers ask of one service's targets in one data centre, through several entries.
 type Trace struct {
 	entries, targets, slots int
-	hop                     time.Duration // one way
+	hopDelay                time.Duration // one way
 	requests                []Request
 	bursts                  []span
 	end                     time.Duration
-	silent                  time.Duration // from when the first target takes requests and never answers, 0 for never
+	silentFrom              time.Duration // from when the first target takes requests and never answers, 0 for never
 }
 
 type span struct{ from, to time.Duration }
@@ -42,16 +42,16 @@
 
 // Shape describes a trace to make.
 type Shape struct {
-	seed             uint64
-	entries, targets int
-	turns            int
-	burst, calm      time.Duration
-	load             float64 // mean, as a share of the capacity
-	mean             time.Duration
-	urgent, back     float64 // shares of the requests
-	exponential      bool
-	silent           time.Duration
-	skew             float64 // how many times as much the busiest entry gets as the next one
+	seed                         uint64
+	entries, targets             int
+	burstCount                   int
+	burstLength, calmLength      time.Duration
+	load                         float64 // mean, as a share of the capacity
+	meanRun                      time.Duration
+	urgentShare, backgroundShare float64 // shares of the requests
+	exponential                  bool
+	silentFrom                   time.Duration
+	skew                         float64 // how many times as much the busiest entry gets as the next one
 }
 
 // ShapeOption changes a Shape at its making.
@@ -67,21 +67,21 @@
 func WithLoad(f float64) ShapeOption { return func(s *Shape) { s.load = f } }
 
 // WithTurns sets the number of bursts.
-func WithTurns(n int) ShapeOption { return func(s *Shape) { s.turns = n } }
+func WithTurns(n int) ShapeOption { return func(s *Shape) { s.burstCount = n } }
 
 // WithMeanRun sets the mean run time.
-func WithMeanRun(d time.Duration) ShapeOption { return func(s *Shape) { s.mean = d } }
+func WithMeanRun(d time.Duration) ShapeOption { return func(s *Shape) { s.meanRun = d } }
 
 // WithExponentialRuns makes run times exponential; else they are spread evenly from a fifth to nine fifths of the mean.
 func WithExponentialRuns() ShapeOption { return func(s *Shape) { s.exponential = true } }
 
 // WithClasses sets the shares of urgent and of background requests.
 func WithClasses(urgent, background float64) ShapeOption {
-	return func(s *Shape) { s.urgent, s.back = urgent, background }
+	return func(s *Shape) { s.urgentShare, s.backgroundShare = urgent, background }
 }
 
 // WithSilentTarget makes the first target take requests and never answer, from the time on.
-func WithSilentTarget(from time.Duration) ShapeOption { return func(s *Shape) { s.silent = from } }
+func WithSilentTarget(from time.Duration) ShapeOption { return func(s *Shape) { s.silentFrom = from } }
 
 // WithSkew sets how many times as much the busiest entry gets as the next one; the busiest changes with each turn.
 func WithSkew(f float64) ShapeOption { return func(s *Shape) { s.skew = f } }
@@ -89,8 +89,8 @@
 // FiveFold returns a trace of turns, in each of which five times the mean is asked for, and a twentieth of it in between.
 func FiveFold(seed uint64, opts ...ShapeOption) Trace {
 	s := Shape{
-		seed: seed, entries: 3, targets: 4, turns: 3, burst: 5 * time.Second, calm: 21 * time.Second,
-		load: 0.4, mean: 50 * time.Millisecond, urgent: 0.2, back: 0.2, skew: 1,
+		seed: seed, entries: 3, targets: 4, burstCount: 3, burstLength: 5 * time.Second, calmLength: 21 * time.Second,
+		load: 0.4, meanRun: 50 * time.Millisecond, urgentShare: 0.2, backgroundShare: 0.2, skew: 1,
 	}
 	for _, o := range opts {
 		o(&s)
@@ -99,23 +99,23 @@
 }
 
 func (s Shape) trace() Trace {
-	t := Trace{entries: s.entries, targets: s.targets, slots: 8, hop: 250 * time.Microsecond, silent: s.silent}
+	t := Trace{entries: s.entries, targets: s.targets, slots: 8, hopDelay: 250 * time.Microsecond, silentFrom: s.silentFrom}
 	r := rand.New(rand.NewPCG(s.seed, 1))
-	perSecond := s.load * float64(s.targets*t.slots) / s.mean.Seconds()
-	for k := range s.turns {
-		from := time.Duration(k)*(s.burst+s.calm) + s.calm/2
-		b := span{from, from + s.burst}
+	perSecond := s.load * float64(s.targets*t.slots) / s.meanRun.Seconds()
+	for k := range s.burstCount {
+		from := time.Duration(k)*(s.burstLength+s.calmLength) + s.calmLength/2
+		b := span{from, from + s.burstLength}
 		t.bursts = append(t.bursts, b)
-		t.end = b.to + s.calm/2
-		s.fill(&t, r, k, span{b.from - s.calm/2, b.from}, calmFactor*perSecond)
-		s.fill(&t, r, k, b, burstFactor*perSecond)
-		s.fill(&t, r, k, span{b.to, t.end}, calmFactor*perSecond)
+		t.end = b.to + s.calmLength/2
+		s.addRequests(&t, r, k, span{b.from - s.calmLength/2, b.from}, calmLoadFactor*perSecond)
+		s.addRequests(&t, r, k, b, burstLoadFactor*perSecond)
+		s.addRequests(&t, r, k, span{b.to, t.end}, calmLoadFactor*perSecond)
 	}
 	return t
 }
 
-// fill adds requests at random moments of the span.
-func (s Shape) fill(t *Trace, r *rand.Rand, turn int, x span, perSecond float64) {
+// addRequests adds requests at random moments of the span.
+func (s Shape) addRequests(t *Trace, r *rand.Rand, turn int, x span, perSecond float64) {
 	for at := x.from; ; {
 		at += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= x.to {
@@ -126,16 +126,16 @@
 }
 
 func (s Shape) request(r *rand.Rand, turn int, at time.Duration) Request {
-	q := Request{at: at, entry: s.entry(r, turn), idempotent: r.IntN(2) == 0}
+	q := Request{arrivesAt: at, entry: s.pickEntry(r, turn), idempotent: r.IntN(2) == 0}
 	f := 0.2 + 1.6*r.Float64()
 	if s.exponential {
 		f = r.ExpFloat64()
 	}
-	q.run = time.Duration(f * float64(s.mean))
+	q.runTime = time.Duration(f * float64(s.meanRun))
 	switch u := r.Float64(); {
-	case u < s.urgent:
+	case u < s.urgentShare:
 		q.class, q.timeout = sched.Urgent, 1500*time.Millisecond
-	case u < s.urgent+s.back:
+	case u < s.urgentShare+s.backgroundShare:
 		q.class, q.timeout = sched.Background, 20*time.Second+time.Duration(r.IntN(20))*time.Second
 	default:
 		q.class, q.timeout = sched.Normal, time.Second+time.Duration(r.IntN(2000))*time.Millisecond
@@ -143,7 +143,7 @@
 	return q
 }
 
-func (s Shape) entry(r *rand.Rand, turn int) int {
+func (s Shape) pickEntry(r *rand.Rand, turn int) int {
 	sum, w := 0.0, make([]float64, s.entries)
 	for i := range w {
 		w[i] = 1
