--- a/flow/share/bench_test.go
+++ b/flow/share/bench_test.go
@@ -8,7 +8,7 @@
 	"burdockreach.dev/flow/share"
 )
 
-// BenchmarkLoad is the time of one LoadMsg with eight entries, idle or with slots lent.
+// BenchmarkLoad measures one LoadMsg with eight entries, with and without lent slots.
 func BenchmarkLoad(b *testing.B) {
 	for _, targets := range []int{4, 40, 200} {
 		for _, lent := range []int{0, 16} {
--- a/flow/share/borrow.go
+++ b/flow/share/borrow.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// acceptReply accepts the answer that a peer was asked for; any other is a copy or too old.
+// acceptReply processes the reply to a pending borrow request. Any other reply is a duplicate or outdated, and is ignored.
 func (l *Loans) acceptReply(m LentMsg) {
 	p := l.peers[m.From]
 	if p == nil || !p.awaitingReply || m.Number != p.requestNumber {
@@ -42,7 +42,7 @@
 	}
 }
 
-// forgetBorrowed forgets all that was borrowed from a peer that is no more.
+// forgetBorrowed removes all slots borrowed from a peer that has left the roster.
 func (l *Loans) forgetBorrowed(p *lender) {
 	for _, h := range p.slots {
 		l.closeSlot(h)
@@ -50,7 +50,8 @@
 	}
 }
 
-// returnSlots closes borrowed slots that are idle for long or of no use, and gives back those that no request holds.
+// returnSlots closes borrowed slots that are idle for long or whose target is no longer listed, and returns closed slots that
+// no request occupies.
 func (l *Loans) returnSlots() {
 	idleLong := l.demand == 0 && l.now.Sub(l.lastDemandAt) >= returnAfterIdle
 	for _, e := range l.peerNames {
@@ -70,7 +71,7 @@
 	if !r.listed || idleLong && r.busy < r.usable() {
 		l.closeSlot(h)
 	}
-	// The requests at the target must fit into what remains here without this slot.
+	// The requests at the target must fit into the slots that remain here without this one.
 	if h.closed && r.busy <= r.usable()+r.borrowedClosed-1 {
 		r.borrowedClosed--
 		delete(p.slots, id)
@@ -78,7 +79,7 @@
 	}
 }
 
-// borrow asks peers for slots, and tells them what is still held.
+// borrow sends borrow requests to peers: for more slots, and to report the slots that are still held.
 func (l *Loans) borrow() {
 	want := l.wantedPerPeer()
 	for _, e := range l.peerNames {
@@ -111,7 +112,7 @@
 	l.cmds = append(l.cmds, c)
 }
 
-// wantedPerPeer returns how many slots to ask of each peer.
+// wantedPerPeer returns the number of slots to request from each peer.
 func (l *Loans) wantedPerPeer() int {
 	if l.demand == 0 || len(l.peers) == 0 {
 		return 0
--- a/flow/share/doc.go
+++ b/flow/share/doc.go
@@ -1,8 +1,10 @@
-// Package share decides how the entries of a data centre share the slots of its targets.
+// Package share divides the slots of a data centre's targets among its entries.
 //
-// Static gives each entry a share such that all shares of a target sum to its slots. Loans lets an entry with waiting work
-// use slots that another entry leaves idle. A loan is the borrower's until the lender has heard that it was returned, or
-// until the roster no longer names the borrower. A new roster's larger shares are used only after every member has said
-// that it keeps to the new roster's smaller ones, so that at no moment more slots may be used than a target has.
-// A restarted entry is another entry: it needs another name.
+// Static gives each entry a share of each target; the shares of a target sum to its slots. Loans lets an entry with waiting
+// requests borrow slots that another entry leaves idle. A loan lasts until the lender learns that the slot was returned, or
+// until the roster no longer names the borrower.
+//
+// After a roster change, an entry uses a larger share only once every member has confirmed that it keeps to its smaller
+// share under the new roster. So at no time may the entries together use more slots than a target has.
+// A restarted entry counts as another entry and needs another name.
 package share
--- a/flow/share/lend.go
+++ b/flow/share/lend.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// lend answers a borrower; the same number is answered with the same grants.
+// lend replies to a borrow request. A request with the same number as the one before gets the same grants again.
 func (l *Loans) lend(m BorrowMsg) {
 	if _, ok := l.peers[m.From]; !ok {
 		return
@@ -29,13 +29,14 @@
 	})
 }
 
-// endLoan takes a loan back that its borrower has no more.
+// endLoan takes back a slot that its borrower no longer holds.
 func (l *Loans) endLoan(id int64) {
 	l.table.row(l.loans[id].target).lent--
 	delete(l.loans, id)
 }
 
-// grant lends idle slots, those of the target with the most first.
+// grant lends up to want idle slots, each from the target that has most of them, and drains slots for the rest. It lends nothing
+// while requests wait here, and leaves the reserve.
 func (l *Loans) grant(borrower string, want int) []Grant {
 	if l.demand > 0 || want <= 0 {
 		return nil
@@ -58,7 +59,7 @@
 	return g
 }
 
-// drain lets no new request into slots that background requests have, so that they can be lent at the next ask.
+// drain keeps new requests out of slots that background requests occupy, so that they can be lent at the next borrow request.
 func (l *Loans) drain(want int) {
 	n := min(want, l.reclaimable)
 	l.drainUntil = l.now.Add(drainFor)
@@ -69,7 +70,8 @@
 	}
 }
 
-// recall asks lent slots back for the requests that wait here, and what a smaller share no longer covers.
+// recall marks lent slots to be recalled: as many as requests wait here once they have waited for recallAfter, and those that
+// a reduced own share no longer covers.
 func (l *Loans) recall() {
 	need := 0
 	if l.now.Sub(l.lastNoDemandAt) >= recallAfter {
@@ -94,6 +96,7 @@
 	}
 }
 
+// recalledFrom returns the ids of the recalled loans to the borrower, sorted.
 func (l *Loans) recalledFrom(borrower string) []int64 {
 	var r []int64
 	for i, x := range l.loans {
--- a/flow/share/loans.go
+++ b/flow/share/loans.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	resendAfter     = 200 * time.Millisecond  // without an answer, and while loans are held
-	minBackoff      = 100 * time.Millisecond  // after an answer that lent less than was asked for
-	maxBackoff      = 1600 * time.Millisecond // after several of a peer that has no slot to spare
-	recallAfter     = 400 * time.Millisecond  // of waiting here, lent slots are recalled
-	returnAfterIdle = 200 * time.Millisecond  // a borrowed slot is returned after being idle so long
-	drainFor        = 250 * time.Millisecond  // for which slots are emptied for a borrower that has not asked again
-	maxWanted       = 64                      // slots of one ask
+	resendAfter     = 200 * time.Millisecond  // an unanswered borrow request is repeated, and held slots are reported, at this interval
+	minBackoff      = 100 * time.Millisecond  // wait before requesting more after a reply with fewer slots than wanted
+	maxBackoff      = 1600 * time.Millisecond // the same, after several replies of a peer that has no slot to spare
+	recallAfter     = 400 * time.Millisecond  // lent slots are recalled when requests have waited here for this long
+	returnAfterIdle = 200 * time.Millisecond  // an idle borrowed slot is returned when nothing has waited here for this long
+	drainFor        = 250 * time.Millisecond  // slots drain for a borrower for this long without another request of a borrower
+	maxWanted       = 64                      // slots wanted from all peers together at a time
 )
 
-// Loans is the state of one entry's slots of one service; it is changed only by Update and is not safe for concurrent use.
+// Loans tracks which slots of one service's targets this entry may use, lends and borrows. It changes only through Update and
+// is not safe for concurrent use.
 type Loans struct {
 	self         string
 	now          time.Time
 	table        table
-	rosters      [][]string // newest last; all after the first are not yet kept to by everybody
-	rosterNumber int64
-	adopted      map[string]int64
-	demand       int
-	reclaimable  int
-	reserve      int
-	drainUntil   time.Time // until when slots are emptied for a borrower
+	rosters      [][]string       // oldest first; those before the newest count until every member has adopted the newest
+	rosterNumber int64            // of the newest roster
+	adopted      map[string]int64 // number of the roster that each entry has adopted
+	demand       int              // waiting requests that need a slot here now
+	reclaimable  int              // background requests whose slots can be lent when they end
+	reserve      int              // idle slots that must not be lent
+	drainUntil   time.Time        // when slots stop draining for a borrower
 
 	lastLoanID     int64
 	loans          map[int64]loan
-	lastReplies    map[string]reply
+	lastReplies    map[string]reply // by borrower
 	peers          map[string]*lender
-	peerNames      []string  // of the peers, sorted
-	lastDemandAt   time.Time // when something last waited here
-	lastNoDemandAt time.Time // when nothing last waited here
+	peerNames      []string  // sorted
+	lastDemandAt   time.Time // when demand was last above 0
+	lastNoDemandAt time.Time // when demand was last 0
 	cmds           []Cmd
 }
 
@@ -45,31 +46,31 @@
 	recalled         bool
 }
 
-// reply is the last reply to a borrower.
+// reply is the latest reply to a borrower. A repeated request gets the same grants again.
 type reply struct {
 	number int64
 	grants []Grant
 }
 
-// lender is a peer as this entry borrows from it.
+// lender is a peer that this entry can borrow from.
 type lender struct {
-	requestNumber int64
-	awaitingReply bool // for the answer to number
-	request       BorrowCmd
+	requestNumber int64     // of the latest borrow request
+	awaitingReply bool      // to the latest borrow request
+	request       BorrowCmd // the latest borrow request
 	backoff       time.Duration
-	requestedAt   time.Time // of the last ask
-	wantAgainAt   time.Time // when to ask for more
-	slots         map[int64]*borrowedSlot
-	returnedSlots bool // some were given back since the last ask
+	requestedAt   time.Time               // when the latest borrow request was last sent
+	wantAgainAt   time.Time               // when to request more slots
+	slots         map[int64]*borrowedSlot // by grant id
+	returnedSlots bool                    // slots were returned since the latest borrow request
 }
 
-// borrowedSlot is a slot that this entry has borrowed; a closed one is not used for new requests.
+// borrowedSlot is a slot that this entry has borrowed. A closed slot takes no new requests and is to be returned.
 type borrowedSlot struct {
 	target string
 	closed bool
 }
 
-// New returns the state of the named entry, which may use nothing until it knows a roster and targets.
+// New returns the state of the entry named self, which may use no slots until it has a roster and targets.
 func New(self string) *Loans {
 	return &Loans{
 		self: self, table: newTable(), adopted: map[string]int64{},
@@ -77,7 +78,7 @@
 	}
 }
 
-// Update takes a message and returns what to do; the returned slice is reused by the next Update.
+// Update processes a message and returns the commands to carry out. The next call reuses the returned slice.
 func (l *Loans) Update(m Msg) []Cmd {
 	l.cmds = l.cmds[:0]
 	switch m := m.(type) {
@@ -111,7 +112,7 @@
 	return l.cmds
 }
 
-// Settled returns the number of the roster that this entry keeps to, for its peers; 0 if it does not yet keep to the newest.
+// Settled returns the number of the newest roster if this entry has adopted it, else 0. The peers need this number.
 func (l *Loans) Settled() int64 {
 	if l.adopted[l.self] == l.rosterNumber {
 		return l.rosterNumber
@@ -119,7 +120,7 @@
 	return 0
 }
 
-// Usable returns the slots of the target that may be used for new requests.
+// Usable returns the number of the target's slots that new requests may use.
 func (l *Loans) Usable(target string) int {
 	if r := l.table.rows[target]; r != nil {
 		return r.usable()
@@ -127,10 +128,10 @@
 	return 0
 }
 
-// Lent returns the number of slots that are lent.
+// Lent returns the number of slots that are lent to peers.
 func (l *Loans) Lent() int { return len(l.loans) }
 
-// Borrowed returns the number of slots that are borrowed and not yet given back.
+// Borrowed returns the number of borrowed slots that are not yet returned.
 func (l *Loans) Borrowed() int {
 	n := 0
 	for _, p := range l.peers {
@@ -139,8 +140,8 @@
 	return n
 }
 
-// Quiet reports whether nothing is lent, borrowed or asked for and the newest roster is kept to by everybody,
-// so that a LoadMsg a second is enough while nothing waits here.
+// Quiet reports whether nothing waits, is lent, borrowed or requested here, and every member has adopted the newest roster.
+// One LoadMsg per second is enough while this holds.
 func (l *Loans) Quiet() bool {
 	if l.demand > 0 || len(l.loans) > 0 || len(l.rosters) != 1 || l.table.anyDraining {
 		return false
@@ -153,7 +154,7 @@
 	return true
 }
 
-// updateOwnShares sets this entry's own share of each target: the least of all rosters that are not yet kept to by everybody.
+// updateOwnShares sets this entry's own share of each target: the smallest under any roster that some member may still use.
 func (l *Loans) updateOwnShares() {
 	for _, r := range l.table.order {
 		r.ownShare = 0
@@ -167,12 +168,13 @@
 	}
 }
 
+// setRoster adds a newer roster and ends the loans to and from entries that it does not name.
 func (l *Loans) setRoster(m RosterMsg) {
 	if m.Number <= l.rosterNumber {
 		return
 	}
 	if l.rosterNumber == 0 {
-		l.rosters = [][]string{nil} // nothing is this entry's before its first roster is kept to by everybody
+		l.rosters = [][]string{nil} // no slot is this entry's own until every member has adopted its first roster
 	}
 	l.rosterNumber = m.Number
 	l.rosters = append(l.rosters, slices.Clone(m.Entries))
@@ -199,14 +201,14 @@
 	l.updateOwnShares()
 }
 
-// adoptNewestRoster marks this entry as keeping to the newest roster; the load must be fresh.
+// adoptNewestRoster marks the newest roster as adopted once the use of slots fits its shares. The load must be current.
 func (l *Loans) adoptNewestRoster() {
 	if len(l.rosters) > 1 && l.adopted[l.self] != l.rosterNumber && l.withinNewestRoster() {
 		l.adopted[l.self] = l.rosterNumber
 	}
 }
 
-// dropOldRosters forgets older rosters when everybody keeps to the newest.
+// dropOldRosters drops the older rosters once every member has adopted the newest.
 func (l *Loans) dropOldRosters() {
 	if len(l.rosters) < 2 {
 		return
@@ -221,14 +223,14 @@
 	l.updateOwnShares()
 }
 
-// withinNewestRoster reports whether nothing is used or lent beyond what the newest roster allows.
+// withinNewestRoster reports whether this entry neither uses nor lends more slots than the newest roster allows.
 func (l *Loans) withinNewestRoster() bool {
 	return !slices.ContainsFunc(l.table.order, func(r *row) bool {
 		return r.busy > r.usable()+r.borrowedClosed || r.lent > r.ownShare
 	})
 }
 
-// announceShares asks to use other shares when they have changed.
+// announceShares adds a SharesCmd if the usable slots of a listed target have changed.
 func (l *Loans) announceShares() {
 	if !slices.ContainsFunc(l.table.order, func(r *row) bool { return r.listed && r.announced != r.usable() }) {
 		return
@@ -243,6 +245,7 @@
 	l.cmds = append(l.cmds, SharesCmd{Shares: s})
 }
 
+// setLoad replaces the load and the times that follow from it, and stops draining when requests wait here or the time is up.
 func (l *Loans) setLoad(x Load) {
 	l.demand, l.reclaimable, l.reserve = x.Queued, x.Yielding, x.Keep
 	l.table.setBusy(x.Busy)
--- a/flow/share/loans_test.go
+++ b/flow/share/loans_test.go
@@ -23,12 +23,12 @@
 		for _, e := range l {
 			s := share.Static("vm-1", n, l, e)
 			if s < n/len(l) || s > n/len(l)+1 {
-				t.Fatalf("%d of %d slots for one of %d", s, n, len(l))
+				t.Fatalf("share is %d of %d slots with %d entries", s, n, len(l))
 			}
 			sum += s
 		}
 		if sum != n || share.Static("vm-1", n, l, "nobody") != 0 {
-			t.Fatalf("shares sum to %d of %d", sum, n)
+			t.Fatalf("shares sum to %d of %d slots, or a non-member has a share", sum, n)
 		}
 	})
 }
@@ -42,17 +42,17 @@
 		}
 	}
 	for _, e := range l {
-		i.True(sum[e] > 760 && sum[e] < 840) // 800 each if even
+		i.True(sum[e] > 760 && sum[e] < 840) // an even division gives 800 each
 	}
 }
 
 const slotsPerTarget = 8
 
-// simulation is a set of entries, the messages between them and what they use.
+// simulation holds a set of entries, the messages in flight between them and the slots that they use.
 type simulation struct {
 	*rapid.T
 	now      time.Time
-	names    []string // of the newest roster
+	names    []string // members of the newest roster
 	number   int64
 	entries  map[string]*entry
 	inFlight []envelope
@@ -80,7 +80,7 @@
 		switch c := c.(type) {
 		case share.SharesCmd:
 			e.shares = c.Shares
-			if e.queued > 0 { // what waits takes new slots at once
+			if e.queued > 0 { // waiting requests occupy new slots at once
 				for t, n := range e.shares {
 					e.busy[t] = max(e.busy[t], n)
 				}
@@ -94,7 +94,7 @@
 	w.check()
 }
 
-// check holds the sum of what is in use, or may be at once, to each target's slots.
+// check fails the test if entries together use, or may use, more slots than a target has.
 func (w *simulation) check() {
 	for _, t := range []string{"vm-0", "vm-1"} {
 		allowed, used := 0, 0
@@ -103,7 +103,7 @@
 			used += max(e.shares[t], e.busy[t])
 		}
 		if allowed > slotsPerTarget || used > slotsPerTarget {
-			w.Fatalf("%s: %d slots may be used and %d are", t, allowed, used)
+			w.Fatalf("%s: entries may use %d slots and use up to %d", t, allowed, used)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 
 func (w *simulation) drawEntry() string { return rapid.SampledFrom(w.names).Draw(w.T, "entry") }
 
-// deliverRoster tells an entry the newest roster and which peers keep to theirs.
+// deliverRoster passes an entry the newest roster and the rosters that its peers have adopted.
 func (w *simulation) deliverRoster(e string) {
 	w.entries[e].number = w.number
 	w.deliver(e, share.RosterMsg{Now: w.now, Number: w.number, Entries: slices.Clone(w.names)})
@@ -135,13 +135,14 @@
 	}
 }
 
+// reportLoad passes an entry its current load.
 func (w *simulation) reportLoad(e string) {
 	w.deliver(e, share.LoadMsg{Now: w.now, Load: w.entries[e].load()})
 }
 
 func (e *entry) load() share.Load { return share.Load{Queued: e.queued, Busy: e.busy} }
 
-// changeWork starts what may be started or ends some of what runs; its Loans do not hear of it.
+// changeWork changes the queue and starts or ends requests without a LoadMsg, so that the state of Loans becomes outdated.
 func (w *simulation) changeWork(e string) {
 	x := w.entries[e]
 	x.queued = max(0, rapid.IntRange(-8, 8).Draw(w.T, "queued"))
@@ -152,17 +153,17 @@
 	w.check()
 }
 
-// deliverOne delivers one message, loses it, or delivers it and keeps it for once more.
+// deliverOne delivers or loses one message, and may keep a duplicate of it in flight.
 func (w *simulation) deliverOne() {
 	if len(w.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.T, "parcel")
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.T, "message")
 	p := w.inFlight[i]
 	if rapid.IntRange(0, 3).Draw(w.T, "copies") > 0 {
 		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
-	if rapid.IntRange(0, 3).Draw(w.T, "fate") == 0 || w.entries[p.to] == nil {
+	if rapid.IntRange(0, 3).Draw(w.T, "lose") == 0 || w.entries[p.to] == nil {
 		return
 	}
 	switch m := p.msg.(type) {
@@ -175,6 +176,7 @@
 	}
 }
 
+// changeMembers may remove an entry from the roster or add one.
 func (w *simulation) changeMembers() {
 	switch rapid.IntRange(0, 12).Draw(w.T, "change") {
 	case 0:
@@ -188,6 +190,8 @@
 	}
 }
 
+// Whatever happens to rosters, loads and messages, entries together must not use more slots than a target has. Messages between
+// entries are lost, duplicated and reordered, and entries join and leave.
 func TestNeverExceedsTargetSlots(t *testing.T) {
 	maxBorrowed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -200,17 +204,17 @@
 			func() { w.changeWork(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, func() { w.reportLoad(w.drawEntry()) }, w.deliverOne, w.deliverOne, w.deliverOne, w.deliverOne, w.changeMembers,
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pass")) * time.Millisecond)
-			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
+			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "elapsed")) * time.Millisecond)
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 			for _, e := range w.entries {
 				maxBorrowed = max(maxBorrowed, e.Borrowed())
 			}
 		}
 	})
-	is.New(t).True(maxBorrowed > 0) // the traces do borrow
+	is.New(t).True(maxBorrowed > 0) // some traces borrowed slots
 }
 
-// All entries keep to one roster, so that most of what happens is lending.
+// All entries adopt one roster that does not change, so that most of the steps lend and borrow.
 func TestLoansWithLostAndDuplicatedMessages(t *testing.T) {
 	borrowed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -225,9 +229,9 @@
 			}
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "pass")) * time.Millisecond)
+			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 150).Draw(t, "elapsed")) * time.Millisecond)
 			e := w.drawEntry()
-			switch rapid.IntRange(0, 5).Draw(t, "act") {
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				w.changeWork(e)
 			case 1, 2:
@@ -238,7 +242,7 @@
 			borrowed += w.entries[e].Borrowed()
 		}
 	})
-	is.New(t).True(borrowed > 1000) // in all, after each step
+	is.New(t).True(borrowed > 1000) // summed over all steps
 }
 
 func TestLoans(t *testing.T) {
@@ -255,7 +259,7 @@
 		is.New(t).Equal(a.Usable("vm")+b.Usable("vm"), 8)
 		return a, b
 	}
-	// exchange lets both tell their load after d and passes the messages between them.
+	// exchange advances the time by d, reports the load of both entries and delivers the messages between them.
 	exchange := func(a, b *share.Loans, d time.Duration, queuedA, busyA, queuedB, busyB int) {
 		now = now.Add(d)
 		x := share.Load{Queued: queuedB, Busy: map[string]int{"vm": busyB}}
@@ -280,28 +284,28 @@
 		i.Equal(a.Usable("vm"), 4)
 		i.Equal(b.Usable("vm"), 4)
 	})
-	t.Run("slots that are kept are not lent", func(t *testing.T) {
+	t.Run("reserved slots are not lent", func(t *testing.T) {
 		i := is.New(t)
 		_, b := start(t)
 		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 1, Want: 9, Load: share.Load{Keep: 3}})
 		i.Equal(b.Lent(), 1)
 	})
-	t.Run("background work makes room for a peer's ask", func(t *testing.T) {
+	t.Run("slots of background requests are drained and lent to a peer", func(t *testing.T) {
 		i := is.New(t)
 		_, b := start(t)
 		x := share.Load{Yielding: 4, Busy: map[string]int{"vm": 4}}
 		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 1, Want: 2, Load: x})
 		i.Equal(b.Lent(), 0)
-		i.Equal(b.Usable("vm"), 2) // two are not filled again
+		i.Equal(b.Usable("vm"), 2) // two slots drain
 		x.Queued = 1
 		b.Update(share.LoadMsg{Now: now, Load: x})
-		i.Equal(b.Usable("vm"), 4) // but for what cannot wait here
+		i.Equal(b.Usable("vm"), 4) // a request that waits here stops the draining
 		x.Queued = 0
 		x.Busy = map[string]int{"vm": 2}
 		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 2, Want: 2, Load: x})
 		i.Equal(b.Lent(), 2)
 	})
-	t.Run("what the borrower leaves idle goes back", func(t *testing.T) {
+	t.Run("idle borrowed slots are returned", func(t *testing.T) {
 		i := is.New(t)
 		a, b := start(t)
 		exchange(a, b, 0, 5, 4, 0, 0)
--- a/flow/share/msg.go
+++ b/flow/share/msg.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Msg is anything that changes Loans.
+// Msg is an input to Loans.
 type Msg interface{ isMsg() }
 
-// RosterMsg says which entries share the targets from now on; a lower number than the newest is ignored.
+// RosterMsg sets the entries that share the targets. It is ignored unless its number is higher than that of the newest roster.
 type RosterMsg struct {
 	Now     time.Time
 	Number  int64
 	Entries []string
 }
 
-// SettledMsg says that a peer keeps to the roster with the number.
+// SettledMsg reports that a peer has adopted the roster with this number: it uses no more than its shares under that roster.
 type SettledMsg struct {
 	Now    time.Time
 	From   string
 	Number int64
 }
 
-// TargetsMsg replaces the targets and their slots.
+// TargetsMsg replaces the targets and the number of slots of each.
 type TargetsMsg struct {
 	Now   time.Time
 	Slots map[string]int
 }
 
-// Load tells the requests that need a slot here now, those at each target, how many of these make room for a peer's,
-// and how many idle slots are not to be lent. Between the reading of a Load and the SharesCmd that comes of it the runner
-// sends nothing: it holds the scheduler's lock. Busy is best what the scheduler's Taken tells.
+// Load is the current load of this entry.
+//
+// The runner must not send requests between reading a Load and applying the SharesCmd that results from it. It holds the
+// scheduler's lock in the meantime.
 type Load struct {
-	Queued   int
-	Yielding int
-	Keep     int
-	Busy     map[string]int
+	Queued   int            // waiting requests that need a slot here now
+	Yielding int            // background requests at targets whose slots can be lent when they end
+	Keep     int            // idle slots that must not be lent
+	Busy     map[string]int // occupied slots by target, preferably as the scheduler's Taken counts them
 }
 
-// LoadMsg tells the load here; it comes every 10 ms while anything waits or Quiet is false.
+// LoadMsg reports the load of this entry. It must come every 10 ms while requests wait or Quiet is false.
 type LoadMsg struct {
 	Now  time.Time
 	Load Load
 }
 
-// BorrowMsg is a peer's request for slots, with the load here.
-// Holding names all grants of this entry that the peer still has, the others are returned.
+// BorrowMsg is a peer's request for slots. Holding lists the grants of this entry that the peer still holds; the peer has
+// returned all others. Load is the load of this entry, not of the peer.
 type BorrowMsg struct {
 	Now     time.Time
 	From    string
@@ -52,17 +53,17 @@
 	Load    Load
 }
 
-// LentMsg is a peer's answer to a BorrowCmd; Busy says that the peer has no slot to spare for some time.
+// LentMsg is a peer's reply to a BorrowCmd.
 type LentMsg struct {
 	Now      time.Time
 	From     string
 	Number   int64
 	Grants   []Grant
 	Recalled []int64
-	Busy     bool
+	Busy     bool // the peer has had no slot to spare for some time
 }
 
-// Grant lends one slot of a target; ID is unique among the lender's grants.
+// Grant lends one slot of a target. ID is unique among the lender's grants.
 type Grant struct {
 	ID     int64  `json:"id"`
 	Target string `json:"target"`
@@ -75,13 +76,13 @@
 func (BorrowMsg) isMsg()  {}
 func (LentMsg) isMsg()    {}
 
-// Cmd is something that the runner does for Loans.
+// Cmd is an action that the runner carries out for Loans.
 type Cmd interface{ isCmd() }
 
-// SharesCmd asks to use no more than these slots of each target from now on.
+// SharesCmd limits this entry to the given number of slots of each target from now on.
 type SharesCmd struct{ Shares map[string]int }
 
-// BorrowCmd asks to send a BorrowMsg to a peer and to bring its answer back as LentMsg; it may be lost or doubled.
+// BorrowCmd sends a BorrowMsg to a peer and brings the reply back as a LentMsg. Both may be lost or duplicated.
 type BorrowCmd struct {
 	To      string
 	Number  int64
@@ -89,13 +90,13 @@
 	Holding []int64
 }
 
-// LentCmd is the answer to a BorrowMsg.
+// LentCmd sends the reply to a BorrowMsg.
 type LentCmd struct {
 	To       string
 	Number   int64
 	Grants   []Grant
 	Recalled []int64
-	Busy     bool
+	Busy     bool // this entry has had no slot to spare for some time
 }
 
 func (SharesCmd) isCmd() {}
--- a/flow/share/replay.go
+++ b/flow/share/replay.go
@@ -9,17 +9,17 @@
 	"burdockreach.dev/flow/sched"
 )
 
-// Policy is a way to share the slots of targets between entries.
+// Policy is a way to share the slots of targets among entries.
 type Policy uint8
 
 const (
-	// Fixed gives each entry its static share.
+	// Fixed gives each entry only its static share.
 	Fixed Policy = iota
 	// Lending adds loans to the static shares.
 	Lending
-	// Refusing lets each entry use all slots; the target refuses what is too much.
+	// Refusing lets each entry use all slots. A target refuses the requests that exceed its slots.
 	Refusing
-	// Queueing is the naive way: static shares, first come first served, nothing is shed.
+	// Queueing is the baseline: static shares, first come first served, no load shedding.
 	Queueing
 )
 
@@ -29,23 +29,23 @@
 	case Lending:
 		return "lending"
 	case Refusing:
-		return "refusing"
+		return "overcommit"
 	case Queueing:
-		return "queueing"
+		return "fifo"
 	}
 	return "fixed"
 }
 
 const loadInterval = 10 * time.Millisecond
 
-// replay is the state of a Replay in virtual time.
+// replay is the state of a Replay, a discrete-event simulation in virtual time.
 type replay struct {
 	Trace
 	policy  Policy
 	now     time.Duration
 	events  events
 	entries []*replayEntry
-	busy    []int // requests at each target
+	busy    []int // occupied slots by target
 	result  Result
 }
 
@@ -56,7 +56,7 @@
 	busy      map[string]int
 }
 
-// Replay runs the trace under the policy in virtual time; the same trace and policy give the same result.
+// Replay runs the trace under the policy in virtual time. The same trace and policy always give the same result.
 func Replay(t Trace, p Policy) Result {
 	r := &replay{Trace: t, policy: p, busy: make([]int, t.targets)}
 	r.result = newResult(t)
@@ -86,7 +86,7 @@
 
 func targetName(i int) string { return fmt.Sprint("vm-", i) }
 
-// start makes the entries, with shares as the policy has them.
+// start creates the entries with their shares under the policy.
 func (r *replay) start() {
 	var names []string
 	for i := range r.Trace.entries {
@@ -127,7 +127,7 @@
 	}
 }
 
-// adoptRoster lets all entries keep to the first roster.
+// adoptRoster makes all entries adopt the first roster.
 func (r *replay) adoptRoster(names []string, slots map[string]int) {
 	for i := range r.entries {
 		r.updateLoans(i, TargetsMsg{Now: r.clock(), Slots: slots})
@@ -162,7 +162,7 @@
 	return Load{Queued: t.Pressing(), Yielding: t.Yielding(), Keep: t.Held(), Busy: e.busy}
 }
 
-// updateLoans gives a message to the loans of entry i and performs the commands; messages between entries take two hops.
+// updateLoans passes a message to the loans of entry i and carries out the commands. A message between entries takes two hops.
 func (r *replay) updateLoans(i int, m Msg) {
 	for _, c := range slices.Clone(r.entries[i].loans.Update(m)) {
 		switch c := c.(type) {
@@ -201,7 +201,7 @@
 	r.updateScheduler(q.entry, m)
 }
 
-// updateScheduler gives a message to the scheduler of entry i, or to its naive version.
+// updateScheduler passes a message to the scheduler of entry i, or to its fifo if it has one.
 func (r *replay) updateScheduler(i int, m sched.Msg) {
 	e := r.entries[i]
 	if e.fifo != nil {
@@ -251,7 +251,8 @@
 	})
 }
 
-// giveUpAt returns when a runner gives a silent target up: an idempotent request keeps half of its time for another one.
+// giveUpAt returns when the runner stops waiting for a silent target. The first attempt of an idempotent request may take half
+// of the remaining time, so that the rest is left for a retry at another target.
 func (r *replay) giveUpAt(q Request, attempt int) time.Duration {
 	deadline := max(q.arrivesAt+q.timeout, r.now)
 	if q.idempotent && attempt == 1 {
@@ -269,6 +270,7 @@
 	})
 }
 
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -280,7 +282,7 @@
 // Len returns the number of events.
 func (e events) Len() int { return len(e) }
 
-// Less orders events by time, then as they were made.
+// Less orders events by time, then by creation.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
@@ -288,10 +290,10 @@
 // Swap exchanges two events.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds an event.
+// Push appends an event.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last event away.
+// Pop removes and returns the last event.
 func (e *events) Pop() any {
 	n := len(*e) - 1
 	x := (*e)[n]
@@ -299,7 +301,7 @@
 	return x
 }
 
-// fifo is the naive scheduler.
+// fifo is the baseline scheduler: first come first served, without load shedding and retries.
 type fifo struct {
 	targets []sched.Target
 	waiting []sched.ID
--- a/flow/share/replay_test.go
+++ b/flow/share/replay_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	minGoodput  = 0.97        // of the capacity while more is asked for than it holds
-	maxRecovery = time.Second // after a turn
+	minGoodput  = 0.97        // of the capacity during bursts, when demand exceeds it
+	maxRecovery = time.Second // after a burst
 )
 
-// workloads are the run times and classes that the turns are tried with.
+// workloads are the run times and class mixes of the bursts.
 var workloads = map[string][]share.ShapeOption{
 	"even run times":        nil,
 	"exponential run times": {share.WithExponentialRuns()},
-	"much urgent work":      {share.WithClasses(0.45, 0.1)},
+	"many urgent requests":  {share.WithClasses(0.45, 0.1)},
 	"no background":         {share.WithClasses(0.2, 0)},
 	"short runs":            {share.WithMeanRun(20 * time.Millisecond)},
 	"long runs":             {share.WithMeanRun(200 * time.Millisecond)},
@@ -36,15 +36,15 @@
 			})
 		}
 	}
-	t.Run("through three entries alike", func(t *testing.T) {
+	t.Run("three entries with equal load", func(t *testing.T) {
 		r := share.Replay(share.FiveFold(1), share.Lending)
 		checkBounds(t, &r, minGoodput)
-		// Where nobody has a slot to spare, few messages say so.
+		// When no entry has a slot to spare, borrow requests back off, so few messages are sent.
 		is.New(t).True(float64(r.Messages()) <= 4*3*share.FiveFold(1).End().Seconds())
 	})
 }
 
-// checkBounds checks goodput, and that all urgent and background requests are answered in time.
+// checkBounds checks the goodput, that all urgent and background requests were answered in time, and the recovery time.
 func checkBounds(t *testing.T, r *share.Result, least float64) {
 	t.Helper()
 	i := is.New(t)
@@ -68,7 +68,7 @@
 	i.True(l.Goodput() > f.Goodput()+0.1)
 	i.True(l.Goodput() > q.Goodput()+0.1)
 	i.True(q.Recovery() > 2*l.Recovery())
-	i.True(r.InTime(sched.Urgent) < 0.99) // what the target refuses costs the retry budget
+	i.True(r.InTime(sched.Urgent) < 0.99) // refusals by targets spend the retry budget
 	i.True(r.Refused() > 100*(l.Refused()+1))
 }
 
--- a/flow/share/static.go
+++ b/flow/share/static.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Static returns self's share of a target's slots among the entries; the shares of all entries sum to the slots.
-// Entries that rank first by rendezvous hash for this target have the slots that do not divide evenly.
+// Static returns self's share of a target's slots among the entries. The shares of all entries sum to the slots.
+// The remainder of an uneven division goes to the entries that rank first by rendezvous hashing for this target.
 func Static(target string, slots int, entries []string, self string) int {
 	n, rank, found := 0, 0, false
 	mine := rendezvousHash(target, self)
--- a/flow/share/table.go
+++ b/flow/share/table.go
@@ -5,39 +5,39 @@
 	"strings"
 )
 
-// row is one target's slots as an entry has them.
+// row holds the slots of one target as seen by this entry.
 type row struct {
 	name           string
 	slots          int
-	listed         bool
-	ownShare       int // the entry's own share
-	lent           int // of the share
-	draining       int // of the share, that are being emptied for a borrower
-	borrowedOpen   int // borrowed, for new requests
-	borrowedClosed int // borrowed, to be given back
-	busy           int
-	announced      int // that the runner was last told to use
+	listed         bool // in the latest list of targets
+	ownShare       int  // slots that this entry may use without borrowing
+	lent           int  // slots of the own share that peers hold
+	draining       int  // slots of the own share that take no new requests, so that they can be lent
+	borrowedOpen   int  // borrowed slots that may take new requests
+	borrowedClosed int  // borrowed slots that are to be returned
+	busy           int  // slots occupied by requests of this entry
+	announced      int  // usable slots in the latest SharesCmd, -1 if none
 }
 
-// usable returns the slots that may be used for new requests.
+// usable returns the number of slots that new requests may use.
 func (r *row) usable() int { return max(0, r.ownShare-r.lent-r.draining) + r.borrowedOpen }
 
-// lendable returns the slots of the own share that may be lent now.
+// lendable returns the number of slots of the own share that can be lent now.
 func (r *row) lendable() int { return max(0, min(r.ownShare-r.lent, r.usable()-r.busy)) }
 
-// unused reports whether nothing is known of the target any more.
+// unused reports whether the target is not listed and none of its slots is occupied, lent or borrowed.
 func (r *row) unused() bool { return !r.listed && r.lent+r.borrowedOpen+r.borrowedClosed+r.busy == 0 }
 
-// table holds the rows of all targets that are listed or in use.
+// table holds a row for each target that is listed or in use.
 type table struct {
 	rows        map[string]*row
-	order       []*row // by name
+	order       []*row // sorted by name
 	anyDraining bool
 }
 
 func newTable() table { return table{rows: map[string]*row{}} }
 
-// row returns the target's row, and makes it if need be.
+// row returns the target's row and creates it if necessary.
 func (t *table) row(name string) *row {
 	r := t.rows[name]
 	if r == nil {
@@ -49,7 +49,7 @@
 	return r
 }
 
-// setTargets replaces the targets and their slots.
+// setTargets replaces the targets and the number of slots of each.
 func (t *table) setTargets(slots map[string]int) {
 	for _, r := range t.order {
 		if _, ok := slots[r.name]; !ok {
@@ -63,7 +63,7 @@
 	t.prune()
 }
 
-// setBusy replaces the requests at each target.
+// setBusy replaces the number of occupied slots at each target.
 func (t *table) setBusy(busy map[string]int) {
 	for _, r := range t.order {
 		r.busy = 0
@@ -76,7 +76,7 @@
 	t.prune()
 }
 
-// stopDraining lets new requests into the slots that were being emptied.
+// stopDraining opens draining slots to new requests again.
 func (t *table) stopDraining() {
 	if !t.anyDraining {
 		return
@@ -87,6 +87,7 @@
 	}
 }
 
+// prune removes the rows of unused targets.
 func (t *table) prune() {
 	t.order = slices.DeleteFunc(t.order, func(r *row) bool {
 		if r.unused() {
--- a/flow/share/trace.go
+++ b/flow/share/trace.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	burstLoadFactor = 5.0  // of the mean rate in a turn
-	calmLoadFactor  = 0.05 // of the mean rate between turns
-	drainTime       = 5 * time.Second
+	burstLoadFactor = 5.0             // request rate in a burst, as a multiple of the mean
+	calmLoadFactor  = 0.05            // request rate between bursts, as a multiple of the mean
+	drainTime       = 5 * time.Second // the replay goes on for this long after the end of the trace
 )
 
 // Request is one request of a Trace.
@@ -22,14 +22,14 @@
 	idempotent                  bool
 }
 
-// Trace is what callers ask of one service's targets in one data centre, through several entries.
+// Trace holds the requests to one service's targets in one data centre, which arrive through several entries.
 type Trace struct {
 	entries, targets, slots int
 	hopDelay                time.Duration // one way
 	requests                []Request
 	bursts                  []span
 	end                     time.Duration
-	silentFrom              time.Duration // from when the first target takes requests and never answers, 0 for never
+	silentFrom              time.Duration // when the first target starts to accept requests without ever answering, 0 for never
 }
 
 type span struct{ from, to time.Duration }
@@ -37,10 +37,10 @@
 // Requests returns the number of requests.
 func (t Trace) Requests() int { return len(t.requests) }
 
-// End returns the length of the trace.
+// End returns the duration of the trace.
 func (t Trace) End() time.Duration { return t.end }
 
-// Shape describes a trace to make.
+// Shape holds the parameters of a generated trace.
 type Shape struct {
 	seed                         uint64
 	entries, targets             int
@@ -48,13 +48,13 @@
 	burstLength, calmLength      time.Duration
 	load                         float64 // mean, as a share of the capacity
 	meanRun                      time.Duration
-	urgentShare, backgroundShare float64 // shares of the requests
+	urgentShare, backgroundShare float64 // of the requests
 	exponential                  bool
 	silentFrom                   time.Duration
-	skew                         float64 // how many times as much the busiest entry gets as the next one
+	skew                         float64 // ratio of the request rates of the busiest entry and the next one, and so on
 }
 
-// ShapeOption changes a Shape at its making.
+// ShapeOption configures the Shape of a new trace.
 type ShapeOption func(*Shape)
 
 // WithEntries sets the number of entries.
@@ -72,7 +72,7 @@
 // WithMeanRun sets the mean run time.
 func WithMeanRun(d time.Duration) ShapeOption { return func(s *Shape) { s.meanRun = d } }
 
-// WithExponentialRuns makes run times exponential; else they are spread evenly from a fifth to nine fifths of the mean.
+// WithExponentialRuns draws run times from an exponential distribution. The default is uniform between 0.2 and 1.8 times the mean.
 func WithExponentialRuns() ShapeOption { return func(s *Shape) { s.exponential = true } }
 
 // WithClasses sets the shares of urgent and of background requests.
@@ -80,13 +80,14 @@
 	return func(s *Shape) { s.urgentShare, s.backgroundShare = urgent, background }
 }
 
-// WithSilentTarget makes the first target take requests and never answer, from the time on.
+// WithSilentTarget makes the first target accept requests without ever answering, from the given time on.
 func WithSilentTarget(from time.Duration) ShapeOption { return func(s *Shape) { s.silentFrom = from } }
 
-// WithSkew sets how many times as much the busiest entry gets as the next one; the busiest changes with each turn.
+// WithSkew sets the ratio of the request rates of the busiest entry and the next one, and so on. The busiest entry changes with
+// each burst.
 func WithSkew(f float64) ShapeOption { return func(s *Shape) { s.skew = f } }
 
-// FiveFold returns a trace of turns, in each of which five times the mean is asked for, and a twentieth of it in between.
+// FiveFold returns a trace of bursts with five times the mean request rate, and a twentieth of it between them.
 func FiveFold(seed uint64, opts ...ShapeOption) Trace {
 	s := Shape{
 		seed: seed, entries: 3, targets: 4, burstCount: 3, burstLength: 5 * time.Second, calmLength: 21 * time.Second,
@@ -114,7 +115,7 @@
 	return t
 }
 
-// addRequests adds requests at random moments of the span.
+// addRequests adds requests at random times within the span.
 func (s Shape) addRequests(t *Trace, r *rand.Rand, turn int, x span, perSecond float64) {
 	for at := x.from; ; {
 		at += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
@@ -143,6 +144,7 @@
 	return q
 }
 
+// pickEntry draws the entry at which a request arrives.
 func (s Shape) pickEntry(r *rand.Rand, turn int) int {
 	sum, w := 0.0, make([]float64, s.entries)
 	for i := range w {
