--- a/flow/sched/bench_test.go
+++ b/flow/sched/bench_test.go
@@ -16,8 +16,8 @@
 	return l
 }
 
-// ready returns a scheduler with targets of 8 slots, four to a rack, and teams that may use all of them.
-func ready(now time.Time, targets, teams int) *sched.Scheduler {
+// newScheduler returns a scheduler with targets of 8 slots, four to a rack, and teams that may use all of them.
+func newScheduler(now time.Time, targets, teams int) *sched.Scheduler {
 	s := sched.New("orders")
 	var l []sched.Target
 	for i, n := range names("vm", targets) {
@@ -35,17 +35,17 @@
 func BenchmarkUpdateArriveDone(b *testing.B) {
 	for _, targets := range []int{4, 40, 200} {
 		for _, teams := range []int{3, 230} {
-			b.Run(fmt.Sprintf("targets=%d/teams=%d", targets, teams), func(b *testing.B) { arriveDone(b, targets, teams) })
+			b.Run(fmt.Sprintf("targets=%d/teams=%d", targets, teams), func(b *testing.B) { benchmarkArriveDone(b, targets, teams) })
 		}
 	}
 }
 
-// arriveDone keeps a few requests waiting all the time.
-func arriveDone(b *testing.B, targets, teams int) {
+// benchmarkArriveDone keeps a few requests waiting all the time.
+func benchmarkArriveDone(b *testing.B, targets, teams int) {
 	now := time.Unix(0, 0)
-	s, team := ready(now, targets, teams), names("team", teams)
+	s, team := newScheduler(now, targets, teams), names("team", teams)
 	var sent []sched.SendCmd
-	keep := func(l []sched.Cmd) {
+	collectSends := func(l []sched.Cmd) {
 		for _, c := range l {
 			if m, ok := c.(sched.SendCmd); ok {
 				sent = append(sent, m)
@@ -54,26 +54,26 @@
 	}
 	arrive := func(i int) {
 		now = now.Add(10 * time.Microsecond)
-		keep(s.Update(sched.ArriveMsg{
+		collectSends(s.Update(sched.ArriveMsg{
 			Now: now, ID: sched.ID(i), Team: team[i%teams], Class: sched.Class(i % 3), Deadline: now.Add(10 * time.Second),
 		}))
 	}
 	for i := range targets*8 + 20 {
 		arrive(i)
 	}
-	first := targets*8 + 20
+	nextID := targets*8 + 20
 	b.ReportAllocs()
 	k := 0
 	for b.Loop() {
-		arrive(first)
-		first++
+		arrive(nextID)
+		nextID++
 		m := sent[k]
 		k++
 		if k == 1024 {
 			sent = append(sent[:0], sent[k:]...)
 			k = 0
 		}
-		keep(s.Update(sched.DoneMsg{Now: now, ID: m.ID, Target: m.Target, Result: sched.Answered}))
+		collectSends(s.Update(sched.DoneMsg{Now: now, ID: m.ID, Target: m.Target, Result: sched.Answered}))
 	}
 }
 
@@ -84,7 +84,7 @@
 			now := time.Unix(0, 0)
 			for done := 0; done < b.N; done += n {
 				b.StopTimer()
-				s := ready(now, 1, 1)
+				s := newScheduler(now, 1, 1)
 				for i := range n {
 					s.Update(sched.ArriveMsg{Now: now, ID: sched.ID(i), Team: "team-000", Deadline: now.Add(time.Hour)})
 				}
@@ -100,7 +100,7 @@
 // BenchmarkOverload is the time of one arrival that is refused because the queue is full of work.
 func BenchmarkOverload(b *testing.B) {
 	now := time.Unix(0, 0)
-	s := ready(now, 4, 3)
+	s := newScheduler(now, 4, 3)
 	id := sched.ID(0)
 	for range 100000 {
 		id++
--- a/flow/sched/option.go
+++ b/flow/sched/option.go
@@ -10,13 +10,13 @@
 	retryBurst  int
 	urgentStart time.Duration
 	maxEjected  float64
-	bound       int
+	maxQueued   int
 }
 
 func defaults() settings {
 	return settings{
 		retryShare: 0.1, retryBurst: 10, urgentStart: defaultUrgentStart,
-		maxEjected: 0.5, bound: 1 << 16,
+		maxEjected: 0.5, maxQueued: 1 << 16,
 	}
 }
 
@@ -32,4 +32,4 @@
 func WithMaxEjected(f float64) Option { return func(s *settings) { s.maxEjected = f } }
 
 // WithBound sets how many requests may wait.
-func WithBound(n int) Option { return func(s *settings) { s.bound = n } }
+func WithBound(n int) Option { return func(s *settings) { s.maxQueued = n } }
--- a/flow/sched/sched.go
+++ b/flow/sched/sched.go
@@ -12,13 +12,13 @@
 const (
 	defaultUrgentStart = 1500 * time.Millisecond
 	noTargetGrace      = time.Second // in which requests wait for a target to come back
-	noTargetRetry      = time.Second
-	tightFor           = time.Second // after a request was shed the service counts as overloaded
+	noTargetRetryAfter = time.Second
+	overloadedFor      = time.Second // after a request was shed the service counts as overloaded
 	minRetryAfter      = 20 * time.Millisecond
 	maxRetryAfter      = 30 * time.Second
-	invitedShare       = 0.8 // of the capacity is for requests that come back
-	setAsideAtOnce     = 4   // requests that may wait for another target while the ones behind them go
-	maxSpare           = 1024
+	retryCapacityShare = 0.8 // of the capacity is for requests that come back
+	maxUnplaced        = 4   // requests that may wait for another target while the ones behind them go
+	maxFreeRequests    = 1024
 )
 
 // Scheduler decides for the requests of one service at one entry; it is changed only by Update and is not safe for concurrent use.
@@ -29,24 +29,24 @@
 	epoch       time.Time
 	now         time.Duration
 
-	gate   *admit.Gate
-	line   *queue.Queue[*request]
-	pool   *route.Pool
-	budget *retry.Budget
+	gate        *admit.Gate
+	queue       *queue.Queue[*request]
+	pool        *route.Pool
+	retryBudget *retry.Budget
 
-	reqs     map[ID]*request
-	spare    []*request
-	aside    []*request
-	targets  []Target
-	shares   map[string]int
-	emptied  time.Duration // when the last target went
-	shedAt   time.Duration
-	shedEver bool
-	invited  time.Duration // when the last shed request is to come back
-	urgentAt time.Duration
-	urgents  bool
-	meters   meters
-	cmds     []Cmd
+	requests      map[ID]*request
+	freeRequests  []*request
+	unplaced      []*request
+	targets       []Target
+	shares        map[string]int
+	targetsGoneAt time.Duration // when the last target went
+	lastShedAt    time.Duration
+	hasShed       bool
+	lastRetryAt   time.Duration // when the last shed request is to come back
+	lastUrgentAt  time.Duration
+	hasUrgent     bool
+	meters        meters
+	cmds          []Cmd
 }
 
 // New returns a Scheduler without targets for the named service.
@@ -56,11 +56,11 @@
 		o(&c)
 	}
 	return &Scheduler{
-		service: service, urgentStart: c.urgentStart, emptied: -noTargetGrace,
-		gate: admit.New(), line: queue.New[*request](queue.WithBound(c.bound)),
-		pool:   route.New(route.WithMaxEjected(c.maxEjected)),
-		budget: retry.New(retry.WithShare(c.retryShare), retry.WithBurst(c.retryBurst)),
-		reqs:   map[ID]*request{}, meters: newMeters(),
+		service: service, urgentStart: c.urgentStart, targetsGoneAt: -noTargetGrace,
+		gate: admit.New(), queue: queue.New[*request](queue.WithBound(c.maxQueued)),
+		pool:        route.New(route.WithMaxEjected(c.maxEjected)),
+		retryBudget: retry.New(retry.WithShare(c.retryShare), retry.WithBurst(c.retryBurst)),
+		requests:    map[ID]*request{}, meters: newMeters(),
 	}
 }
 
@@ -75,36 +75,36 @@
 	s.cmds = s.cmds[:0]
 	switch m := m.(type) {
 	case ArriveMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.arrive(&m)
 	case DoneMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.done(&m)
 	case CancelMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.cancel(m.ID)
 	case TickMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 	case TargetsMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.setTargets(m.Targets)
 	case SharesMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.setShares(m.Shares)
 	case QuotasMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.gate.SetRates(m.Rates)
 	case PolicyMsg:
-		s.pass(m.Now)
+		s.advance(m.Now)
 		s.urgentStart = m.UrgentStart
-		s.budget.SetShare(m.RetryShare)
+		s.retryBudget.SetShare(m.RetryShare)
 	}
 	s.dispatch()
 	return s.cmds
 }
 
-// pass lets time go on; it never goes back.
-func (s *Scheduler) pass(t time.Time) {
+// advance lets time go on; it never goes back.
+func (s *Scheduler) advance(t time.Time) {
 	if !s.started {
 		s.started, s.epoch = true, t
 	}
@@ -113,55 +113,55 @@
 }
 
 func (s *Scheduler) arrive(m *ArriveMsg) {
-	if _, ok := s.reqs[m.ID]; ok {
+	if _, ok := s.requests[m.ID]; ok {
 		return
 	}
 	c := queue.Class(min(m.Class, Background))
 	s.meters.arrivals.add(s.now)
-	s.line.Arrived(s.now, c)
+	s.queue.Arrived(s.now, c)
 	if c == queue.Urgent {
-		s.urgents, s.urgentAt = true, s.now
+		s.hasUrgent, s.lastUrgentAt = true, s.now
 	}
-	r := s.take(m, c)
-	if why, after := s.refuse(m.Team, r); why != "" {
-		s.end(r, why, after)
+	r := s.newRequest(m, c)
+	if reason, retryAfter := s.refusal(m.Team, r); reason != "" {
+		s.end(r, reason, retryAfter)
 		return
 	}
-	if s.line.Len() == 0 && s.pool.Free() > s.held(c) && s.send(r) {
+	if s.queue.Len() == 0 && s.pool.Free() > s.urgentReserve(c) && s.trySend(r) {
 		return
 	}
-	h, over := s.line.Push(s.now, c, r.deadline, r)
+	h, excess := s.queue.Push(s.now, c, r.deadline, r)
 	if h == queue.None {
-		s.shed(r, ReasonOverload, over)
+		s.shed(r, ReasonOverload, excess)
 		return
 	}
-	r.handle = h
+	r.queueHandle = h
 }
 
-// refuse returns why a request cannot be let in, and when to come back.
-func (s *Scheduler) refuse(team string, r *request) (Reason, time.Duration) {
+// refusal returns why a request cannot be let in, and when to come back.
+func (s *Scheduler) refusal(team string, r *request) (Reason, time.Duration) {
 	if r.deadline <= s.now {
 		return ReasonDeadline, 0
 	}
-	if s.pool.Listed() == 0 && s.now >= s.emptied+noTargetGrace {
-		return ReasonNoTarget, noTargetRetry
+	if s.pool.Listed() == 0 && s.now >= s.targetsGoneAt+noTargetGrace {
+		return ReasonNoTarget, noTargetRetryAfter
 	}
-	spare := s.line.Len() == 0 && s.pool.Free() > s.held(r.class)
-	v, after := s.gate.Arrive(s.now, team, admit.NewLoad(spare, s.tight(), s.capacity()))
+	idle := s.queue.Len() == 0 && s.pool.Free() > s.urgentReserve(r.class)
+	v, retryAfter := s.gate.Arrive(s.now, team, admit.NewLoad(idle, s.overloaded(), s.capacity()))
 	switch v {
 	case admit.Over:
-		return ReasonQuota, after
+		return ReasonQuota, retryAfter
 	case admit.Crowded:
-		return ReasonOverload, after
+		return ReasonOverload, retryAfter
 	}
 	return "", 0
 }
 
-func (s *Scheduler) tight() bool { return s.shedEver && s.now < s.shedAt+tightFor }
+func (s *Scheduler) overloaded() bool { return s.hasShed && s.now < s.lastShedAt+overloadedFor }
 
 // capacity returns the requests a second that the slots in use can answer, 0 if unknown.
 func (s *Scheduler) capacity() float64 {
-	m := s.line.Mean()
+	m := s.queue.Mean()
 	if m <= 0 {
 		return 0
 	}
@@ -169,121 +169,121 @@
 }
 
 // shed ends a request that cannot be answered in time.
-func (s *Scheduler) shed(r *request, why Reason, over time.Duration) {
-	s.shedEver, s.shedAt = true, s.now
-	s.end(r, why, s.invite(over))
+func (s *Scheduler) shed(r *request, reason Reason, excess time.Duration) {
+	s.hasShed, s.lastShedAt = true, s.now
+	s.end(r, reason, s.retryAfter(excess))
 }
 
-// invite returns when a shed request is to come back: after all that were told so before it, at the pace of the slots.
-func (s *Scheduler) invite(over time.Duration) time.Duration {
-	s.invited = max(s.invited, s.now+max(over, minRetryAfter))
+// retryAfter returns when a shed request is to come back: after all that were told so before it, at the pace of the slots.
+func (s *Scheduler) retryAfter(excess time.Duration) time.Duration {
+	s.lastRetryAt = max(s.lastRetryAt, s.now+max(excess, minRetryAfter))
 	if c := s.capacity(); c > 0 {
-		s.invited += time.Duration(float64(time.Second) / (c * invitedShare))
+		s.lastRetryAt += time.Duration(float64(time.Second) / (c * retryCapacityShare))
 	}
-	s.invited = min(s.invited, s.now+maxRetryAfter)
-	return s.invited - s.now
+	s.lastRetryAt = min(s.lastRetryAt, s.now+maxRetryAfter)
+	return s.lastRetryAt - s.now
 }
 
 // end gives a request its final answer.
-func (s *Scheduler) end(r *request, why Reason, after time.Duration) {
-	s.meters.ended[why]++
-	s.cmds = append(s.cmds, EndCmd{ID: r.id, Reason: why, NotRun: !r.mayHaveRun && !r.sent, RetryAfter: after})
-	r.over = true
-	if !r.sent {
-		s.forget(r)
+func (s *Scheduler) end(r *request, reason Reason, retryAfter time.Duration) {
+	s.meters.ended[reason]++
+	s.cmds = append(s.cmds, EndCmd{ID: r.id, Reason: reason, NotRun: !r.mayHaveRun && !r.inFlight, RetryAfter: retryAfter})
+	r.ended = true
+	if !r.inFlight {
+		s.recycle(r)
 	}
 }
 
 func (s *Scheduler) done(m *DoneMsg) {
-	r, ok := s.reqs[m.ID]
-	if !ok || !r.sent || r.target != m.Target {
+	r, ok := s.requests[m.ID]
+	if !ok || !r.inFlight || r.target != m.Target {
 		return
 	}
-	r.sent = false
-	s.observe(r, m)
-	if m.Result == Answered || m.Result == Withdrawn || r.over {
-		s.forget(r)
+	r.inFlight = false
+	s.recordOutcome(r, m)
+	if m.Result == Answered || m.Result == Withdrawn || r.ended {
+		s.recycle(r)
 		return
 	}
 	r.mayHaveRun = r.mayHaveRun || m.Result != NotRun
-	s.again(r, m)
+	s.retryOrEnd(r, m)
 }
 
-// observe tells the pool and the queue how a send ended.
-func (s *Scheduler) observe(r *request, m *DoneMsg) {
+// recordOutcome tells the pool and the queue how a send ended.
+func (s *Scheduler) recordOutcome(r *request, m *DoneMsg) {
 	var took time.Duration
 	o := route.Bad
 	switch {
 	case m.Result == Answered:
 		o, took = route.Good, s.now-r.sentAt
-		if !r.over && s.now <= r.deadline {
+		if !r.ended && s.now <= r.deadline {
 			s.meters.goodput.add(s.now)
 		}
 	case m.Result == Unknown:
 		o = route.Lost
-	case m.Result == Withdrawn, m.Leaving, r.over:
+	case m.Result == Withdrawn, m.Leaving, r.ended:
 		o = route.Mute
 	case m.Result == NotRun:
 		o = route.Full
 	}
-	s.line.Finished(r.class, took)
-	s.pool.Done(s.now, m.Target, o, s.line.Mean())
+	s.queue.Finished(r.class, took)
+	s.pool.Done(s.now, m.Target, o, s.queue.Mean())
 	if m.Leaving {
 		s.pool.Leave(s.now, m.Target)
 	}
-	s.line.SetSlots(s.now, s.pool.Slots())
+	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
-// again queues a request for another send, or ends it.
-func (s *Scheduler) again(r *request, m *DoneMsg) {
-	if r.deadline-s.now < s.line.Mean() || r.deadline <= s.now {
-		s.end(r, lateReason(m.Result), 0)
+// retryOrEnd queues a request for another send, or ends it.
+func (s *Scheduler) retryOrEnd(r *request, m *DoneMsg) {
+	if r.deadline-s.now < s.queue.Mean() || r.deadline <= s.now {
+		s.end(r, deadlineReason(m.Result), 0)
 		return
 	}
-	switch s.budget.Decide(outcome(m), r.attempts, r.idempotent) {
+	switch s.retryBudget.Decide(retryOutcome(m), r.attempts, r.idempotent) {
 	case retry.Stop:
-		s.end(r, stopReason(m.Result), 0)
+		s.end(r, noRetryReason(m.Result), 0)
 	case retry.Spent:
-		s.end(r, spentReason(m.Result), minRetryAfter)
+		s.end(r, budgetSpentReason(m.Result), minRetryAfter)
 	default:
-		r.handle = s.line.PushBack(s.now, r.class, r.deadline, r)
+		r.queueHandle = s.queue.PushBack(s.now, r.class, r.deadline, r)
 	}
 }
 
 func (s *Scheduler) cancel(id ID) {
-	r, ok := s.reqs[id]
-	if !ok || r.over {
+	r, ok := s.requests[id]
+	if !ok || r.ended {
 		return
 	}
-	if !r.sent {
-		s.line.Remove(r.handle)
+	if !r.inFlight {
+		s.queue.Remove(r.queueHandle)
 	}
 	s.end(r, ReasonCancelled, 0)
 }
 
 func (s *Scheduler) setTargets(l []Target) {
 	if len(l) == 0 && s.pool.Listed() > 0 {
-		s.emptied = s.now
+		s.targetsGoneAt = s.now
 	}
 	s.targets = append(s.targets[:0], l...)
 	t := make([]route.Target, 0, len(l))
 	for _, x := range l {
-		t = append(t, route.NewTarget(x.name, x.rack, s.slots(x)))
+		t = append(t, route.NewTarget(x.name, x.rack, s.usableSlots(x)))
 	}
 	s.pool.Set(s.now, t)
-	s.line.SetSlots(s.now, s.pool.Slots())
+	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
 func (s *Scheduler) setShares(m map[string]int) {
 	s.shares = m
 	for _, x := range s.targets {
-		s.pool.SetSlots(x.name, s.slots(x))
+		s.pool.SetSlots(x.name, s.usableSlots(x))
 	}
-	s.line.SetSlots(s.now, s.pool.Slots())
+	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
-// slots returns the slots that this entry may use at the target.
-func (s *Scheduler) slots(t Target) int {
+// usableSlots returns the usableSlots that this entry may use at the target.
+func (s *Scheduler) usableSlots(t Target) int {
 	if n, ok := s.shares[t.name]; ok {
 		return n
 	}
--- a/flow/sched/send.go
+++ b/flow/sched/send.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	urgentSeenFor = 10 * time.Minute // after an urgent request slots are held for the next
-	releases      = 3                // of slots, expected within the time in which urgent requests are to start
+	urgentReserveFor = 10 * time.Minute // after an urgent request slots are held for the next
+	minSlotReleases  = 3                // of slots, expected within the time in which urgent requests are to start
 )
 
 // request is one that has come and has neither its final answer nor its slot back.
 type request struct {
-	id         ID
-	class      queue.Class
-	deadline   time.Duration
-	sentAt     time.Duration
-	handle     queue.Handle
-	target     string // of the last send
-	attempts   int
-	idempotent bool
-	mayHaveRun bool
-	sent       bool
-	over       bool
+	id          ID
+	class       queue.Class
+	deadline    time.Duration
+	sentAt      time.Duration
+	queueHandle queue.Handle
+	target      string // of the last send
+	attempts    int
+	idempotent  bool
+	mayHaveRun  bool
+	inFlight    bool
+	ended       bool
 }
 
-// take returns a request that is in the table.
-func (s *Scheduler) take(m *ArriveMsg, c queue.Class) *request {
+// newRequest returns a request that is in the table.
+func (s *Scheduler) newRequest(m *ArriveMsg, c queue.Class) *request {
 	var r *request
-	if k := len(s.spare); k > 0 {
-		r, s.spare = s.spare[k-1], s.spare[:k-1]
+	if k := len(s.freeRequests); k > 0 {
+		r, s.freeRequests = s.freeRequests[k-1], s.freeRequests[:k-1]
 	} else {
 		r = &request{}
 	}
 	*r = request{id: m.ID, class: c, deadline: m.Deadline.Sub(s.epoch), idempotent: m.Idempotent}
-	s.reqs[m.ID] = r
+	s.requests[m.ID] = r
 	return r
 }
 
-func (s *Scheduler) forget(r *request) {
-	delete(s.reqs, r.id)
-	if len(s.spare) < maxSpare {
-		s.spare = append(s.spare, r)
+func (s *Scheduler) recycle(r *request) {
+	delete(s.requests, r.id)
+	if len(s.freeRequests) < maxFreeRequests {
+		s.freeRequests = append(s.freeRequests, r)
 	}
 }
 
-// held returns the free slots that requests of class c must leave to urgent ones:
+// urgentReserve returns the free slots that requests of class c must leave to urgent ones:
 // none while enough slots become free in the time in which urgent requests are to start.
-func (s *Scheduler) held(c queue.Class) int {
-	if c == queue.Urgent || !s.urgents || s.now > s.urgentAt+urgentSeenFor {
+func (s *Scheduler) urgentReserve(c queue.Class) int {
+	if c == queue.Urgent || !s.hasUrgent || s.now > s.lastUrgentAt+urgentReserveFor {
 		return 0
 	}
 	n := s.pool.Slots()
-	if n < 2 || float64(n)*s.urgentStart.Seconds() >= releases*s.line.Mean().Seconds() {
+	if n < 2 || float64(n)*s.urgentStart.Seconds() >= minSlotReleases*s.queue.Mean().Seconds() {
 		return 0
 	}
 	return 1
@@ -62,69 +62,69 @@
 
 // dispatch sheds what is hopeless and sends while a target has a free slot.
 func (s *Scheduler) dispatch() {
-	if s.line.Len() == 0 {
+	if s.queue.Len() == 0 {
 		return
 	}
-	s.line.Sweep(s.now)
-	if s.pool.Listed() == 0 && s.now >= s.emptied+noTargetGrace {
-		s.giveUp()
+	s.queue.Sweep(s.now)
+	if s.pool.Listed() == 0 && s.now >= s.targetsGoneAt+noTargetGrace {
+		s.endQueued()
 	}
-	for s.line.Len() > 0 && s.pool.Ready(s.now) && len(s.aside) < setAsideAtOnce {
-		r, ok := s.line.Pop(s.now, s.pool.Free() <= s.held(queue.Normal))
+	for s.queue.Len() > 0 && s.pool.Ready(s.now) && len(s.unplaced) < maxUnplaced {
+		r, ok := s.queue.Pop(s.now, s.pool.Free() <= s.urgentReserve(queue.Normal))
 		if !ok {
 			break
 		}
-		if !s.send(r) {
-			s.aside = append(s.aside, r)
+		if !s.trySend(r) {
+			s.unplaced = append(s.unplaced, r)
 		}
 	}
-	for _, r := range s.aside {
-		r.handle = s.line.PushBack(s.now, r.class, r.deadline, r)
+	for _, r := range s.unplaced {
+		r.queueHandle = s.queue.PushBack(s.now, r.class, r.deadline, r)
 	}
-	s.aside = s.aside[:0]
-	s.drop()
+	s.unplaced = s.unplaced[:0]
+	s.endShed()
 }
 
-// drop ends what the queue has shed.
-func (s *Scheduler) drop() {
-	for _, d := range s.line.Dropped() {
-		why := ReasonOverload
+// endShed ends what the queue has shed.
+func (s *Scheduler) endShed() {
+	for _, d := range s.queue.Dropped() {
+		reason := ReasonOverload
 		if d.Late() {
-			why = ReasonDeadline
+			reason = ReasonDeadline
 		}
-		s.shed(d.Value(), why, s.line.Mean())
+		s.shed(d.Value(), reason, s.queue.Mean())
 	}
 }
 
-// giveUp ends all that wait for a target.
-func (s *Scheduler) giveUp() {
+// endQueued ends all that wait for a target.
+func (s *Scheduler) endQueued() {
 	for {
-		r, ok := s.line.Pop(s.now, false)
+		r, ok := s.queue.Pop(s.now, false)
 		if !ok {
 			return
 		}
-		s.end(r, ReasonNoTarget, noTargetRetry)
+		s.end(r, ReasonNoTarget, noTargetRetryAfter)
 	}
 }
 
-// send sends a request if a target has a slot for it.
-func (s *Scheduler) send(r *request) bool {
+// trySend sends a request if a target has a slot for it.
+func (s *Scheduler) trySend(r *request) bool {
 	careful := !r.idempotent || r.class == queue.Urgent
 	t, ok := s.pool.Pick(s.now, r.target, careful)
 	if !ok {
 		return false
 	}
 	if r.attempts == 0 {
-		s.budget.First()
+		s.retryBudget.First()
 	}
 	r.attempts++
-	r.sent, r.target, r.sentAt, r.handle = true, t, s.now, queue.None
-	s.line.Started(r.class)
+	r.inFlight, r.target, r.sentAt, r.queueHandle = true, t, s.now, queue.None
+	s.queue.Started(r.class)
 	s.cmds = append(s.cmds, SendCmd{ID: r.id, Target: t, Attempt: r.attempts})
 	return true
 }
 
-func outcome(m *DoneMsg) retry.Outcome {
+func retryOutcome(m *DoneMsg) retry.Outcome {
 	switch {
 	case m.Result == NotRun && m.Leaving:
 		return retry.Leaving
@@ -136,21 +136,21 @@
 	return retry.Unknown
 }
 
-func stopReason(r Result) Reason {
+func noRetryReason(r Result) Reason {
 	if r == Failed {
 		return ReasonFailed
 	}
 	return ReasonUnknown
 }
 
-func lateReason(r Result) Reason {
+func deadlineReason(r Result) Reason {
 	if r == Failed {
 		return ReasonFailed
 	}
 	return ReasonDeadline
 }
 
-func spentReason(r Result) Reason {
+func budgetSpentReason(r Result) Reason {
 	if r == Failed {
 		return ReasonFailed
 	}
--- a/flow/sched/stats.go
+++ b/flow/sched/stats.go
@@ -9,14 +9,14 @@
 
 // Stats is what a Scheduler counts.
 type Stats struct {
-	queued            [3]int
-	busy, idle, slots int
-	pressing          int
-	yielding, held    int
-	targets, ejected  int
-	ended             map[Reason]int64
-	arrivals, goodput float64
-	service           time.Duration
+	queued                     [3]int
+	busy, idle, slots          int
+	demand                     int
+	reclaimable, urgentReserve int
+	targets, ejected           int
+	ended                      map[Reason]int64
+	arrivals, goodput          float64
+	serviceTime                time.Duration
 }
 
 // Queued returns the number of requests of class c that wait to be sent.
@@ -32,13 +32,13 @@
 func (s Stats) Slots() int { return s.slots }
 
 // Pressing returns the number of waiting requests that should have a slot now: not those background ones whose time has not come.
-func (s Stats) Pressing() int { return s.pressing }
+func (s Stats) Pressing() int { return s.demand }
 
 // Yielding returns the number of background requests at targets that would make room for more pressing ones.
-func (s Stats) Yielding() int { return s.yielding }
+func (s Stats) Yielding() int { return s.reclaimable }
 
 // Held returns the idle slots that are kept for urgent requests.
-func (s Stats) Held() int { return s.held }
+func (s Stats) Held() int { return s.urgentReserve }
 
 // Targets returns the number of targets in use.
 func (s Stats) Targets() int { return s.targets }
@@ -56,20 +56,20 @@
 func (s Stats) Goodput() float64 { return s.goodput }
 
 // ServiceTime returns the learned mean time that a send takes.
-func (s Stats) ServiceTime() time.Duration { return s.service }
+func (s Stats) ServiceTime() time.Duration { return s.serviceTime }
 
 // Stats returns what the scheduler counts.
 func (s *Scheduler) Stats() Stats {
 	t := Stats{
 		busy: s.pool.Busy(), idle: s.pool.Free(), slots: s.pool.Slots(),
-		pressing: s.line.Pressing(), yielding: s.line.Yielding(), held: s.held(queue.Normal),
+		demand: s.queue.Pressing(), reclaimable: s.queue.Yielding(), urgentReserve: s.urgentReserve(queue.Normal),
 		targets: s.pool.Usable(), ejected: s.pool.Ejected(),
 		ended:    maps.Clone(s.meters.ended),
 		arrivals: s.meters.arrivals.rate(s.now), goodput: s.meters.goodput.rate(s.now),
-		service: s.line.Mean(),
+		serviceTime: s.queue.Mean(),
 	}
 	for c := range t.queued {
-		t.queued[c] = s.line.Waiting(queue.Class(c))
+		t.queued[c] = s.queue.Waiting(queue.Class(c))
 	}
 	return t
 }
@@ -77,36 +77,36 @@
 // meters counts what happens.
 type meters struct {
 	ended             map[Reason]int64
-	arrivals, goodput meter
+	arrivals, goodput rateMeter
 }
 
 func newMeters() meters { return meters{ended: map[Reason]int64{}} }
 
 const meterWindow = time.Second
 
-// meter counts events in windows of a second and keeps the last whole one.
-type meter struct {
-	from       time.Duration
-	count, was float64
+// rateMeter counts events in windows of a second and keeps the last whole one.
+type rateMeter struct {
+	windowStart     time.Duration
+	count, previous float64
 }
 
-func (m *meter) add(now time.Duration) {
-	m.turn(now)
+func (m *rateMeter) add(now time.Duration) {
+	m.roll(now)
 	m.count++
 }
 
-func (m *meter) turn(now time.Duration) {
-	switch d := now - m.from; {
+func (m *rateMeter) roll(now time.Duration) {
+	switch d := now - m.windowStart; {
 	case d < meterWindow:
 	case d < 2*meterWindow:
-		m.from, m.was, m.count = m.from+meterWindow, m.count, 0
+		m.windowStart, m.previous, m.count = m.windowStart+meterWindow, m.count, 0
 	default:
-		m.from, m.was, m.count = now, 0, 0
+		m.windowStart, m.previous, m.count = now, 0, 0
 	}
 }
 
 // rate returns the events a second of the last whole window.
-func (m *meter) rate(now time.Duration) float64 {
-	m.turn(now)
-	return m.was / meterWindow.Seconds()
+func (m *rateMeter) rate(now time.Duration) float64 {
+	m.roll(now)
+	return m.previous / meterWindow.Seconds()
 }
--- a/flow/sched/trace_test.go
+++ b/flow/sched/trace_test.go
@@ -15,116 +15,116 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// state is what a model knows of one request.
-type state struct {
-	m          sched.ArriveMsg
+// requestState is what a model knows of one request.
+type requestState struct {
+	arrival    sched.ArriveMsg
 	target     string // while sent
-	last       string
+	lastTarget string
 	attempts   int
 	mayHaveRun bool
-	over       bool
+	ended      bool
 }
 
-// model checks every command of a scheduler against what may be done.
-type model struct {
+// checker checks every command of a scheduler against what may be done.
+type checker struct {
 	*rapid.T
-	s               *sched.Scheduler
-	now             time.Time
-	reqs            map[sched.ID]*state
-	slots           map[string]int // of listed targets
-	busy            map[string]int
-	leaving         map[string]time.Time
-	firsts, retries int
-	free            int // retries after a refusal of a leaving target
-	next            sched.ID
-	share           float64
-	burst           int
-	shares          map[string]int
+	scheduler           *sched.Scheduler
+	now                 time.Time
+	requests            map[sched.ID]*requestState
+	slots               map[string]int // of listed targets
+	busy                map[string]int
+	leaving             map[string]time.Time
+	firstSends, retries int
+	unpaidRetries       int // retries after a refusal of a leaving target
+	lastID              sched.ID
+	retryShare          float64
+	retryBurst          int
+	shares              map[string]int
 }
 
-func newModel(t *rapid.T) *model {
-	m := &model{
-		T: t, now: time.Unix(1000, 0), reqs: map[sched.ID]*state{}, slots: map[string]int{},
-		busy: map[string]int{}, leaving: map[string]time.Time{}, share: 0.1, burst: 1,
+func newChecker(t *rapid.T) *checker {
+	m := &checker{
+		T: t, now: time.Unix(1000, 0), requests: map[sched.ID]*requestState{}, slots: map[string]int{},
+		busy: map[string]int{}, leaving: map[string]time.Time{}, retryShare: 0.1, retryBurst: 1,
 	}
-	m.s = sched.New("orders", sched.WithRetryBudget(m.share, m.burst))
+	m.scheduler = sched.New("orders", sched.WithRetryBudget(m.retryShare, m.retryBurst))
 	return m
 }
 
-func (m *model) update(x sched.Msg) {
-	var fresh []sched.ID
-	for _, c := range m.s.Update(x) {
+func (m *checker) update(x sched.Msg) {
+	var newlySent []sched.ID
+	for _, c := range m.scheduler.Update(x) {
 		switch c := c.(type) {
 		case sched.SendCmd:
-			m.sent(c)
-			fresh = append(fresh, c.ID)
+			m.checkSend(c)
+			newlySent = append(newlySent, c.ID)
 		case sched.EndCmd:
-			m.ended(c)
+			m.checkEnd(c)
 		}
 	}
-	m.urgentFirst(fresh)
+	m.checkUrgentFirst(newlySent)
 }
 
-func (m *model) must(ok bool, f string, a ...any) {
+func (m *checker) require(ok bool, f string, a ...any) {
 	m.Helper()
 	if !ok {
 		m.Fatalf(f, a...)
 	}
 }
 
-func (m *model) sent(c sched.SendCmd) {
-	r := m.reqs[c.ID]
-	m.must(r != nil && !r.over && r.target == "", "request %d is sent though it is not waiting", c.ID)
-	m.must(r.m.Idempotent || !r.mayHaveRun, "request %d may have run and is sent again", c.ID)
-	m.must(m.now.Before(r.m.Deadline), "request %d is sent after its deadline", c.ID)
+func (m *checker) checkSend(c sched.SendCmd) {
+	r := m.requests[c.ID]
+	m.require(r != nil && !r.ended && r.target == "", "request %d is sent though it is not waiting", c.ID)
+	m.require(r.arrival.Idempotent || !r.mayHaveRun, "request %d may have run and is sent again", c.ID)
+	m.require(m.now.Before(r.arrival.Deadline), "request %d is sent after its deadline", c.ID)
 	n, ok := m.slots[c.Target]
-	m.must(ok, "request %d goes to %s, which is off the list", c.ID, c.Target)
+	m.require(ok, "request %d goes to %s, which is off the list", c.ID, c.Target)
 	t, ok := m.leaving[c.Target]
-	m.must(!ok || !m.now.Before(t), "request %d goes to %s, which is leaving", c.ID, c.Target)
+	m.require(!ok || !m.now.Before(t), "request %d goes to %s, which is leaving", c.ID, c.Target)
 	m.busy[c.Target]++
-	m.must(m.busy[c.Target] <= n, "%d requests for %d slots of %s", m.busy[c.Target], n, c.Target)
+	m.require(m.busy[c.Target] <= n, "%d requests for %d slots of %s", m.busy[c.Target], n, c.Target)
 	r.attempts++
-	m.must(r.attempts == c.Attempt, "attempt %d is called %d", r.attempts, c.Attempt)
-	r.target, r.last = c.Target, c.Target
+	m.require(r.attempts == c.Attempt, "attempt %d is called %d", r.attempts, c.Attempt)
+	r.target, r.lastTarget = c.Target, c.Target
 	if c.Attempt == 1 {
-		m.firsts++
+		m.firstSends++
 	} else {
 		m.retries++
 	}
-	m.must(float64(m.retries-m.free) <= m.share*float64(m.firsts)+float64(m.burst), "%d retries for %d first sends", m.retries, m.firsts)
+	m.require(float64(m.retries-m.unpaidRetries) <= m.retryShare*float64(m.firstSends)+float64(m.retryBurst), "%d retries for %d first sends", m.retries, m.firstSends)
 }
 
-func (m *model) ended(c sched.EndCmd) {
-	r := m.reqs[c.ID]
-	m.must(r != nil && !r.over, "request %d ends twice", c.ID)
-	m.must(c.NotRun == (!r.mayHaveRun && r.target == ""), "request %d is said not to have run: %v", c.ID, c.NotRun)
-	m.must(c.RetryAfter >= 0, "a negative time")
-	r.over = true
+func (m *checker) checkEnd(c sched.EndCmd) {
+	r := m.requests[c.ID]
+	m.require(r != nil && !r.ended, "request %d ends twice", c.ID)
+	m.require(c.NotRun == (!r.mayHaveRun && r.target == ""), "request %d is said not to have run: %v", c.ID, c.NotRun)
+	m.require(c.RetryAfter >= 0, "a negative time")
+	r.ended = true
 }
 
-// urgentFirst checks that no other request was sent while a new urgent one went on waiting.
-func (m *model) urgentFirst(fresh []sched.ID) {
-	other := slices.ContainsFunc(fresh, func(i sched.ID) bool { return m.reqs[i].m.Class != sched.Urgent })
+// checkUrgentFirst checks that no other request was sent while a new urgent one went on waiting.
+func (m *checker) checkUrgentFirst(newlySent []sched.ID) {
+	other := slices.ContainsFunc(newlySent, func(i sched.ID) bool { return m.requests[i].arrival.Class != sched.Urgent })
 	if !other {
 		return
 	}
-	for i, r := range m.reqs {
-		m.must(r.over || r.target != "" || r.attempts > 0 || r.m.Class != sched.Urgent, "urgent request %d was passed over", i)
+	for i, r := range m.requests {
+		m.require(r.ended || r.target != "" || r.attempts > 0 || r.arrival.Class != sched.Urgent, "urgent request %d was passed over", i)
 	}
 }
 
-func (m *model) arrive() {
-	m.next++
+func (m *checker) arrive() {
+	m.lastID++
 	a := sched.ArriveMsg{
-		Now: m.now, ID: m.next, Team: rapid.SampledFrom([]string{"kitchen", "riders", "other"}).Draw(m.T, "team"),
+		Now: m.now, ID: m.lastID, Team: rapid.SampledFrom([]string{"kitchen", "riders", "other"}).Draw(m.T, "team"),
 		Class: sched.Class(rapid.IntRange(0, 2).Draw(m.T, "class")), Idempotent: rapid.Bool().Draw(m.T, "idempotent"),
 		Deadline: m.now.Add(time.Duration(rapid.SampledFrom([]int{-1, 0, 5, 20, 100, 300, 2000, 60000}).Draw(m.T, "ms")) * time.Millisecond),
 	}
-	m.reqs[a.ID] = &state{m: a}
+	m.requests[a.ID] = &requestState{arrival: a}
 	m.update(a)
 }
 
-func (m *model) done() {
+func (m *checker) done() {
 	l := m.inFlight()
 	if len(l) == 0 {
 		return
@@ -132,18 +132,18 @@
 	m.finish(rapid.SampledFrom(l).Draw(m.T, "request"), sched.Result(rapid.IntRange(0, 4).Draw(m.T, "result")), rapid.IntRange(0, 9).Draw(m.T, "leaving") == 0)
 }
 
-func (m *model) inFlight() []sched.ID {
+func (m *checker) inFlight() []sched.ID {
 	var l []sched.ID
-	for _, i := range slices.Sorted(maps.Keys(m.reqs)) {
-		if m.reqs[i].target != "" {
+	for _, i := range slices.Sorted(maps.Keys(m.requests)) {
+		if m.requests[i].target != "" {
 			l = append(l, i)
 		}
 	}
 	return l
 }
 
-func (m *model) finish(i sched.ID, x sched.Result, leaving bool) {
-	r := m.reqs[i]
+func (m *checker) finish(i sched.ID, x sched.Result, leaving bool) {
+	r := m.requests[i]
 	d := sched.DoneMsg{Now: m.now, ID: i, Target: r.target, Result: x, Leaving: leaving}
 	m.busy[r.target]--
 	if leaving {
@@ -155,41 +155,41 @@
 	r.target = ""
 	r.mayHaveRun = r.mayHaveRun || x == sched.Failed || x == sched.Unknown
 	if leaving && x == sched.NotRun {
-		m.free++
+		m.unpaidRetries++
 	}
 	if x == sched.Answered || x == sched.Withdrawn {
-		r.over = true
+		r.ended = true
 	}
 	m.update(d)
-	n := len(m.s.Update(sched.DoneMsg{Now: m.now, ID: i, Target: "nowhere", Result: sched.Answered}))
-	m.must(n == 0, "a wrong DoneMsg has %d effects", n)
+	n := len(m.scheduler.Update(sched.DoneMsg{Now: m.now, ID: i, Target: "nowhere", Result: sched.Answered}))
+	m.require(n == 0, "a wrong DoneMsg has %d effects", n)
 }
 
-// repeat sends the arrival of an open request again.
-func (m *model) repeat() {
-	for i := sched.ID(1); i <= m.next; i++ {
-		if r := m.reqs[i]; !r.over || r.target != "" {
-			a := r.m
+// repeatArrival sends the arrival of an open request again.
+func (m *checker) repeatArrival() {
+	for i := sched.ID(1); i <= m.lastID; i++ {
+		if r := m.requests[i]; !r.ended || r.target != "" {
+			a := r.arrival
 			a.Now, a.Deadline = m.now, m.now.Add(time.Second)
-			n := len(m.s.Update(a))
-			m.must(n == 0, "a repeated arrival has %d effects", n)
+			n := len(m.scheduler.Update(a))
+			m.require(n == 0, "a repeated arrival has %d effects", n)
 			return
 		}
 	}
 }
 
-func (m *model) cancel() {
-	if m.next > 0 {
-		m.update(sched.CancelMsg{Now: m.now, ID: sched.ID(rapid.Uint64Range(1, uint64(m.next)).Draw(m.T, "cancelled"))})
+func (m *checker) cancel() {
+	if m.lastID > 0 {
+		m.update(sched.CancelMsg{Now: m.now, ID: sched.ID(rapid.Uint64Range(1, uint64(m.lastID)).Draw(m.T, "cancelled"))})
 	}
 }
 
-func (m *model) tick() {
+func (m *checker) tick() {
 	m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 3, 10, 40, 40, 1500, 31000}).Draw(m.T, "pass")) * time.Millisecond)
 	m.update(sched.TickMsg{Now: m.now})
 }
 
-func (m *model) retarget() {
+func (m *checker) changeTargets() {
 	old := maps.Clone(m.slots)
 	clear(m.slots)
 	var l []sched.Target
@@ -212,7 +212,7 @@
 	m.update(sched.TargetsMsg{Now: m.now, Targets: l})
 }
 
-func (m *model) reshare() {
+func (m *checker) changeShares() {
 	x := map[string]int{}
 	for _, n := range slices.Sorted(maps.Keys(m.slots)) {
 		m.slots[n] = rapid.IntRange(0, 3).Draw(m.T, "share")
@@ -222,8 +222,8 @@
 	m.update(sched.SharesMsg{Now: m.now, Shares: x})
 }
 
-// settle ends all sends and lets all deadlines pass.
-func (m *model) settle() {
+// finishAll ends all sends and lets all deadlines pass.
+func (m *checker) finishAll() {
 	for _, i := range m.inFlight() {
 		m.finish(i, sched.Answered, false)
 	}
@@ -234,96 +234,96 @@
 			m.finish(i, sched.Answered, false)
 		}
 	}
-	for i, r := range m.reqs {
-		m.must(r.over, "request %d has no end", i)
+	for i, r := range m.requests {
+		m.require(r.ended, "request %d has no end", i)
 	}
-	t := m.s.Stats()
-	m.must(t.Busy() == 0 && t.Queued(sched.Urgent)+t.Queued(sched.Normal)+t.Queued(sched.Background) == 0, "something is left")
+	t := m.scheduler.Stats()
+	m.require(t.Busy() == 0 && t.Queued(sched.Urgent)+t.Queued(sched.Normal)+t.Queued(sched.Background) == 0, "something is left")
 }
 
-func TestEveryRequestEndsOnceAndTruly(t *testing.T) { rapid.Check(t, trace) }
+func TestEveryRequestEndsOnceAndTruly(t *testing.T) { rapid.Check(t, runRandomTrace) }
 
-func FuzzEveryRequestEndsOnceAndTruly(f *testing.F) { f.Fuzz(rapid.MakeFuzz(trace)) }
+func FuzzEveryRequestEndsOnceAndTruly(f *testing.F) { f.Fuzz(rapid.MakeFuzz(runRandomTrace)) }
 
-// trace runs random messages and ends all requests.
-func trace(t *rapid.T) {
-	m := newModel(t)
+// runRandomTrace runs random messages and ends all requests.
+func runRandomTrace(t *rapid.T) {
+	m := newChecker(t)
 	if rapid.Bool().Draw(t, "quotas") {
 		m.update(sched.QuotasMsg{Now: m.now, Rates: map[string]float64{"kitchen": 50, "riders": 5}})
 	}
-	m.retarget()
-	acts := []func(){m.arrive, m.arrive, m.arrive, m.done, m.done, m.tick, m.cancel, m.repeat, m.retarget, m.reshare}
+	m.changeTargets()
+	steps := []func(){m.arrive, m.arrive, m.arrive, m.done, m.done, m.tick, m.cancel, m.repeatArrival, m.changeTargets, m.changeShares}
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
-		acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]()
+		steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
 	}
-	m.settle()
+	m.finishAll()
 }
 
-// pair is a scheduler and its naive version under the same trace.
-type pair struct {
+// comparison is a scheduler and its naive version under the same trace.
+type comparison struct {
 	*rapid.T
-	n   *naive
-	s   *sched.Scheduler
-	now time.Time
-	id  sched.ID
-	at  map[sched.ID]string // target of each request that s sent
+	reference *reference
+	scheduler *sched.Scheduler
+	now       time.Time
+	lastID    sched.ID
+	target    map[sched.ID]string // target of each request that s sent
 }
 
-// both gives x to the scheduler and y to the naive version, and compares what they do.
-func (p *pair) both(x, y sched.Msg) {
+// compare gives x to the scheduler and y to the naive version, and compares what they do.
+func (p *comparison) compare(x, y sched.Msg) {
 	p.Helper()
-	l := p.s.Update(x)
+	l := p.scheduler.Update(x)
 	for _, c := range l {
 		if c, ok := c.(sched.SendCmd); ok {
-			p.at[c.ID] = c.Target
+			p.target[c.ID] = c.Target
 		}
 	}
-	a, b := order(l), order(p.n.Update(y))
+	a, b := withoutTargets(l), withoutTargets(p.reference.Update(y))
 	if !slices.Equal(a, b) {
 		p.Fatalf("%+v: does %+v, naive does %+v", x, a, b)
 	}
 }
 
-func (p *pair) arrive() {
-	p.id++
+func (p *comparison) arrive() {
+	p.lastID++
 	m := sched.ArriveMsg{
-		Now: p.now, ID: p.id, Class: sched.Class(rapid.IntRange(0, 2).Draw(p.T, "class")),
-		Deadline: far(time.Unix(1000, 0), rapid.IntRange(0, 3).Draw(p.T, "deadline")),
+		Now: p.now, ID: p.lastID, Class: sched.Class(rapid.IntRange(0, 2).Draw(p.T, "class")),
+		Deadline: farDeadline(time.Unix(1000, 0), rapid.IntRange(0, 3).Draw(p.T, "deadline")),
 	}
-	p.both(m, m)
+	p.compare(m, m)
 }
 
-func (p *pair) done() {
-	l := slices.Sorted(maps.Keys(p.n.sent))
+func (p *comparison) done() {
+	l := slices.Sorted(maps.Keys(p.reference.sent))
 	if len(l) == 0 {
 		return
 	}
 	i := rapid.SampledFrom(l).Draw(p.T, "done")
 	// Not Unknown: the slot of a lost request stays taken for a learned time, which the naive version has not.
 	x := rapid.SampledFrom([]sched.Result{sched.Answered, sched.Failed, sched.Withdrawn}).Draw(p.T, "result")
-	d := sched.DoneMsg{Now: p.now, ID: i, Target: p.at[i], Result: x}
+	d := sched.DoneMsg{Now: p.now, ID: i, Target: p.target[i], Result: x}
 	e := d
-	e.Target = p.n.sent[i].target
-	p.both(d, e)
+	e.Target = p.reference.sent[i].target
+	p.compare(d, e)
 }
 
-func (p *pair) cancel() {
-	if p.id > 0 {
-		m := sched.CancelMsg{Now: p.now, ID: sched.ID(rapid.Uint64Range(1, uint64(p.id)).Draw(p.T, "cancelled"))}
-		p.both(m, m)
+func (p *comparison) cancel() {
+	if p.lastID > 0 {
+		m := sched.CancelMsg{Now: p.now, ID: sched.ID(rapid.Uint64Range(1, uint64(p.lastID)).Draw(p.T, "cancelled"))}
+		p.compare(m, m)
 	}
 }
 
-func TestSameAsNaiveWithFarDeadlines(t *testing.T) {
+func TestMatchesReferenceWithFarDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &pair{T: t, n: newNaive(), now: time.Unix(1000, 0), at: map[sched.ID]string{}}
-		p.s = sched.New("orders", sched.WithMaxEjected(0), sched.WithUrgentStart(1000*time.Hour))
+		p := &comparison{T: t, reference: newReference(), now: time.Unix(1000, 0), target: map[sched.ID]string{}}
+		p.scheduler = sched.New("orders", sched.WithMaxEjected(0), sched.WithUrgentStart(1000*time.Hour))
 		m := sched.TargetsMsg{Now: p.now, Targets: []sched.Target{sched.NewTarget("a", "r", 2), sched.NewTarget("b", "q", 1)}}
-		p.both(m, m)
-		acts := []func(){p.arrive, p.arrive, p.arrive, p.cancel, p.done, p.done}
+		p.compare(m, m)
+		steps := []func(){p.arrive, p.arrive, p.arrive, p.cancel, p.done, p.done}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			p.now = p.now.Add(time.Millisecond)
-			acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]()
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
 		}
 	})
 }
--- a/flow/share/loans_test.go
+++ b/flow/share/loans_test.go
@@ -51,19 +51,19 @@
 // simulation holds a set of entries, the messages in flight between them and the slots that they use.
 type simulation struct {
 	*rapid.T
-	now      time.Time
-	names    []string // members of the newest roster
-	number   int64
-	entries  map[string]*entry
-	inFlight []envelope
+	now          time.Time
+	names        []string // members of the newest roster
+	rosterNumber int64
+	entries      map[string]*entry
+	inFlight     []envelope
 }
 
 type entry struct {
 	*share.Loans
-	shares map[string]int
-	busy   map[string]int
-	queued int
-	number int64
+	shares       map[string]int
+	busy         map[string]int
+	queued       int
+	rosterNumber int64
 }
 
 type envelope struct {
@@ -112,22 +112,22 @@
 	w.names = append(w.names, e)
 	w.entries[e] = &entry{Loans: share.New(e), busy: map[string]int{}}
 	w.deliver(e, share.TargetsMsg{Now: w.now, Slots: map[string]int{"vm-0": slotsPerTarget, "vm-1": slotsPerTarget}})
-	w.number++
+	w.rosterNumber++
 }
 
 // removeEntry ends an entry and its requests.
 func (w *simulation) removeEntry(e string) {
 	w.names = slices.DeleteFunc(w.names, func(x string) bool { return x == e })
 	delete(w.entries, e)
-	w.number++
+	w.rosterNumber++
 }
 
 func (w *simulation) drawEntry() string { return rapid.SampledFrom(w.names).Draw(w.T, "entry") }
 
 // deliverRoster passes an entry the newest roster and the rosters that its peers have adopted.
 func (w *simulation) deliverRoster(e string) {
-	w.entries[e].number = w.number
-	w.deliver(e, share.RosterMsg{Now: w.now, Number: w.number, Entries: slices.Clone(w.names)})
+	w.entries[e].rosterNumber = w.rosterNumber
+	w.deliver(e, share.RosterMsg{Now: w.now, Number: w.rosterNumber, Entries: slices.Clone(w.names)})
 	for _, p := range w.names {
 		if n := w.entries[p].Settled(); n > 0 && p != e {
 			w.deliver(e, share.SettledMsg{Now: w.now, From: p, Number: n})
@@ -185,7 +185,7 @@
 		}
 	case 1:
 		if len(w.names) < 4 {
-			w.addEntry(fmt.Sprint("entry-", w.number))
+			w.addEntry(fmt.Sprint("entry-", w.rosterNumber))
 		}
 	}
 }
--- a/flow/share/replay_test.go
+++ b/flow/share/replay_test.go
@@ -18,7 +18,7 @@
 
 // workloads are the run times and class mixes of the bursts.
 var workloads = map[string][]share.ShapeOption{
-	"even run times":        nil,
+	"uniform run times":     nil,
 	"exponential run times": {share.WithExponentialRuns()},
 	"many urgent requests":  {share.WithClasses(0.45, 0.1)},
 	"no background":         {share.WithClasses(0.2, 0)},
@@ -45,11 +45,11 @@
 }
 
 // checkBounds checks the goodput, that all urgent and background requests were answered in time, and the recovery time.
-func checkBounds(t *testing.T, r *share.Result, least float64) {
+func checkBounds(t *testing.T, r *share.Result, wantGoodput float64) {
 	t.Helper()
 	i := is.New(t)
 	t.Log(r)
-	i.True(r.Goodput() >= least)
+	i.True(r.Goodput() >= wantGoodput)
 	i.Equal(r.InTime(sched.Urgent), 1.0)
 	i.Equal(r.InTime(sched.Background), 1.0)
 	i.True(r.Recovery() <= maxRecovery)
--- a/flow/share/trace.go
+++ b/flow/share/trace.go
@@ -116,18 +116,18 @@
 }
 
 // addRequests adds requests at random times within the span.
-func (s Shape) addRequests(t *Trace, r *rand.Rand, turn int, x span, perSecond float64) {
+func (s Shape) addRequests(t *Trace, r *rand.Rand, burst int, x span, perSecond float64) {
 	for at := x.from; ; {
 		at += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= x.to {
 			return
 		}
-		t.requests = append(t.requests, s.request(r, turn, at))
+		t.requests = append(t.requests, s.request(r, burst, at))
 	}
 }
 
-func (s Shape) request(r *rand.Rand, turn int, at time.Duration) Request {
-	q := Request{arrivesAt: at, entry: s.pickEntry(r, turn), idempotent: r.IntN(2) == 0}
+func (s Shape) request(r *rand.Rand, burst int, at time.Duration) Request {
+	q := Request{arrivesAt: at, entry: s.pickEntry(r, burst), idempotent: r.IntN(2) == 0}
 	f := 0.2 + 1.6*r.Float64()
 	if s.exponential {
 		f = r.ExpFloat64()
@@ -145,7 +145,7 @@
 }
 
 // pickEntry draws the entry at which a request arrives.
-func (s Shape) pickEntry(r *rand.Rand, turn int) int {
+func (s Shape) pickEntry(r *rand.Rand, burst int) int {
 	sum, w := 0.0, make([]float64, s.entries)
 	for i := range w {
 		w[i] = 1
@@ -156,5 +156,5 @@
 	}
 	u := r.Float64() * sum
 	i := slices.IndexFunc(w, func(f float64) bool { u -= f; return u < 0 })
-	return (max(i, 0) + turn) % s.entries
+	return (max(i, 0) + burst) % s.entries
 }
