--- a/flow/sched/bench_test.go
+++ b/flow/sched/bench_test.go
@@ -16,7 +16,7 @@
 	return l
 }
 
-// newScheduler returns a scheduler with targets of 8 slots, four to a rack, and teams that may use all of them.
+// newScheduler returns a scheduler with targets of 8 slots, four targets to a rack, and teams with quotas large enough for all slots.
 func newScheduler(now time.Time, targets, teams int) *sched.Scheduler {
 	s := sched.New("orders")
 	var l []sched.Target
@@ -40,7 +40,7 @@
 	}
 }
 
-// benchmarkArriveDone keeps a few requests waiting all the time.
+// benchmarkArriveDone keeps a few requests queued all the time.
 func benchmarkArriveDone(b *testing.B, targets, teams int) {
 	now := time.Unix(0, 0)
 	s, team := newScheduler(now, targets, teams), names("team", teams)
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkCancelWave is the time of one cancellation among n waiting requests.
+// BenchmarkCancelWave measures one cancellation among n queued requests.
 func BenchmarkCancelWave(b *testing.B) {
 	for _, n := range []int{1000, 50000} {
 		b.Run(fmt.Sprint("waiting=", n), func(b *testing.B) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkOverload is the time of one arrival that is refused because the queue is full of work.
+// BenchmarkOverload measures one arrival that is refused because the queue is too long for its deadline.
 func BenchmarkOverload(b *testing.B) {
 	now := time.Unix(0, 0)
 	s := newScheduler(now, 4, 3)
--- a/flow/sched/doc.go
+++ b/flow/sched/doc.go
@@ -1,4 +1,5 @@
-// Package sched decides, for one service at one entry, which request is refused, queued, sent or sent again, and to which target.
+// Package sched schedules the requests of one service at one entry: it admits or refuses them, queues them, selects a target for
+// each send and decides about retries.
 //
-// Scheduler is changed only by Update; it reads no clock, does no I/O and starts no goroutine.
+// A Scheduler changes only through Update. It reads no clock, does no I/O and starts no goroutine.
 package sched
--- a/flow/sched/msg.go
+++ b/flow/sched/msg.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// ID names one request at this entry.
+// ID identifies a request at this entry.
 type ID uint64
 
-// Class orders requests; a lower value goes first.
+// Class is the urgency of a request. Requests with a lower value are sent first.
 type Class uint8
 
 const (
-	// Urgent requests go first.
+	// Urgent requests are sent before all others.
 	Urgent Class = iota
-	// Normal requests go after urgent ones.
+	// Normal requests are sent after urgent ones.
 	Normal
-	// Background requests go last, but before their deadline.
+	// Background requests are sent last, except when their deadlines require a slot earlier.
 	Background
 )
 
-// Result is what became of one send.
+// Result is the outcome of one send.
 type Result uint8
 
 const (
-	// Answered means that the whole answer came.
+	// Answered means that the complete answer of the target was received.
 	Answered Result = iota
 	// NotRun means that the target refused the request and certainly did not run it.
 	NotRun
-	// Failed means that the target answered with its own failure; the request ran.
+	// Failed means that the target ran the request and answered with an error.
 	Failed
-	// Unknown means that the answer was lost; the request may have run.
+	// Unknown means that the answer was lost. The request may have run.
 	Unknown
-	// Withdrawn means that the runner itself ended the request before any byte of it left, so that its slot is free and nothing follows.
+	// Withdrawn means that the runner ended the request before it sent any byte. The slot is free and nothing follows.
 	Withdrawn
 )
 
-// Msg is anything that changes a Scheduler.
+// Msg is an input to a Scheduler.
 type Msg interface{ isMsg() }
 
-// ArriveMsg says that a checked and approved request has come in.
+// ArriveMsg reports a new request that was checked and approved.
 type ArriveMsg struct {
 	Now        time.Time
 	ID         ID
@@ -46,10 +46,11 @@
 	Idempotent bool
 }
 
-// DoneMsg says that a send has ended; Leaving says that the target announced that it is leaving.
+// DoneMsg reports the end of a send. Leaving means that the target announced that it is leaving.
 //
-// After Answered the request is over without a command: the runner gives the answer, unless an EndCmd came before.
-// After any other result the request waits for its next SendCmd or its EndCmd, which may come in a later Update.
+// After Answered or Withdrawn the request is complete and no command follows. After Answered, the runner passes the answer to
+// the caller, unless an EndCmd came before. After any other result, a request that has not had its EndCmd waits for it or for
+// its next SendCmd, which a later Update may return.
 type DoneMsg struct {
 	Now     time.Time
 	ID      ID
@@ -58,60 +59,60 @@
 	Leaving bool
 }
 
-// CancelMsg says that the caller has gone before the request was sent, or after.
+// CancelMsg reports that the caller has gone, before or after the request was sent.
 type CancelMsg struct {
 	Now time.Time
 	ID  ID
 }
 
-// TickMsg lets time pass; it comes at least every 10 ms while anything is queued.
+// TickMsg advances the time. It must come at least every 10 ms while requests are queued.
 type TickMsg struct{ Now time.Time }
 
-// TargetsMsg replaces the list of targets that may get new work.
+// TargetsMsg replaces the list of targets that may get new requests.
 type TargetsMsg struct {
 	Now     time.Time
 	Targets []Target
 }
 
-// SharesMsg replaces this entry's share of the slots of each target, and its borrowed slots.
+// SharesMsg replaces the number of slots that this entry may use at each target: its own share plus the borrowed slots.
 type SharesMsg struct {
 	Now    time.Time
 	Shares map[string]int
 }
 
-// QuotasMsg replaces the rates, in requests a second, that teams may use at this entry.
+// QuotasMsg replaces the teams' quotas at this entry, in requests per second.
 type QuotasMsg struct {
 	Now   time.Time
 	Rates map[string]float64
 }
 
-// PolicyMsg replaces what the service's profile says: the retries as a share of first sends, and the time within which urgent
-// requests are to be sent.
+// PolicyMsg replaces the settings from the service's profile. RetryShare is the number of retries that each first
+// send allows, and UrgentStart the time within which urgent requests should be sent.
 type PolicyMsg struct {
 	Now         time.Time
 	RetryShare  float64
 	UrgentStart time.Duration
 }
 
-// Target is one target as the scheduler knows it.
+// Target is a target that requests can be sent to.
 type Target struct {
 	name  string
 	rack  string
 	slots int
 }
 
-// NewTarget returns a target with the number of slots that this entry may use at once.
+// NewTarget returns a target at which this entry may use the given number of slots.
 func NewTarget(name, rack string, slots int) Target {
 	return Target{name: name, rack: rack, slots: slots}
 }
 
-// Name returns the target's VM.
+// Name returns the name of the target's VM.
 func (t Target) Name() string { return t.name }
 
-// Rack returns the target's failure domain.
+// Rack returns the target's rack, which is its failure domain.
 func (t Target) Rack() string { return t.rack }
 
-// Slots returns the number of requests that this entry may have at the target at once.
+// Slots returns the number of requests that this entry may have in flight at the target.
 func (t Target) Slots() int { return t.slots }
 
 func (ArriveMsg) isMsg()  {}
@@ -123,39 +124,41 @@
 func (QuotasMsg) isMsg()  {}
 func (PolicyMsg) isMsg()  {}
 
-// Reason tells why a request ended without an answer of a target.
+// Reason is the reason why a request ended without an answer from a target.
 type Reason string
 
 const (
 	// ReasonDeadline means that the request could not be answered by its deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonOverload means that the queue was too long for the deadline.
+	// ReasonOverload means that the service is overloaded: the queue is full or too long for the deadline, or the team is over its
+	// part of the capacity.
 	ReasonOverload Reason = "overload"
-	// ReasonQuota means that the team is over its quota and nothing is to be lent.
+	// ReasonQuota means that the team is over its quota and there is no unused capacity to lend it.
 	ReasonQuota Reason = "quota"
-	// ReasonNoTarget means that no target may get new work.
+	// ReasonNoTarget means that there is no target that may get new requests.
 	ReasonNoTarget Reason = "noTarget"
-	// ReasonRetries means that the retry budget is spent.
+	// ReasonRetries means that the request's attempts or the retry budget are spent.
 	ReasonRetries Reason = "retryBudget"
 	// ReasonUnknown means that the request was sent and its outcome is not known.
 	ReasonUnknown Reason = "unknown"
 	// ReasonCancelled means that the caller went away.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonFailed means that the target answered with its own failure, which is the caller's answer if the runner still holds it.
+	// ReasonFailed means that the target answered with an error. If the runner still holds that answer, it passes it to the caller.
 	ReasonFailed Reason = "failed"
 )
 
-// Cmd is something that the runner does for the Scheduler.
+// Cmd is an action that the runner carries out for the Scheduler.
 type Cmd interface{ isCmd() }
 
-// SendCmd asks to send the request to the target, for the given time of trying.
+// SendCmd sends the request to the target. Attempt counts the sends of the request, from 1.
 type SendCmd struct {
 	ID      ID
 	Target  string
 	Attempt int
 }
 
-// EndCmd asks to give the caller its final answer at once; NotRun is true only if the request was certainly not run.
+// EndCmd gives the caller its final answer at once. NotRun is true only if the request certainly did not run. RetryAfter tells
+// the caller how long to wait before a retry.
 type EndCmd struct {
 	ID         ID
 	Reason     Reason
--- a/flow/sched/option.go
+++ b/flow/sched/option.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Option changes the settings of a Scheduler at its making.
+// Option configures a new Scheduler.
 type Option func(*settings)
 
 type settings struct {
@@ -20,16 +20,16 @@
 	}
 }
 
-// WithRetryBudget sets the retries allowed as a share of first sends, and the burst of retries allowed at once.
+// WithRetryBudget sets the number of retries that each first send allows, and the burst of retries allowed at once.
 func WithRetryBudget(share float64, burst int) Option {
 	return func(s *settings) { s.retryShare, s.retryBurst = share, burst }
 }
 
-// WithUrgentStart sets the time within which urgent requests are to be sent.
+// WithUrgentStart sets the time within which urgent requests should be sent.
 func WithUrgentStart(d time.Duration) Option { return func(s *settings) { s.urgentStart = d } }
 
-// WithMaxEjected sets the share of the targets that may be ejected at once.
+// WithMaxEjected sets the share of the targets that may be ejected at the same time.
 func WithMaxEjected(f float64) Option { return func(s *settings) { s.maxEjected = f } }
 
-// WithBound sets how many requests may wait.
+// WithBound sets the maximum number of queued requests.
 func WithBound(n int) Option { return func(s *settings) { s.maxQueued = n } }
--- a/flow/sched/reference_test.go
+++ b/flow/sched/reference_test.go
@@ -7,7 +7,7 @@
 	"burdockreach.dev/flow/sched"
 )
 
-// reference is a scheduler without estimates, quotas, ejection or retries, on plain slices.
+// reference is a simple scheduler to compare with: it uses plain slices and has no estimates, quotas, ejection or retries.
 type reference struct {
 	waiting []*referenceRequest
 	sent    map[sched.ID]*referenceRequest
@@ -87,7 +87,7 @@
 	}
 }
 
-// withoutTargets returns what the commands do to which requests, without the targets.
+// withoutTargets returns the commands with their targets removed.
 func withoutTargets(l []sched.Cmd) []sched.Cmd {
 	var o []sched.Cmd
 	for _, c := range l {
@@ -101,6 +101,7 @@
 	return o
 }
 
+// farDeadline returns a deadline that is always met, at least 100 hours away.
 func farDeadline(now time.Time, hours int) time.Time {
 	return now.Add(time.Hour * time.Duration(100+hours))
 }
--- a/flow/sched/sched.go
+++ b/flow/sched/sched.go
@@ -11,23 +11,23 @@
 
 const (
 	defaultUrgentStart = 1500 * time.Millisecond
-	noTargetGrace      = time.Second // in which requests wait for a target to come back
-	noTargetRetryAfter = time.Second
-	overloadedFor      = time.Second // after a request was shed the service counts as overloaded
+	noTargetGrace      = time.Second // requests wait this long for a target to come back
+	noTargetRetryAfter = time.Second // for requests that end because there is no target
+	overloadedFor      = time.Second // the service counts as overloaded for this long after a request was shed
 	minRetryAfter      = 20 * time.Millisecond
 	maxRetryAfter      = 30 * time.Second
-	retryCapacityShare = 0.8 // of the capacity is for requests that come back
-	maxUnplaced        = 4   // requests that may wait for another target while the ones behind them go
-	maxFreeRequests    = 1024
+	retryCapacityShare = 0.8  // share of the capacity that retries of shed requests may use
+	maxUnplaced        = 4    // requests that found no target and are set aside while those behind them are tried
+	maxFreeRequests    = 1024 // request structs kept for reuse
 )
 
-// Scheduler decides for the requests of one service at one entry; it is changed only by Update and is not safe for concurrent use.
+// Scheduler schedules the requests of one service at one entry. It changes only through Update and is not safe for concurrent use.
 type Scheduler struct {
 	service     string
 	urgentStart time.Duration
 	started     bool
 	epoch       time.Time
-	now         time.Duration
+	now         time.Duration // since epoch
 
 	gate        *admit.Gate
 	queue       *queue.Queue[*request]
@@ -35,21 +35,21 @@
 	retryBudget *retry.Budget
 
 	requests      map[ID]*request
-	freeRequests  []*request
-	unplaced      []*request
+	freeRequests  []*request // for reuse
+	unplaced      []*request // to be queued again at the end of dispatch
 	targets       []Target
-	shares        map[string]int
-	targetsGoneAt time.Duration // when the last target went
+	shares        map[string]int // slots that this entry may use, by target
+	targetsGoneAt time.Duration  // when the last target was removed
 	lastShedAt    time.Duration
 	hasShed       bool
-	lastRetryAt   time.Duration // when the last shed request is to come back
+	lastRetryAt   time.Duration // latest time at which a shed request was told to come back
 	lastUrgentAt  time.Duration
 	hasUrgent     bool
 	meters        meters
 	cmds          []Cmd
 }
 
-// New returns a Scheduler without targets for the named service.
+// New returns a Scheduler for the named service, without targets.
 func New(service string, opts ...Option) *Scheduler {
 	c := defaults()
 	for _, o := range opts {
@@ -67,10 +67,11 @@
 // Service returns the service's name.
 func (s *Scheduler) Service() string { return s.service }
 
-// Taken sets in m the number of slots that are taken at each target, also by requests whose answer was lost and that may run on.
+// Taken stores the number of occupied slots of each target in m. The slot of a request whose answer was lost counts while the
+// request may still run.
 func (s *Scheduler) Taken(m map[string]int) { s.pool.Taken(m) }
 
-// Update takes a message and returns what to do; the returned slice is reused by the next Update.
+// Update processes a message and returns the commands to carry out. The next call reuses the returned slice.
 func (s *Scheduler) Update(m Msg) []Cmd {
 	s.cmds = s.cmds[:0]
 	switch m := m.(type) {
@@ -103,7 +104,7 @@
 	return s.cmds
 }
 
-// advance lets time go on; it never goes back.
+// advance moves the time forward; it never goes back.
 func (s *Scheduler) advance(t time.Time) {
 	if !s.started {
 		s.started, s.epoch = true, t
@@ -112,6 +113,7 @@
 	s.pool.Pass(s.now)
 }
 
+// arrive sends, queues or refuses a new request. It ignores an id that is in use.
 func (s *Scheduler) arrive(m *ArriveMsg) {
 	if _, ok := s.requests[m.ID]; ok {
 		return
@@ -138,7 +140,7 @@
 	r.queueHandle = h
 }
 
-// refusal returns why a request cannot be let in, and when to come back.
+// refusal returns the reason to refuse a request and when the caller may retry, or "" to admit it.
 func (s *Scheduler) refusal(team string, r *request) (Reason, time.Duration) {
 	if r.deadline <= s.now {
 		return ReasonDeadline, 0
@@ -157,9 +159,10 @@
 	return "", 0
 }
 
+// overloaded reports whether a request was shed recently.
 func (s *Scheduler) overloaded() bool { return s.hasShed && s.now < s.lastShedAt+overloadedFor }
 
-// capacity returns the requests a second that the slots in use can answer, 0 if unknown.
+// capacity returns the number of requests per second that the usable slots can answer, 0 if unknown.
 func (s *Scheduler) capacity() float64 {
 	m := s.queue.Mean()
 	if m <= 0 {
@@ -174,7 +177,9 @@
 	s.end(r, reason, s.retryAfter(excess))
 }
 
-// retryAfter returns when a shed request is to come back: after all that were told so before it, at the pace of the slots.
+// retryAfter returns how long the caller of a shed request should wait before a retry. It is at least excess and at most
+// maxRetryAfter. Each retry is scheduled after those of all requests shed before, so spaced that the retries take no more than
+// retryCapacityShare of the capacity.
 func (s *Scheduler) retryAfter(excess time.Duration) time.Duration {
 	s.lastRetryAt = max(s.lastRetryAt, s.now+max(excess, minRetryAfter))
 	if c := s.capacity(); c > 0 {
@@ -184,7 +189,7 @@
 	return s.lastRetryAt - s.now
 }
 
-// end gives a request its final answer.
+// end gives the caller of a request its final answer.
 func (s *Scheduler) end(r *request, reason Reason, retryAfter time.Duration) {
 	s.meters.ended[reason]++
 	s.cmds = append(s.cmds, EndCmd{ID: r.id, Reason: reason, NotRun: !r.mayHaveRun && !r.inFlight, RetryAfter: retryAfter})
@@ -194,6 +199,7 @@
 	}
 }
 
+// done processes the end of a send. It ignores a message that does not match the request's current send.
 func (s *Scheduler) done(m *DoneMsg) {
 	r, ok := s.requests[m.ID]
 	if !ok || !r.inFlight || r.target != m.Target {
@@ -209,7 +215,7 @@
 	s.retryOrEnd(r, m)
 }
 
-// recordOutcome tells the pool and the queue how a send ended.
+// recordOutcome reports the outcome of a send to the pool and the queue.
 func (s *Scheduler) recordOutcome(r *request, m *DoneMsg) {
 	var took time.Duration
 	o := route.Bad
@@ -234,7 +240,7 @@
 	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
-// retryOrEnd queues a request for another send, or ends it.
+// retryOrEnd queues a request for another send, or ends it if it is too late or may not be retried.
 func (s *Scheduler) retryOrEnd(r *request, m *DoneMsg) {
 	if r.deadline-s.now < s.queue.Mean() || r.deadline <= s.now {
 		s.end(r, deadlineReason(m.Result), 0)
@@ -282,7 +288,7 @@
 	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
-// usableSlots returns the usableSlots that this entry may use at the target.
+// usableSlots returns the number of the target's slots that this entry may use.
 func (s *Scheduler) usableSlots(t Target) int {
 	if n, ok := s.shares[t.name]; ok {
 		return n
--- a/flow/sched/sched_test.go
+++ b/flow/sched/sched_test.go
@@ -9,24 +9,24 @@
 	"burdockreach.dev/flow/sched"
 )
 
-// harness runs requests of a given time against a scheduler in virtual time.
+// harness runs requests with given run times against a scheduler in virtual time.
 type harness struct {
 	*is.I
-	s             *sched.Scheduler
+	scheduler     *sched.Scheduler
 	now           time.Time
 	sent          []sched.SendCmd
-	sentAt        []time.Time
+	sentAt        []time.Time // of each element of sent
 	ended         map[sched.ID]sched.EndCmd
-	sendsByTarget map[string]int // sends by target
+	sendsByTarget map[string]int
 }
 
 func newHarness(t *testing.T, targets int) *harness {
 	now := time.Unix(1000, 0)
-	return &harness{I: is.New(t), s: newScheduler(now, targets, 1), now: now, ended: map[sched.ID]sched.EndCmd{}, sendsByTarget: map[string]int{}}
+	return &harness{I: is.New(t), scheduler: newScheduler(now, targets, 1), now: now, ended: map[sched.ID]sched.EndCmd{}, sendsByTarget: map[string]int{}}
 }
 
 func (r *harness) update(m sched.Msg) {
-	for _, c := range r.s.Update(m) {
+	for _, c := range r.scheduler.Update(m) {
 		switch c := c.(type) {
 		case sched.SendCmd:
 			r.sent, r.sentAt = append(r.sent, c), append(r.sentAt, r.now)
@@ -41,7 +41,7 @@
 	r.update(sched.ArriveMsg{Now: r.now, ID: id, Team: "team-000", Class: c, Deadline: r.now.Add(d), Idempotent: true})
 }
 
-// advance lets a millisecond go by; requests sent that long ago end as f says.
+// advance lets a millisecond pass. Sends that are at least run old end with the result that f returns.
 func (r *harness) advance(run time.Duration, f func(sched.SendCmd) sched.Result) {
 	r.now = r.now.Add(time.Millisecond)
 	for len(r.sent) > 0 && !r.sentAt[0].Add(run).After(r.now) {
@@ -66,8 +66,8 @@
 		})
 	}
 	r.True(r.sendsByTarget["vm-001"] < 30)
-	r.True(len(r.ended) < 10) // of 5000; the others were answered, at another target if need be
-	r.Equal(r.s.Stats().Ejected(), 1)
+	r.True(len(r.ended) < 10) // of 5000; all others were answered, some of them after a retry at another target
+	r.Equal(r.scheduler.Stats().Ejected(), 1)
 }
 
 func TestCancelWave(t *testing.T) {
@@ -91,12 +91,12 @@
 			notRun++
 		}
 	}
-	r.Equal(notRun, 1990-8) // eight were at the target
+	r.Equal(notRun, 1990-8) // eight were already at the target
 	for range 100 {
 		r.advance(10*time.Millisecond, answered)
 	}
-	r.Equal(r.s.Stats().Queued(sched.Background), 0)
-	r.Equal(r.s.Stats().Busy(), 0)
+	r.Equal(r.scheduler.Stats().Queued(sched.Background), 0)
+	r.Equal(r.scheduler.Stats().Busy(), 0)
 }
 
 func TestNoTarget(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 	r.update(sched.TargetsMsg{Now: r.now})
 	r.arrive(20, sched.Normal, time.Minute)
-	r.Equal(len(r.ended), 0) // the target may come back
+	r.Equal(len(r.ended), 0) // requests wait for the target to come back
 	for range 1001 {
 		r.advance(time.Hour, answered)
 	}
@@ -126,7 +126,7 @@
 	for i := range sched.ID(20) {
 		r.arrive(100+i, sched.Normal, time.Hour)
 	}
-	r.Equal(r.s.Stats().Busy(), 7)
+	r.Equal(r.scheduler.Stats().Busy(), 7)
 	r.arrive(2, sched.Urgent, time.Minute)
 	r.Equal(r.sent[len(r.sent)-1].ID, sched.ID(2))
 }
@@ -138,14 +138,14 @@
 		r.arrive(i, sched.Normal, time.Second)
 		r.advance(5*time.Millisecond, func(sched.SendCmd) sched.Result { sends++; return sched.NotRun })
 	}
-	r.True(float64(sends) <= 1.1*2000+10)
+	r.True(float64(sends) <= 1.1*2000+10) // first sends, the retry share of 10% and the burst of 10
 	for _, e := range r.ended {
 		r.True(e.NotRun)
 	}
 }
 
 func TestTeamFloodDoesNotAffectOtherTeams(t *testing.T) {
-	r := newHarness(t, 4) // 320 requests a second
+	r := newHarness(t, 4) // 32 slots and runs of 100 ms: 320 requests a second
 	r.update(sched.QuotasMsg{Now: r.now, Rates: map[string]float64{"kitchen": 160, "riders": 160}})
 	lastID, arrivals, answers := sched.ID(0), map[string]int{}, map[string]int{}
 	team := map[sched.ID]string{}
@@ -157,22 +157,23 @@
 	}
 	for ms := range 10000 {
 		if ms%10 == 0 {
-			ask("kitchen") // 100 a second
+			ask("kitchen") // 100 requests a second
 		}
-		ask("riders") // 1,000 a second
+		ask("riders") // 1,000 requests a second
 		r.advance(100*time.Millisecond, func(c sched.SendCmd) sched.Result { answers[team[c.ID]]++; return sched.Answered })
 	}
 	for range 3000 {
 		r.advance(100*time.Millisecond, func(c sched.SendCmd) sched.Result { answers[team[c.ID]]++; return sched.Answered })
 	}
-	t.Log(arrivals, answers, r.s.Stats().ServiceTime())
+	t.Log(arrivals, answers, r.scheduler.Stats().ServiceTime())
 	r.Equal(answers["kitchen"], arrivals["kitchen"])
-	r.True(answers["kitchen"]+answers["riders"] >= 3100) // of 3,200 that the slots can answer, and what waited at the end
+	r.True(answers["kitchen"]+answers["riders"] >= 3100) // of the 3,200 that the slots can answer in 10 s and those queued at the end
 }
 
-// TestRefusedCallersSucceedWhenRetryingAsTold lets callers whose requests were refused come back when they were told to.
+// Callers whose requests were shed retry once RetryAfter has passed. On average that must take fewer than two retries, and every
+// retry that comes after the burst must be admitted.
 func TestRefusedCallersSucceedWhenRetryingAsTold(t *testing.T) {
-	const burst = 5000 // ms, in which twice as much is asked for as the slots answer
+	const burst = 5000 // ms, during which requests come at twice the rate that the slots can answer
 	r := newHarness(t, 4)
 	retriesAt, id := map[int]int{}, sched.ID(0)
 	var refused, retries, retriesAfterBurst, refusedAfterBurst int
@@ -204,8 +205,8 @@
 	}
 	t.Log(refused, retries, retriesAfterBurst, refusedAfterBurst)
 	r.True(refused > 1000 && retriesAfterBurst > 500)
-	r.True(retries < 2*refused) // nobody has to ask again and again
-	r.Equal(refusedAfterBurst, 0)        // whoever comes after the burst finds room
+	r.True(retries < 2*refused)   // on average a shed request is retried less than twice
+	r.Equal(refusedAfterBurst, 0) // every retry after the burst is admitted
 }
 
 func TestProfileChangesRetryBudget(t *testing.T) {
@@ -219,13 +220,13 @@
 		return s.Update(sched.DoneMsg{Now: now, ID: id, Target: c[0].(sched.SendCmd).Target, Result: sched.NotRun})[0]
 	}
 	_, ended := sendAndRefuse(1).(sched.EndCmd)
-	i.True(ended) // no budget
+	i.True(ended) // there is no retry budget
 	s = sched.New("orders", sched.WithRetryBudget(0, 1))
 	s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget("a", "r", 8), sched.NewTarget("b", "q", 8)}})
 	s.Update(sched.PolicyMsg{Now: now, RetryShare: 1, UrgentStart: time.Second})
 	for id := range sched.ID(5) {
 		_, again := sendAndRefuse(id + 1).(sched.SendCmd)
-		i.True(again) // each first send pays for one retry
+		i.True(again) // each first send allows one retry
 		s.Update(sched.DoneMsg{Now: now, ID: id + 1, Target: "a", Result: sched.Answered})
 		s.Update(sched.DoneMsg{Now: now, ID: id + 1, Target: "b", Result: sched.Answered})
 	}
--- a/flow/sched/send.go
+++ b/flow/sched/send.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	urgentReserveFor = 10 * time.Minute // after an urgent request slots are held for the next
-	minSlotReleases  = 3                // of slots, expected within the time in which urgent requests are to start
+	urgentReserveFor = 10 * time.Minute // a slot is reserved for this long after an urgent request
+	minSlotReleases  = 3                // none is reserved if this many releases are expected within urgentStart
 )
 
-// request is one that has come and has neither its final answer nor its slot back.
+// request is a request that lacks its final answer or still occupies a slot.
 type request struct {
 	id          ID
 	class       queue.Class
 	deadline    time.Duration
 	sentAt      time.Duration
 	queueHandle queue.Handle
-	target      string // of the last send
+	target      string // of the latest send
 	attempts    int
 	idempotent  bool
 	mayHaveRun  bool
-	inFlight    bool
-	ended       bool
+	inFlight    bool // at a target, its slot is occupied
+	ended       bool // the final answer was given
 }
 
-// newRequest returns a request that is in the table.
+// newRequest adds a request to the table.
 func (s *Scheduler) newRequest(m *ArriveMsg, c queue.Class) *request {
 	var r *request
 	if k := len(s.freeRequests); k > 0 {
@@ -40,6 +40,7 @@
 	return r
 }
 
+// recycle removes a request from the table and keeps the struct for reuse.
 func (s *Scheduler) recycle(r *request) {
 	delete(s.requests, r.id)
 	if len(s.freeRequests) < maxFreeRequests {
@@ -47,8 +48,8 @@
 	}
 }
 
-// urgentReserve returns the free slots that requests of class c must leave to urgent ones:
-// none while enough slots become free in the time in which urgent requests are to start.
+// urgentReserve returns the number of free slots that requests of class c must leave to urgent ones. It is 0 while enough slots
+// are expected to be released within urgentStart.
 func (s *Scheduler) urgentReserve(c queue.Class) int {
 	if c == queue.Urgent || !s.hasUrgent || s.now > s.lastUrgentAt+urgentReserveFor {
 		return 0
@@ -60,7 +61,7 @@
 	return 1
 }
 
-// dispatch sheds what is hopeless and sends while a target has a free slot.
+// dispatch sheds queued requests that cannot meet their deadlines, and sends others while targets have free slots.
 func (s *Scheduler) dispatch() {
 	if s.queue.Len() == 0 {
 		return
@@ -85,7 +86,7 @@
 	s.endShed()
 }
 
-// endShed ends what the queue has shed.
+// endShed ends the requests that the queue has shed.
 func (s *Scheduler) endShed() {
 	for _, d := range s.queue.Dropped() {
 		reason := ReasonOverload
@@ -96,7 +97,7 @@
 	}
 }
 
-// endQueued ends all that wait for a target.
+// endQueued ends all queued requests because there is no target.
 func (s *Scheduler) endQueued() {
 	for {
 		r, ok := s.queue.Pop(s.now, false)
@@ -107,9 +108,9 @@
 	}
 }
 
-// trySend sends a request if a target has a slot for it.
+// trySend sends a request if a target has a free slot for it.
 func (s *Scheduler) trySend(r *request) bool {
-	careful := !r.idempotent || r.class == queue.Urgent
+	careful := !r.idempotent || r.class == queue.Urgent // rarely sent as a trial to an ejected target
 	t, ok := s.pool.Pick(s.now, r.target, careful)
 	if !ok {
 		return false
--- a/flow/sched/stats.go
+++ b/flow/sched/stats.go
@@ -7,7 +7,7 @@
 	"burdockreach.dev/flow/queue"
 )
 
-// Stats is what a Scheduler counts.
+// Stats holds the counters and the current state of a Scheduler.
 type Stats struct {
 	queued                     [3]int
 	busy, idle, slots          int
@@ -22,43 +22,45 @@
 // Queued returns the number of requests of class c that wait to be sent.
 func (s Stats) Queued(c Class) int { return s.queued[min(c, Background)] }
 
-// Busy returns the number of slots with a request at a target.
+// Busy returns the number of slots occupied by requests at targets.
 func (s Stats) Busy() int { return s.busy }
 
-// Idle returns the number of slots that this entry may use and leaves idle.
+// Idle returns the number of free slots that this entry may use.
 func (s Stats) Idle() int { return s.idle }
 
-// Slots returns the number of slots, idle or not, at the targets in use.
+// Slots returns the number of slots, free or occupied, of the targets in use.
 func (s Stats) Slots() int { return s.slots }
 
-// Pressing returns the number of waiting requests that should have a slot now: not those background ones whose time has not come.
+// Pressing returns the number of queued requests that need a slot now. Background requests count only as far as their deadlines
+// require slots now.
 func (s Stats) Pressing() int { return s.demand }
 
-// Yielding returns the number of background requests at targets that would make room for more pressing ones.
+// Yielding returns the number of background requests at targets beyond those that deadlines require. Their slots can go to more
+// urgent requests when they end.
 func (s Stats) Yielding() int { return s.reclaimable }
 
-// Held returns the idle slots that are kept for urgent requests.
+// Held returns the number of free slots that are reserved for urgent requests.
 func (s Stats) Held() int { return s.urgentReserve }
 
 // Targets returns the number of targets in use.
 func (s Stats) Targets() int { return s.targets }
 
-// Ejected returns the number of targets that get only trials.
+// Ejected returns the number of ejected targets, which get only trial requests.
 func (s Stats) Ejected() int { return s.ejected }
 
-// Ended returns the number of requests that ended for the reason since the start.
+// Ended returns the number of requests that have ended for the reason since the start.
 func (s Stats) Ended(r Reason) int64 { return s.ended[r] }
 
-// Arrivals returns the lately arrived requests a second.
+// Arrivals returns the recent arrival rate in requests per second.
 func (s Stats) Arrivals() float64 { return s.arrivals }
 
-// Goodput returns the requests a second that were lately answered in time.
+// Goodput returns the recent rate of requests answered in time, per second.
 func (s Stats) Goodput() float64 { return s.goodput }
 
-// ServiceTime returns the learned mean time that a send takes.
+// ServiceTime returns the estimated mean duration of a send, learned from answers.
 func (s Stats) ServiceTime() time.Duration { return s.serviceTime }
 
-// Stats returns what the scheduler counts.
+// Stats returns the current counters and state.
 func (s *Scheduler) Stats() Stats {
 	t := Stats{
 		busy: s.pool.Busy(), idle: s.pool.Free(), slots: s.pool.Slots(),
@@ -74,7 +76,7 @@
 	return t
 }
 
-// meters counts what happens.
+// meters holds the event counters of a Scheduler.
 type meters struct {
 	ended             map[Reason]int64
 	arrivals, goodput rateMeter
@@ -84,7 +86,7 @@
 
 const meterWindow = time.Second
 
-// rateMeter counts events in windows of a second and keeps the last whole one.
+// rateMeter counts events in windows of meterWindow and keeps the count of the last complete one.
 type rateMeter struct {
 	windowStart     time.Duration
 	count, previous float64
@@ -95,6 +97,7 @@
 	m.count++
 }
 
+// roll starts a new window if the current one has ended.
 func (m *rateMeter) roll(now time.Duration) {
 	switch d := now - m.windowStart; {
 	case d < meterWindow:
@@ -105,7 +108,7 @@
 	}
 }
 
-// rate returns the events a second of the last whole window.
+// rate returns the events per second in the last complete window.
 func (m *rateMeter) rate(now time.Duration) float64 {
 	m.roll(now)
 	return m.previous / meterWindow.Seconds()
--- a/flow/sched/trace_test.go
+++ b/flow/sched/trace_test.go
@@ -15,17 +15,17 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// requestState is what a model knows of one request.
+// requestState is what the checker knows of one request.
 type requestState struct {
 	arrival    sched.ArriveMsg
-	target     string // while sent
+	target     string // while in flight
 	lastTarget string
 	attempts   int
 	mayHaveRun bool
 	ended      bool
 }
 
-// checker checks every command of a scheduler against what may be done.
+// checker runs a scheduler and checks each of its commands.
 type checker struct {
 	*rapid.T
 	scheduler           *sched.Scheduler
@@ -35,7 +35,7 @@
 	busy                map[string]int
 	leaving             map[string]time.Time
 	firstSends, retries int
-	unpaidRetries       int // retries after a refusal of a leaving target
+	unpaidRetries       int // retries after a refusal by a leaving target, which the budget does not pay for
 	lastID              sched.ID
 	retryShare          float64
 	retryBurst          int
@@ -74,42 +74,42 @@
 
 func (m *checker) checkSend(c sched.SendCmd) {
 	r := m.requests[c.ID]
-	m.require(r != nil && !r.ended && r.target == "", "request %d is sent though it is not waiting", c.ID)
-	m.require(r.arrival.Idempotent || !r.mayHaveRun, "request %d may have run and is sent again", c.ID)
-	m.require(m.now.Before(r.arrival.Deadline), "request %d is sent after its deadline", c.ID)
+	m.require(r != nil && !r.ended && r.target == "", "request %d was sent but is not queued", c.ID)
+	m.require(r.arrival.Idempotent || !r.mayHaveRun, "request %d was sent again although it may have run", c.ID)
+	m.require(m.now.Before(r.arrival.Deadline), "request %d was sent after its deadline", c.ID)
 	n, ok := m.slots[c.Target]
-	m.require(ok, "request %d goes to %s, which is off the list", c.ID, c.Target)
+	m.require(ok, "request %d was sent to %s, which is not listed", c.ID, c.Target)
 	t, ok := m.leaving[c.Target]
-	m.require(!ok || !m.now.Before(t), "request %d goes to %s, which is leaving", c.ID, c.Target)
+	m.require(!ok || !m.now.Before(t), "request %d was sent to %s, which is leaving", c.ID, c.Target)
 	m.busy[c.Target]++
-	m.require(m.busy[c.Target] <= n, "%d requests for %d slots of %s", m.busy[c.Target], n, c.Target)
+	m.require(m.busy[c.Target] <= n, "%d requests in flight for %d slots of %s", m.busy[c.Target], n, c.Target)
 	r.attempts++
-	m.require(r.attempts == c.Attempt, "attempt %d is called %d", r.attempts, c.Attempt)
+	m.require(r.attempts == c.Attempt, "send %d has attempt number %d", r.attempts, c.Attempt)
 	r.target, r.lastTarget = c.Target, c.Target
 	if c.Attempt == 1 {
 		m.firstSends++
 	} else {
 		m.retries++
 	}
-	m.require(float64(m.retries-m.unpaidRetries) <= m.retryShare*float64(m.firstSends)+float64(m.retryBurst), "%d retries for %d first sends", m.retries, m.firstSends)
+	m.require(float64(m.retries-m.unpaidRetries) <= m.retryShare*float64(m.firstSends)+float64(m.retryBurst), "%d retries exceed the budget of %d first sends", m.retries, m.firstSends)
 }
 
 func (m *checker) checkEnd(c sched.EndCmd) {
 	r := m.requests[c.ID]
-	m.require(r != nil && !r.ended, "request %d ends twice", c.ID)
-	m.require(c.NotRun == (!r.mayHaveRun && r.target == ""), "request %d is said not to have run: %v", c.ID, c.NotRun)
-	m.require(c.RetryAfter >= 0, "a negative time")
+	m.require(r != nil && !r.ended, "request %d is unknown or has ended twice", c.ID)
+	m.require(c.NotRun == (!r.mayHaveRun && r.target == ""), "request %d ended with the wrong NotRun: %v", c.ID, c.NotRun)
+	m.require(c.RetryAfter >= 0, "RetryAfter is negative")
 	r.ended = true
 }
 
-// checkUrgentFirst checks that no other request was sent while a new urgent one went on waiting.
+// checkUrgentFirst checks that no request of another class was sent while a new urgent request stayed queued.
 func (m *checker) checkUrgentFirst(newlySent []sched.ID) {
 	other := slices.ContainsFunc(newlySent, func(i sched.ID) bool { return m.requests[i].arrival.Class != sched.Urgent })
 	if !other {
 		return
 	}
 	for i, r := range m.requests {
-		m.require(r.ended || r.target != "" || r.attempts > 0 || r.arrival.Class != sched.Urgent, "urgent request %d was passed over", i)
+		m.require(r.ended || r.target != "" || r.attempts > 0 || r.arrival.Class != sched.Urgent, "urgent request %d was still queued when another class was sent", i)
 	}
 }
 
@@ -162,17 +162,17 @@
 	}
 	m.update(d)
 	n := len(m.scheduler.Update(sched.DoneMsg{Now: m.now, ID: i, Target: "nowhere", Result: sched.Answered}))
-	m.require(n == 0, "a wrong DoneMsg has %d effects", n)
+	m.require(n == 0, "a DoneMsg for the wrong target returned %d commands", n)
 }
 
-// repeatArrival sends the arrival of an open request again.
+// repeatArrival repeats the arrival of an open request, which must have no effect.
 func (m *checker) repeatArrival() {
 	for i := sched.ID(1); i <= m.lastID; i++ {
 		if r := m.requests[i]; !r.ended || r.target != "" {
 			a := r.arrival
 			a.Now, a.Deadline = m.now, m.now.Add(time.Second)
 			n := len(m.scheduler.Update(a))
-			m.require(n == 0, "a repeated arrival has %d effects", n)
+			m.require(n == 0, "a repeated arrival returned %d commands", n)
 			return
 		}
 	}
@@ -185,7 +185,7 @@
 }
 
 func (m *checker) tick() {
-	m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 3, 10, 40, 40, 1500, 31000}).Draw(m.T, "pass")) * time.Millisecond)
+	m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 3, 10, 40, 40, 1500, 31000}).Draw(m.T, "elapsed")) * time.Millisecond)
 	m.update(sched.TickMsg{Now: m.now})
 }
 
@@ -222,7 +222,7 @@
 	m.update(sched.SharesMsg{Now: m.now, Shares: x})
 }
 
-// finishAll ends all sends and lets all deadlines pass.
+// finishAll ends all sends, lets all deadlines pass and checks that every request has ended.
 func (m *checker) finishAll() {
 	for _, i := range m.inFlight() {
 		m.finish(i, sched.Answered, false)
@@ -235,17 +235,18 @@
 		}
 	}
 	for i, r := range m.requests {
-		m.require(r.ended, "request %d has no end", i)
+		m.require(r.ended, "request %d never ended", i)
 	}
 	t := m.scheduler.Stats()
-	m.require(t.Busy() == 0 && t.Queued(sched.Urgent)+t.Queued(sched.Normal)+t.Queued(sched.Background) == 0, "something is left")
+	m.require(t.Busy() == 0 && t.Queued(sched.Urgent)+t.Queued(sched.Normal)+t.Queued(sched.Background) == 0, "requests are still queued or at targets")
 }
 
+// Every request must end exactly once, and a request that may have run must never be reported as not run.
 func TestEveryRequestEndsOnceAndTruly(t *testing.T) { rapid.Check(t, runRandomTrace) }
 
 func FuzzEveryRequestEndsOnceAndTruly(f *testing.F) { f.Fuzz(rapid.MakeFuzz(runRandomTrace)) }
 
-// runRandomTrace runs random messages and ends all requests.
+// runRandomTrace sends random messages to a scheduler and then ends all requests.
 func runRandomTrace(t *rapid.T) {
 	m := newChecker(t)
 	if rapid.Bool().Draw(t, "quotas") {
@@ -254,22 +255,22 @@
 	m.changeTargets()
 	steps := []func(){m.arrive, m.arrive, m.arrive, m.done, m.done, m.tick, m.cancel, m.repeatArrival, m.changeTargets, m.changeShares}
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
-		steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
+		steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 	}
 	m.finishAll()
 }
 
-// comparison is a scheduler and its naive version under the same trace.
+// comparison runs a scheduler and the reference under the same trace.
 type comparison struct {
 	*rapid.T
 	reference *reference
 	scheduler *sched.Scheduler
 	now       time.Time
 	lastID    sched.ID
-	target    map[sched.ID]string // target of each request that s sent
+	target    map[sched.ID]string // target of each request that the scheduler sent
 }
 
-// compare gives x to the scheduler and y to the naive version, and compares what they do.
+// compare gives x to the scheduler and y to the reference, and fails the test if their commands differ in more than targets.
 func (p *comparison) compare(x, y sched.Msg) {
 	p.Helper()
 	l := p.scheduler.Update(x)
@@ -280,7 +281,7 @@
 	}
 	a, b := withoutTargets(l), withoutTargets(p.reference.Update(y))
 	if !slices.Equal(a, b) {
-		p.Fatalf("%+v: does %+v, naive does %+v", x, a, b)
+		p.Fatalf("%+v: commands are %+v, want %+v as from the reference", x, a, b)
 	}
 }
 
@@ -299,7 +300,7 @@
 		return
 	}
 	i := rapid.SampledFrom(l).Draw(p.T, "done")
-	// Not Unknown: the slot of a lost request stays taken for a learned time, which the naive version has not.
+	// Not Unknown: the slot of a lost request stays occupied for an estimated time, which the reference does not model.
 	x := rapid.SampledFrom([]sched.Result{sched.Answered, sched.Failed, sched.Withdrawn}).Draw(p.T, "result")
 	d := sched.DoneMsg{Now: p.now, ID: i, Target: p.target[i], Result: x}
 	e := d
@@ -323,7 +324,7 @@
 		steps := []func(){p.arrive, p.arrive, p.arrive, p.cancel, p.done, p.done}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			p.now = p.now.Add(time.Millisecond)
-			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "act")]()
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 		}
 	})
 }
