--- a/flow/share/loans.go
+++ b/flow/share/loans.go
@@ -7,77 +7,78 @@
 )
 
 const (
-	askAgain    = 200 * time.Millisecond  // without an answer, and while loans are held
-	firstPause  = 100 * time.Millisecond  // after an answer that lent less than was asked for
-	lastPause   = 1600 * time.Millisecond // after several of a peer that has no slot to spare
-	recallAfter = 400 * time.Millisecond  // of waiting here, lent slots are recalled
-	idleBefore  = 200 * time.Millisecond  // a borrowed slot is returned after being idle so long
-	clearFor    = 250 * time.Millisecond  // for which slots are emptied for a borrower that has not asked again
-	maxBorrowed = 64                      // slots of one ask
+	resendAfter     = 200 * time.Millisecond  // an unanswered borrow request is repeated, and held slots are reported, at this interval
+	minBackoff      = 100 * time.Millisecond  // wait before requesting more after a reply with fewer slots than wanted
+	maxBackoff      = 1600 * time.Millisecond // the same, after several replies of a peer that has no slot to spare
+	recallAfter     = 400 * time.Millisecond  // lent slots are recalled when requests have waited here for this long
+	returnAfterIdle = 200 * time.Millisecond  // an idle borrowed slot is returned when nothing has waited here for this long
+	drainFor        = 250 * time.Millisecond  // slots drain for a borrower for this long without another request of a borrower
+	maxWanted       = 64                      // slots wanted from all peers together at a time
 )
 
-// Loans is the state of one entry's slots of one service; it is changed only by Update and is not safe for concurrent use.
+// Loans tracks which slots of one service's targets this entry may use, lends and borrows. It changes only through Update and
+// is not safe for concurrent use.
 type Loans struct {
-	self    string
-	now     time.Time
-	table   table
-	rosters [][]string // newest last; all after the first are not yet kept to by everybody
-	number  int64
-	settled map[string]int64
-	queued  int
-	yields  int
-	keep    int
-	clearTo time.Time // until when slots are emptied for a borrower
+	self         string
+	now          time.Time
+	table        table
+	rosters      [][]string       // oldest first; those before the newest count until every member has adopted the newest
+	rosterNumber int64            // of the newest roster
+	adopted      map[string]int64 // number of the roster that each entry has adopted
+	demand       int              // waiting requests that need a slot here now
+	reclaimable  int              // background requests whose slots can be lent when they end
+	reserve      int              // idle slots that must not be lent
+	drainUntil   time.Time        // when slots stop draining for a borrower
 
-	nextID  int64
-	loans   map[int64]loan
-	answers map[string]answer
-	peers   map[string]*lender
-	names   []string  // of the peers, sorted
-	idle    time.Time // when something last waited here
-	pressed time.Time // when nothing last waited here
-	cmds    []Cmd
+	lastLoanID     int64
+	loans          map[int64]loan
+	lastReplies    map[string]reply // by borrower
+	peers          map[string]*lender
+	peerNames      []string  // sorted
+	lastDemandAt   time.Time // when demand was last above 0
+	lastNoDemandAt time.Time // when demand was last 0
+	cmds           []Cmd
 }
 
 // loan is a slot that this entry has lent.
 type loan struct {
-	target, to string
-	recalled   bool
+	target, borrower string
+	recalled         bool
 }
 
-// answer is the last answer to a borrower.
-type answer struct {
+// reply is the latest reply to a borrower. A repeated request gets the same grants again.
+type reply struct {
 	number int64
 	grants []Grant
 }
 
-// lender is a peer as this entry borrows from it.
+// lender is a peer that this entry can borrow from.
 type lender struct {
-	number  int64
-	waiting bool // for the answer to number
-	ask     BorrowCmd
-	pause   time.Duration
-	sent    time.Time // of the last ask
-	after   time.Time // when to ask for more
-	held    map[int64]*held
-	changed bool // some were given back since the last ask
+	requestNumber int64     // of the latest borrow request
+	awaitingReply bool      // to the latest borrow request
+	request       BorrowCmd // the latest borrow request
+	backoff       time.Duration
+	requestedAt   time.Time               // when the latest borrow request was last sent
+	wantAgainAt   time.Time               // when to request more slots
+	slots         map[int64]*borrowedSlot // by grant id
+	returnedSlots bool                    // slots were returned since the latest borrow request
 }
 
-// held is a slot that this entry has borrowed; a closed one is not used for new requests.
-type held struct {
+// borrowedSlot is a slot that this entry has borrowed. A closed slot takes no new requests and is to be returned.
+type borrowedSlot struct {
 	target string
 	closed bool
 }
 
-// New returns the state of the named entry, which may use nothing until it knows a roster and targets.
+// New returns the state of the entry named self, which may use no slots until it has a roster and targets.
 func New(self string) *Loans {
 	return &Loans{
-		self: self, table: newTable(), settled: map[string]int64{},
-		loans: map[int64]loan{}, answers: map[string]answer{}, peers: map[string]*lender{},
+		self: self, table: newTable(), adopted: map[string]int64{},
+		loans: map[int64]loan{}, lastReplies: map[string]reply{}, peers: map[string]*lender{},
 	}
 }
 
-// Update takes a message and returns what to do; the returned slice is reused by the next Update.
+// Update processes a message and returns the commands to carry out. The next call reuses the returned slice.
 func (l *Loans) Update(m Msg) []Cmd {
 	l.cmds = l.cmds[:0]
 	switch m := m.(type) {
@@ -86,40 +87,40 @@
 		l.setRoster(m)
 	case SettledMsg:
 		l.now = m.Now
-		l.settled[m.From] = m.Number
+		l.adopted[m.From] = m.Number
 	case TargetsMsg:
 		l.now = m.Now
-		l.table.list(m.Slots)
-		l.limit()
+		l.table.setTargets(m.Slots)
+		l.updateOwnShares()
 	case LoadMsg:
 		l.now = m.Now
-		l.read(m.Load)
-		l.keepWithin()
+		l.setLoad(m.Load)
+		l.adoptNewestRoster()
 		l.recall()
-		l.release()
+		l.returnSlots()
 		l.borrow()
 	case BorrowMsg:
 		l.now = m.Now
-		l.read(m.Load)
+		l.setLoad(m.Load)
 		l.lend(m)
 	case LentMsg:
 		l.now = m.Now
-		l.take(m)
+		l.acceptReply(m)
 	}
-	l.settle()
-	l.tell()
+	l.dropOldRosters()
+	l.announceShares()
 	return l.cmds
 }
 
-// Settled returns the number of the roster that this entry keeps to, for its peers; 0 if it does not yet keep to the newest.
+// Settled returns the number of the newest roster if this entry has adopted it, else 0. The peers need this number.
 func (l *Loans) Settled() int64 {
-	if l.settled[l.self] == l.number {
-		return l.number
+	if l.adopted[l.self] == l.rosterNumber {
+		return l.rosterNumber
 	}
 	return 0
 }
 
-// Usable returns the slots of the target that may be used for new requests.
+// Usable returns the number of the target's slots that new requests may use.
 func (l *Loans) Usable(target string) int {
 	if r := l.table.rows[target]; r != nil {
 		return r.usable()
@@ -127,132 +128,134 @@
 	return 0
 }
 
-// Lent returns the number of slots that are lent.
+// Lent returns the number of slots that are lent to peers.
 func (l *Loans) Lent() int { return len(l.loans) }
 
-// Borrowed returns the number of slots that are borrowed and not yet given back.
+// Borrowed returns the number of borrowed slots that are not yet returned.
 func (l *Loans) Borrowed() int {
 	n := 0
 	for _, p := range l.peers {
-		n += len(p.held)
+		n += len(p.slots)
 	}
 	return n
 }
 
-// Quiet reports whether nothing is lent, borrowed or asked for and the newest roster is kept to by everybody,
-// so that a LoadMsg a second is enough while nothing waits here.
+// Quiet reports whether nothing waits, is lent, borrowed or requested here, and every member has adopted the newest roster.
+// One LoadMsg per second is enough while this holds.
 func (l *Loans) Quiet() bool {
-	if l.queued > 0 || len(l.loans) > 0 || len(l.rosters) != 1 || l.table.cleared {
+	if l.demand > 0 || len(l.loans) > 0 || len(l.rosters) != 1 || l.table.anyDraining {
 		return false
 	}
 	for _, p := range l.peers {
-		if p.waiting || p.changed || len(p.held) > 0 {
+		if p.awaitingReply || p.returnedSlots || len(p.slots) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// limit sets this entry's own share of each target: the least of all rosters that are not yet kept to by everybody.
-func (l *Loans) limit() {
+// updateOwnShares sets this entry's own share of each target: the smallest under any roster that some member may still use.
+func (l *Loans) updateOwnShares() {
 	for _, r := range l.table.order {
-		r.limit = 0
+		r.ownShare = 0
 		if len(l.rosters) == 0 || !r.listed {
 			continue
 		}
-		r.limit = r.slots
+		r.ownShare = r.slots
 		for _, x := range l.rosters {
-			r.limit = min(r.limit, Static(r.name, r.slots, x, l.self))
+			r.ownShare = min(r.ownShare, Static(r.name, r.slots, x, l.self))
 		}
 	}
 }
 
+// setRoster adds a newer roster and ends the loans to and from entries that it does not name.
 func (l *Loans) setRoster(m RosterMsg) {
-	if m.Number <= l.number {
+	if m.Number <= l.rosterNumber {
 		return
 	}
-	if l.number == 0 {
-		l.rosters = [][]string{nil} // nothing is this entry's before its first roster is kept to by everybody
+	if l.rosterNumber == 0 {
+		l.rosters = [][]string{nil} // no slot is this entry's own until every member has adopted its first roster
 	}
-	l.number = m.Number
+	l.rosterNumber = m.Number
 	l.rosters = append(l.rosters, slices.Clone(m.Entries))
 	member := func(e string) bool { return slices.Contains(m.Entries, e) }
 	for i, x := range l.loans {
-		if !member(x.to) {
-			l.end(i)
+		if !member(x.borrower) {
+			l.endLoan(i)
 		}
 	}
 	for e, p := range l.peers {
 		if !member(e) {
-			l.lose(p)
+			l.forgetBorrowed(p)
 			delete(l.peers, e)
 		}
 	}
-	maps.DeleteFunc(l.answers, func(e string, _ answer) bool { return !member(e) })
-	maps.DeleteFunc(l.settled, func(e string, _ int64) bool { return !member(e) })
+	maps.DeleteFunc(l.lastReplies, func(e string, _ reply) bool { return !member(e) })
+	maps.DeleteFunc(l.adopted, func(e string, _ int64) bool { return !member(e) })
 	for _, e := range m.Entries {
 		if e != l.self && l.peers[e] == nil {
-			l.peers[e] = &lender{number: l.now.UnixMilli(), held: map[int64]*held{}}
+			l.peers[e] = &lender{requestNumber: l.now.UnixMilli(), slots: map[int64]*borrowedSlot{}}
 		}
 	}
-	l.names = slices.Sorted(maps.Keys(l.peers))
-	l.limit()
+	l.peerNames = slices.Sorted(maps.Keys(l.peers))
+	l.updateOwnShares()
 }
 
-// keepWithin marks this entry as keeping to the newest roster; the load must be fresh.
-func (l *Loans) keepWithin() {
-	if len(l.rosters) > 1 && l.settled[l.self] != l.number && l.within() {
-		l.settled[l.self] = l.number
+// adoptNewestRoster marks the newest roster as adopted once the use of slots fits its shares. The load must be current.
+func (l *Loans) adoptNewestRoster() {
+	if len(l.rosters) > 1 && l.adopted[l.self] != l.rosterNumber && l.withinNewestRoster() {
+		l.adopted[l.self] = l.rosterNumber
 	}
 }
 
-// settle forgets older rosters when everybody keeps to the newest.
-func (l *Loans) settle() {
+// dropOldRosters drops the older rosters once every member has adopted the newest.
+func (l *Loans) dropOldRosters() {
 	if len(l.rosters) < 2 {
 		return
 	}
 	newest := l.rosters[len(l.rosters)-1]
 	for _, e := range newest {
-		if l.settled[e] != l.number {
+		if l.adopted[e] != l.rosterNumber {
 			return
 		}
 	}
 	l.rosters = [][]string{newest}
-	l.limit()
+	l.updateOwnShares()
 }
 
-// within reports whether nothing is used or lent beyond what the newest roster allows.
-func (l *Loans) within() bool {
+// withinNewestRoster reports whether this entry neither uses nor lends more slots than the newest roster allows.
+func (l *Loans) withinNewestRoster() bool {
 	return !slices.ContainsFunc(l.table.order, func(r *row) bool {
-		return r.busy > r.usable()+r.closed || r.lent > r.limit
+		return r.busy > r.usable()+r.borrowedClosed || r.lent > r.ownShare
 	})
 }
 
-// tell asks to use other shares when they have changed.
-func (l *Loans) tell() {
-	if !slices.ContainsFunc(l.table.order, func(r *row) bool { return r.listed && r.told != r.usable() }) {
+// announceShares adds a SharesCmd if the usable slots of a listed target have changed.
+func (l *Loans) announceShares() {
+	if !slices.ContainsFunc(l.table.order, func(r *row) bool { return r.listed && r.announced != r.usable() }) {
 		return
 	}
 	s := make(map[string]int, len(l.table.order))
 	for _, r := range l.table.order {
 		if r.listed {
-			r.told = r.usable()
-			s[r.name] = r.told
+			r.announced = r.usable()
+			s[r.name] = r.announced
 		}
 	}
 	l.cmds = append(l.cmds, SharesCmd{Shares: s})
 }
 
-func (l *Loans) read(x Load) {
-	l.queued, l.yields, l.keep = x.Queued, x.Yielding, x.Keep
-	l.table.read(x.Busy)
-	if l.queued > 0 || !l.now.Before(l.clearTo) {
-		l.table.fill()
+// setLoad replaces the load and the times that follow from it, and stops draining when requests wait here or the time is up.
+func (l *Loans) setLoad(x Load) {
+	l.demand, l.reclaimable, l.reserve = x.Queued, x.Yielding, x.Keep
+	l.table.setBusy(x.Busy)
+	if l.demand > 0 || !l.now.Before(l.drainUntil) {
+		l.table.stopDraining()
 	}
-	if l.queued > 0 || l.idle.IsZero() {
-		l.idle = l.now
+	if l.demand > 0 || l.lastDemandAt.IsZero() {
+		l.lastDemandAt = l.now
 	}
-	if l.queued == 0 || l.pressed.IsZero() {
-		l.pressed = l.now
+	if l.demand == 0 || l.lastNoDemandAt.IsZero() {
+		l.lastNoDemandAt = l.now
 	}
 }
--- a/flow/share/static.go
+++ b/flow/share/static.go
@@ -2,18 +2,18 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Static returns self's share of a target's slots among the entries; the shares of all entries sum to the slots.
-// Entries that rank first by rendezvous hash for this target have the slots that do not divide evenly.
+// Static returns self's share of a target's slots among the entries. The shares of all entries sum to the slots.
+// The remainder of an uneven division goes to the entries that rank first by rendezvous hashing for this target.
 func Static(target string, slots int, entries []string, self string) int {
 	n, rank, found := 0, 0, false
-	mine := weight(target, self)
+	mine := rendezvousHash(target, self)
 	for _, e := range entries {
 		n++
 		if e == self {
 			found = true
 			continue
 		}
-		w := weight(target, e)
+		w := rendezvousHash(target, e)
 		if w > mine || w == mine && e < self {
 			rank++
 		}
@@ -28,7 +28,7 @@
 	return s
 }
 
-func weight(target, entry string) uint64 {
+func rendezvousHash(target, entry string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(target)
