--- a/bench/decide.go
+++ b/bench/decide.go
@@ -31,14 +31,14 @@
 	var rows []row
 	for _, c := range []struct {
 		name string
-		opts []share.ShapeOption
+		opts []share.TraceOption
 	}{
-		{"one entry", []share.ShapeOption{share.WithEntries(1)}},
+		{"one entry", []share.TraceOption{share.WithEntries(1)}},
 		{"three entries asked alike", nil},
-		{shapedTurnsFor, []share.ShapeOption{share.WithSkew(busiestEntry)}},
+		{shapedTurnsFor, []share.TraceOption{share.WithSkew(busiestEntry)}},
 	} {
-		t := share.FiveFold(seed, c.opts...)
-		l, q, f, s := share.Replay(t, share.Lending), share.Replay(t, share.Queueing), share.Replay(t, share.Fixed), share.Replay(t, share.Refusing)
+		t := share.FiveFoldBursts(seed, c.opts...)
+		l, q, f, s := share.Replay(t, share.Lending), share.Replay(t, share.FIFO), share.Replay(t, share.Fixed), share.Replay(t, share.Overcommit)
 		rows = append(rows, row{
 			what:   "goodput over the five-fold turns, " + c.name,
 			ours:   fmt.Sprintf("%.3f of capacity", l.Goodput()),
@@ -100,12 +100,12 @@
 func waves(seed int64) []row {
 	var rows []row
 	for _, out := range []int{1, waveBudget} {
-		r := wave.Replay(wave.DayTrace(seed, perService, out))
-		ratio := float64(r.Took) / float64(max(1, r.Least))
+		r := wave.Replay(wave.DeploymentTrace(seed, perService, out))
+		ratio := float64(r.TookMillis) / float64(max(1, r.ScheduleMillis))
 		rows = append(rows, row{
 			what: fmt.Sprintf("time of a wave over 58 VMs, %d of a service out at most", out),
-			ours: fmt.Sprintf("%v (%.2f of the least); at most %d out", millis(r.Took), ratio, r.MaxOut), beside: "least " + millis(r.Least).String(),
-			aim: fmt.Sprintf("at most %.1f of the least", mostOfBound), kept: r.Took > 0 && ratio <= mostOfBound && r.MaxOut <= out,
+			ours: fmt.Sprintf("%v (%.2f of the least); at most %d out", millis(r.TookMillis), ratio, r.MaxOut), beside: "least " + millis(r.ScheduleMillis).String(),
+			aim: fmt.Sprintf("at most %.1f of the least", mostOfBound), kept: r.TookMillis > 0 && ratio <= mostOfBound && r.MaxOut <= out,
 		})
 	}
 	return rows
--- a/bench/slopes/fleet.go
+++ b/bench/slopes/fleet.go
@@ -41,14 +41,14 @@
 }
 
 func shardBytes(n int) float64 {
-	puts := make([][]pool.Member, pool.Count)
+	puts := make([][]pool.Member, pool.ShardCount)
 	for _, w := range platformVMs(n, false) {
-		i := pool.Index(w.ID, pool.Count)
-		puts[i] = append(puts[i], pool.Member{VM: w.ID, Pool: w.Pool, Rack: w.Rack, Wave: "wave-2026-49", Since: began + int64(i), Boot: began, Seq: 26})
+		i := pool.Index(w.ID, pool.ShardCount)
+		puts[i] = append(puts[i], pool.Member{VM: w.ID, Pool: w.Pool, Rack: w.Rack, FinishedWave: "wave-2026-49", StateSince: began + int64(i), BootBefore: began, EndedStops: 26})
 	}
 	sum := 0
 	for i, l := range puts {
-		s, err := pool.NewShard(i, pool.Count).Change(l, nil)
+		s, err := pool.NewShard(i, pool.ShardCount).Change(l, nil)
 		if err != nil {
 			panic(fmt.Sprint("bench: shard: ", err))
 		}
@@ -67,7 +67,7 @@
 		var err error
 		a := wave.Absence{
 			VM: vmName(home, i), DataCentre: home, Rack: fmt.Sprintf("rack-%s-%03d", home, i), Since: began, Wave: "wave-2026-49",
-			Op: fmt.Sprintf("%s/%d", vmName(home, i), i), Seq: 26,
+			Op: fmt.Sprintf("%s/%d", vmName(home, i), i), StopNumber: 26,
 		}
 		if b, err = b.Reserve(a, n); err != nil {
 			panic(fmt.Sprint("bench: budget: ", err))
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -66,7 +66,7 @@
 	return slope.Settings{
 		BeatMs: float64(s.Beat().Milliseconds()), TickMs: float64(s.Tick().Milliseconds()),
 		WatchWaitMs: float64(s.WatchWait().Milliseconds()), LeaseMs: float64(s.LeaderLease().Milliseconds()),
-		RememberS: ledger.Remember.Seconds(), MaxKeys: float64(s.MaxKeys()), DeadlineMs: float64(s.DefaultDeadline().Milliseconds()),
+		RememberS: ledger.RecordTTL.Seconds(), MaxKeys: float64(s.MaxKeys()), DeadlineMs: float64(s.DefaultDeadline().Milliseconds()),
 	}
 }
 
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -207,7 +207,7 @@
 func queueHeap(n int) float64 {
 	now := time.UnixMilli(began)
 	return heapOf(func() any {
-		s := sched.New(serviceName(0), sched.WithBound(2*n))
+		s := sched.New(serviceName(0), sched.WithMaxQueued(2*n))
 		s.Update(sched.QuotasMsg{Now: now, Rates: map[string]float64{teamName(0): freeQuota}})
 		s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget(vmName(home, 0), "rack", slots)}})
 		for i := range n + slots {
--- a/fleet/pool/codec.go
+++ b/fleet/pool/codec.go
@@ -18,17 +18,17 @@
 
 // memberWire is the stored form of a Member. Names are positions in the lists of shardWire; waves count from 1, and 0 is none.
 type memberWire struct {
-	Pool  int    `json:"p,omitempty"`
-	Rack  int    `json:"r,omitempty"`
-	State State  `json:"s,omitempty"`
-	Wave  int    `json:"w,omitempty"`
-	Since int64  `json:"t,omitempty"`
-	Op    string `json:"o,omitempty"`
-	Doing int    `json:"d,omitempty"`
-	To    string `json:"m,omitempty"`
-	Boot  int64  `json:"k,omitempty"`
-	Seq   int64  `json:"q,omitempty"`
-	Shut  bool   `json:"h,omitempty"`
+	Pool         int    `json:"p,omitempty"`
+	Rack         int    `json:"r,omitempty"`
+	State        State  `json:"s,omitempty"`
+	FinishedWave int    `json:"w,omitempty"`
+	StateSince   int64  `json:"t,omitempty"`
+	Op           string `json:"o,omitempty"`
+	RunningWave  int    `json:"d,omitempty"`
+	MoveTo       string `json:"m,omitempty"`
+	BootBefore   int64  `json:"k,omitempty"`
+	EndedStops   int64  `json:"q,omitempty"`
+	MaybeDrained bool   `json:"h,omitempty"`
 }
 
 // nameIndex assigns positions to names in order of first use.
@@ -64,14 +64,14 @@
 	var pools, racks, waves nameIndex
 	w := shardWire{Version: s.version, VMs: make(map[string]memberWire, len(s.members))}
 	for i, m := range s.members {
-		if i == 0 || m.Since < w.Base {
-			w.Base = m.Since
+		if i == 0 || m.StateSince < w.Base {
+			w.Base = m.StateSince
 		}
 	}
 	for _, m := range s.members {
 		w.VMs[m.VM] = memberWire{
-			Pool: pools.add(m.Pool), Rack: racks.add(m.Rack), State: m.State, Wave: waves.addOptional(m.Wave),
-			Since: m.Since - w.Base, Op: m.Op, Doing: waves.addOptional(m.Doing), To: m.To, Boot: m.Boot, Seq: m.Seq, Shut: m.Shut,
+			Pool: pools.add(m.Pool), Rack: racks.add(m.Rack), State: m.State, FinishedWave: waves.addOptional(m.FinishedWave),
+			StateSince: m.StateSince - w.Base, Op: m.Op, RunningWave: waves.addOptional(m.RunningWave), MoveTo: m.MoveTo, BootBefore: m.BootBefore, EndedStops: m.EndedStops, MaybeDrained: m.MaybeDrained,
 		}
 	}
 	w.Pools, w.Racks, w.Waves = pools.list, racks.list, waves.list
@@ -83,7 +83,7 @@
 }
 
 // ParseShard parses the shard with the given index of count shards. It returns ErrMalformed if the JSON or an entry is not valid,
-// and ErrNotHere if a VM belongs to another shard.
+// and ErrWrongShard if a VM belongs to another shard.
 func ParseShard(b []byte, index, count int) (Shard, error) {
 	var w shardWire
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -92,7 +92,7 @@
 	l := make([]Member, 0, len(w.VMs))
 	for vm, e := range w.VMs {
 		if Index(vm, count) != index {
-			return Shard{}, eris.Wrapf(ErrNotHere, "parse shard %d: VM %s", index, vm)
+			return Shard{}, eris.Wrapf(ErrWrongShard, "parse shard %d: VM %s", index, vm)
 		}
 		m, ok := w.decode(vm, e)
 		if !ok {
@@ -107,12 +107,12 @@
 func (w shardWire) decode(vm string, e memberWire) (Member, bool) {
 	p, okPool := nameAt(w.Pools, e.Pool)
 	r, okRack := nameAt(w.Racks, e.Rack)
-	v, okWave := optionalNameAt(w.Waves, e.Wave)
-	d, okDoing := optionalNameAt(w.Waves, e.Doing)
+	v, okWave := optionalNameAt(w.Waves, e.FinishedWave)
+	d, okDoing := optionalNameAt(w.Waves, e.RunningWave)
 	ok := vm != "" && okPool && okRack && okWave && okDoing && e.State >= Serving && e.State <= Failed
 	m := Member{
-		VM: vm, Pool: p, Rack: r, State: e.State, Wave: v, Since: e.Since + w.Base,
-		Op: e.Op, Doing: d, To: e.To, Boot: e.Boot, Seq: e.Seq, Shut: e.Shut,
+		VM: vm, Pool: p, Rack: r, State: e.State, FinishedWave: v, StateSince: e.StateSince + w.Base,
+		Op: e.Op, RunningWave: d, MoveTo: e.MoveTo, BootBefore: e.BootBefore, EndedStops: e.EndedStops, MaybeDrained: e.MaybeDrained,
 	}
 	return m, ok
 }
--- a/fleet/pool/delta.go
+++ b/fleet/pool/delta.go
@@ -39,8 +39,8 @@
 	return d
 }
 
-// Whole returns the full table as a delta, which any view of as many shards can apply.
-func Whole(t Table) Delta {
+// FullDelta returns the full table as a delta, which any view of as many shards can apply.
+func FullDelta(t Table) Delta {
 	return Diff(NewTable(t.Count()), t)
 }
 
@@ -99,8 +99,8 @@
 // Table returns the latest table.
 func (h History) Table() Table { return h.latest }
 
-// Since returns the delta for a view with the given shard versions. A shard whose version is not kept any more is sent in full.
-func (h History) Since(have []int64) Delta {
+// DeltaSince returns the delta for a view with the given shard versions. A shard whose version is not kept any more is sent in full.
+func (h History) DeltaSince(have []int64) Delta {
 	d := Delta{Count: h.latest.Count()}
 	for i, n := range h.latest.shards {
 		var v int64
@@ -172,11 +172,11 @@
 	return m
 }
 
-// Numbers returns the version of each shard, to request the missing changes.
-func (v View) Numbers() []int64 { return slices.Clone(v.versions) }
+// Versions returns the version of each shard, to request the missing changes.
+func (v View) Versions() []int64 { return slices.Clone(v.versions) }
 
-// Number returns the version of the shard that holds the VM.
-func (v View) Number(vm string) int64 { return v.versions[Index(vm, len(v.versions))] }
+// Version returns the version of the shard that holds the VM.
+func (v View) Version(vm string) int64 { return v.versions[Index(vm, len(v.versions))] }
 
 // Find returns the VM's pool and state.
 func (v View) Find(vm string) (Target, bool) {
--- a/fleet/pool/member.go
+++ b/fleet/pool/member.go
@@ -29,25 +29,25 @@
 
 // Member is the entry of one VM in the membership of its data centre.
 type Member struct {
-	VM    string
-	Pool  string
-	Rack  string
-	State State
-	Wave  string // the last wave that the VM has finished.
-	Since int64  // time of the last change of state, Unix milliseconds.
-	Op    string // id of the running planned stop, a reboot or a move; empty while none runs.
-	Doing string // the wave that the running reboot belongs to.
-	To    string // the destination pool of the running move.
-	Boot  int64  // boot number before the running reboot.
-	Seq   int64  // number of planned stops that have ended, with or without a reboot.
-	Shut  bool   // the platform may still show a drain of a planned stop that has ended.
+	VM           string
+	Pool         string
+	Rack         string
+	State        State
+	FinishedWave string // the last wave that the VM has finished.
+	StateSince   int64  // time of the last change of state, Unix milliseconds.
+	Op           string // id of the running planned stop, a reboot or a move; empty while none runs.
+	RunningWave  string // the wave that the running reboot belongs to.
+	MoveTo       string // the destination pool of the running move.
+	BootBefore   int64  // boot number before the running reboot.
+	EndedStops   int64  // number of planned stops that have ended, with or without a reboot.
+	MaybeDrained bool   // the platform may still show a drain of a planned stop that has ended.
 }
 
 var (
 	// ErrNoVM means that the shard holds no VM of that name.
 	ErrNoVM = eris.New("pool: no such VM")
-	// ErrNotHere means that a VM's name belongs to another shard.
-	ErrNotHere = eris.New("pool: VM belongs to another shard")
+	// ErrWrongShard means that a VM's name belongs to another shard.
+	ErrWrongShard = eris.New("pool: VM belongs to another shard")
 	// ErrMalformed means that a document or delta is not valid.
 	ErrMalformed = eris.New("pool: malformed document")
 	// ErrGap means that a delta does not start at the version that the view holds, so a full shard is needed.
--- a/fleet/pool/pool_test.go
+++ b/fleet/pool/pool_test.go
@@ -28,7 +28,7 @@
 	var err error
 	switch m := n[vm]; u / 16 % 4 {
 	case 0:
-		m = Member{VM: vm, Pool: fmt.Sprintf("p%d", u%3), Rack: fmt.Sprintf("r%d", u%4), Since: int64(u), Wave: "w"[:u%2], Seq: int64(u % 5)}
+		m = Member{VM: vm, Pool: fmt.Sprintf("p%d", u%3), Rack: fmt.Sprintf("r%d", u%4), StateSince: int64(u), FinishedWave: "w"[:u%2], EndedStops: int64(u % 5)}
 		s, err = s.Put(m)
 		n[vm], ok = m, true
 	case 1:
@@ -39,7 +39,7 @@
 		}
 	case 2:
 		s, err = s.SetState(vm, State(u%5), int64(u))
-		m.State, m.Since = State(u%5), int64(u)
+		m.State, m.StateSince = State(u%5), int64(u)
 		if ok {
 			n[vm] = m
 		}
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	p, err := ParseShard(b, s.Index(), testShards)
-	if err != nil || p.Number() != s.Number() {
+	if err != nil || p.Version() != s.Version() {
 		t.Fatalf("%s: %v", b, err)
 	}
 	return p
@@ -107,8 +107,8 @@
 			table = applyChange(t, table, n, u)
 			checkTable(t, table, n)
 			h = h.Add(table)
-			late = append(late, Diff(old, table), h.Since(v.Numbers()))
-			before := v.Numbers()
+			late = append(late, Diff(old, table), h.DeltaSince(v.Versions()))
+			before := v.Versions()
 			var err error
 			v, err = v.Apply(late[int(u/64)%len(late)])
 			if errors.Is(err, ErrGap) {
@@ -116,13 +116,13 @@
 			} else if err != nil {
 				t.Fatal(err)
 			}
-			for i, k := range v.Numbers() {
+			for i, k := range v.Versions() {
 				if k < before[i] {
 					t.Fatalf("shard %d goes back from %d to %d", i, before[i], k)
 				}
 			}
 		}
-		v, err := v.Apply(h.Since(v.Numbers()))
+		v, err := v.Apply(h.DeltaSince(v.Versions()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,13 +137,13 @@
 		want error
 	}{
 		"not JSON":      {"{", ErrMalformed},
-		"foreign VM":    {`{"n":1,"pools":["p"],"racks":["r"],"vms":{"vm1":{}}}`, ErrNotHere},
+		"foreign VM":    {`{"n":1,"pools":["p"],"racks":["r"],"vms":{"vm1":{}}}`, ErrWrongShard},
 		"unknown pool":  {`{"n":1,"pools":["p"],"racks":["r"],"vms":{"vm0":{"p":1}}}`, ErrMalformed},
 		"unknown state": {`{"n":1,"pools":["p"],"racks":["r"],"vms":{"vm0":{"s":9}}}`, ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := Index("vm0", testShards)
-			if c.want == ErrNotHere {
+			if c.want == ErrWrongShard {
 				i = (Index("vm1", testShards) + 1) % testShards
 			}
 			_, err := ParseShard([]byte(c.doc), i, testShards)
@@ -152,30 +152,30 @@
 	}
 	t.Run("put of a foreign VM", func(t *testing.T) {
 		_, err := NewShard((Index("vm1", testShards)+1)%testShards, testShards).Put(Member{VM: "vm1"})
-		is.New(t).True(errors.Is(err, ErrNotHere))
+		is.New(t).True(errors.Is(err, ErrWrongShard))
 	})
 }
 
 func ExampleTable() {
-	t := NewTable(Count)
+	t := NewTable(ShardCount)
 	s, _ := t.Shard(t.Index("vm-1")).Put(Member{VM: "vm-1", Pool: "orders", Rack: "r1"})
 	t = t.Replace(s.Index(), s, 1)
-	v, _ := NewView(Count).Apply(Whole(t))
+	v, _ := NewView(ShardCount).Apply(FullDelta(t))
 	s, _ = s.Move("vm-1", "checks")
 	v, _ = v.Apply(Diff(t, t.Replace(s.Index(), s, 2)))
 	m, _ := v.Find("vm-1")
-	fmt.Println(m.Pool, m.State, v.Number("vm-1"))
+	fmt.Println(m.Pool, m.State, v.Version("vm-1"))
 	// Output: checks serving 2
 }
 
 // newFleetTable returns a table of n VMs in k pools, with four VMs a rack, all of which have finished a wave.
 func newFleetTable(n, k int) Table {
-	t := NewTable(Count)
-	puts := make([][]Member, Count)
+	t := NewTable(ShardCount)
+	puts := make([][]Member, ShardCount)
 	for i := range n {
 		vm := fmt.Sprintf("vm-%05d", i)
 		puts[t.Index(vm)] = append(puts[t.Index(vm)], Member{
-			VM: vm, Pool: fmt.Sprintf("pool-%d", i%k), Rack: fmt.Sprintf("rack-%d", i/4), Wave: "wave-12", Since: 1_760_000_000_000 + int64(i)*40_000, Seq: 40,
+			VM: vm, Pool: fmt.Sprintf("pool-%d", i%k), Rack: fmt.Sprintf("rack-%d", i/4), FinishedWave: "wave-12", StateSince: 1_760_000_000_000 + int64(i)*40_000, EndedStops: 40,
 		})
 	}
 	for i, l := range puts {
--- a/fleet/pool/shard.go
+++ b/fleet/pool/shard.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Count is the usual number of shards of one data centre's membership.
-const Count = 16
+// ShardCount is the usual number of shards of one data centre's membership.
+const ShardCount = 16
 
 // Index returns the index, 0 to count-1, of the shard that the VM's name belongs to.
 func Index(vm string, count int) int {
@@ -34,8 +34,8 @@
 // Index returns the index of the shard in the membership.
 func (s Shard) Index() int { return s.index }
 
-// Number returns the version, which grows with each change.
-func (s Shard) Number() int64 { return s.version }
+// Version returns the version, which grows with each change.
+func (s Shard) Version() int64 { return s.version }
 
 // Len returns the number of VMs.
 func (s Shard) Len() int { return len(s.members) }
@@ -49,7 +49,7 @@
 	return s.members[i], true
 }
 
-// Put returns the shard with m added or replaced, or ErrNotHere if the VM belongs to another shard.
+// Put returns the shard with m added or replaced, or ErrWrongShard if the VM belongs to another shard.
 func (s Shard) Put(m Member) (Shard, error) {
 	return s.Change([]Member{m}, nil)
 }
@@ -70,7 +70,7 @@
 	if !ok {
 		return s, eris.Wrapf(ErrNoVM, "set state of %s", vm)
 	}
-	m.State, m.Since = t, at
+	m.State, m.StateSince = t, at
 	return s.Put(m)
 }
 
@@ -82,13 +82,13 @@
 	return s.Change(nil, []string{vm})
 }
 
-// Change returns the next version of the shard with all puts and drops, or ErrNotHere if a put belongs to another shard. A VM
+// Change returns the next version of the shard with all puts and drops, or ErrWrongShard if a put belongs to another shard. A VM
 // that is both put and dropped is dropped.
 func (s Shard) Change(puts []Member, drops []string) (Shard, error) {
 	next := make(map[string]Member, len(puts))
 	for _, m := range puts {
 		if Index(m.VM, s.count) != s.index {
-			return s, eris.Wrapf(ErrNotHere, "put %s into shard %d", m.VM, s.index)
+			return s, eris.Wrapf(ErrWrongShard, "put %s into shard %d", m.VM, s.index)
 		}
 		next[m.VM] = m
 	}
@@ -125,8 +125,8 @@
 	}
 }
 
-// Above returns the shard with its version raised to at least minVersion, to write it over an older one in the store.
-func (s Shard) Above(minVersion int64) Shard {
+// RaiseVersion returns the shard with its version raised to at least minVersion, to write it over an older one in the store.
+func (s Shard) RaiseVersion(minVersion int64) Shard {
 	s.version = max(s.version, minVersion)
 	return s
 }
@@ -142,7 +142,7 @@
 	}
 	s := Shard{index: index, count: count, version: version, members: l}
 	for i, m := range l {
-		if m.State != Serving || m.Op != "" || m.Shut {
+		if m.State != Serving || m.Op != "" || m.MaybeDrained {
 			s.busy = append(s.busy, i)
 		}
 	}
--- a/fleet/pool/table.go
+++ b/fleet/pool/table.go
@@ -93,8 +93,8 @@
 	return l
 }
 
-// Numbers returns the version of each shard.
-func (t Table) Numbers() []int64 {
+// Versions returns the version of each shard.
+func (t Table) Versions() []int64 {
 	l := make([]int64, len(t.shards))
 	for i, s := range t.shards {
 		l[i] = s.version
--- a/fleet/wave/budget.go
+++ b/fleet/wave/budget.go
@@ -23,7 +23,7 @@
 	Since      int64  `json:"t"`           // time of the reservation, or of the VM's last change of state for a failure; Unix milliseconds.
 	Wave       string `json:"w,omitempty"` // wave of a planned stop; empty for moves and failures.
 	Op         string `json:"o,omitempty"` // id of a planned stop; empty for a failure without one.
-	Seq        int64  `json:"q,omitempty"` // number of the planned stop among those of the VM.
+	StopNumber int64  `json:"q,omitempty"` // number of the planned stop among those of the VM.
 	Failed     bool   `json:"f,omitempty"` // found dead, about to be stopped by the platform, or not back from its reboot.
 }
 
@@ -43,8 +43,8 @@
 	Out     []Absence `json:"out"`
 }
 
-// Number returns the version, which grows with each change.
-func (b Budget) Number() int64 { return b.version }
+// Version returns the version, which grows with each change.
+func (b Budget) Version() int64 { return b.version }
 
 // Out returns the number of VMs that are out, planned and unplanned together.
 func (b Budget) Out() int { return len(b.absences) }
--- a/fleet/wave/call.go
+++ b/fleet/wave/call.go
@@ -7,14 +7,14 @@
 	var l []Cmd
 	for m := range p.table.Busy() {
 		switch {
-		case m.State == pool.Draining && m.To != "" && p.isDrained(m) && p.assignedPools[m.VM] != m.To:
-			l = p.appendCall(l, "assign "+m.VM+" "+m.To, AssignCmd{VM: m.VM, Pool: m.To})
-		case m.State == pool.Draining && p.hosts[m.VM].State == Live && m.To == "":
+		case m.State == pool.Draining && m.MoveTo != "" && p.isDrained(m) && p.assignedPools[m.VM] != m.MoveTo:
+			l = p.appendCall(l, "assign "+m.VM+" "+m.MoveTo, AssignCmd{VM: m.VM, Pool: m.MoveTo})
+		case m.State == pool.Draining && p.hosts[m.VM].State == Live && m.MoveTo == "":
 			l = p.appendCall(l, "drain "+m.Op, DrainCmd{VM: m.VM})
 		case (m.State == pool.Rebooting || m.State == pool.Failed) && m.Op != "":
 			if _, ok := p.rebootAcceptedAt[m.Op]; !ok {
 				l = p.appendCall(l, "reboot "+m.Op, RebootCmd{VM: m.VM, Op: m.Op})
-			} else if h := p.hosts[m.VM]; h.State == Leaving && h.Boot > m.Boot {
+			} else if h := p.hosts[m.VM]; h.State == Leaving && h.Boot > m.BootBefore {
 				l = p.appendCall(l, "undrain "+m.VM, UndrainCmd{VM: m.VM})
 			}
 		}
@@ -43,7 +43,7 @@
 	if m.Op != "" || p.hosts[m.VM].State != Leaving || p.reportedDead[m.VM] {
 		return false
 	}
-	return m.Shut || m.State != pool.Serving && p.now-m.Since > leavingTimeoutMillis
+	return m.MaybeDrained || m.State != pool.Serving && p.now-m.StateSince > leavingTimeoutMillis
 }
 
 // appendCall appends c unless the call with the same key was made within the retry interval.
--- a/fleet/wave/document.go
+++ b/fleet/wave/document.go
@@ -105,7 +105,7 @@
 	return true
 }
 
-func (p *Planner) handleShardWritten(m WroteShardMsg) {
+func (p *Planner) handleShardWritten(m ShardWrittenMsg) {
 	if p.shards[m.Index].acceptWrite(m.Outcome, m.Revision) {
 		p.setShard(p.sentShards[m.Index], m.Revision)
 	}
@@ -120,13 +120,13 @@
 		}
 	}
 	p.table = p.table.Replace(i, s, revision)
-	p.minVersions[i] = max(p.minVersions[i], s.Number())
+	p.minVersions[i] = max(p.minVersions[i], s.Version())
 	for m := range s.Busy() {
 		if m.State != pool.Draining {
 			continue
 		}
-		if o, ok := p.drainStarts[m.VM]; !ok || o.seq != m.Seq {
-			p.drainStarts[m.VM] = drainStart{seq: m.Seq, seenAt: p.now, version: s.Number()}
+		if o, ok := p.drainStarts[m.VM]; !ok || o.seq != m.EndedStops {
+			p.drainStarts[m.VM] = drainStart{seq: m.EndedStops, seenAt: p.now, version: s.Version()}
 		}
 	}
 }
@@ -136,7 +136,7 @@
 func (p *Planner) handleDrainEnd(o, n pool.Member) {
 	delete(p.moveRequests, o.VM)
 	delete(p.assignedPools, o.VM)
-	if n.Pool == o.To || p.now-o.Since <= p.drainMillis(o.Pool) {
+	if n.Pool == o.MoveTo || p.now-o.StateSince <= p.drainMillis(o.Pool) {
 		return
 	}
 	h := p.backoffs[o.VM]
@@ -155,7 +155,7 @@
 	}
 }
 
-func (p *Planner) handleBudgetWritten(m WroteBudgetMsg) {
+func (p *Planner) handleBudgetWritten(m BudgetWrittenMsg) {
 	d := p.budgets[m.Service]
 	if d != nil && d.acceptWrite(m.Outcome, m.Revision) {
 		d.budget = d.sent
--- a/fleet/wave/example_test.go
+++ b/fleet/wave/example_test.go
@@ -11,9 +11,9 @@
 func ExampleBudget() {
 	var b wave.Budget
 	b = b.Fail(wave.Absence{VM: "vm-1"})
-	b, err := b.Reserve(wave.Absence{VM: "vm-2", Op: "a/vm-2/1/w", Seq: 1, Wave: "w"}, 2)
+	b, err := b.Reserve(wave.Absence{VM: "vm-2", Op: "a/vm-2/1/w", StopNumber: 1, Wave: "w"}, 2)
 	fmt.Println(b.Out(), err)
-	_, err = b.Reserve(wave.Absence{VM: "vm-3", Op: "a/vm-3/1/w", Seq: 1, Wave: "w"}, 2)
+	_, err = b.Reserve(wave.Absence{VM: "vm-3", Op: "a/vm-3/1/w", StopNumber: 1, Wave: "w"}, 2)
 	fmt.Println(errors.Is(err, wave.ErrBudget))
 	// Output:
 	// 2 <nil>
--- a/fleet/wave/message.go
+++ b/fleet/wave/message.go
@@ -2,8 +2,8 @@
 
 import "burdockreach.dev/fleet/pool"
 
-// ServiceRule holds the settings of a service and its profile that the planner needs.
-type ServiceRule struct {
+// ServicePolicy holds the settings of a service and its profile that the planner needs.
+type ServicePolicy struct {
 	Name         string
 	Pool         string
 	MaxOut       int   // VMs that may be out at once in all data centres, planned and unplanned together.
@@ -20,12 +20,12 @@
 
 // Host is one VM of the platform's host list, which lags behind changes.
 type Host struct {
-	Name  string
-	Pool  string
-	Rack  string
-	State HostState
-	Entry bool  // runs an entry of the data centre instead of a target.
-	Boot  int64 // boot number, which grows with each boot.
+	Name      string
+	Pool      string
+	Rack      string
+	State     HostState
+	RunsEntry bool  // runs an entry of the data centre instead of a target.
+	Boot      int64 // boot number, which grows with each boot.
 }
 
 // HostState is the state of a VM in the platform's host list.
@@ -62,7 +62,7 @@
 // data centre.
 type PolicyMsg struct {
 	At       int64
-	Services []ServiceRule
+	Services []ServicePolicy
 	Waves    []Wave
 }
 
@@ -81,8 +81,8 @@
 	Revision int64
 }
 
-// FreshMsg reports that every document delivered so far was the newest at time At, as a watch that has caught up shows.
-type FreshMsg struct{ At int64 }
+// DocumentsFreshMsg reports that every document delivered so far was the newest at time At, as a watch that has caught up shows.
+type DocumentsFreshMsg struct{ At int64 }
 
 // HostsMsg is the platform's host list for this data centre, requested at time At.
 type HostsMsg struct {
@@ -90,19 +90,19 @@
 	Hosts []Host
 }
 
-// HeardMsg is a report of an entry of the data centre. It lists the VMs that the entry sees as draining and has nothing in
+// EntryReportMsg is a report of an entry of the data centre. It lists the VMs that the entry sees as draining and has nothing in
 // flight to, and the shard versions of its view, by which the planner detects a store that came back with older data.
-type HeardMsg struct {
-	At      int64
-	Entry   string
-	Drained []Drained
-	Numbers []int64
+type EntryReportMsg struct {
+	At       int64
+	Entry    string
+	Drained  []Drained
+	Versions []int64
 }
 
 // Drained reports that the entry has nothing in flight to the VM, and the version of the VM's shard in the entry's view.
 type Drained struct {
-	VM     string
-	Number int64
+	VM      string
+	Version int64
 }
 
 // FailedMsg reports that the entries find the VM dead.
@@ -117,8 +117,8 @@
 	VM string
 }
 
-// UnheardMsg replaces the list of other data centres that cannot be reached. While there is one, no planned stop starts.
-type UnheardMsg struct {
+// UnreachableMsg replaces the list of other data centres that cannot be reached. While there is one, no planned stop starts.
+type UnreachableMsg struct {
 	At          int64
 	DataCentres []string
 }
@@ -132,16 +132,16 @@
 // Move is the move of one VM from one pool to another.
 type Move struct{ VM, From, To string }
 
-// WroteShardMsg is the outcome of a shard write; Revision is the new revision if the write was applied.
-type WroteShardMsg struct {
+// ShardWrittenMsg is the outcome of a shard write; Revision is the new revision if the write was applied.
+type ShardWrittenMsg struct {
 	At       int64
 	Index    int
 	Outcome  Outcome
 	Revision int64
 }
 
-// WroteBudgetMsg is the outcome of a budget write; Revision is the new revision if the write was applied.
-type WroteBudgetMsg struct {
+// BudgetWrittenMsg is the outcome of a budget write; Revision is the new revision if the write was applied.
+type BudgetWrittenMsg struct {
 	At       int64
 	Service  string
 	Outcome  Outcome
@@ -160,21 +160,21 @@
 	VM, Pool string
 }
 
-func (TickMsg) isMsg()        {}
-func (PolicyMsg) isMsg()      {}
-func (ShardMsg) isMsg()       {}
-func (BudgetMsg) isMsg()      {}
-func (FreshMsg) isMsg()       {}
-func (HostsMsg) isMsg()       {}
-func (HeardMsg) isMsg()       {}
-func (FailedMsg) isMsg()      {}
-func (RecoveredMsg) isMsg()   {}
-func (UnheardMsg) isMsg()     {}
-func (MoveMsg) isMsg()        {}
-func (WroteShardMsg) isMsg()  {}
-func (WroteBudgetMsg) isMsg() {}
-func (RebootedMsg) isMsg()    {}
-func (AssignedMsg) isMsg()    {}
+func (TickMsg) isMsg()           {}
+func (PolicyMsg) isMsg()         {}
+func (ShardMsg) isMsg()          {}
+func (BudgetMsg) isMsg()         {}
+func (DocumentsFreshMsg) isMsg() {}
+func (HostsMsg) isMsg()          {}
+func (EntryReportMsg) isMsg()    {}
+func (FailedMsg) isMsg()         {}
+func (RecoveredMsg) isMsg()      {}
+func (UnreachableMsg) isMsg()    {}
+func (MoveMsg) isMsg()           {}
+func (ShardWrittenMsg) isMsg()   {}
+func (BudgetWrittenMsg) isMsg()  {}
+func (RebootedMsg) isMsg()       {}
+func (AssignedMsg) isMsg()       {}
 
 // Cmd is a command of the planner to its caller.
 type Cmd interface{ isCmd() }
--- a/fleet/wave/planner.go
+++ b/fleet/wave/planner.go
@@ -12,12 +12,12 @@
 	DefaultMaxAge = 10_000
 	// DefaultListLag is the time in milliseconds by which the platform's host list may lag behind a change.
 	DefaultListLag = 1_000
-	// DefaultWreckLimit is the number of VMs that do not come back from a wave's reboot at which the wave stops.
-	DefaultWreckLimit = 2
-	// DefaultCanary is the number of VMs of a pool that a wave may reserve in a data centre until the first has finished.
-	DefaultCanary = 1
-	// DefaultIdleOut is the number of VMs of an idle pool, one without services, that may be out at once for a wave.
-	DefaultIdleOut = 4
+	// DefaultFailureLimit is the number of VMs that do not come back from a wave's reboot at which the wave stops.
+	DefaultFailureLimit = 2
+	// DefaultCanaryVMs is the number of VMs of a pool that a wave may reserve in a data centre until the first has finished.
+	DefaultCanaryVMs = 1
+	// DefaultMaxIdleOut is the number of VMs of an idle pool, one without services, that may be out at once for a wave.
+	DefaultMaxIdleOut = 4
 
 	minCanaryBudget      = 4       // smaller budgets limit a bad wave as well by themselves, so canaries would only cost time.
 	retryMillis          = 2_000   // interval between repeats of an unanswered call or read.
@@ -44,7 +44,7 @@
 	budgets     map[string]*budgetDocument
 	allFreshAt  int64 // last time at which all known documents were the newest.
 
-	services        map[string][]ServiceRule // by pool, sorted by name.
+	services        map[string][]ServicePolicy // by pool, sorted by name.
 	waves           []Wave
 	hosts           map[string]Host             // the platform's host list, by name.
 	listedAt        int64                       // request time of the host list; 0 before the first.
@@ -97,11 +97,11 @@
 		dataCentre: dataCentre,
 		limits: limits{
 			maxAge: DefaultMaxAge, listLag: DefaultListLag,
-			failureLimit: DefaultWreckLimit, maxIdleOut: DefaultIdleOut, canaryVMs: DefaultCanary,
+			failureLimit: DefaultFailureLimit, maxIdleOut: DefaultMaxIdleOut, canaryVMs: DefaultCanaryVMs,
 		},
 		table: pool.NewTable(count), shards: make([]*document, count),
 		minVersions: make([]int64, count), sentShards: make([]pool.Shard, count),
-		budgets: map[string]*budgetDocument{}, services: map[string][]ServiceRule{},
+		budgets: map[string]*budgetDocument{}, services: map[string][]ServicePolicy{},
 		hosts: map[string]Host{}, reportedAt: map[string]int64{},
 		drainedVersions: map[string]map[string]int64{}, drainStarts: map[string]drainStart{},
 		reportedDead: map[string]bool{}, goneSince: map[string]int64{},
@@ -127,15 +127,15 @@
 // WithListLag sets the time in milliseconds by which the platform's host list may lag behind a change.
 func WithListLag(millis int64) Option { return func(p *Planner) { p.limits.listLag = millis } }
 
-// WithWreckLimit sets the number of VMs that do not come back from a wave's reboot at which the wave stops.
-func WithWreckLimit(n int) Option { return func(p *Planner) { p.limits.failureLimit = n } }
+// WithFailureLimit sets the number of VMs that do not come back from a wave's reboot at which the wave stops.
+func WithFailureLimit(n int) Option { return func(p *Planner) { p.limits.failureLimit = n } }
 
-// WithIdleOut sets the number of VMs of an idle pool, one without services, that may be out at once for a wave.
-func WithIdleOut(n int) Option { return func(p *Planner) { p.limits.maxIdleOut = n } }
+// WithMaxIdleOut sets the number of VMs of an idle pool, one without services, that may be out at once for a wave.
+func WithMaxIdleOut(n int) Option { return func(p *Planner) { p.limits.maxIdleOut = n } }
 
-// WithCanary sets the number of VMs of a pool that a wave may reserve in a data centre until the first has finished; 0
+// WithCanaryVMs sets the number of VMs of a pool that a wave may reserve in a data centre until the first has finished; 0
 // means no limit. Budgets of fewer than four VMs have no such limit.
-func WithCanary(n int) Option { return func(p *Planner) { p.limits.canaryVMs = n } }
+func WithCanaryVMs(n int) Option { return func(p *Planner) { p.limits.canaryVMs = n } }
 
 // Table returns the newest membership that the planner knows to be in the store.
 func (p *Planner) Table() pool.Table { return p.table }
@@ -177,19 +177,19 @@
 	case BudgetMsg:
 		p.advanceClock(m.At)
 		p.handleBudget(m)
-	case FreshMsg:
+	case DocumentsFreshMsg:
 		p.advanceClock(m.At)
 		p.allFreshAt = max(p.allFreshAt, m.At)
 	case HostsMsg:
 		p.advanceClock(m.At)
 		p.handleHosts(m)
-	case HeardMsg:
+	case EntryReportMsg:
 		p.advanceClock(m.At)
 		p.handleEntryReport(m)
-	case WroteShardMsg:
+	case ShardWrittenMsg:
 		p.advanceClock(m.At)
 		p.handleShardWritten(m)
-	case WroteBudgetMsg:
+	case BudgetWrittenMsg:
 		p.advanceClock(m.At)
 		p.handleBudgetWritten(m)
 	default:
@@ -211,7 +211,7 @@
 		was := p.reportedDead[m.VM]
 		delete(p.reportedDead, m.VM)
 		return was
-	case UnheardMsg:
+	case UnreachableMsg:
 		p.advanceClock(m.At)
 		p.unreachable = slices.Clone(m.DataCentres)
 	case MoveMsg:
@@ -236,7 +236,7 @@
 // handlePolicy replaces services and waves, and adds a document for each new service's budget.
 func (p *Planner) handlePolicy(m PolicyMsg) {
 	p.waves = slices.Clone(m.Waves)
-	p.services = map[string][]ServiceRule{}
+	p.services = map[string][]ServicePolicy{}
 	for _, s := range m.Services {
 		p.services[s.Pool] = append(p.services[s.Pool], s)
 		if p.budgets[s.Name] == nil {
@@ -244,7 +244,7 @@
 		}
 	}
 	for _, l := range p.services {
-		slices.SortFunc(l, func(a, b ServiceRule) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(l, func(a, b ServicePolicy) int { return strings.Compare(a.Name, b.Name) })
 	}
 }
 
@@ -256,7 +256,7 @@
 		}
 	}
 	for vm, s := range p.drainStarts {
-		if m, ok := p.table.Find(vm); !ok || m.Seq != s.seq {
+		if m, ok := p.table.Find(vm); !ok || m.EndedStops != s.seq {
 			delete(p.drainStarts, vm)
 			delete(p.drainedVersions, vm)
 		}
--- a/fleet/wave/planner_test.go
+++ b/fleet/wave/planner_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	got := 0
 	for _, v := range w.vms {
-		if m := w.member(v.name); m.Pool != "office" && (m.Op != "" || m.Wave != "") {
+		if m := w.member(v.name); m.Pool != "office" && (m.Op != "" || m.FinishedWave != "") {
 			got++
 		}
 	}
@@ -72,7 +72,7 @@
 	t.Run("data centre unreachable", func(t *testing.T) {
 		w := newJoinedSimulation()
 		for _, l := range w.leaders {
-			w.deliver(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}})
+			w.deliver(l, UnreachableMsg{At: w.now, DataCentres: []string{"c"}})
 		}
 		w.setWavePaused(false)
 		w.run(10, true)
@@ -86,7 +86,7 @@
 			w.advanceClock(1000)
 			for _, l := range w.leaders {
 				l.planner.handleHosts(HostsMsg{At: w.now, Hosts: w.lists[l.dc][0]})
-				w.deliver(l, FreshMsg{At: w.now})
+				w.deliver(l, DocumentsFreshMsg{At: w.now})
 				w.deliver(l, TickMsg{At: w.now})
 			}
 			w.performAll()
@@ -144,7 +144,7 @@
 		w := newJoinedSimulation()
 		before := map[string]int64{}
 		for _, v := range w.vms {
-			before[v.name] = w.member(v.name).Seq
+			before[v.name] = w.member(v.name).EndedStops
 			for _, e := range w.entries {
 				if serves(v.pool) {
 					e.inFlight[v.name] = 1
@@ -155,11 +155,11 @@
 		w.run(400, true)
 		is.New(t).Equal(w.violations, nil)
 		for _, v := range w.vms {
-			is.New(t).True(serves(v.pool) == (w.member(v.name).Wave == "")) // only VMs of the idle pool were rebooted.
+			is.New(t).True(serves(v.pool) == (w.member(v.name).FinishedWave == "")) // only VMs of the idle pool were rebooted.
 		}
 		tries := 0
 		for _, v := range w.vms {
-			n := int(w.member(v.name).Seq - before[v.name])
+			n := int(w.member(v.name).EndedStops - before[v.name])
 			tries += n
 			is.New(t).True(n <= 6) // each timed-out drain doubles the backoff.
 		}
@@ -186,7 +186,7 @@
 		w.checkStops(t, true)
 	})
 	t.Run("reboots that never come back stop the wave", func(t *testing.T) {
-		w := newJoinedSimulation(WithWreckLimit(1))
+		w := newJoinedSimulation(WithFailureLimit(1))
 		w.setWavePaused(false)
 		w.run(60, false)
 		lost := w.reboots
@@ -203,7 +203,7 @@
 		is.New(t).Equal(w.unfinished(), nil) // the wave continues once all VMs are back.
 	})
 	t.Run("a canary limits the VMs lost to a bad wave", func(t *testing.T) {
-		w := newJoinedSimulation(WithCanary(1))
+		w := newJoinedSimulation(WithCanaryVMs(1))
 		for i := range w.rules {
 			w.rules[i].MaxOut = len(w.vms)
 		}
@@ -299,7 +299,7 @@
 	is.New(t).Equal(w.budgets["orders"].doc.Out(), 0)
 	w.boot(v)
 	w.run(2, true)
-	is.New(t).True(w.member(v.name).Seq > before.Seq) // stop numbers are never used twice.
+	is.New(t).True(w.member(v.name).EndedStops > before.EndedStops) // stop numbers are never used twice.
 }
 
 // TestOlderStore guards against a store that comes back with an older shard: versions must not repeat, and the wave must finish.
@@ -310,15 +310,15 @@
 		old := w.shards["a"][0]
 		w.setWavePaused(false)
 		w.run(40, true)
-		version := w.shards["a"][0].doc.Number()
-		is.New(t).True(version > old.doc.Number())
+		version := w.shards["a"][0].doc.Version()
+		is.New(t).True(version > old.doc.Version())
 		w.shards["a"][0] = storedDoc[pool.Shard]{doc: old.doc, revision: revision(w, old.revision)}
 		w.leaders[0].planner.shards[0].mustRead = true // as after a write that conflicted with the older revision.
 		w.run(1, true)
-		is.New(t).True(w.shards["a"][0].doc.Number() > version) // entries never see a version twice.
+		is.New(t).True(w.shards["a"][0].doc.Version() > version) // entries never see a version twice.
 		w.run(60, true)
 		for _, v := range w.vms {
-			is.New(t).Equal(w.member(v.name).Wave, "w1")
+			is.New(t).Equal(w.member(v.name).FinishedWave, "w1")
 		}
 		is.New(t).Equal(w.violations, nil)
 	}
--- a/fleet/wave/queue.go
+++ b/fleet/wave/queue.go
@@ -42,7 +42,7 @@
 		switch {
 		case m.State != pool.Serving || p.failing[m.VM]:
 			r.out++
-		case ok && m.Wave == w.ID:
+		case ok && m.FinishedWave == w.ID:
 			r.done++
 			p.canaryPassed[wavePool{wave: w.ID, pool: m.Pool}] = true
 		case ok && !w.Paused && p.isUp(m.VM) && p.backoffs[m.VM].until <= p.now:
@@ -56,7 +56,7 @@
 // scanHosts collects the listed VMs that the membership lacks, and clears the gone times of VMs that are back or dropped.
 func (p *Planner) scanHosts() {
 	for vm, h := range p.hosts {
-		if h.Entry {
+		if h.RunsEntry {
 			continue
 		}
 		if _, ok := p.table.Find(vm); !ok {
@@ -85,11 +85,11 @@
 	switch {
 	case p.isDown(m.VM):
 		p.failing[m.VM] = true
-	case h.State == Leaving && (m.Shut || m.Wave != "" && p.now-m.Since < lateDrainMillis):
+	case h.State == Leaving && (m.MaybeDrained || m.FinishedWave != "" && p.now-m.StateSince < lateDrainMillis):
 		p.lateDrains = append(p.lateDrains, m.VM)
 	case h.State == Leaving:
 		p.failing[m.VM] = true
-	case h.Pool != m.Pool && p.listedAt > m.Since+p.limits.listLag:
+	case h.Pool != m.Pool && p.listedAt > m.StateSince+p.limits.listLag:
 		p.misassigned = append(p.misassigned, m)
 	}
 }
@@ -153,7 +153,9 @@
 }
 
 // isStopWanted reports whether the VM's running stop is a move, or of a wave that is still configured.
-func (p *Planner) isStopWanted(m pool.Member) bool { return m.Doing == "" || p.isWaveWanted(m.Doing) }
+func (p *Planner) isStopWanted(m pool.Member) bool {
+	return m.RunningWave == "" || p.isWaveWanted(m.RunningWave)
+}
 
 // isWaveStopped reports whether so many VMs failed during their stop for the wave that the wave stops.
 func (p *Planner) isWaveStopped(id string) bool {
@@ -166,7 +168,7 @@
 		}
 	}
 	for m := range p.table.Busy() {
-		if m.State == pool.Failed && m.Doing == id {
+		if m.State == pool.Failed && m.RunningWave == id {
 			lost[m.VM] = true
 		}
 	}
@@ -202,7 +204,7 @@
 func (p *Planner) countIdleOut(name string) int {
 	n := 0
 	for m := range p.table.Busy() {
-		if m.Pool == name && m.To == "" && m.State != pool.Serving {
+		if m.Pool == name && m.MoveTo == "" && m.State != pool.Serving {
 			n++
 		}
 	}
--- a/fleet/wave/random_test.go
+++ b/fleet/wave/random_test.go
@@ -43,10 +43,10 @@
 // its planned reboot.
 func (w *simulation) checkShard(dc string, o, n pool.Shard) {
 	k := fmt.Sprint(dc, n.Index())
-	if n.Number() <= w.highestVersions[k] {
-		w.addViolation("shard %s goes from version %d to %d", k, w.highestVersions[k], n.Number())
+	if n.Version() <= w.highestVersions[k] {
+		w.addViolation("shard %s goes from version %d to %d", k, w.highestVersions[k], n.Version())
 	}
-	w.highestVersions[k] = max(w.highestVersions[k], n.Number())
+	w.highestVersions[k] = max(w.highestVersions[k], n.Version())
 	for _, v := range w.vms {
 		a, was := o.Find(v.name)
 		b, is := n.Find(v.name)
@@ -86,7 +86,7 @@
 		if s.Pool != m.Pool {
 			continue
 		}
-		if a, ok := w.budgets[s.Name].doc.Find(vm); !ok || !a.Planned() || a.Seq != m.Seq+1 {
+		if a, ok := w.budgets[s.Name].doc.Find(vm); !ok || !a.Planned() || a.StopNumber != m.EndedStops+1 {
 			w.addViolation("%s of %s without a reservation by %s", act, vm, s.Name)
 		}
 	}
@@ -167,7 +167,7 @@
 		w.crash(v)
 		v.gone = true
 	case 3:
-		w.deliver(l, UnheardMsg{At: w.now, DataCentres: []string{"c"}[:n/4%2]})
+		w.deliver(l, UnreachableMsg{At: w.now, DataCentres: []string{"c"}[:n/4%2]})
 	}
 }
 
@@ -189,7 +189,7 @@
 			}
 		}
 		for _, l := range []*simLeader{w.leaders[0], w.leaders[2]} {
-			w.deliver(l, UnheardMsg{At: w.now})
+			w.deliver(l, UnreachableMsg{At: w.now})
 			w.runRound(l, 0)
 		}
 	}
@@ -199,7 +199,7 @@
 func (w *simulation) unfinished() []string {
 	var l []string
 	for _, v := range w.vms {
-		if m := w.member(v.name); m.State != pool.Serving || m.Wave != w.wave.ID || m.Op != "" || !v.alive || v.drained || v.pool != m.Pool {
+		if m := w.member(v.name); m.State != pool.Serving || m.FinishedWave != w.wave.ID || m.Op != "" || !v.alive || v.drained || v.pool != m.Pool {
 			l = append(l, fmt.Sprintf("%s is left as %+v, platform %s, drained %v", v.name, m, v.pool, v.drained))
 		}
 	}
@@ -216,7 +216,7 @@
 func TestRandomTraces(t *testing.T) {
 	reboots, runs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(WithWreckLimit(100))
+		w := newSimulation(WithFailureLimit(100))
 		for _, u := range rapid.SliceOfN(rapid.Uint32(), 100, 500).Draw(t, "trace") {
 			w.doAction(u)
 			w.checkPools()
--- a/fleet/wave/replay.go
+++ b/fleet/wave/replay.go
@@ -19,31 +19,31 @@
 type TraceVM struct {
 	Name, DataCentre, Rack, Pool string
 	DrainMillis, RebootMillis    int64
-	Wrecked                      bool  // the reboot never ends.
+	RebootHangs                  bool  // the reboot never ends.
 	FailsAt, BackAt              int64 // start and end of an unplanned failure, in milliseconds; none if BackAt is 0.
 }
 
 // Trace is the input of a replay: a fleet with one maintenance wave over all pools.
 type Trace struct {
 	VMs      []TraceVM
-	Services []ServiceRule
+	Services []ServicePolicy
 	Entries  int // number of entries in each data centre.
 }
 
 // Result holds the measurements of a replay; times are in milliseconds.
 type Result struct {
-	Took     int64   // until every VM has finished the wave; 0 if that never happened.
-	Least    int64   // the longest of the services' schedules by the longest job first, with the same times and no gaps.
-	Bound    int64   // lower bound of any schedule: the larger of total time by MaxOut and the longest VM.
-	MaxOut   int     // most VMs of one service that were out at once.
-	Racks    float64 // mean number of racks with VMs out, over the samples with any out.
-	Lost     int     // VMs that did not come back.
-	Messages int     // messages to the planners.
-	Writes   int     // writes that were applied.
+	TookMillis       int64   // until every VM has finished the wave; 0 if that never happened.
+	ScheduleMillis   int64   // the longest of the services' schedules by the longest job first, with the same times and no gaps.
+	LowerBoundMillis int64   // lower bound of any schedule: the larger of total time by MaxOut and the longest VM.
+	MaxOut           int     // most VMs of one service that were out at once.
+	MeanRacksOut     float64 // mean number of racks with VMs out, over the samples with any out.
+	Lost             int     // VMs that did not come back.
+	Messages         int     // messages to the planners.
+	Writes           int     // writes that were applied.
 }
 
-// DayTrace returns a wave over one deployment: five services and an idle pool in three data centres, with four VMs a rack.
-func DayTrace(seed int64, perService, maxOut int) Trace {
+// DeploymentTrace returns a wave over one deployment: five services and an idle pool in three data centres, with four VMs a rack.
+func DeploymentTrace(seed int64, perService, maxOut int) Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := Trace{Entries: 3}
 	n := map[string]int{}
@@ -57,7 +57,7 @@
 		})
 	}
 	for _, p := range []string{"orders", "routes", "batches", "ledgers", "checks"} {
-		t.Services = append(t.Services, ServiceRule{Name: p, Pool: p, MaxOut: maxOut, DrainMillis: 60_000, RebootMillis: 300_000})
+		t.Services = append(t.Services, ServicePolicy{Name: p, Pool: p, MaxOut: maxOut, DrainMillis: 60_000, RebootMillis: 300_000})
 		for i := range perService {
 			add(p, i)
 		}
@@ -102,23 +102,23 @@
 		for _, dc := range r.dataCentres {
 			r.deliverBudgets(dc)
 			if r.now%replayReportMillis == 0 {
-				r.deliver(dc, FreshMsg{At: r.now})
+				r.deliver(dc, DocumentsFreshMsg{At: r.now})
 				r.deliverStatus(dc)
 			}
 		}
 		r.measure()
 		if r.isDone() {
-			r.result.Took = r.now
+			r.result.TookMillis = r.now
 			break
 		}
 		if r.now-r.lastWriteAt > replayStallMillis {
 			break
 		}
 	}
-	r.result.Least, r.result.Bound = t.bounds()
-	r.result.Racks = r.rackSum / float64(max(r.rackSamples, 1))
+	r.result.ScheduleMillis, r.result.LowerBoundMillis = t.bounds()
+	r.result.MeanRacksOut = r.rackSum / float64(max(r.rackSamples, 1))
 	for _, v := range r.vms {
-		if v.Wrecked && v.down {
+		if v.RebootHangs && v.down {
 			r.result.Lost++
 		}
 	}
@@ -137,8 +137,8 @@
 		}
 	}
 	for _, dc := range r.dataCentres {
-		table := pool.NewTable(pool.Count)
-		r.shards[dc], r.planners[dc] = &table, New(dc, pool.Count, opts...)
+		table := pool.NewTable(pool.ShardCount)
+		r.shards[dc], r.planners[dc] = &table, New(dc, pool.ShardCount, opts...)
 		r.deliver(dc, PolicyMsg{Services: t.Services, Waves: []Wave{{ID: "w", Pools: t.pools()}}})
 	}
 	return r
@@ -158,7 +158,7 @@
 // advanceVMs begins and ends reboots, failures and drains that are due.
 func (r *replay) advanceVMs() {
 	for _, v := range r.vms {
-		if v.rebootEndsAt > 0 && r.now >= v.rebootEndsAt && !v.Wrecked {
+		if v.rebootEndsAt > 0 && r.now >= v.rebootEndsAt && !v.RebootHangs {
 			v.rebootEndsAt, v.down = 0, false
 			v.boot++
 		}
@@ -185,7 +185,7 @@
 // deliverStatus delivers the host list and the entries' reports to the data centre's planner, then a tick.
 func (r *replay) deliverStatus(dc string) {
 	l := []Host{}
-	heard := HeardMsg{At: r.now}
+	heard := EntryReportMsg{At: r.now}
 	for _, v := range r.trace.VMs {
 		if v.DataCentre != dc {
 			continue
@@ -197,12 +197,12 @@
 		}
 		l = append(l, h)
 		if s.drainingSince > 0 && r.now-s.drainingSince >= v.DrainMillis {
-			heard.Drained = append(heard.Drained, Drained{VM: v.Name, Number: r.shards[dc].Shard(r.shards[dc].Index(v.Name)).Number()})
+			heard.Drained = append(heard.Drained, Drained{VM: v.Name, Version: r.shards[dc].Shard(r.shards[dc].Index(v.Name)).Version()})
 		}
 	}
 	for i := range r.trace.Entries {
 		heard.Entry = fmt.Sprintf("%s-e%d", dc, i)
-		l = append(l, Host{Name: heard.Entry, Entry: true})
+		l = append(l, Host{Name: heard.Entry, RunsEntry: true})
 		r.deliver(dc, heard)
 	}
 	r.deliver(dc, HostsMsg{At: r.now, Hosts: l})
@@ -233,20 +233,20 @@
 	case WriteShardCmd:
 		i := c.Shard.Index()
 		if r.shards[dc].Revision(i) != c.Revision {
-			return WroteShardMsg{At: r.now, Index: i, Outcome: Conflict}
+			return ShardWrittenMsg{At: r.now, Index: i, Outcome: Conflict}
 		}
 		r.revision++
 		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		*r.shards[dc] = r.shards[dc].Replace(i, c.Shard, r.revision)
-		return WroteShardMsg{At: r.now, Index: i, Revision: r.revision}
+		return ShardWrittenMsg{At: r.now, Index: i, Revision: r.revision}
 	case WriteBudgetCmd:
 		if r.budgets[c.Service].Revision != c.Revision {
-			return WroteBudgetMsg{At: r.now, Service: c.Service, Outcome: Conflict}
+			return BudgetWrittenMsg{At: r.now, Service: c.Service, Outcome: Conflict}
 		}
 		r.revision++
 		r.result.Writes, r.lastWriteAt = r.result.Writes+1, r.now
 		r.budgets[c.Service] = BudgetMsg{Budget: c.Budget, Revision: r.revision}
-		return WroteBudgetMsg{At: r.now, Service: c.Service, Revision: r.revision}
+		return BudgetWrittenMsg{At: r.now, Service: c.Service, Revision: r.revision}
 	case RebootCmd:
 		if v := r.vms[c.VM]; !v.down {
 			v.down, v.rebootEndsAt = true, r.now+v.RebootMillis
@@ -280,7 +280,7 @@
 func (r *replay) isDone() bool {
 	for _, v := range r.vms {
 		m, ok := r.shards[v.DataCentre].Find(v.Name)
-		if !ok || m.Wave != "w" || m.State != pool.Serving {
+		if !ok || m.FinishedWave != "w" || m.State != pool.Serving {
 			return false
 		}
 	}
--- a/fleet/wave/reserve.go
+++ b/fleet/wave/reserve.go
@@ -24,7 +24,7 @@
 			} else {
 				b = p.copyReservations(name, s, b)
 			}
-			if b.Number() == d.budget.Number() && !d.mustRestore {
+			if b.Version() == d.budget.Version() && !d.mustRestore {
 				continue
 			}
 			d.writing, d.writeSentAt, d.sent = true, p.now, b
@@ -56,7 +56,7 @@
 
 // reconcile releases the absences that have ended, and turns planned stops of VMs that failed into failures. It leaves the
 // absences of other data centres to their planners.
-func (p *Planner) reconcile(s ServiceRule, b Budget) Budget {
+func (p *Planner) reconcile(s ServicePolicy, b Budget) Budget {
 	for _, a := range b.Absences() {
 		if a.DataCentre != p.dataCentre {
 			continue
@@ -67,9 +67,9 @@
 			if p.hasLeftMembership(a) {
 				b = b.Release(a.VM)
 			}
-		case m.Pool != s.Pool && m.Seq >= a.Seq:
+		case m.Pool != s.Pool && m.EndedStops >= a.StopNumber:
 			b = b.Release(a.VM)
-		case a.Planned() && a.Seq > m.Seq:
+		case a.Planned() && a.StopNumber > m.EndedStops:
 			if m.State == pool.Failed && m.Op != "" {
 				b = b.Fail(a)
 			}
@@ -89,11 +89,11 @@
 // absence's number.
 func (p *Planner) hasLeftMembership(a Absence) bool {
 	i := p.table.Index(a.VM)
-	return a.Seq <= p.table.Shard(i).Number() && (a.Planned() || p.isFresh(p.shards[i]))
+	return a.StopNumber <= p.table.Shard(i).Version() && (a.Planned() || p.isFresh(p.shards[i]))
 }
 
 // countOut adds every VM of the pool that is out and not in the budget yet.
-func (p *Planner) countOut(s ServiceRule, b Budget) Budget {
+func (p *Planner) countOut(s ServicePolicy, b Budget) Budget {
 	for vm := range p.failing {
 		if m, ok := p.table.Find(vm); ok && m.Pool == s.Pool {
 			b = p.countVM(b, m)
@@ -117,7 +117,7 @@
 
 // newFailure returns the absence of a VM that is out without a planned stop.
 func (p *Planner) newFailure(m pool.Member) Absence {
-	return Absence{VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: m.Since}
+	return Absence{VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: m.StateSince}
 }
 
 // reserveStops adds planned stops for the next VMs of the pool's queue while the budget of every service of the pool has room.
@@ -174,14 +174,14 @@
 }
 
 // copyReservations adds the reservations that the budget of the pool's first service holds for this data centre.
-func (p *Planner) copyReservations(name string, s ServiceRule, b Budget) Budget {
+func (p *Planner) copyReservations(name string, s ServicePolicy, b Budget) Budget {
 	if !p.areStopsAllowed() || !p.areBudgetsFresh(name) {
 		return b
 	}
 	for _, a := range p.budgets[p.services[name][0].Name].budget.Absences() {
 		m, ok := p.table.Find(a.VM)
 		_, out := b.Find(a.VM)
-		if !ok || out || a.DataCentre != p.dataCentre || !a.Planned() || a.Seq != m.Seq+1 {
+		if !ok || out || a.DataCentre != p.dataCentre || !a.Planned() || a.StopNumber != m.EndedStops+1 {
 			continue
 		}
 		if n, err := b.Reserve(a, s.MaxOut); err == nil {
@@ -195,7 +195,7 @@
 func (p *Planner) newReservation(m pool.Member, w string) Absence {
 	return Absence{
 		VM: m.VM, DataCentre: p.dataCentre, Rack: m.Rack, Since: p.now,
-		Wave: w, Op: opID(p.dataCentre, m, w), Seq: m.Seq + 1,
+		Wave: w, Op: opID(p.dataCentre, m, w), StopNumber: m.EndedStops + 1,
 	}
 }
 
@@ -233,7 +233,7 @@
 		for _, s := range p.services[name] {
 			for _, a := range p.budgets[s.Name].budget.absences {
 				m, ok := p.table.Find(a.VM)
-				if ok && m.State == pool.Serving && m.Pool == name && a.DataCentre == p.dataCentre && a.Seq == m.Seq+1 &&
+				if ok && m.State == pool.Serving && m.Pool == name && a.DataCentre == p.dataCentre && a.StopNumber == m.EndedStops+1 &&
 					!p.failing[a.VM] && !slices.Contains(l, m) {
 					l = append(l, m)
 				}
@@ -246,7 +246,7 @@
 // reservation returns the reservation for the VM's next planned stop.
 func (p *Planner) reservation(m pool.Member) Absence {
 	for _, s := range p.services[m.Pool] {
-		if a, ok := p.budgets[s.Name].budget.Find(m.VM); ok && a.Seq == m.Seq+1 {
+		if a, ok := p.budgets[s.Name].budget.Find(m.VM); ok && a.StopNumber == m.EndedStops+1 {
 			return a
 		}
 	}
@@ -263,7 +263,7 @@
 		return ok && v.From == m.Pool
 	}
 	w, ok := p.waveOf(m.Pool)
-	return ok && w.ID == a.Wave && !w.Paused && m.Wave != w.ID && !p.isWaveStopped(w.ID)
+	return ok && w.ID == a.Wave && !w.Paused && m.FinishedWave != w.ID && !p.isWaveStopped(w.ID)
 }
 
 // canStartNow reports whether the reserved stop may start now: the budget of every service of the pool holds the reservation,
@@ -274,7 +274,7 @@
 	}
 	for _, s := range p.services[m.Pool] {
 		a, ok := p.budgets[s.Name].budget.Find(m.VM)
-		if !ok || a.Seq != m.Seq+1 {
+		if !ok || a.StopNumber != m.EndedStops+1 {
 			return false
 		}
 	}
--- a/fleet/wave/simulation_test.go
+++ b/fleet/wave/simulation_test.go
@@ -55,7 +55,7 @@
 	leaders         []*simLeader
 	wave            Wave
 	opts            []Option
-	rules           []ServiceRule
+	rules           []ServicePolicy
 	reboots         int
 	highestVersions map[string]int64 // highest version that each shard had.
 	violations      []string
@@ -64,7 +64,7 @@
 // simPools holds the pool of each VM of a data centre; office is an idle pool.
 var simPools = []string{"orders", "orders", "orders", "orders", "grants", "grants", "office"}
 
-var simServices = []ServiceRule{
+var simServices = []ServicePolicy{
 	{Name: "orders", Pool: "orders", MaxOut: simMaxOut, DrainMillis: 8000, RebootMillis: 20_000},
 	{Name: "quotes", Pool: "orders", MaxOut: simMaxOut + 1, DrainMillis: 8000, RebootMillis: 20_000},
 	{Name: "grants", Pool: "grants", MaxOut: 1, DrainMillis: 8000, RebootMillis: 20_000},
@@ -125,7 +125,7 @@
 		}
 		for _, e := range w.entries {
 			if e.dc == dc {
-				l = append(l, Host{Name: e.name, Entry: true})
+				l = append(l, Host{Name: e.name, RunsEntry: true})
 			}
 		}
 		if millis >= DefaultListLag {
@@ -167,12 +167,12 @@
 }
 
 // report returns the entry's report: the draining VMs that it has nothing in flight to.
-func (e *simEntry) report(at int64) HeardMsg {
-	m := HeardMsg{At: at, Entry: e.name, Numbers: e.view.Numbers()}
+func (e *simEntry) report(at int64) EntryReportMsg {
+	m := EntryReportMsg{At: at, Entry: e.name, Versions: e.view.Versions()}
 	for _, p := range []string{"orders", "grants", "office"} {
 		for _, t := range e.view.InPool(p) {
 			if t.State == pool.Draining && e.inFlight[t.VM] == 0 {
-				m.Drained = append(m.Drained, Drained{VM: t.VM, Number: e.view.Number(t.VM)})
+				m.Drained = append(m.Drained, Drained{VM: t.VM, Version: e.view.Version(t.VM)})
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 	for i, c := range w.shards[e.dc] {
 		t = t.Replace(i, c.doc, c.revision)
 	}
-	v, err := e.view.Apply(pool.Whole(t))
+	v, err := e.view.Apply(pool.FullDelta(t))
 	if err != nil {
 		w.addViolation("entry %s: %v", e.name, err)
 	}
@@ -240,10 +240,10 @@
 	switch c := c.(type) {
 	case WriteShardCmd:
 		o, rev := w.performWrite(l, c, lose)
-		w.deliver(l, WroteShardMsg{At: w.now, Index: c.Shard.Index(), Outcome: o, Revision: rev})
+		w.deliver(l, ShardWrittenMsg{At: w.now, Index: c.Shard.Index(), Outcome: o, Revision: rev})
 	case WriteBudgetCmd:
 		o, rev := w.performWrite(l, c, lose)
-		w.deliver(l, WroteBudgetMsg{At: w.now, Service: c.Service, Outcome: o, Revision: rev})
+		w.deliver(l, BudgetWrittenMsg{At: w.now, Service: c.Service, Outcome: o, Revision: rev})
 	case ReadShardCmd:
 		d := w.shards[l.dc][c.Index]
 		w.deliver(l, ShardMsg{At: w.now, Shard: d.doc, Revision: d.revision})
--- a/fleet/wave/status.go
+++ b/fleet/wave/status.go
@@ -16,7 +16,7 @@
 	var entries []string
 	for _, v := range m.Hosts {
 		h[v.Name] = v
-		if !v.Entry {
+		if !v.RunsEntry {
 			targets++
 		} else if v.State != Gone {
 			entries = append(entries, v.Name)
@@ -29,9 +29,9 @@
 }
 
 // handleEntryReport stores the drained VMs of an entry's report, and the shard versions that it has seen.
-func (p *Planner) handleEntryReport(m HeardMsg) {
+func (p *Planner) handleEntryReport(m EntryReportMsg) {
 	p.reportedAt[m.Entry] = m.At
-	for i, n := range m.Numbers {
+	for i, n := range m.Versions {
 		if i < len(p.minVersions) {
 			p.minVersions[i] = max(p.minVersions[i], n)
 		}
@@ -40,7 +40,7 @@
 		if p.drainedVersions[d.VM] == nil {
 			p.drainedVersions[d.VM] = map[string]int64{}
 		}
-		p.drainedVersions[d.VM][m.Entry] = max(p.drainedVersions[d.VM][m.Entry], d.Number)
+		p.drainedVersions[d.VM][m.Entry] = max(p.drainedVersions[d.VM][m.Entry], d.Version)
 	}
 }
 
@@ -77,7 +77,7 @@
 		return true
 	}
 	s, ok := p.drainStarts[m.VM]
-	if !ok || s.seq != m.Seq || p.listedAt < s.seenAt+p.limits.listLag {
+	if !ok || s.seq != m.EndedStops || p.listedAt < s.seenAt+p.limits.listLag {
 		return false
 	}
 	l := p.senders()
--- a/fleet/wave/step.go
+++ b/fleet/wave/step.go
@@ -12,14 +12,14 @@
 	changes := p.changes()
 	for i, d := range p.shards {
 		s := p.table.Shard(i)
-		behind := d.mustRestore || s.Number() < p.minVersions[i]
+		behind := d.mustRestore || s.Version() < p.minVersions[i]
 		if !d.writable() || len(changes[i].puts)+len(changes[i].drops) == 0 && !behind {
 			continue
 		}
-		if s.Number() < p.minVersions[i] {
+		if s.Version() < p.minVersions[i] {
 			changes[i] = shardChange{puts: p.restoreMembers(s, p.minVersions[i])}
 		}
-		n, err := s.Above(p.minVersions[i]).Change(changes[i].puts, changes[i].drops)
+		n, err := s.RaiseVersion(p.minVersions[i]).Change(changes[i].puts, changes[i].drops)
 		if err != nil {
 			continue
 		}
@@ -41,7 +41,7 @@
 		case m.Op != "":
 			continue
 		}
-		m.Seq = max(m.Seq, minVersion)
+		m.EndedStops = max(m.EndedStops, minVersion)
 		l = append(l, m)
 	}
 	return l
@@ -88,8 +88,8 @@
 func (p *Planner) advance(m pool.Member) pool.Member {
 	switch m.State {
 	case pool.Serving:
-		if m.Shut && p.isUp(m.VM) && p.listedAt >= m.Since+p.limits.listLag {
-			m.Shut = false
+		if m.MaybeDrained && p.isUp(m.VM) && p.listedAt >= m.StateSince+p.limits.listLag {
+			m.MaybeDrained = false
 		}
 		return m
 	case pool.Draining:
@@ -117,14 +117,14 @@
 	switch {
 	case p.isDown(m.VM):
 		return p.markDown(m)
-	case p.isDrained(m) && m.To != "":
+	case p.isDrained(m) && m.MoveTo != "":
 		return p.finishMove(m)
 	case p.isDrained(m) && p.isListFresh() && p.isFresh(p.shards[p.table.Index(m.VM)]):
-		m.State, m.Since, m.Boot = pool.Rebooting, p.now, p.hosts[m.VM].Boot
+		m.State, m.StateSince, m.BootBefore = pool.Rebooting, p.now, p.hosts[m.VM].Boot
 		return m
 	case !p.isStopWanted(m), p.isOverBudget(m):
 		return p.cancelDrain(m)
-	case p.now-m.Since > p.drainMillis(m.Pool):
+	case p.now-m.StateSince > p.drainMillis(m.Pool):
 		return p.cancelDrain(m)
 	default:
 		return m
@@ -133,10 +133,10 @@
 
 // finishMove changes the VM's pool once the platform has assigned the VM to it.
 func (p *Planner) finishMove(m pool.Member) pool.Member {
-	if p.assignedPools[m.VM] != m.To {
+	if p.assignedPools[m.VM] != m.MoveTo {
 		return m
 	}
-	m.Pool, m.State, m.Since = m.To, pool.Serving, p.now
+	m.Pool, m.State, m.StateSince = m.MoveTo, pool.Serving, p.now
 	return p.endStop(m)
 }
 
@@ -145,8 +145,8 @@
 	if n := p.finishReboot(m); n != m {
 		return n
 	}
-	if p.now-m.Since > p.rebootMillis(m.Pool) {
-		m.State, m.Since = pool.Failed, p.now
+	if p.now-m.StateSince > p.rebootMillis(m.Pool) {
+		m.State, m.StateSince = pool.Failed, p.now
 	}
 	return m
 }
@@ -154,30 +154,30 @@
 // finishReboot returns the VM as serving once the platform has accepted the reboot and a later host list shows a later boot.
 func (p *Planner) finishReboot(m pool.Member) pool.Member {
 	at, ok := p.rebootAcceptedAt[m.Op]
-	if !ok || p.listedAt < at+p.limits.listLag || p.hosts[m.VM].Boot <= m.Boot || !p.isUp(m.VM) {
+	if !ok || p.listedAt < at+p.limits.listLag || p.hosts[m.VM].Boot <= m.BootBefore || !p.isUp(m.VM) {
 		return m
 	}
-	m.Wave, m.State, m.Since, m.Shut = m.Doing, pool.Serving, p.now, false
+	m.FinishedWave, m.State, m.StateSince, m.MaybeDrained = m.RunningWave, pool.Serving, p.now, false
 	return p.endStop(m)
 }
 
 // endStop marks the planned stop as ended, so that its reservations can be released.
 func (p *Planner) endStop(m pool.Member) pool.Member {
-	m.Op, m.Doing, m.To, m.Boot = "", "", "", 0
-	m.Seq++
+	m.Op, m.RunningWave, m.MoveTo, m.BootBefore = "", "", "", 0
+	m.EndedStops++
 	return m
 }
 
 // cancelDrain ends the planned stop and returns the VM as serving.
 func (p *Planner) cancelDrain(m pool.Member) pool.Member {
-	m.State, m.Since = pool.Serving, p.now
+	m.State, m.StateSince = pool.Serving, p.now
 	return p.endStop(m)
 }
 
 // markDown marks the VM as failed, or as out while the platform is about to stop it, and ends its planned stop.
 func (p *Planner) markDown(m pool.Member) pool.Member {
 	m = p.endStop(m)
-	m.State, m.Since = pool.Out, p.now
+	m.State, m.StateSince = pool.Out, p.now
 	if p.isDown(m.VM) {
 		m.State = pool.Failed
 	}
@@ -187,7 +187,7 @@
 // markUp returns a failed or out VM as serving once the platform lists it as live and no entry finds it dead.
 func (p *Planner) markUp(m pool.Member) pool.Member {
 	if p.isUp(m.VM) {
-		m.State, m.Since, m.Shut = pool.Serving, p.now, false
+		m.State, m.StateSince, m.MaybeDrained = pool.Serving, p.now, false
 	}
 	return m
 }
@@ -196,7 +196,7 @@
 // from a wave's reboot stays while the wave is wanted, so that the wave stays stopped.
 func (p *Planner) isExpired(m pool.Member) bool {
 	at, ok := p.goneSince[m.VM]
-	return ok && m.State == pool.Failed && p.now-at > retentionMillis && (m.Op == "" || !p.isWaveWanted(m.Doing))
+	return ok && m.State == pool.Failed && p.now-at > retentionMillis && (m.Op == "" || !p.isWaveWanted(m.RunningWave))
 }
 
 // newMembers returns members for the live VMs of the host list that the membership lacks. Their stop numbers start above
@@ -205,12 +205,12 @@
 	var l []pool.Member
 	for _, vm := range p.newHosts {
 		h := p.hosts[vm]
-		if _, ok := p.table.Find(vm); ok || h.State != Live || h.Entry || h.Pool == "" {
+		if _, ok := p.table.Find(vm); ok || h.State != Live || h.RunsEntry || h.Pool == "" {
 			continue
 		}
 		i := p.table.Index(vm)
-		n := max(p.table.Shard(i).Number(), p.minVersions[i]) + 1
-		l = append(l, pool.Member{VM: vm, Pool: h.Pool, Rack: h.Rack, Since: p.now, Seq: n})
+		n := max(p.table.Shard(i).Version(), p.minVersions[i]) + 1
+		l = append(l, pool.Member{VM: vm, Pool: h.Pool, Rack: h.Rack, StateSince: p.now, EndedStops: n})
 	}
 	return l
 }
@@ -232,10 +232,10 @@
 
 // startDrain returns the VM as draining for the reserved stop.
 func (p *Planner) startDrain(m pool.Member, a Absence) pool.Member {
-	m.State, m.Since, m.Op, m.Doing = pool.Draining, p.now, a.Op, a.Wave
-	m.Shut = m.Shut || a.Wave != ""
+	m.State, m.StateSince, m.Op, m.RunningWave = pool.Draining, p.now, a.Op, a.Wave
+	m.MaybeDrained = m.MaybeDrained || a.Wave != ""
 	if a.Wave == "" {
-		m.To = p.moveRequests[m.VM].To
+		m.MoveTo = p.moveRequests[m.VM].To
 	}
 	return m
 }
@@ -243,7 +243,7 @@
 // opID returns the id of the VM's next planned stop. It is the same at every leader, so the platform
 // reboots the VM at most once for it.
 func opID(dataCentre string, m pool.Member, w string) string {
-	return fmt.Sprintf("%s/%s/%d/%s", dataCentre, m.VM, m.Seq+1, w)
+	return fmt.Sprintf("%s/%s/%d/%s", dataCentre, m.VM, m.EndedStops+1, w)
 }
 
 // drainMillis returns the longest drain timeout of the pool's services.
--- a/flow/admit/example_test.go
+++ b/flow/admit/example_test.go
@@ -13,7 +13,7 @@
 	busy, idle := admit.NewLoad(false, false, 0), admit.NewLoad(true, false, 0)
 	for range 3 {
 		v, after := g.Arrive(0, "kitchen", busy)
-		fmt.Println(v.In(), after)
+		fmt.Println(v.Admitted(), after)
 	}
 	v, _ := g.Arrive(0, "kitchen", idle)
 	fmt.Println(v == admit.Lent)
--- a/flow/admit/gate.go
+++ b/flow/admit/gate.go
@@ -19,14 +19,14 @@
 	Within Verdict = iota
 	// Lent means that the request is admitted on capacity that no other team uses now.
 	Lent
-	// Over means that the request is refused: the team is over its rate and there is no idle capacity to lend.
-	Over
-	// Crowded means that the request is refused: the service is overloaded and the team is over its part of the capacity.
-	Crowded
+	// OverRate means that the request is refused: the team is over its rate and there is no idle capacity to lend.
+	OverRate
+	// Overloaded means that the request is refused: the service is overloaded and the team is over its part of the capacity.
+	Overloaded
 )
 
-// In reports whether the request is admitted.
-func (v Verdict) In() bool { return v <= Lent }
+// Admitted reports whether the request is admitted.
+func (v Verdict) Admitted() bool { return v <= Lent }
 
 // Load is the load of the service when a request arrives.
 type Load struct {
@@ -112,7 +112,7 @@
 		if l.idleSlot {
 			return Lent, 0
 		}
-		return Over, noRateRetryAfter
+		return OverRate, noRateRetryAfter
 	}
 	g.markActive(now, t)
 	speed := g.virtualSpeed(l)
@@ -126,9 +126,9 @@
 	}
 	wait := g.retryAfter(t, speed)
 	if speed < 1 {
-		return Crowded, wait
+		return Overloaded, wait
 	}
-	return Over, wait
+	return OverRate, wait
 }
 
 // retryAfter returns how long a refused request of the team should wait before a retry. It spaces retries at the team's rate,
--- a/flow/admit/gate_test.go
+++ b/flow/admit/gate_test.go
@@ -26,7 +26,7 @@
 				continue
 			}
 			next[n] = max(next[n], from) + time.Duration(float64(time.Second)/p)
-			if v, _ := g.Arrive(now, n, admit.NewLoad(false, shedding, capacity)); v.In() {
+			if v, _ := g.Arrive(now, n, admit.NewLoad(false, shedding, capacity)); v.Admitted() {
 				got[n] += 1 / (to - from).Seconds()
 			}
 		}
@@ -72,7 +72,7 @@
 	t.Run("a team without a rate gets only idle capacity", func(t *testing.T) {
 		i, g := is.New(t), start()
 		v, after := g.Arrive(0, "none", admit.NewLoad(false, false, capacity))
-		i.Equal(v, admit.Over)
+		i.Equal(v, admit.OverRate)
 		i.True(after > 0)
 		v, _ = g.Arrive(0, "none", admit.NewLoad(true, false, capacity))
 		i.Equal(v, admit.Lent)
@@ -83,10 +83,10 @@
 		got := admittedRates(g, 0, 5*time.Second, true, map[string]float64{"a": 300, "b": 300})
 		expectBetween(t, got["a"], 1.4*got["b"], 1.6*got["b"])
 		v, after := admit.Within, time.Duration(0)
-		for k := 0; v.In() && k < 3; k++ {
+		for k := 0; v.Admitted() && k < 3; k++ {
 			v, after = g.Arrive(5*time.Second, "a", admit.NewLoad(false, true, capacity))
 		}
-		i.Equal(v, admit.Crowded)
+		i.Equal(v, admit.Overloaded)
 		v, _ = g.Arrive(5*time.Second+after+time.Millisecond, "a", admit.NewLoad(false, true, capacity))
 		i.Equal(v, admit.Within)
 	})
@@ -105,7 +105,7 @@
 		}
 		for range n {
 			v, after := g.Arrive(now, "a", busy)
-			if !v.In() {
+			if !v.Admitted() {
 				due[now+after.Truncate(10*time.Millisecond)+20*time.Millisecond]++ // retries after the wait, never earlier
 				refusals++
 				if now == 0 {
@@ -131,7 +131,7 @@
 		if idleSlot {
 			return admit.Lent
 		}
-		return admit.Over
+		return admit.OverRate
 	}
 	n.lastRequest[name] = now
 	active := 0.0
@@ -153,9 +153,9 @@
 	case idleSlot:
 		return admit.Lent
 	case speed < 1:
-		return admit.Crowded
+		return admit.Overloaded
 	}
-	return admit.Over
+	return admit.OverRate
 }
 
 func TestSameAsNaive(t *testing.T) {
--- a/flow/ledger/bench_test.go
+++ b/flow/ledger/bench_test.go
@@ -31,7 +31,7 @@
 			ids := benchIDs(2 * n)
 			before := heapBytes()
 			k, number := singleMemberBook(WithRecords(2 * n))
-			now, step := clusterStart, Remember/time.Duration(n)
+			now, step := clusterStart, RecordTTL/time.Duration(n)
 			for _, id := range ids[:n] {
 				claimAndSettle(k, id, number, now)
 				now = now.Add(step)
--- a/flow/ledger/book.go
+++ b/flow/ledger/book.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// Remember is how long a record is kept after its last change.
-	Remember = 10 * time.Minute
-	// Abandon is how long the record of an unsettled claim is kept.
-	Abandon = time.Hour
-	// MaxAnswer is the maximum size, in bytes, of an answer that is kept.
-	MaxAnswer = 16 << 10
-
-	maxRenewals           = uint8(Abandon/Remember) - 1
+	// RecordTTL is how long a record is kept after its last change.
+	RecordTTL = 10 * time.Minute
+	// UnsettledClaimTTL is how long the record of an unsettled claim is kept.
+	UnsettledClaimTTL = time.Hour
+	// MaxAnswerBytes is the maximum size, in bytes, of an answer that is kept.
+	MaxAnswerBytes = 16 << 10
+
+	maxRenewals           = uint8(UnsettledClaimTTL/RecordTTL) - 1
 	defaultMaxRecords     = 250_000
 	defaultMaxAnswerBytes = 8 << 20
 	handoverRetryDelay    = 50 * time.Millisecond
@@ -27,7 +27,7 @@
 	activeRoster   int64 // number of the newest roster that is active here
 	priorWasActive bool  // whether the predecessor of roster was active here when roster was adopted
 	sources        []source
-	gaps           []Lapse
+	gaps           []RecordGap
 }
 
 // BookOption configures a new Book.
@@ -60,10 +60,10 @@
 
 // ClaimReply is a holder's answer to a ClaimMsg.
 type ClaimReply struct {
-	Verdict Verdict
-	Record  Record        // the existing record, with Repeat and Mismatch
-	Store   bool          // whether the key must also be created in the platform's service
-	Retry   time.Duration // how long to wait before the next claim, with Stale, Gap and Full
+	Verdict       Verdict
+	Record        Record        // the existing record, with Repeat and Mismatch
+	NeedsStoreKey bool          // whether the key must also be created in the platform's service
+	RetryAfter    time.Duration // how long to wait before the next claim, with Stale, Gap and Full
 }
 
 // SettleMsg reports the outcome of a claimed copy.
@@ -75,8 +75,8 @@
 // Roster returns the newest roster that the book has adopted.
 func (b *Book) Roster() Roster { return b.roster }
 
-// Holding returns the number of the newest roster that is active at this holder.
-func (b *Book) Holding() int64 { return b.activeRoster }
+// ActiveRoster returns the number of the newest roster that is active at this holder.
+func (b *Book) ActiveRoster() int64 { return b.activeRoster }
 
 // Len returns the number of records.
 func (b *Book) Len() int { return b.table.index.count }
@@ -96,7 +96,7 @@
 	now := b.sinceEpoch(m.Now)
 	b.expire(now, 2)
 	if m.Roster != b.roster.number || !containsMember(b.roster.members, b.self) {
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
+		return ClaimReply{Verdict: Stale, RetryAfter: handoverRetryDelay}
 	}
 	r := b.checkReady(m.ID, m.Now)
 	if r.Verdict != Granted {
@@ -105,7 +105,7 @@
 	i, s := b.table.find(m.ID)
 	if s == nil {
 		if b.Len() >= b.maxRecords {
-			return ClaimReply{Verdict: Full, Store: r.Store, Retry: time.Second}
+			return ClaimReply{Verdict: Full, NeedsStoreKey: r.NeedsStoreKey, RetryAfter: time.Second}
 		}
 		i, s = b.table.add(m.ID, now)
 	} else if v := compareClaim(s, m); v != Granted {
@@ -167,7 +167,7 @@
 	if r.Digest != 0 {
 		s.digest = r.Digest
 	}
-	if r.Kept && len(r.Answer) <= MaxAnswer {
+	if r.HasAnswer && len(r.Answer) <= MaxAnswerBytes {
 		b.table.storeAnswer(i, s, answer{contentType: r.ContentType, body: r.Answer}, b.maxAnswerBytes)
 	}
 	b.table.touch(i, s, now)
@@ -187,7 +187,7 @@
 	for ; n > 0 && b.table.head != noSlot; n-- {
 		i := b.table.head
 		s := b.table.at(i)
-		if s.age(now) < Remember {
+		if s.age(now) < RecordTTL {
 			return
 		}
 		if s.phase == Claimed && s.renewalCount() < maxRenewals {
--- a/flow/ledger/book_test.go
+++ b/flow/ledger/book_test.go
@@ -26,7 +26,7 @@
 
 func settle(b *Book, after time.Duration, key, attempt string, p Phase, answer string) {
 	b.Settle(SettleMsg{Now: clusterStart.Add(after), Record: Record{
-		ID: NewID(key), Attempt: NewAttempt(attempt), Phase: p, Kept: p == Answered, Answer: []byte(answer), ContentType: "t",
+		ID: NewID(key), Attempt: NewAttempt(attempt), Phase: p, HasAnswer: p == Answered, Answer: []byte(answer), ContentType: "t",
 	}})
 }
 
@@ -57,12 +57,12 @@
 		i := is.New(t)
 		b, _ := singleMemberBook()
 		expectVerdict(i, b, 0, "k", "1", 1, Granted)
-		for d := time.Duration(0); d < Abandon-time.Minute; d += time.Minute {
+		for d := time.Duration(0); d < UnsettledClaimTTL-time.Minute; d += time.Minute {
 			b.Tick(TickMsg{Now: clusterStart.Add(d)})
 			expectVerdict(i, b, d, "k", "2", 1, Repeat)
 		}
-		b.Tick(TickMsg{Now: clusterStart.Add(Abandon)})
-		expectVerdict(i, b, Abandon, "k", "2", 1, Granted)
+		b.Tick(TickMsg{Now: clusterStart.Add(UnsettledClaimTTL)})
+		expectVerdict(i, b, UnsettledClaimTTL, "k", "2", 1, Granted)
 	})
 	t.Run("new keys are refused rather than old ones forgotten", func(t *testing.T) {
 		i := is.New(t)
@@ -73,11 +73,11 @@
 		settle(b, 0, "k1", "1", Answered, "123456")
 		settle(b, 0, "k2", "1", Answered, "123456")
 		i.Equal(b.AnswerBytes(), 7)
-		i.Equal(expectVerdict(i, b, 0, "k1", "2", 1, Repeat).Record.Kept, false) // the copy ran, but its answer was evicted
-		i.Equal(expectVerdict(i, b, 0, "k2", "2", 1, Repeat).Record.Kept, true)
-		b.Tick(TickMsg{Now: clusterStart.Add(Remember)})
+		i.Equal(expectVerdict(i, b, 0, "k1", "2", 1, Repeat).Record.HasAnswer, false) // the copy ran, but its answer was evicted
+		i.Equal(expectVerdict(i, b, 0, "k2", "2", 1, Repeat).Record.HasAnswer, true)
+		b.Tick(TickMsg{Now: clusterStart.Add(RecordTTL)})
 		i.Equal(b.Len()+b.AnswerBytes(), 0)
-		expectVerdict(i, b, Remember, "k3", "1", 1, Granted)
+		expectVerdict(i, b, RecordTTL, "k3", "1", 1, Granted)
 	})
 }
 
@@ -108,11 +108,11 @@
 		b := NewBook(z)
 		r := NewRoster("east", []Member{a, {Entry: "b", Incarnation: 1}}, 1).Next([]Member{a, z}, 1)
 		b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
-		l := Lapse{Roster: 1, Members: r.Previous(), Lost: r.Previous(), Until: clusterStart.Add(time.Minute)}
+		l := RecordGap{Roster: 1, Members: r.Previous(), Lost: r.Previous(), Until: clusterStart.Add(time.Minute)}
 		for _, e := range []string{"a", "b"} {
-			b.Pulled(PulledMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
+			b.AddPage(PageMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Gaps: []RecordGap{l}}})
 		}
-		i.Equal(expectVerdict(i, b, 0, "k", "1", 1, Gap).Retry, time.Minute)
+		i.Equal(expectVerdict(i, b, 0, "k", "1", 1, Gap).RetryAfter, time.Minute)
 		expectVerdict(i, b, time.Minute, "k", "1", 1, Granted)
 	})
 	t.Run("sources may have lost different members", func(t *testing.T) {
@@ -123,8 +123,8 @@
 		r := NewRoster("east", old, 1).Next([]Member{a, z}, 1)
 		b.Adopt(RosterMsg{Now: clusterStart, Roster: r})
 		for e, lost := range map[string][]Member{"a": {c, d}, "c": {a, d}, "d": {a, c}} {
-			l := Lapse{Roster: 1, Members: old, Lost: lost, Until: clusterStart.Add(time.Minute)}
-			b.Pulled(PulledMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Lapses: []Lapse{l}}})
+			l := RecordGap{Roster: 1, Members: old, Lost: lost, Until: clusterStart.Add(time.Minute)}
+			b.AddPage(PageMsg{Now: clusterStart, Roster: r.Number(), Entry: e, Page: Page{Complete: true, Gaps: []RecordGap{l}}})
 		}
 		for k := range 20 {
 			expectVerdict(i, b, 0, fmt.Sprint(k), "1", 1, Gap) // each pair of holders is lost at one of the sources
@@ -144,8 +144,8 @@
 		return c
 	}
 	last := func(l []Cmd) Cmd { return l[len(l)-1] }
-	fail := func(h string) FailMsg { return FailMsg{Now: clusterStart, Holder: h} }
-	late := ReplyMsg{Now: clusterStart.Add(ClaimWithin + 1), Holder: "a"}
+	fail := func(h string) NoReplyMsg { return NoReplyMsg{Now: clusterStart, Holder: h} }
+	late := ReplyMsg{Now: clusterStart.Add(ClaimTimeout + 1), Holder: "a"}
 
 	c := start()
 	i.Equal(last(c.Update(late)).(RefuseCmd).NotRun, false) // after the timeout, records of earlier copies may have expired
@@ -172,7 +172,7 @@
 	_, probes := last(c.Update(fail("a"))).(AskCmd)
 	i.True(probes) // a grant under an older roster does not count
 	c = start()
-	c.Update(ReplyMsg{Now: clusterStart, Holder: "a", Reply: ClaimReply{Store: true}})
+	c.Update(ReplyMsg{Now: clusterStart, Holder: "a", Reply: ClaimReply{NeedsStoreKey: true}})
 	c.Update(fail("b"))
 	i.Equal(last(c.Update(fail("b"))).(RefuseCmd).NotRun, false) // in a gap a holder does not know whether a copy ran
 }
@@ -204,6 +204,6 @@
 	for _, n := range held {
 		i.True(n > 1800 && n < 2200) // 2,000 each
 	}
-	i.Equal(Home("west/k", []string{"east", "west"}), "west")
-	i.Equal(Home("mars/k", []string{"east", "west"}), Home("mars/k", []string{"west", "east"}))
+	i.Equal(HomeDataCentre("west/k", []string{"east", "west"}), "west")
+	i.Equal(HomeDataCentre("mars/k", []string{"east", "west"}), HomeDataCentre("mars/k", []string{"west", "east"}))
 }
--- a/flow/ledger/claim.go
+++ b/flow/ledger/claim.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// ClaimWithin is the timeout of a claim.
-	ClaimWithin = time.Second
+	// ClaimTimeout is the timeout of a claim.
+	ClaimTimeout = time.Second
 
 	maxAskFailures    = 2
 	refusedRetryDelay = 500 * time.Millisecond
@@ -16,12 +16,12 @@
 const (
 	// Unreachable means that a holder or the platform's service did not answer.
 	Unreachable Reason = iota
-	// Changing means that the roster changed and did not become active in time.
-	Changing
-	// Lost means that the records of the key may have been lost.
-	Lost
-	// NoRoom means that a holder has no room for another record.
-	NoRoom
+	// RosterChanging means that the roster changed and did not become active in time.
+	RosterChanging
+	// RecordsLost means that the records of the key may have been lost.
+	RecordsLost
+	// HolderFull means that a holder has no room for another record.
+	HolderFull
 	// OtherRequest means that the key was used for a different request.
 	OtherRequest
 	// NoRoster means that no roster of the key's data centre is known.
@@ -52,9 +52,9 @@
 	Roster Roster
 }
 
-// FailMsg reports that a holder did not reply, or with an empty Holder that a WaitCmd is over. A holder that did not reply
+// NoReplyMsg reports that a holder did not reply, or with an empty Holder that a WaitCmd is over. A holder that did not reply
 // may have granted the claim.
-type FailMsg struct {
+type NoReplyMsg struct {
 	Now    time.Time
 	Holder string
 	Roster Roster
@@ -64,17 +64,17 @@
 type StoreMsg struct {
 	Now     time.Time
 	Outcome StoreOutcome
-	Record  Record // the record of the other copy, with StoreTaken
+	Record  Record // the record of the other copy, with StoreExists
 }
 
 // StoreOutcome is the outcome of a create-only write to the platform's service.
 type StoreOutcome uint8
 
 const (
-	// StoreMade means that the key was created for this copy.
-	StoreMade StoreOutcome = iota
-	// StoreTaken means that the key exists and belongs to another copy.
-	StoreTaken
+	// StoreCreated means that the key was created for this copy.
+	StoreCreated StoreOutcome = iota
+	// StoreExists means that the key exists and belongs to another copy.
+	StoreExists
 	// StoreFailed means that the write was not made or that its outcome is unknown.
 	StoreFailed
 )
@@ -83,14 +83,14 @@
 // zero if it could not be read.
 type ConfirmMsg struct{ Number int64 }
 
-// EndMsg cancels the claim.
-type EndMsg struct{}
+// CancelMsg cancels the claim.
+type CancelMsg struct{}
 
-func (StartMsg) isMsg() {}
-func (ReplyMsg) isMsg() {}
-func (FailMsg) isMsg()  {}
-func (StoreMsg) isMsg() {}
-func (EndMsg) isMsg()   {}
+func (StartMsg) isMsg()   {}
+func (ReplyMsg) isMsg()   {}
+func (NoReplyMsg) isMsg() {}
+func (StoreMsg) isMsg()   {}
+func (CancelMsg) isMsg()  {}
 
 func (ConfirmMsg) isMsg() {}
 
@@ -103,7 +103,7 @@
 	Roster int64
 }
 
-// WaitCmd requests a FailMsg with the newest roster after a delay.
+// WaitCmd requests a NoReplyMsg with the newest roster after a delay.
 type WaitCmd struct{ For time.Duration }
 
 // StoreCmd requests a create-only write of the key in the platform's service.
@@ -117,14 +117,14 @@
 // key may also have to be released in the platform's service.
 type ReleaseCmd struct {
 	Holders []Member
-	Store   bool
+	InStore bool
 }
 
-// GoCmd allows the copy to be sent. Holders are to be told the outcome; Store is set if the key may have been created in the
+// SendCmd allows the copy to be sent. Holders are to be told the outcome; Store is set if the key may have been created in the
 // platform's service.
-type GoCmd struct {
+type SendCmd struct {
 	Holders []Member
-	Store   bool
+	InStore bool
 }
 
 // RefuseCmd refuses the copy. NotRun is set if certainly no copy of the key had been sent when the claim began.
@@ -143,7 +143,7 @@
 func (StoreCmd) isCmd()   {}
 func (ConfirmCmd) isCmd() {}
 func (ReleaseCmd) isCmd() {}
-func (GoCmd) isCmd()      {}
+func (SendCmd) isCmd()    {}
 func (RefuseCmd) isCmd()  {}
 func (RepeatCmd) isCmd()  {}
 
@@ -175,7 +175,7 @@
 // NewClaim returns the claim of one copy of the request whose key has the given id.
 func NewClaim(id ID) *Claim { return &Claim{id: id} }
 
-// Update handles a message and returns the commands to run. After GoCmd, RefuseCmd or RepeatCmd the claim has ended.
+// Update handles a message and returns the commands to run. After SendCmd, RefuseCmd or RepeatCmd the claim has ended.
 func (c *Claim) Update(m Msg) []Cmd {
 	if c.step == ended {
 		return nil
@@ -192,11 +192,11 @@
 		return c.ask()
 	case ReplyMsg:
 		return c.handleReply(m)
-	case FailMsg:
+	case NoReplyMsg:
 		return c.handleFailure(m)
 	case StoreMsg:
 		return c.handleStoreResult(m)
-	case EndMsg:
+	case CancelMsg:
 		return c.refuse(RefuseCmd{Reason: Withdrawn})
 	}
 	return nil
@@ -221,7 +221,7 @@
 
 // withinTimeout reports whether the claim has not timed out. Records of copies that ran before the claim began cannot have
 // expired in that time.
-func (c *Claim) withinTimeout(now time.Time) bool { return now.Sub(c.startedAt) <= ClaimWithin }
+func (c *Claim) withinTimeout(now time.Time) bool { return now.Sub(c.startedAt) <= ClaimTimeout }
 
 func (c *Claim) handleReply(m ReplyMsg) []Cmd {
 	if m.Holder != c.currentHolder().Entry {
@@ -233,10 +233,10 @@
 	case Repeat, Mismatch:
 		return c.handleExisting(m)
 	case Gap:
-		return c.refuse(RefuseCmd{Reason: Lost, NotRun: c.noRecord, Holder: m.Holder, RetryAfter: m.Reply.Retry})
+		return c.refuse(RefuseCmd{Reason: RecordsLost, NotRun: c.noRecord, Holder: m.Holder, RetryAfter: m.Reply.RetryAfter})
 	case Full:
-		notRun := c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
-		return c.refuse(RefuseCmd{Reason: NoRoom, NotRun: notRun, Holder: m.Holder, RetryAfter: m.Reply.Retry})
+		notRun := c.noRecord || !m.Reply.NeedsStoreKey && c.withinTimeout(m.Now)
+		return c.refuse(RefuseCmd{Reason: HolderFull, NotRun: notRun, Holder: m.Holder, RetryAfter: m.Reply.RetryAfter})
 	default:
 		return c.handleStale(m)
 	}
@@ -250,8 +250,8 @@
 }
 
 func (c *Claim) handleGrant(m ReplyMsg) []Cmd {
-	c.needStore = c.needStore || m.Reply.Store
-	c.noRecord = c.noRecord || !m.Reply.Store && c.withinTimeout(m.Now)
+	c.needStore = c.needStore || m.Reply.NeedsStoreKey
+	c.noRecord = c.noRecord || !m.Reply.NeedsStoreKey && c.withinTimeout(m.Now)
 	c.askFailures = 0
 	_, second := c.roster.HoldersOf(c.id)
 	switch {
@@ -273,7 +273,7 @@
 
 func (c *Claim) allow() []Cmd {
 	c.step = ended
-	return []Cmd{GoCmd{Holders: c.asked, Store: c.mayBeStored}}
+	return []Cmd{SendCmd{Holders: c.asked, InStore: c.mayBeStored}}
 }
 
 // handleStale starts over with a newer roster if there is one, and otherwise waits for the change to complete.
@@ -282,7 +282,7 @@
 		return c.refuse(c.refusal)
 	}
 	if !c.withinTimeout(m.Now) {
-		return c.giveUp(RefuseCmd{Reason: Changing, Holder: m.Holder, RetryAfter: refusedRetryDelay})
+		return c.giveUp(RefuseCmd{Reason: RosterChanging, Holder: m.Holder, RetryAfter: refusedRetryDelay})
 	}
 	if c.adoptNewer(m.Roster) {
 		return c.ask()
@@ -299,7 +299,7 @@
 	return true
 }
 
-func (c *Claim) handleFailure(m FailMsg) []Cmd {
+func (c *Claim) handleFailure(m NoReplyMsg) []Cmd {
 	if c.step == probeSecond {
 		return c.refuse(c.refusal)
 	}
@@ -327,9 +327,9 @@
 
 func (c *Claim) handleStoreResult(m StoreMsg) []Cmd {
 	switch {
-	case m.Outcome == StoreTaken:
+	case m.Outcome == StoreExists:
 		return c.finish(RepeatCmd{Record: m.Record})
-	case m.Outcome == StoreMade && c.withinTimeout(m.Now):
+	case m.Outcome == StoreCreated && c.withinTimeout(m.Now):
 		return c.allow()
 	}
 	return c.refuse(RefuseCmd{Reason: Unreachable, NotRun: c.noRecord, RetryAfter: refusedRetryDelay})
@@ -358,5 +358,5 @@
 	if len(c.asked) == 0 {
 		return []Cmd{last}
 	}
-	return []Cmd{ReleaseCmd{Holders: c.asked, Store: c.mayBeStored}, last}
+	return []Cmd{ReleaseCmd{Holders: c.asked, InStore: c.mayBeStored}, last}
 }
--- a/flow/ledger/cluster_test.go
+++ b/flow/ledger/cluster_test.go
@@ -183,7 +183,7 @@
 	m := RosterMsg{Now: l.cluster.now, Roster: r}
 	l.membership.Adopt(m)
 	l.book.Adopt(m)
-	l.cluster.logf("%s/%d adopts %x holding %x", l.member.Entry, l.member.Incarnation, r.Number(), l.book.Holding())
+	l.cluster.logf("%s/%d adopts %x holding %x", l.member.Entry, l.member.Incarnation, r.Number(), l.book.ActiveRoster())
 }
 
 // tick runs one round of the entry's loop: read the service, update timers, propose, pull, send heartbeats, and repeat
@@ -195,7 +195,7 @@
 	}
 	l.readStore()
 	l.book.Tick(TickMsg{Now: w.now})
-	l.membership.Beat(BeatMsg{Now: w.now, Member: l.member, Holding: l.book.Holding(), Unheard: l.membership.Unheard(w.now)})
+	l.membership.Heartbeat(HeartbeatMsg{Now: w.now, Member: l.member, ActiveRoster: l.book.ActiveRoster(), Unheard: l.membership.Unheard(w.now)})
 	l.reportGone()
 	l.propose()
 	l.pull()
@@ -210,15 +210,15 @@
 		return
 	}
 	if l.member.Entry < "c" { // the others learn it from heartbeats
-		l.membership.VMs(VMsMsg{Now: l.cluster.now, Gone: l.cluster.goneEntries})
+		l.membership.UpdateVMList(VMListMsg{Now: l.cluster.now, Gone: l.cluster.goneEntries})
 	}
 	l.hasReadStore, l.readRev, l.storedNumber = true, l.cluster.storeRev, l.cluster.storedRoster.Number()
 	l.adopt(l.cluster.storedRoster)
 }
 
 func (l *process) reportGone() {
-	for _, m := range append(l.book.Lost(), l.roster.Previous()...) {
-		if l.membership.Over(m, l.cluster.now) {
+	for _, m := range append(l.book.MissingMembers(), l.roster.Previous()...) {
+		if l.membership.Ended(m, l.cluster.now) {
 			l.book.Gone(GoneMsg{Now: l.cluster.now, Member: m})
 		}
 	}
@@ -257,7 +257,7 @@
 	}
 	for _, p := range l.book.Pulls() {
 		if w.now.Sub(l.pullsStartedAt) > 5*time.Second {
-			l.book.Unreached(UnreachedMsg{Now: w.now, Roster: p.Roster, Entry: p.From.Entry})
+			l.book.PullFailed(PullFailedMsg{Now: w.now, Roster: p.Roster, Entry: p.From.Entry})
 		}
 		l.pullPage(p, l.roster, "")
 	}
@@ -270,7 +270,7 @@
 		f.adopt(r)
 		g := f.book.Handover(HandoverMsg{Now: w.now, Entry: l.member.Entry, Roster: p.Roster, Newcomer: p.Newcomer, After: after})
 		w.post(f, l, func() {
-			l.book.Pulled(PulledMsg{Now: w.now, Roster: p.Roster, Entry: p.From.Entry, Page: g})
+			l.book.AddPage(PageMsg{Now: w.now, Roster: p.Roster, Entry: p.From.Entry, Page: g})
 			if g.More {
 				l.pullPage(p, r, g.After)
 			}
@@ -280,9 +280,9 @@
 
 func (l *process) beat() {
 	w := l.cluster
-	m := BeatMsg{
-		Now: w.now, Member: l.member, Holding: l.book.Holding(), Stopping: l.membership.Stopping(), Unheard: l.membership.Unheard(w.now),
-		Gone: l.membership.Gone(w.now, l.book.Lost()),
+	m := HeartbeatMsg{
+		Now: w.now, Member: l.member, ActiveRoster: l.book.ActiveRoster(), Leaving: l.membership.Leaving(), Unheard: l.membership.Unheard(w.now),
+		Gone: l.membership.Gone(w.now, l.book.MissingMembers()),
 	}
 	r := l.roster
 	for _, o := range w.processes {
@@ -291,7 +291,7 @@
 		}
 		w.post(l, o, func() {
 			m.Now = w.now
-			o.membership.Beat(m)
+			o.membership.Heartbeat(m)
 			o.adopt(r)
 		})
 	}
@@ -325,10 +325,10 @@
 		case ConfirmCmd:
 			c.confirm()
 		case ReleaseCmd:
-			c.phase, c.holders, c.inStore = NotRun, m.Holders, m.Store
+			c.phase, c.holders, c.inStore = NotRun, m.Holders, m.InStore
 			c.settle()
-		case GoCmd:
-			c.holders, c.inStore = m.Holders, m.Store
+		case SendCmd:
+			c.holders, c.inStore = m.Holders, m.InStore
 			c.send()
 		case RefuseCmd:
 			c.ended = true
@@ -360,7 +360,7 @@
 // timeout ends the wait for a reply.
 func (c *requestCopy) timeout() {
 	if c.waiting {
-		c.answer(c.waitNumber, func() Msg { return FailMsg{Now: c.process.cluster.now, Holder: c.holder, Roster: c.process.roster} })
+		c.answer(c.waitNumber, func() Msg { return NoReplyMsg{Now: c.process.cluster.now, Holder: c.holder, Roster: c.process.roster} })
 	}
 }
 
@@ -386,9 +386,9 @@
 	n := c.wait("")
 	w.call(l, nil, func() {
 		id, a := NewID(c.key), NewAttempt(c.id)
-		o := StoreMsg{Outcome: StoreMade}
+		o := StoreMsg{Outcome: StoreCreated}
 		if k, ok := w.storeKeys[id]; ok && k != a {
-			o = StoreMsg{Outcome: StoreTaken, Record: Record{ID: id, Attempt: k, Phase: Claimed}}
+			o = StoreMsg{Outcome: StoreExists, Record: Record{ID: id, Attempt: k, Phase: Claimed}}
 		} else {
 			w.storeKeys[id] = a
 		}
@@ -437,7 +437,7 @@
 		return
 	}
 	c.resends++
-	r := Record{ID: NewID(c.key), Attempt: NewAttempt(c.id), Digest: c.digest, Phase: c.phase, Answer: []byte(c.key), Kept: c.phase == Answered}
+	r := Record{ID: NewID(c.key), Attempt: NewAttempt(c.id), Digest: c.digest, Phase: c.phase, Answer: []byte(c.key), HasAnswer: c.phase == Answered}
 	f, s := l.roster.Holders(c.key)
 	for _, e := range []string{f, s} {
 		if m, ok := l.roster.Member(e); ok && !slices.Contains(c.holders, m) {
@@ -461,7 +461,7 @@
 // checkSend fails the test if another copy of the key ran within the time for which keys are remembered.
 func (w *cluster) checkSend(c *requestCopy) {
 	for _, s := range w.sends[c.key] {
-		if w.now.Sub(s.sentAt) < Remember-ClaimWithin {
+		if w.now.Sub(s.sentAt) < RecordTTL-ClaimTimeout {
 			w.fail("%s of %s sent by %s, after %s %s ago", c.id, c.key, c.process.member.Entry, s.attempt, w.now.Sub(s.sentAt))
 		}
 	}
@@ -471,7 +471,7 @@
 func (w *cluster) checkNotRun(c *requestCopy, m RefuseCmd) {
 	for _, s := range w.sends[c.key] {
 		other := m.Reason == OtherRequest && s.digest != c.digest
-		if m.NotRun && !other && !s.sentAt.After(c.startedAt) && c.startedAt.Sub(s.sentAt) < Remember-ClaimWithin {
+		if m.NotRun && !other && !s.sentAt.After(c.startedAt) && c.startedAt.Sub(s.sentAt) < RecordTTL-ClaimTimeout {
 			w.fail("%s of %s reported as not run, but %s ran %s before", c.id, c.key, s.attempt, c.startedAt.Sub(s.sentAt))
 		}
 	}
@@ -479,7 +479,7 @@
 
 // checkRepeat fails the test if a repeat returns an answer that no target gave.
 func (w *cluster) checkRepeat(c *requestCopy, r Record) {
-	if r.Phase == Answered && (len(w.sends[c.key]) == 0 || r.Kept && string(r.Answer) != c.key) {
+	if r.Phase == Answered && (len(w.sends[c.key]) == 0 || r.HasAnswer && string(r.Answer) != c.key) {
 		w.fail("%s of %s got an answer that no target gave", c.id, c.key)
 	}
 }
--- a/flow/ledger/example_test.go
+++ b/flow/ledger/example_test.go
@@ -26,7 +26,7 @@
 				reply := books[m.Holder.Entry].Claim(ledger.ClaimMsg{Now: now, ID: id, Roster: m.Roster, Attempt: ledger.NewAttempt(attempt)})
 				cmds = c.Update(ledger.ReplyMsg{Now: now, Holder: m.Holder.Entry, Reply: reply, Roster: r})
 				continue
-			case ledger.GoCmd:
+			case ledger.SendCmd:
 				fmt.Println(attempt, "may be sent")
 			case ledger.RepeatCmd:
 				fmt.Println(attempt, "is a repeat")
--- a/flow/ledger/gap.go
+++ b/flow/ledger/gap.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Lapse is a gap in the records: the keys of which every holder among Members is in Lost, so that their records may have been
+// RecordGap is a gap in the records: the keys of which every holder among Members is in Lost, so that their records may have been
 // lost.
 //
 // The keys of a first roster with a single member are also in the platform's service. They may be claimed during the gap if
 // the service has no other copy; the keys of other rosters may not be claimed.
-type Lapse struct {
+type RecordGap struct {
 	Roster  int64     // number of the roster under which the gap began
 	Members []Member  // members of its predecessor
 	Lost    []Member  // members whose records are missing
@@ -19,15 +19,15 @@
 	hashes []uint64
 }
 
-// Single reports whether the gap is that of a first roster with a single member. The platform's service then has a key
+// InStore reports whether the gap is that of a first roster with a single member. The platform's service then has a key
 // for every request that the member sent.
 //
 // A later single member also holds records of earlier sends, which the service does not have.
-func (l Lapse) Single() bool { return len(l.Members) == 1 && isSecondRoster(l.Roster) }
+func (l RecordGap) InStore() bool { return len(l.Members) == 1 && isSecondRoster(l.Roster) }
 
 func isSecondRoster(number int64) bool { return number>>tagBits == 2 }
 
-func (l Lapse) covers(id ID) bool {
+func (l RecordGap) covers(id ID) bool {
 	if len(l.Members) == 1 {
 		return true
 	}
@@ -43,18 +43,18 @@
 		if !l.Until.IsZero() && !now.Before(l.Until) || !l.covers(id) {
 			continue
 		}
-		if !l.Single() {
-			return ClaimReply{Verdict: Gap, Retry: max(l.Until.Sub(now), 0)}
+		if !l.InStore() {
+			return ClaimReply{Verdict: Gap, RetryAfter: max(l.Until.Sub(now), 0)}
 		}
-		r.Store = true
+		r.NeedsStoreKey = true
 	}
 	return r
 }
 
 // inheritGaps adds the gaps of a source. Sources that lost different members under the same roster have different gaps.
-func (b *Book) inheritGaps(ls []Lapse) {
+func (b *Book) inheritGaps(ls []RecordGap) {
 	for _, l := range ls {
-		k := slices.IndexFunc(b.gaps, func(g Lapse) bool { return g.Roster == l.Roster && slices.Equal(g.Lost, l.Lost) })
+		k := slices.IndexFunc(b.gaps, func(g RecordGap) bool { return g.Roster == l.Roster && slices.Equal(g.Lost, l.Lost) })
 		if k < 0 {
 			l.hashes = entryHashes(l.Members)
 			b.gaps = append(b.gaps, l)
@@ -64,8 +64,8 @@
 	}
 }
 
-func (b *Book) newGap(missing []source, now time.Time) Lapse {
-	l := Lapse{Roster: b.roster.number, Members: b.roster.previous, hashes: b.roster.priorHashes}
+func (b *Book) newGap(missing []source, now time.Time) RecordGap {
+	l := RecordGap{Roster: b.roster.number, Members: b.roster.previous, hashes: b.roster.priorHashes}
 	for _, s := range missing {
 		l.Lost = append(l.Lost, s.member)
 		if s.state != gone {
@@ -75,7 +75,7 @@
 		if goneAt.IsZero() {
 			goneAt = now
 		}
-		if u := goneAt.Add(Remember); u.After(l.Until) {
+		if u := goneAt.Add(RecordTTL); u.After(l.Until) {
 			l.Until = u
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 func (b *Book) expireGaps(now time.Time) {
-	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return !l.Until.IsZero() && !now.Before(l.Until) })
+	b.gaps = slices.DeleteFunc(b.gaps, func(l RecordGap) bool { return !l.Until.IsZero() && !now.Before(l.Until) })
 }
 
 // inheritedGaps returns the gaps that began before the current roster.
-func (b *Book) inheritedGaps() []Lapse {
-	var o []Lapse
+func (b *Book) inheritedGaps() []RecordGap {
+	var o []RecordGap
 	for _, l := range b.gaps {
 		if l.Roster < b.roster.number {
 			o = append(o, l)
@@ -97,8 +97,8 @@
 	return o
 }
 
-// Lost returns the members whose records are missing here and that may still be alive.
-func (b *Book) Lost() []Member {
+// MissingMembers returns the members whose records are missing here and that may still be alive.
+func (b *Book) MissingMembers() []Member {
 	var l []Member
 	for _, g := range b.gaps {
 		if g.Until.IsZero() {
--- a/flow/ledger/handover.go
+++ b/flow/ledger/handover.go
@@ -39,15 +39,15 @@
 	Member Member
 }
 
-// UnreachedMsg reports that pulls from a source have failed for too long.
-type UnreachedMsg struct {
+// PullFailedMsg reports that pulls from a source have failed for too long.
+type PullFailedMsg struct {
 	Now    time.Time
 	Roster int64
 	Entry  string
 }
 
-// PulledMsg carries a page of records from a source.
-type PulledMsg struct {
+// PageMsg carries a page of records from a source.
+type PageMsg struct {
 	Now    time.Time
 	Roster int64
 	Entry  string
@@ -76,7 +76,7 @@
 // the predecessor of the roster.
 type Page struct {
 	Records  []Record
-	Lapses   []Lapse
+	Gaps     []RecordGap
 	After    string // cursor for the next page
 	More     bool   // whether there is another page
 	Complete bool
@@ -117,13 +117,13 @@
 
 func (b *Book) openSources() {
 	for _, p := range b.roster.previous {
-		if !p.Is(b.self) || !b.priorWasActive {
+		if !p.SameIncarnation(b.self) || !b.priorWasActive {
 			b.sources = append(b.sources, source{member: p})
 		}
 	}
 	// A former incarnation of this entry has no records left to hand over.
 	for i := range b.sources {
-		if p := b.sources[i].member; p.Entry == b.self.Entry && !p.Is(b.self) {
+		if p := b.sources[i].member; p.Entry == b.self.Entry && !p.SameIncarnation(b.self) {
 			b.sources[i].state = gone
 		}
 	}
@@ -159,7 +159,7 @@
 // together with the platform's service.
 func (b *Book) checkReady(id ID, now time.Time) ClaimReply {
 	if !isHolder(b.self.Entry, b.roster, id) {
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
+		return ClaimReply{Verdict: Stale, RetryAfter: handoverRetryDelay}
 	}
 	r := b.checkGaps(id, now)
 	if r.Verdict != Granted || b.activeRoster == b.roster.number {
@@ -170,10 +170,10 @@
 	case b.hasRecordsOf(f) || b.hasRecordsOf(s):
 		return r
 	case s == "" && isSecondRoster(b.roster.number):
-		r.Store = true
+		r.NeedsStoreKey = true
 		return r
 	default:
-		return ClaimReply{Verdict: Stale, Retry: handoverRetryDelay}
+		return ClaimReply{Verdict: Stale, RetryAfter: handoverRetryDelay}
 	}
 }
 
@@ -194,7 +194,7 @@
 // after the retention time of records.
 func (b *Book) Gone(m GoneMsg) {
 	for i := range b.sources {
-		if s := &b.sources[i]; s.member.Is(m.Member) && s.goneAt.IsZero() {
+		if s := &b.sources[i]; s.member.SameIncarnation(m.Member) && s.goneAt.IsZero() {
 			s.goneAt = m.Now
 			if s.state != done {
 				s.state = gone
@@ -203,14 +203,14 @@
 	}
 	for i := range b.gaps {
 		if l := &b.gaps[i]; l.Until.IsZero() && containsMember(l.Lost, m.Member) {
-			l.Until = m.Now.Add(Remember)
+			l.Until = m.Now.Add(RecordTTL)
 		}
 	}
 	b.activateIfComplete(m.Now)
 }
 
-// Unreached records that a source does not answer. The holder goes on without it if another source has the same records.
-func (b *Book) Unreached(m UnreachedMsg) {
+// PullFailed records that a source does not answer. The holder goes on without it if another source has the same records.
+func (b *Book) PullFailed(m PullFailedMsg) {
 	if m.Roster != b.roster.number {
 		return
 	}
@@ -222,8 +222,8 @@
 	b.activateIfComplete(m.Now)
 }
 
-// Pulled merges a page of a source's records. The last page completes the handover from this source.
-func (b *Book) Pulled(m PulledMsg) {
+// AddPage merges a page of a source's records. The last page completes the handover from this source.
+func (b *Book) AddPage(m PageMsg) {
 	i := slices.IndexFunc(b.sources, func(s source) bool { return s.member.Entry == m.Entry })
 	if m.Roster != b.roster.number || !m.Page.Complete || i < 0 {
 		return
@@ -232,7 +232,7 @@
 	for _, r := range m.Page.Records {
 		b.merge(r, now)
 	}
-	b.inheritGaps(m.Page.Lapses)
+	b.inheritGaps(m.Page.Gaps)
 	if m.Page.More {
 		return
 	}
@@ -262,7 +262,7 @@
 	if !covered && len(missing) > 0 && (mayAnswer > 0 || alive > 1 && len(b.roster.previous) > 1) {
 		return
 	}
-	b.gaps = slices.DeleteFunc(b.gaps, func(l Lapse) bool { return l.Roster == b.roster.number })
+	b.gaps = slices.DeleteFunc(b.gaps, func(l RecordGap) bool { return l.Roster == b.roster.number })
 	if !covered && len(missing) > 0 {
 		b.gaps = append(b.gaps, b.newGap(missing, now))
 	}
@@ -292,7 +292,7 @@
 		return Page{}
 	}
 	now := b.sinceEpoch(m.Now)
-	p := Page{Complete: true, Lapses: b.inheritedGaps()}
+	p := Page{Complete: true, Gaps: b.inheritedGaps()}
 	k, _ := strconv.ParseUint(m.After, 10, 32)
 	n := 0
 	for i := uint32(k); i < b.table.allocated; i++ {
--- a/flow/ledger/member.go
+++ b/flow/ledger/member.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// UnheardAfter is the heartbeat timeout after which a member may be removed.
-	UnheardAfter = 4 * time.Second
+	// HeartbeatTimeout is the heartbeat timeout after which a member may be removed.
+	HeartbeatTimeout = 4 * time.Second
 	// proposalDelay is how much longer each entry waits with its proposal than the entry ranked before it.
 	proposalDelay = time.Second
 	// vmListMaxAge is how long the platform's VM list is used after it was read.
 	vmListMaxAge = 30 * time.Second
 )
 
-// BeatMsg is a heartbeat of one entry of the data centre. Each entry also passes its own heartbeats to its Membership.
-type BeatMsg struct {
-	Now      time.Time
-	Member   Member
-	Holding  int64 // number of the newest roster that is active at the entry
-	Stopping bool
-	Unheard  []string // members from which the entry has had no heartbeat within the timeout
-	Gone     []string // entries that are gone from the platform's VM list, if this entry reads it
+// HeartbeatMsg is a heartbeat of one entry of the data centre. Each entry also passes its own heartbeats to its Membership.
+type HeartbeatMsg struct {
+	Now          time.Time
+	Member       Member
+	ActiveRoster int64 // number of the newest roster that is active at the entry
+	Leaving      bool
+	Unheard      []string // members from which the entry has had no heartbeat within the timeout
+	Gone         []string // entries that are gone from the platform's VM list, if this entry reads it
 }
 
-// VMsMsg lists the entries that are gone according to the platform's VM list.
-type VMsMsg struct {
+// VMListMsg lists the entries that are gone according to the platform's VM list.
+type VMListMsg struct {
 	Now  time.Time
 	Gone []string
 }
@@ -36,7 +36,7 @@
 type ProposeCmd struct{ Roster Roster }
 
 type peer struct {
-	lastBeat  BeatMsg
+	lastBeat  HeartbeatMsg
 	firstBeat time.Time // first heartbeat of this incarnation
 }
 
@@ -58,22 +58,22 @@
 	return &Membership{self: self, dataCentre: dataCentre, peers: map[string]peer{}}
 }
 
-// Beat records a heartbeat. A heartbeat of a former incarnation is ignored.
-func (s *Membership) Beat(m BeatMsg) {
+// Heartbeat records a heartbeat. A heartbeat of a former incarnation is ignored.
+func (s *Membership) Heartbeat(m HeartbeatMsg) {
 	p, ok := s.peers[m.Member.Entry]
 	if ok && p.lastBeat.Member.Incarnation > m.Member.Incarnation {
 		return
 	}
-	if !ok || !p.lastBeat.Member.Is(m.Member) {
+	if !ok || !p.lastBeat.Member.SameIncarnation(m.Member) {
 		p.firstBeat = m.Now
 	}
 	p.lastBeat = m
 	s.peers[m.Member.Entry] = p
-	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.lastBeat.Now) > Remember })
+	maps.DeleteFunc(s.peers, func(_ string, p peer) bool { return m.Now.Sub(p.lastBeat.Now) > RecordTTL })
 }
 
-// VMs records which entries are permanently gone.
-func (s *Membership) VMs(m VMsMsg) { s.goneEntries, s.vmListReadAt = m.Gone, m.Now }
+// UpdateVMList records which entries are permanently gone.
+func (s *Membership) UpdateVMList(m VMListMsg) { s.goneEntries, s.vmListReadAt = m.Gone, m.Now }
 
 // Gone returns the members of the last two rosters and of more that are gone according to the VM list of this entry.
 func (s *Membership) Gone(now time.Time, more []Member) []string {
@@ -94,7 +94,7 @@
 		return true
 	}
 	for _, p := range s.peers {
-		if now.Sub(p.lastBeat.Now) < UnheardAfter && slices.Contains(p.lastBeat.Gone, entry) {
+		if now.Sub(p.lastBeat.Now) < HeartbeatTimeout && slices.Contains(p.lastBeat.Gone, entry) {
 			return true
 		}
 	}
@@ -124,14 +124,14 @@
 	if p, ok := s.peers[m.Entry]; ok && p.lastBeat.Now.After(last) {
 		last = p.lastBeat.Now
 	}
-	return now.Sub(last) >= UnheardAfter
+	return now.Sub(last) >= HeartbeatTimeout
 }
 
-// Over reports whether the member's incarnation has certainly ended: a later incarnation has sent a heartbeat, or the VM list
+// Ended reports whether the member's incarnation has certainly ended: a later incarnation has sent a heartbeat, or the VM list
 // says that the entry is gone.
 //
 // The VM list lags: if this incarnation has sent a recent heartbeat, the list refers to a former one.
-func (s *Membership) Over(m Member, now time.Time) bool {
+func (s *Membership) Ended(m Member, now time.Time) bool {
 	if m.Entry == s.self.Entry {
 		return s.self.Incarnation > m.Incarnation
 	}
@@ -139,7 +139,7 @@
 	switch {
 	case ok && p.lastBeat.Member.Incarnation > m.Incarnation:
 		return true
-	case ok && p.lastBeat.Member.Is(m) && now.Sub(p.lastBeat.Now) < UnheardAfter/2:
+	case ok && p.lastBeat.Member.SameIncarnation(m) && now.Sub(p.lastBeat.Now) < HeartbeatTimeout/2:
 		return false
 	default:
 		return s.isGone(m.Entry, now)
@@ -182,7 +182,7 @@
 func (s *Membership) desiredMembers(now time.Time) []Member {
 	var n []Member
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.isStopping(m) && !s.isCutOff(m, now) {
+		if !s.Ended(m, now) && !s.isStopping(m) && !s.isCutOff(m, now) {
 			n = append(n, m)
 		}
 	}
@@ -194,7 +194,7 @@
 		return s.stopping
 	}
 	p, ok := s.peers[m.Entry]
-	return ok && p.lastBeat.Member.Is(m) && p.lastBeat.Stopping
+	return ok && p.lastBeat.Member.SameIncarnation(m) && p.lastBeat.Leaving
 }
 
 // isCutOff reports whether m has timed out at this entry and at a majority of the members that it hears, itself included.
@@ -223,7 +223,7 @@
 	}
 	for _, p := range s.peers {
 		b := p.lastBeat
-		fresh := now.Sub(b.Now) < UnheardAfter/2 && !b.Stopping
+		fresh := now.Sub(b.Now) < HeartbeatTimeout/2 && !b.Leaving
 		if fresh && b.Member.Entry != s.self.Entry && !containsMember(s.roster.members, b.Member) {
 			j = append(j, b.Member)
 		}
@@ -237,32 +237,32 @@
 func (s *Membership) mayPropose(next []Member, now time.Time) bool {
 	stay, alive := 0, 0
 	for _, m := range s.roster.members {
-		if !s.Over(m, now) && !s.isStopping(m) {
+		if !s.Ended(m, now) && !s.isStopping(m) {
 			alive++
 		}
 		if !containsMember(next, m) {
 			continue
 		}
 		stay++
-		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.SameIncarnation(m) || p.lastBeat.ActiveRoster != s.roster.number {
 			return false
 		}
 	}
 	return 2*stay >= alive
 }
 
-// Stop marks this entry as leaving, so that the next roster is without it.
-func (s *Membership) Stop() { s.stopping = true }
+// Leave marks this entry as leaving, so that the next roster is without it.
+func (s *Membership) Leave() { s.stopping = true }
 
-// Complete reports whether the current roster is active at all of its members. An entry that has left the roster may then exit.
-func (s *Membership) Complete() bool {
+// ActiveEverywhere reports whether the current roster is active at all of its members. An entry that has left the roster may then exit.
+func (s *Membership) ActiveEverywhere() bool {
 	for _, m := range s.roster.members {
-		if p := s.peers[m.Entry]; !p.lastBeat.Member.Is(m) || p.lastBeat.Holding != s.roster.number {
+		if p := s.peers[m.Entry]; !p.lastBeat.Member.SameIncarnation(m) || p.lastBeat.ActiveRoster != s.roster.number {
 			return false
 		}
 	}
 	return true
 }
 
-// Stopping reports whether this entry is leaving.
-func (s *Membership) Stopping() bool { return s.stopping }
+// Leaving reports whether this entry is leaving.
+func (s *Membership) Leaving() bool { return s.stopping }
--- a/flow/ledger/random_test.go
+++ b/flow/ledger/random_test.go
@@ -77,13 +77,13 @@
 	case k < 94:
 		w.updateVMList()
 	case k < 95:
-		l.membership.Stop()
+		l.membership.Leave()
 		w.logf("stop %s", l.member.Entry)
 	case k < 96:
 		w.revertStore()
 	default:
 		w.now = w.now.Add(rapid.SampledFrom([]time.Duration{
-			50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, 5 * time.Second, time.Minute, 4 * time.Minute, Remember,
+			50 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, 5 * time.Second, time.Minute, 4 * time.Minute, RecordTTL,
 		}).Draw(t, "pass"))
 	}
 }
@@ -152,7 +152,7 @@
 func (w *cluster) heal() {
 	w.logf("heal")
 	for _, e := range entryNames {
-		if !w.processes[e].alive || w.processes[e].membership.Stopping() {
+		if !w.processes[e].alive || w.processes[e].membership.Leaving() {
 			w.kill(e)
 			w.start(e)
 		}
@@ -161,7 +161,7 @@
 	}
 	w.updateVMList()
 	w.runRounds(60, true)
-	w.now = w.now.Add(Remember)
+	w.now = w.now.Add(RecordTTL)
 	w.runRounds(30, true)
 }
 
@@ -169,8 +169,8 @@
 	w.t.Helper()
 	for _, e := range entryNames {
 		l := w.processes[e]
-		if l.book.Holding() != w.storedRoster.Number() || len(w.storedRoster.Members()) != len(entryNames) {
-			w.fail("%s holds %x of %x with %v", e, l.book.Holding(), w.storedRoster.Number(), w.storedRoster.Members())
+		if l.book.ActiveRoster() != w.storedRoster.Number() || len(w.storedRoster.Members()) != len(entryNames) {
+			w.fail("%s holds %x of %x with %v", e, l.book.ActiveRoster(), w.storedRoster.Number(), w.storedRoster.Members())
 		}
 		c := l.startCopy("fresh"+e, 1)
 		w.runRounds(2, true)
--- a/flow/ledger/record.go
+++ b/flow/ledger/record.go
@@ -36,7 +36,7 @@
 	Status      int
 	ContentType string
 	Answer      []byte
-	Kept        bool          // whether Answer is the whole answer
+	HasAnswer   bool          // whether Answer is the whole answer
 	Age         time.Duration // time since the last change
 }
 
--- a/flow/ledger/roster.go
+++ b/flow/ledger/roster.go
@@ -23,8 +23,10 @@
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Is reports whether m and o are the same incarnation of the same entry.
-func (m Member) Is(o Member) bool { return m.Entry == o.Entry && m.Incarnation == o.Incarnation }
+// SameIncarnation reports whether m and o are the same incarnation of the same entry.
+func (m Member) SameIncarnation(o Member) bool {
+	return m.Entry == o.Entry && m.Incarnation == o.Incarnation
+}
 
 // Roster is the immutable, numbered list of the entries that hold the keys of a data centre. The zero Roster has number zero.
 type Roster struct {
@@ -141,7 +143,7 @@
 
 func containsMember(m []Member, o Member) bool {
 	f, ok := findMember(m, o.Entry)
-	return ok && f.Is(o)
+	return ok && f.SameIncarnation(o)
 }
 
 // topTwo returns the entries of the two members with the highest rendezvous hash for id.
@@ -167,9 +169,9 @@
 	return first, second
 }
 
-// Home returns the home data centre of a key: the one named before the key's first slash, or else the one with the highest
+// HomeDataCentre returns the home data centre of a key: the one named before the key's first slash, or else the one with the highest
 // rendezvous hash.
-func Home(key string, dataCentres []string) string {
+func HomeDataCentre(key string, dataCentres []string) string {
 	if n, _, ok := strings.Cut(key, "/"); ok && slices.Contains(dataCentres, n) {
 		return n
 	}
--- a/flow/ledger/scenario_test.go
+++ b/flow/ledger/scenario_test.go
@@ -94,9 +94,9 @@
 		w.runRounds(6, true)
 		w.expectSent(i, w.processes["d"], "k", false)
 		w.expectSent(i, b, "fresh", true)
-		w.now = w.now.Add(Remember)
+		w.now = w.now.Add(RecordTTL)
 		w.runRounds(4, true)
-		i.Equal(b.book.Claim(ClaimMsg{Now: w.now, ID: NewID(keyHeldBy(w.storedRoster, "b", "c")), Roster: w.storedRoster.Number()}).Store, false)
+		i.Equal(b.book.Claim(ClaimMsg{Now: w.now, ID: NewID(keyHeldBy(w.storedRoster, "b", "c")), Roster: w.storedRoster.Number()}).NeedsStoreKey, false)
 	})
 	scenario(t, "a successor of a single member uses the service until it has the records", func(i *is.I, w *cluster) {
 		for _, e := range entryNames[1:] {
@@ -127,7 +127,7 @@
 		w.expectSent(i, f, key, true) // the pair still grants claims on its side of the partition
 		w.kill("a")
 		w.updateVMList()
-		w.now = w.now.Add(Remember - ClaimWithin)
+		w.now = w.now.Add(RecordTTL - ClaimTimeout)
 		w.runRounds(1, true)
 		w.expectSent(i, w.processes["c"], key, false)
 	})
@@ -138,7 +138,7 @@
 		w.expectSent(i, a, key, true)
 		a.partition, b.partition, a.noStore, b.noStore = 1, 1, true, true
 		w.runRounds(40, true)
-		i.True(w.processes["c"].book.Holding() != w.storedRoster.Number())
+		i.True(w.processes["c"].book.ActiveRoster() != w.storedRoster.Number())
 		a.partition, b.partition, a.noStore, b.noStore = 0, 0, false, false
 		w.runRounds(20, true)
 		i.Equal(len(w.storedRoster.Members()), 4)
--- a/flow/ledger/table.go
+++ b/flow/ledger/table.go
@@ -174,6 +174,6 @@
 	a := t.answers[i]
 	return Record{
 		ID: s.id, Attempt: s.attempt, Digest: s.digest, Phase: s.phase, Status: int(s.status),
-		Kept: s.hasAnswer(), ContentType: a.contentType, Answer: a.body, Age: s.age(now),
+		HasAnswer: s.hasAnswer(), ContentType: a.contentType, Answer: a.body, Age: s.age(now),
 	}
 }
--- a/flow/retry/retry.go
+++ b/flow/retry/retry.go
@@ -28,8 +28,8 @@
 	Again Verdict = iota
 	// Stop means that the request must not be sent again because it ran or may have run.
 	Stop
-	// Spent means that the request has no attempts left or the retry budget is used up.
-	Spent
+	// Exhausted means that the request has no attempts left or the retry budget is used up.
+	Exhausted
 )
 
 // Budget is a token bucket for retries: each first send adds a share of a token, and each retry takes one token.
@@ -60,11 +60,11 @@
 	return b
 }
 
-// First adds the share of one first send to the budget.
-func (b *Budget) First() { b.tokens = min(b.burst, b.tokens+b.share) }
+// AddFirstSend adds the share of one first send to the budget.
+func (b *Budget) AddFirstSend() { b.tokens = min(b.burst, b.tokens+b.share) }
 
-// Left returns the number of retries that the budget allows now.
-func (b *Budget) Left() int { return int(b.tokens) }
+// Remaining returns the number of retries that the budget allows now.
+func (b *Budget) Remaining() int { return int(b.tokens) }
 
 // Decide returns what to do after send number attempt, counted from 1, and takes a retry from the budget if it allows one.
 // An idempotent request that failed is retried only after its first attempt.
@@ -76,11 +76,11 @@
 	case o == Failed && attempt > 1:
 		return Stop
 	case attempt >= b.attempts:
-		return Spent
+		return Exhausted
 	case o == Leaving:
 		return Again
 	case b.tokens < 1:
-		return Spent
+		return Exhausted
 	}
 	b.tokens--
 	return Again
--- a/flow/retry/retry_test.go
+++ b/flow/retry/retry_test.go
@@ -18,7 +18,7 @@
 		firsts, paid := 0, 0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "first") {
-				b.First()
+				b.AddFirstSend()
 				firsts++
 				continue
 			}
--- a/flow/sched/msg.go
+++ b/flow/sched/msg.go
@@ -29,8 +29,8 @@
 	Failed
 	// Unknown means that the answer was lost. The request may have run.
 	Unknown
-	// Withdrawn means that the runner ended the request before it sent any byte. The slot is free and nothing follows.
-	Withdrawn
+	// NotSent means that the runner ended the request before it sent any byte. The slot is free and nothing follows.
+	NotSent
 )
 
 // Msg is an input to a Scheduler.
@@ -48,7 +48,7 @@
 
 // DoneMsg reports the end of a send. Leaving means that the target announced that it is leaving.
 //
-// After Answered or Withdrawn the request is complete and no command follows. After Answered, the runner passes the answer to
+// After Answered or NotSent the request is complete and no command follows. After Answered, the runner passes the answer to
 // the caller, unless an EndCmd came before. After any other result, a request that has not had its EndCmd waits for it or for
 // its next SendCmd, which a later Update may return.
 type DoneMsg struct {
@@ -86,9 +86,9 @@
 	Rates map[string]float64
 }
 
-// PolicyMsg replaces the settings from the service's profile. RetryShare is the number of retries that each first
+// ProfileMsg replaces the settings from the service's profile. RetryShare is the number of retries that each first
 // send allows, and UrgentStart the time within which urgent requests should be sent.
-type PolicyMsg struct {
+type ProfileMsg struct {
 	Now         time.Time
 	RetryShare  float64
 	UrgentStart time.Duration
@@ -122,7 +122,7 @@
 func (TargetsMsg) isMsg() {}
 func (SharesMsg) isMsg()  {}
 func (QuotasMsg) isMsg()  {}
-func (PolicyMsg) isMsg()  {}
+func (ProfileMsg) isMsg() {}
 
 // Reason is the reason why a request ended without an answer from a target.
 type Reason string
@@ -137,8 +137,8 @@
 	ReasonQuota Reason = "quota"
 	// ReasonNoTarget means that there is no target that may get new requests.
 	ReasonNoTarget Reason = "noTarget"
-	// ReasonRetries means that the request's attempts or the retry budget are spent.
-	ReasonRetries Reason = "retryBudget"
+	// ReasonRetryBudget means that the request's attempts or the retry budget are spent.
+	ReasonRetryBudget Reason = "retryBudget"
 	// ReasonUnknown means that the request was sent and its outcome is not known.
 	ReasonUnknown Reason = "unknown"
 	// ReasonCancelled means that the caller went away.
--- a/flow/sched/option.go
+++ b/flow/sched/option.go
@@ -31,5 +31,5 @@
 // WithMaxEjected sets the share of the targets that may be ejected at the same time.
 func WithMaxEjected(f float64) Option { return func(s *settings) { s.maxEjected = f } }
 
-// WithBound sets the maximum number of queued requests.
-func WithBound(n int) Option { return func(s *settings) { s.maxQueued = n } }
+// WithMaxQueued sets the maximum number of queued requests.
+func WithMaxQueued(n int) Option { return func(s *settings) { s.maxQueued = n } }
--- a/flow/sched/sched.go
+++ b/flow/sched/sched.go
@@ -95,7 +95,7 @@
 	case QuotasMsg:
 		s.advance(m.Now)
 		s.gate.SetRates(m.Rates)
-	case PolicyMsg:
+	case ProfileMsg:
 		s.advance(m.Now)
 		s.urgentStart = m.UrgentStart
 		s.retryBudget.SetShare(m.RetryShare)
@@ -151,9 +151,9 @@
 	idle := s.queue.Len() == 0 && s.pool.Free() > s.urgentReserve(r.class)
 	v, retryAfter := s.gate.Arrive(s.now, team, admit.NewLoad(idle, s.overloaded(), s.capacity()))
 	switch v {
-	case admit.Over:
+	case admit.OverRate:
 		return ReasonQuota, retryAfter
-	case admit.Crowded:
+	case admit.Overloaded:
 		return ReasonOverload, retryAfter
 	}
 	return "", 0
@@ -207,7 +207,7 @@
 	}
 	r.inFlight = false
 	s.recordOutcome(r, m)
-	if m.Result == Answered || m.Result == Withdrawn || r.ended {
+	if m.Result == Answered || m.Result == NotSent || r.ended {
 		s.recycle(r)
 		return
 	}
@@ -227,7 +227,7 @@
 		}
 	case m.Result == Unknown:
 		o = route.Lost
-	case m.Result == Withdrawn, m.Leaving, r.ended:
+	case m.Result == NotSent, m.Leaving, r.ended:
 		o = route.Mute
 	case m.Result == NotRun:
 		o = route.Full
@@ -249,7 +249,7 @@
 	switch s.retryBudget.Decide(retryOutcome(m), r.attempts, r.idempotent) {
 	case retry.Stop:
 		s.end(r, noRetryReason(m.Result), 0)
-	case retry.Spent:
+	case retry.Exhausted:
 		s.end(r, budgetSpentReason(m.Result), minRetryAfter)
 	default:
 		r.queueHandle = s.queue.PushBack(s.now, r.class, r.deadline, r)
--- a/flow/sched/sched_test.go
+++ b/flow/sched/sched_test.go
@@ -214,7 +214,7 @@
 	now := time.Unix(0, 0)
 	s := sched.New("orders", sched.WithRetryBudget(0, 0))
 	s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget("a", "r", 8), sched.NewTarget("b", "q", 8)}})
-	s.Update(sched.PolicyMsg{Now: now, RetryShare: 0, UrgentStart: time.Second})
+	s.Update(sched.ProfileMsg{Now: now, RetryShare: 0, UrgentStart: time.Second})
 	sendAndRefuse := func(id sched.ID) sched.Cmd {
 		c := s.Update(sched.ArriveMsg{Now: now, ID: id, Team: "kitchen", Deadline: now.Add(time.Minute), Idempotent: true})
 		return s.Update(sched.DoneMsg{Now: now, ID: id, Target: c[0].(sched.SendCmd).Target, Result: sched.NotRun})[0]
@@ -223,7 +223,7 @@
 	i.True(ended) // there is no retry budget
 	s = sched.New("orders", sched.WithRetryBudget(0, 1))
 	s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget("a", "r", 8), sched.NewTarget("b", "q", 8)}})
-	s.Update(sched.PolicyMsg{Now: now, RetryShare: 1, UrgentStart: time.Second})
+	s.Update(sched.ProfileMsg{Now: now, RetryShare: 1, UrgentStart: time.Second})
 	for id := range sched.ID(5) {
 		_, again := sendAndRefuse(id + 1).(sched.SendCmd)
 		i.True(again) // each first send allows one retry
--- a/flow/sched/send.go
+++ b/flow/sched/send.go
@@ -116,7 +116,7 @@
 		return false
 	}
 	if r.attempts == 0 {
-		s.retryBudget.First()
+		s.retryBudget.AddFirstSend()
 	}
 	r.attempts++
 	r.inFlight, r.target, r.sentAt, r.queueHandle = true, t, s.now, queue.None
@@ -155,5 +155,5 @@
 	if r == Failed {
 		return ReasonFailed
 	}
-	return ReasonRetries
+	return ReasonRetryBudget
 }
--- a/flow/sched/stats.go
+++ b/flow/sched/stats.go
@@ -31,16 +31,16 @@
 // Slots returns the number of slots, free or occupied, of the targets in use.
 func (s Stats) Slots() int { return s.slots }
 
-// Pressing returns the number of queued requests that need a slot now. Background requests count only as far as their deadlines
+// Demand returns the number of queued requests that need a slot now. Background requests count only as far as their deadlines
 // require slots now.
-func (s Stats) Pressing() int { return s.demand }
+func (s Stats) Demand() int { return s.demand }
 
-// Yielding returns the number of background requests at targets beyond those that deadlines require. Their slots can go to more
+// Reclaimable returns the number of background requests at targets beyond those that deadlines require. Their slots can go to more
 // urgent requests when they end.
-func (s Stats) Yielding() int { return s.reclaimable }
+func (s Stats) Reclaimable() int { return s.reclaimable }
 
-// Held returns the number of free slots that are reserved for urgent requests.
-func (s Stats) Held() int { return s.urgentReserve }
+// UrgentReserve returns the number of free slots that are reserved for urgent requests.
+func (s Stats) UrgentReserve() int { return s.urgentReserve }
 
 // Targets returns the number of targets in use.
 func (s Stats) Targets() int { return s.targets }
--- a/flow/sched/trace_test.go
+++ b/flow/sched/trace_test.go
@@ -157,7 +157,7 @@
 	if leaving && x == sched.NotRun {
 		m.unpaidRetries++
 	}
-	if x == sched.Answered || x == sched.Withdrawn {
+	if x == sched.Answered || x == sched.NotSent {
 		r.ended = true
 	}
 	m.update(d)
@@ -301,7 +301,7 @@
 	}
 	i := rapid.SampledFrom(l).Draw(p.T, "done")
 	// Not Unknown: the slot of a lost request stays occupied for an estimated time, which the reference does not model.
-	x := rapid.SampledFrom([]sched.Result{sched.Answered, sched.Failed, sched.Withdrawn}).Draw(p.T, "result")
+	x := rapid.SampledFrom([]sched.Result{sched.Answered, sched.Failed, sched.NotSent}).Draw(p.T, "result")
 	d := sched.DoneMsg{Now: p.now, ID: i, Target: p.target[i], Result: x}
 	e := d
 	e.Target = p.reference.sent[i].target
--- a/flow/share/bench_test.go
+++ b/flow/share/bench_test.go
@@ -30,7 +30,7 @@
 	l.Update(share.RosterMsg{Now: now, Number: 1, Entries: names})
 	l.Update(share.LoadMsg{Now: now})
 	for _, n := range names {
-		l.Update(share.SettledMsg{Now: now, From: n, Number: 1})
+		l.Update(share.RosterAdoptedMsg{Now: now, From: n, Number: 1})
 	}
 	l.Update(share.BorrowMsg{Now: now, From: "entry-1", Number: 1, Want: lent})
 	busy := map[string]int{}
--- a/flow/share/borrow.go
+++ b/flow/share/borrow.go
@@ -22,7 +22,7 @@
 		}
 	}
 	switch {
-	case len(m.Grants) > 0 || !m.Busy:
+	case len(m.Grants) > 0 || !m.Exhausted:
 		p.backoff = minBackoff
 	case p.request.Want > 0:
 		p.backoff = min(maxBackoff, max(minBackoff, 2*p.backoff))
--- a/flow/share/example_test.go
+++ b/flow/share/example_test.go
@@ -23,8 +23,8 @@
 	l.Update(share.TargetsMsg{Now: now, Slots: map[string]int{"vm-7": 8}})
 	l.Update(share.RosterMsg{Now: now, Number: 1, Entries: []string{"entry-0", "entry-1"}})
 	l.Update(share.LoadMsg{Now: now})
-	fmt.Println(l.Settled(), l.Usable("vm-7"))
-	l.Update(share.SettledMsg{Now: now, From: "entry-1", Number: 1})
+	fmt.Println(l.AdoptedRoster(), l.Usable("vm-7"))
+	l.Update(share.RosterAdoptedMsg{Now: now, From: "entry-1", Number: 1})
 	fmt.Println(l.Usable("vm-7"))
 	for _, c := range l.Update(share.BorrowMsg{Now: now, From: "entry-1", Number: 1, Want: 3}) {
 		if c, ok := c.(share.LentCmd); ok {
@@ -40,7 +40,7 @@
 }
 
 func ExampleReplay() {
-	x := share.FiveFold(1, share.WithTurns(1), share.WithSkew(3))
+	x := share.FiveFoldBursts(1, share.WithBursts(1), share.WithSkew(3))
 	static, lending := share.Replay(x, share.Fixed), share.Replay(x, share.Lending)
 	fmt.Println(lending.Goodput() > static.Goodput())
 	// Output: true
--- a/flow/share/lend.go
+++ b/flow/share/lend.go
@@ -25,7 +25,7 @@
 	}
 	l.cmds = append(l.cmds, LentCmd{
 		To: m.From, Number: a.number, Grants: slices.Clone(a.grants), Recalled: l.recalledFrom(m.From),
-		Busy: len(l.loans) == 0 && l.now.Sub(l.lastNoDemandAt) >= recallAfter,
+		Exhausted: len(l.loans) == 0 && l.now.Sub(l.lastNoDemandAt) >= recallAfter,
 	})
 }
 
--- a/flow/share/loans.go
+++ b/flow/share/loans.go
@@ -85,7 +85,7 @@
 	case RosterMsg:
 		l.now = m.Now
 		l.setRoster(m)
-	case SettledMsg:
+	case RosterAdoptedMsg:
 		l.now = m.Now
 		l.adopted[m.From] = m.Number
 	case TargetsMsg:
@@ -112,8 +112,8 @@
 	return l.cmds
 }
 
-// Settled returns the number of the newest roster if this entry has adopted it, else 0. The peers need this number.
-func (l *Loans) Settled() int64 {
+// AdoptedRoster returns the number of the newest roster if this entry has adopted it, else 0. The peers need this number.
+func (l *Loans) AdoptedRoster() int64 {
 	if l.adopted[l.self] == l.rosterNumber {
 		return l.rosterNumber
 	}
@@ -247,7 +247,7 @@
 
 // setLoad replaces the load and the times that follow from it, and stops draining when requests wait here or the time is up.
 func (l *Loans) setLoad(x Load) {
-	l.demand, l.reclaimable, l.reserve = x.Queued, x.Yielding, x.Keep
+	l.demand, l.reclaimable, l.reserve = x.Demand, x.Reclaimable, x.Reserve
 	l.table.setBusy(x.Busy)
 	if l.demand > 0 || !l.now.Before(l.drainUntil) {
 		l.table.stopDraining()
--- a/flow/share/loans_test.go
+++ b/flow/share/loans_test.go
@@ -88,7 +88,7 @@
 		case share.BorrowCmd:
 			w.inFlight = append(w.inFlight, envelope{c.To, share.BorrowMsg{From: to, Number: c.Number, Want: c.Want, Holding: c.Holding}})
 		case share.LentCmd:
-			w.inFlight = append(w.inFlight, envelope{c.To, share.LentMsg{From: to, Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy}})
+			w.inFlight = append(w.inFlight, envelope{c.To, share.LentMsg{From: to, Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Exhausted: c.Exhausted}})
 		}
 	}
 	w.check()
@@ -129,8 +129,8 @@
 	w.entries[e].rosterNumber = w.rosterNumber
 	w.deliver(e, share.RosterMsg{Now: w.now, Number: w.rosterNumber, Entries: slices.Clone(w.names)})
 	for _, p := range w.names {
-		if n := w.entries[p].Settled(); n > 0 && p != e {
-			w.deliver(e, share.SettledMsg{Now: w.now, From: p, Number: n})
+		if n := w.entries[p].AdoptedRoster(); n > 0 && p != e {
+			w.deliver(e, share.RosterAdoptedMsg{Now: w.now, From: p, Number: n})
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	w.deliver(e, share.LoadMsg{Now: w.now, Load: w.entries[e].load()})
 }
 
-func (e *entry) load() share.Load { return share.Load{Queued: e.queued, Busy: e.busy} }
+func (e *entry) load() share.Load { return share.Load{Demand: e.queued, Busy: e.busy} }
 
 // changeWork changes the queue and starts or ends requests without a LoadMsg, so that the state of Loans becomes outdated.
 func (w *simulation) changeWork(e string) {
@@ -254,17 +254,17 @@
 			l.Update(share.RosterMsg{Now: now, Number: 1, Entries: []string{"a", "b"}})
 			l.Update(share.LoadMsg{Now: now})
 		}
-		a.Update(share.SettledMsg{Now: now, From: "b", Number: b.Settled()})
-		b.Update(share.SettledMsg{Now: now, From: "a", Number: a.Settled()})
+		a.Update(share.RosterAdoptedMsg{Now: now, From: "b", Number: b.AdoptedRoster()})
+		b.Update(share.RosterAdoptedMsg{Now: now, From: "a", Number: a.AdoptedRoster()})
 		is.New(t).Equal(a.Usable("vm")+b.Usable("vm"), 8)
 		return a, b
 	}
 	// exchange advances the time by d, reports the load of both entries and delivers the messages between them.
 	exchange := func(a, b *share.Loans, d time.Duration, queuedA, busyA, queuedB, busyB int) {
 		now = now.Add(d)
-		x := share.Load{Queued: queuedB, Busy: map[string]int{"vm": busyB}}
+		x := share.Load{Demand: queuedB, Busy: map[string]int{"vm": busyB}}
 		b.Update(share.LoadMsg{Now: now, Load: x})
-		for _, c := range slices.Clone(a.Update(share.LoadMsg{Now: now, Load: share.Load{Queued: queuedA, Busy: map[string]int{"vm": busyA}}})) {
+		for _, c := range slices.Clone(a.Update(share.LoadMsg{Now: now, Load: share.Load{Demand: queuedA, Busy: map[string]int{"vm": busyA}}})) {
 			if c, ok := c.(share.BorrowCmd); ok {
 				l := b.Update(share.BorrowMsg{Now: now, From: "a", Number: c.Number, Want: c.Want, Holding: c.Holding, Load: x})
 				r := l[0].(share.LentCmd)
@@ -287,20 +287,20 @@
 	t.Run("reserved slots are not lent", func(t *testing.T) {
 		i := is.New(t)
 		_, b := start(t)
-		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 1, Want: 9, Load: share.Load{Keep: 3}})
+		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 1, Want: 9, Load: share.Load{Reserve: 3}})
 		i.Equal(b.Lent(), 1)
 	})
 	t.Run("slots of background requests are drained and lent to a peer", func(t *testing.T) {
 		i := is.New(t)
 		_, b := start(t)
-		x := share.Load{Yielding: 4, Busy: map[string]int{"vm": 4}}
+		x := share.Load{Reclaimable: 4, Busy: map[string]int{"vm": 4}}
 		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 1, Want: 2, Load: x})
 		i.Equal(b.Lent(), 0)
 		i.Equal(b.Usable("vm"), 2) // two slots drain
-		x.Queued = 1
+		x.Demand = 1
 		b.Update(share.LoadMsg{Now: now, Load: x})
 		i.Equal(b.Usable("vm"), 4) // a request that waits here stops the draining
-		x.Queued = 0
+		x.Demand = 0
 		x.Busy = map[string]int{"vm": 2}
 		b.Update(share.BorrowMsg{Now: now, From: "a", Number: 2, Want: 2, Load: x})
 		i.Equal(b.Lent(), 2)
--- a/flow/share/msg.go
+++ b/flow/share/msg.go
@@ -12,8 +12,8 @@
 	Entries []string
 }
 
-// SettledMsg reports that a peer has adopted the roster with this number: it uses no more than its shares under that roster.
-type SettledMsg struct {
+// RosterAdoptedMsg reports that a peer has adopted the roster with this number: it uses no more than its shares under that roster.
+type RosterAdoptedMsg struct {
 	Now    time.Time
 	From   string
 	Number int64
@@ -30,10 +30,10 @@
 // The runner must not send requests between reading a Load and applying the SharesCmd that results from it. It holds the
 // scheduler's lock in the meantime.
 type Load struct {
-	Queued   int            // waiting requests that need a slot here now
-	Yielding int            // background requests at targets whose slots can be lent when they end
-	Keep     int            // idle slots that must not be lent
-	Busy     map[string]int // occupied slots by target, preferably as the scheduler's Taken counts them
+	Demand      int            // waiting requests that need a slot here now
+	Reclaimable int            // background requests at targets whose slots can be lent when they end
+	Reserve     int            // idle slots that must not be lent
+	Busy        map[string]int // occupied slots by target, preferably as the scheduler's Taken counts them
 }
 
 // LoadMsg reports the load of this entry. It must come every 10 ms while requests wait or Quiet is false.
@@ -55,12 +55,12 @@
 
 // LentMsg is a peer's reply to a BorrowCmd.
 type LentMsg struct {
-	Now      time.Time
-	From     string
-	Number   int64
-	Grants   []Grant
-	Recalled []int64
-	Busy     bool // the peer has had no slot to spare for some time
+	Now       time.Time
+	From      string
+	Number    int64
+	Grants    []Grant
+	Recalled  []int64
+	Exhausted bool // the peer has had no slot to spare for some time
 }
 
 // Grant lends one slot of a target. ID is unique among the lender's grants.
@@ -69,12 +69,12 @@
 	Target string `json:"target"`
 }
 
-func (RosterMsg) isMsg()  {}
-func (SettledMsg) isMsg() {}
-func (TargetsMsg) isMsg() {}
-func (LoadMsg) isMsg()    {}
-func (BorrowMsg) isMsg()  {}
-func (LentMsg) isMsg()    {}
+func (RosterMsg) isMsg()        {}
+func (RosterAdoptedMsg) isMsg() {}
+func (TargetsMsg) isMsg()       {}
+func (LoadMsg) isMsg()          {}
+func (BorrowMsg) isMsg()        {}
+func (LentMsg) isMsg()          {}
 
 // Cmd is an action that the runner carries out for Loans.
 type Cmd interface{ isCmd() }
@@ -92,11 +92,11 @@
 
 // LentCmd sends the reply to a BorrowMsg.
 type LentCmd struct {
-	To       string
-	Number   int64
-	Grants   []Grant
-	Recalled []int64
-	Busy     bool // this entry has had no slot to spare for some time
+	To        string
+	Number    int64
+	Grants    []Grant
+	Recalled  []int64
+	Exhausted bool // this entry has had no slot to spare for some time
 }
 
 func (SharesCmd) isCmd() {}
--- a/flow/share/replay.go
+++ b/flow/share/replay.go
@@ -17,10 +17,10 @@
 	Fixed Policy = iota
 	// Lending adds loans to the static shares.
 	Lending
-	// Refusing lets each entry use all slots. A target refuses the requests that exceed its slots.
-	Refusing
-	// Queueing is the baseline: static shares, first come first served, no load shedding.
-	Queueing
+	// Overcommit lets each entry use all slots. A target refuses the requests that exceed its slots.
+	Overcommit
+	// FIFO is the baseline: static shares, first come first served, no load shedding.
+	FIFO
 )
 
 // String returns the policy's name.
@@ -28,9 +28,9 @@
 	switch p {
 	case Lending:
 		return "lending"
-	case Refusing:
+	case Overcommit:
 		return "overcommit"
-	case Queueing:
+	case FIFO:
 		return "fifo"
 	}
 	return "fixed"
@@ -98,7 +98,7 @@
 	}
 	for _, n := range names {
 		e := &replayEntry{scheduler: sched.New("orders"), busy: map[string]int{}}
-		if r.policy == Queueing {
+		if r.policy == FIFO {
 			e.fifo = &fifo{}
 		}
 		if r.policy == Lending {
@@ -116,7 +116,7 @@
 	var l []sched.Target
 	for i := range r.targets {
 		n := Static(targetName(i), r.slots, names, name)
-		if r.policy == Refusing {
+		if r.policy == Overcommit {
 			n = r.slots
 		}
 		l = append(l, sched.NewTarget(targetName(i), fmt.Sprint("rack-", i), n))
@@ -138,7 +138,7 @@
 	}
 	for i := range r.entries {
 		for _, n := range names {
-			r.updateLoans(i, SettledMsg{Now: r.clock(), From: n, Number: 1})
+			r.updateLoans(i, RosterAdoptedMsg{Now: r.clock(), From: n, Number: 1})
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	t := e.scheduler.Stats()
 	clear(e.busy)
 	e.scheduler.Taken(e.busy)
-	return Load{Queued: t.Pressing(), Yielding: t.Yielding(), Keep: t.Held(), Busy: e.busy}
+	return Load{Demand: t.Demand(), Reclaimable: t.Reclaimable(), Reserve: t.UrgentReserve(), Busy: e.busy}
 }
 
 // updateLoans passes a message to the loans of entry i and carries out the commands. A message between entries takes two hops.
@@ -177,7 +177,7 @@
 		case LentCmd:
 			r.result.messages++
 			r.schedule(r.now+2*r.hopDelay, func() {
-				r.updateLoans(r.entryIndex(c.To), LentMsg{Now: r.clock(), From: entryName(i), Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Busy: c.Busy})
+				r.updateLoans(r.entryIndex(c.To), LentMsg{Now: r.clock(), From: entryName(i), Number: c.Number, Grants: c.Grants, Recalled: c.Recalled, Exhausted: c.Exhausted})
 			})
 		}
 	}
--- a/flow/share/trace.go
+++ b/flow/share/trace.go
@@ -40,8 +40,8 @@
 // End returns the duration of the trace.
 func (t Trace) End() time.Duration { return t.end }
 
-// Shape holds the parameters of a generated trace.
-type Shape struct {
+// TraceShape holds the parameters of a generated trace.
+type TraceShape struct {
 	seed                         uint64
 	entries, targets             int
 	burstCount                   int
@@ -54,42 +54,44 @@
 	skew                         float64 // ratio of the request rates of the busiest entry and the next one, and so on
 }
 
-// ShapeOption configures the Shape of a new trace.
-type ShapeOption func(*Shape)
+// TraceOption configures the TraceShape of a new trace.
+type TraceOption func(*TraceShape)
 
 // WithEntries sets the number of entries.
-func WithEntries(n int) ShapeOption { return func(s *Shape) { s.entries = n } }
+func WithEntries(n int) TraceOption { return func(s *TraceShape) { s.entries = n } }
 
 // WithTargets sets the number of targets.
-func WithTargets(n int) ShapeOption { return func(s *Shape) { s.targets = n } }
+func WithTargets(n int) TraceOption { return func(s *TraceShape) { s.targets = n } }
 
 // WithLoad sets the mean load as a share of the capacity.
-func WithLoad(f float64) ShapeOption { return func(s *Shape) { s.load = f } }
+func WithLoad(f float64) TraceOption { return func(s *TraceShape) { s.load = f } }
 
-// WithTurns sets the number of bursts.
-func WithTurns(n int) ShapeOption { return func(s *Shape) { s.burstCount = n } }
+// WithBursts sets the number of bursts.
+func WithBursts(n int) TraceOption { return func(s *TraceShape) { s.burstCount = n } }
 
-// WithMeanRun sets the mean run time.
-func WithMeanRun(d time.Duration) ShapeOption { return func(s *Shape) { s.meanRun = d } }
+// WithMeanRunTime sets the mean run time.
+func WithMeanRunTime(d time.Duration) TraceOption { return func(s *TraceShape) { s.meanRun = d } }
 
-// WithExponentialRuns draws run times from an exponential distribution. The default is uniform between 0.2 and 1.8 times the mean.
-func WithExponentialRuns() ShapeOption { return func(s *Shape) { s.exponential = true } }
+// WithExponentialRunTimes draws run times from an exponential distribution. The default is uniform between 0.2 and 1.8 times the mean.
+func WithExponentialRunTimes() TraceOption { return func(s *TraceShape) { s.exponential = true } }
 
 // WithClasses sets the shares of urgent and of background requests.
-func WithClasses(urgent, background float64) ShapeOption {
-	return func(s *Shape) { s.urgentShare, s.backgroundShare = urgent, background }
+func WithClasses(urgent, background float64) TraceOption {
+	return func(s *TraceShape) { s.urgentShare, s.backgroundShare = urgent, background }
 }
 
 // WithSilentTarget makes the first target accept requests without ever answering, from the given time on.
-func WithSilentTarget(from time.Duration) ShapeOption { return func(s *Shape) { s.silentFrom = from } }
+func WithSilentTarget(from time.Duration) TraceOption {
+	return func(s *TraceShape) { s.silentFrom = from }
+}
 
 // WithSkew sets the ratio of the request rates of the busiest entry and the next one, and so on. The busiest entry changes with
 // each burst.
-func WithSkew(f float64) ShapeOption { return func(s *Shape) { s.skew = f } }
+func WithSkew(f float64) TraceOption { return func(s *TraceShape) { s.skew = f } }
 
-// FiveFold returns a trace of bursts with five times the mean request rate, and a twentieth of it between them.
-func FiveFold(seed uint64, opts ...ShapeOption) Trace {
-	s := Shape{
+// FiveFoldBursts returns a trace of bursts with five times the mean request rate, and a twentieth of it between them.
+func FiveFoldBursts(seed uint64, opts ...TraceOption) Trace {
+	s := TraceShape{
 		seed: seed, entries: 3, targets: 4, burstCount: 3, burstLength: 5 * time.Second, calmLength: 21 * time.Second,
 		load: 0.4, meanRun: 50 * time.Millisecond, urgentShare: 0.2, backgroundShare: 0.2, skew: 1,
 	}
@@ -99,7 +101,7 @@
 	return s.trace()
 }
 
-func (s Shape) trace() Trace {
+func (s TraceShape) trace() Trace {
 	t := Trace{entries: s.entries, targets: s.targets, slots: 8, hopDelay: 250 * time.Microsecond, silentFrom: s.silentFrom}
 	r := rand.New(rand.NewPCG(s.seed, 1))
 	perSecond := s.load * float64(s.targets*t.slots) / s.meanRun.Seconds()
@@ -116,7 +118,7 @@
 }
 
 // addRequests adds requests at random times within the span.
-func (s Shape) addRequests(t *Trace, r *rand.Rand, burst int, x span, perSecond float64) {
+func (s TraceShape) addRequests(t *Trace, r *rand.Rand, burst int, x span, perSecond float64) {
 	for at := x.from; ; {
 		at += time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= x.to {
@@ -126,7 +128,7 @@
 	}
 }
 
-func (s Shape) request(r *rand.Rand, burst int, at time.Duration) Request {
+func (s TraceShape) request(r *rand.Rand, burst int, at time.Duration) Request {
 	q := Request{arrivesAt: at, entry: s.pickEntry(r, burst), idempotent: r.IntN(2) == 0}
 	f := 0.2 + 1.6*r.Float64()
 	if s.exponential {
@@ -145,7 +147,7 @@
 }
 
 // pickEntry draws the entry at which a request arrives.
-func (s Shape) pickEntry(r *rand.Rand, burst int) int {
+func (s TraceShape) pickEntry(r *rand.Rand, burst int) int {
 	sum, w := 0.0, make([]float64, s.entries)
 	for i := range w {
 		w[i] = 1
--- a/node/board/board.go
+++ b/node/board/board.go
@@ -23,8 +23,8 @@
 type Queue struct {
 	Name, Host, Prefix, Service string
 	Priority, Attempts          int
-	Stretch                     float64 // objective in multiples of the longest chain of work.
-	AimMs                       int64   // added to the objective, ms.
+	ObjectiveFactor             float64 // objective in multiples of the longest chain of work.
+	ObjectiveExtraMs            int64   // added to the objective, ms.
 	Advice                      *Advice
 }
 
@@ -55,8 +55,8 @@
 // New returns a Board without a configuration.
 func New() *Board { return &Board{waves: map[int]batch.WaveMsg{}} }
 
-// Put stores a configuration. It returns false and changes nothing if the version is not newer than the current one.
-func (b *Board) Put(c Config) bool {
+// PutConfig stores a configuration. It returns false and changes nothing if the version is not newer than the current one.
+func (b *Board) PutConfig(c Config) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.current.Load(); t != nil && c.Version <= t.config.Version {
--- a/node/daemon/burn.go
+++ b/node/daemon/burn.go
@@ -46,7 +46,7 @@
 func (d *Daemon) led(now time.Time, fence int64, doc *conf.Document) burn.LeadMsg {
 	m := burn.LeadMsg{Now: now, Term: fence}
 	for _, v := range d.loop.Stats().Members() {
-		m.Members = append(m.Members, burn.Member{VM: v.VM, Pool: v.Pool, Wave: v.Wave})
+		m.Members = append(m.Members, burn.Member{VM: v.VM, Pool: v.Pool, Wave: v.FinishedWave})
 	}
 	for _, p := range doc.Pools() {
 		if p.Spare {
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -110,7 +110,7 @@
 // joined reports whether the entry is in its data centre's roster.
 func (d *Daemon) joined() bool {
 	m, ok := d.keeper.Roster(d.set.DataCentre()).Member(d.set.Name())
-	return ok && m.Is(d.self)
+	return ok && m.SameIncarnation(d.self)
 }
 
 // Run serves until ctx ends, then finishes accepted work, hands its records over and gives the lease up.
--- a/node/daemon/news.go
+++ b/node/daemon/news.go
@@ -240,9 +240,9 @@
 
 // numbers returns the version of each shard of the membership that the view shows.
 func numbers(v *view.View) []int64 {
-	l := make([]int64, pool.Count)
+	l := make([]int64, pool.ShardCount)
 	for _, t := range v.Targets() {
-		i := pool.Index(t.VM, pool.Count)
+		i := pool.Index(t.VM, pool.ShardCount)
 		l[i] = max(l[i], t.Number)
 	}
 	return l
--- a/node/daemon/opers.go
+++ b/node/daemon/opers.go
@@ -88,7 +88,7 @@
 			v.State = pool.Serving.String()
 		}
 		if m, ok := members[t.VM]; ok {
-			v.State, v.Wave = m.State.String(), cmp.Or(m.Doing, m.Wave)
+			v.State, v.Wave = m.State.String(), cmp.Or(m.RunningWave, m.FinishedWave)
 		}
 		if h, ok := d.loop.Host(t.VM); ok {
 			v.Platform, v.Boot = string(h.State()), h.Boot()
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -85,7 +85,7 @@
 	place := 0
 	for _, p := range s.d.beater.Heard() {
 		e := p.Address().Entry()
-		if now.Sub(p.At()) > ledger.UnheardAfter || p.Address().DataCentre() != s.d.set.DataCentre() {
+		if now.Sub(p.At()) > ledger.HeartbeatTimeout || p.Address().DataCentre() != s.d.set.DataCentre() {
 			continue
 		}
 		_, in := r.Member(e)
@@ -194,7 +194,7 @@
 	if err != nil {
 		return
 	}
-	m := share.LentMsg{Now: time.Now(), From: a.To, Number: r.GetNumber(), Recalled: r.GetRecalled(), Busy: r.GetBusy()}
+	m := share.LentMsg{Now: time.Now(), From: a.To, Number: r.GetNumber(), Recalled: r.GetRecalled(), Exhausted: r.GetBusy()}
 	for _, g := range r.GetGrants() {
 		m.Grants = append(m.Grants, share.Grant{ID: g.GetId(), Target: g.GetTarget()})
 	}
@@ -207,7 +207,7 @@
 		Now: time.Now(), From: life(ledger.Member{Entry: r.GetEntry(), Incarnation: r.GetIncarnation()}),
 		Number: r.GetNumber(), Want: int(r.GetSlots()), Holding: r.GetHolding(),
 	})
-	o := &relay.BorrowReply{Number: c.Number, Recalled: c.Recalled, Busy: c.Busy}
+	o := &relay.BorrowReply{Number: c.Number, Recalled: c.Recalled, Busy: c.Exhausted}
 	if !ok {
 		return o, nil
 	}
--- a/node/desk/client.go
+++ b/node/desk/client.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Unsent reports whether err means that the call certainly had no effect.
-func Unsent(err error) bool {
+// IsNotSent reports whether err means that the call certainly had no effect.
+func IsNotSent(err error) bool {
 	var o *net.OpError
 	var t twirp.Error
 	switch {
@@ -85,13 +85,15 @@
 	return false
 }
 
-// NotOwner returns the error with which a process that is not the owner of the jobs answers.
-func NotOwner() error {
+// NotOwnerError returns the error with which a process that is not the owner of the jobs answers.
+func NotOwnerError() error {
 	return twirp.NewError(twirp.FailedPrecondition, "this entry does not own the jobs")
 }
 
-// Unsettled returns the error for a call that may or may not take effect.
-func Unsettled() error { return twirp.NewError(twirp.Aborted, "the owner lost its claim meanwhile") }
+// OutcomeUnknownError returns the error for a call that may or may not take effect.
+func OutcomeUnknownError() error {
+	return twirp.NewError(twirp.Aborted, "the owner lost its claim meanwhile")
+}
 
 // Serve serves d to other entries on l until ctx ends.
 func Serve(ctx context.Context, l net.Listener, d Desk) error {
--- a/node/entry/call.go
+++ b/node/entry/call.go
@@ -97,18 +97,18 @@
 // try makes one attempt and reports whether the caller has its final answer.
 func (c *call) try(ctx context.Context, m sched.SendCmd) bool {
 	if m.Attempt == 1 && time.Since(c.start) > goneAfter && conns.Gone(c.x.Conn()) {
-		c.done(m, sched.Withdrawn, false)
+		c.done(m, sched.NotSent, false)
 		c.e.count.cancelled.Add(1)
 		c.x.Response.Reset()
 		return true
 	}
 	if r := c.mayStart(); r != nil {
-		c.done(m, sched.Withdrawn, false)
+		c.done(m, sched.NotSent, false)
 		c.finish(r)
 		return true
 	}
 	if r := c.claimKey(ctx); r != nil {
-		c.done(m, sched.Withdrawn, false)
+		c.done(m, sched.NotSent, false)
 		c.finish(r)
 		return true
 	}
--- a/node/entry/loans.go
+++ b/node/entry/loans.go
@@ -39,14 +39,14 @@
 	e.eachService(func(v *service) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		n = min(n, v.loans.Settled())
+		n = min(n, v.loans.AdoptedRoster())
 	})
 	return n
 }
 
 // SetSettled tells that another entry keeps to the roster with the number.
 func (e *Entry) SetSettled(now time.Time, from string, number int64) {
-	e.eachService(func(v *service) { v.lend(share.SettledMsg{Now: now, From: from, Number: number}) })
+	e.eachService(func(v *service) { v.lend(share.RosterAdoptedMsg{Now: now, From: from, Number: number}) })
 }
 
 // Lend answers another entry's request for slots of the service.
@@ -95,7 +95,7 @@
 	s := v.s.Stats()
 	clear(v.busy)
 	v.s.Taken(v.busy)
-	return share.Load{Queued: s.Pressing(), Yielding: s.Yielding(), Keep: s.Held(), Busy: v.busy}
+	return share.Load{Demand: s.Demand(), Reclaimable: s.Reclaimable(), Reserve: s.UrgentReserve(), Busy: v.busy}
 }
 
 // shareOut updates the loans and performs their commands; v.mu is held.
@@ -125,7 +125,7 @@
 	switch m := m.(type) {
 	case share.RosterMsg:
 		return m.Now
-	case share.SettledMsg:
+	case share.RosterAdoptedMsg:
 		return m.Now
 	case share.TargetsMsg:
 		return m.Now
--- a/node/entry/refuse.go
+++ b/node/entry/refuse.go
@@ -110,7 +110,7 @@
 		return fasthttp.StatusTooManyRequests, "the team is over its quota"
 	case sched.ReasonNoTarget:
 		return fasthttp.StatusServiceUnavailable, "no target of the service takes new work in this data centre"
-	case sched.ReasonRetries:
+	case sched.ReasonRetryBudget:
 		return fasthttp.StatusServiceUnavailable, "targets refused the request and the retry budget is spent"
 	case sched.ReasonUnknown:
 		return fasthttp.StatusGatewayTimeout, "the request was sent and its answer was lost"
--- a/node/entry/service.go
+++ b/node/entry/service.go
@@ -89,7 +89,7 @@
 		return
 	}
 	v.profile = p
-	v.perform(v.s.Update(sched.PolicyMsg{
+	v.perform(v.s.Update(sched.ProfileMsg{
 		Now: now, RetryShare: float64(p.RetryBudgetPercent) / 100, UrgentStart: time.Duration(p.UrgentStartMillis) * time.Millisecond,
 	}))
 }
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -35,7 +35,7 @@
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
 	}
-	v := newService(name, e.self, e.asks, sched.WithBound(e.set.MaxQueueRequests()))
+	v := newService(name, e.self, e.asks, sched.WithMaxQueued(e.set.MaxQueueRequests()))
 	v.lend(e.roster)
 	if !e.quotas.Now.IsZero() {
 		v.update(e.quotas)
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -48,37 +48,37 @@
 	DeadlineHeader() string
 }
 
-// Claims returns the peer address of the owner of the jobs.
-type Claims interface {
+// OwnerResolver returns the peer address of the owner of the jobs.
+type OwnerResolver interface {
 	Owner() string // empty while there is no owner.
 }
 
 // Front serves callers.
 type Front struct {
 	board   *board.Board
-	claims  Claims
+	claims  OwnerResolver
 	desk    *desk.Client
 	store   owner.Getter
 	codec   Codec
 	log     zerolog.Logger
-	stats   *stats.Set
+	stats   *stats.Registry
 	server  *fasthttp.Server
 	leaving atomic.Bool
 }
 
-// Parts holds what New needs to build a Front.
-type Parts struct {
+// Dependencies holds what New needs to build a Front.
+type Dependencies struct {
 	Board  *board.Board
-	Claims Claims
+	Claims OwnerResolver
 	Desk   *desk.Client
 	Store  owner.Getter
 	Codec  Codec
 	Log    zerolog.Logger
-	Stats  *stats.Set
+	Stats  *stats.Registry
 }
 
 // New returns a front that does not listen yet.
-func New(p Parts) *Front {
+func New(p Dependencies) *Front {
 	f := &Front{board: p.Board, claims: p.Claims, desk: p.Desk, store: p.Store, codec: p.Codec, log: p.Log, stats: p.Stats}
 	f.server = &fasthttp.Server{
 		Handler: f.handle, IdleTimeout: idleTimeout, ReadTimeout: readTimeout, MaxRequestBodySize: maxBodyBytes,
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// Leaving reports whether the front is draining.
-func (f *Front) Leaving() bool { return f.leaving.Load() }
+// Draining reports whether the front is draining.
+func (f *Front) Draining() bool { return f.leaving.Load() }
 
 // answer is the response to a caller. The reason is for the log; the body holds it already.
 type answer struct {
@@ -161,7 +161,7 @@
 	}
 	c.SetBody(a.body)
 	took := time.Since(begin)
-	f.stats.Time("request_"+strings.ToLower(string(c.Method())), took)
+	f.stats.Observe("request_"+strings.ToLower(string(c.Method())), took)
 	f.stats.Add("status_"+strconv.Itoa(a.status), 1)
 	if a.status == fasthttp.StatusOK && string(c.Method()) == fasthttp.MethodGet {
 		return // most requests are of this kind; the counters cover them.
@@ -207,7 +207,7 @@
 		return f.refuse(fasthttp.StatusBadRequest, err.Error(), 0)
 	}
 	j.ID, j.Queue, j.Service, j.Priority, j.Attempts = id, q.Name, q.Service, q.Priority, q.Attempts
-	j.Stretch, j.AimMs, j.Advised = q.Stretch, q.AimMs, q.Advice != nil
+	j.Stretch, j.AimMs, j.Advised = q.ObjectiveFactor, q.ObjectiveExtraMs, q.Advice != nil
 	if err := j.Validate(); err != nil {
 		return f.refuse(fasthttp.StatusBadRequest, err.Error(), 0)
 	}
@@ -234,7 +234,7 @@
 
 // callFailed returns the answer for a call to the owner without a reply: 503 if the call certainly had no effect, 504 otherwise.
 func (f *Front) callFailed(err error) answer {
-	if desk.Unsent(err) {
+	if desk.IsNotSent(err) {
 		return f.refuse(fasthttp.StatusServiceUnavailable, "no owner of the jobs answers", defaultRetryAfterMs)
 	}
 	return f.refuse(fasthttp.StatusGatewayTimeout, "outcome unknown: "+err.Error(), 0)
@@ -251,7 +251,7 @@
 		if err == nil {
 			return r, nil
 		}
-		if !desk.Unsent(err) {
+		if !desk.IsNotSent(err) {
 			unknownErr = err
 		}
 		now := time.Now()
@@ -274,7 +274,7 @@
 	x, cancel := context.WithDeadline(context.Background(), earlier(until, time.Now().Add(ownerCallTimeout)))
 	defer cancel()
 	r, err := call(x, f.desk.At(a))
-	if err != nil && !desk.Unsent(err) {
+	if err != nil && !desk.IsNotSent(err) {
 		f.stats.Add("owner_unanswered", 1)
 		f.desk.Reset(a)
 	}
@@ -308,7 +308,7 @@
 func (f *Front) storedState(id string) answer {
 	x, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
-	s, err := owner.Lookup(x, f.store, id)
+	s, err := owner.ReadState(x, f.store, id)
 	switch {
 	case err != nil:
 		return f.refuse(fasthttp.StatusServiceUnavailable, "the store does not answer", defaultRetryAfterMs)
--- a/node/front/front_test.go
+++ b/node/front/front_test.go
@@ -37,7 +37,7 @@
 func (d *fakeDesk) Submit(context.Context, *desk.SubmitRequest) (*desk.Reply, error) { return d.next() }
 func (d *fakeDesk) Cancel(context.Context, *desk.JobRequest) (*desk.Reply, error)    { return d.next() }
 func (d *fakeDesk) State(context.Context, *desk.JobRequest) (*desk.StateReply, error) {
-	return nil, desk.NotOwner()
+	return nil, desk.NotOwnerError()
 }
 func (d *fakeDesk) Pending(context.Context, *desk.PendingRequest) (*desk.PendingReply, error) {
 	return &desk.PendingReply{Ready: true, Queues: map[string]int64{"q": 3}}, nil
@@ -84,9 +84,9 @@
 	})
 	r := &fixture{t: t, store: keyval.NewMemory(), board: board.New()}
 	if configured {
-		r.board.Put(board.Config{Version: 1, Queues: []board.Queue{{Name: "q", Host: "h.example", Prefix: "/a/", Service: "s"}}})
+		r.board.PutConfig(board.Config{Version: 1, Queues: []board.Queue{{Name: "q", Host: "h.example", Prefix: "/a/", Service: "s"}}})
 	}
-	r.front = New(Parts{
+	r.front = New(Dependencies{
 		Board: r.board, Claims: fakeClaims(l.Addr().String()), Desk: desk.NewClient(), Store: r.store, Codec: fakeCodec{},
 		Log: zerolog.Nop(), Stats: stats.New(),
 	})
@@ -141,8 +141,8 @@
 		{"refused with the time to come back", []func() (*desk.Reply, error){reply(batch.Refused, 1500)}, "/a/" + id, body, 503, "2", 1},
 		{"a lost answer is asked for again", []func() (*desk.Reply, error){lost, reply(batch.Accepted, 0)}, "/a/" + id, body, 200, "", 2},
 		{"a lost answer, then refused", []func() (*desk.Reply, error){lost, reply(batch.Refused, 300)}, "/a/" + id, body, 503, "1", 2},
-		{"lost and never answered is not said to be refused", []func() (*desk.Reply, error){lost, fails(desk.NotOwner())}, "/a/" + id, body, 504, "", -1},
-		{"no owner", []func() (*desk.Reply, error){fails(desk.NotOwner())}, "/a/" + id, body, 503, "1", -1},
+		{"lost and never answered is not said to be refused", []func() (*desk.Reply, error){lost, fails(desk.NotOwnerError())}, "/a/" + id, body, 504, "", -1},
+		{"no owner", []func() (*desk.Reply, error){fails(desk.NotOwnerError())}, "/a/" + id, body, 503, "1", -1},
 		{"unknown queue", nil, "/b/" + id, body, 404, "", 0},
 		{"malformed id", nil, "/a/xyz", body, 400, "", 0},
 		{"malformed body", nil, "/a/" + id, "{", 400, "", 0},
@@ -193,8 +193,8 @@
 func TestOldConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	b := board.New()
-	is.True(b.Put(board.Config{Version: 5, Queues: []board.Queue{{Name: "new", Host: "h", Prefix: "/a/b/"}, {Name: "short", Host: "h", Prefix: "/a/"}}}))
-	is.True(!b.Put(board.Config{Version: 4}))
+	is.True(b.PutConfig(board.Config{Version: 5, Queues: []board.Queue{{Name: "new", Host: "h", Prefix: "/a/b/"}, {Name: "short", Host: "h", Prefix: "/a/"}}}))
+	is.True(!b.PutConfig(board.Config{Version: 4}))
 	q, rest, v, ok := b.Find("h:80", "/a/b/x")
 	is.True(ok)
 	is.Equal(q.Name, "new")
--- a/node/owner/carry.go
+++ b/node/owner/carry.go
@@ -26,7 +26,7 @@
 // Carrier makes calls to workers for owners in other entries.
 type Carrier struct {
 	workers Workers
-	stats   *stats.Set
+	stats   *stats.Registry
 	log     zerolog.Logger
 	ctx     context.Context //nolint:containedctx // canceled when the process ends
 	group   *errgroup.Group
@@ -45,7 +45,7 @@
 }
 
 // NewCarrier returns a Carrier whose calls end when ctx is canceled.
-func NewCarrier(ctx context.Context, g *errgroup.Group, w Workers, s *stats.Set, l zerolog.Logger) *Carrier {
+func NewCarrier(ctx context.Context, g *errgroup.Group, w Workers, s *stats.Registry, l zerolog.Logger) *Carrier {
 	return &Carrier{workers: w, stats: s, log: l, ctx: ctx, group: g, sessions: map[string]*session{}}
 }
 
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -22,8 +22,8 @@
 	maxOrdersPerRequest = 200
 )
 
-// Entries lists the entries that can make calls for an owner.
-type Entries interface {
+// HelperLister lists the entries that can make calls for an owner.
+type HelperLister interface {
 	Helpers() []string // peer addresses, those with the most cores first.
 }
 
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -33,10 +33,10 @@
 	// ClaimTTL is the time to live of the claim without renewal. Another process may take the claim after it. The store grants
 	// no less than 1 s.
 	ClaimTTL = 1200 * time.Millisecond
-	// ClaimPatience is how long an owner that cannot reach the store keeps giving orders to workers. Most store outages are shorter.
-	ClaimPatience      = 7 * time.Second
-	maxWorkerLease     = 5500 * time.Millisecond                   // longest lease that an owner requests from a worker, as it lasts on a slow clock.
-	maxOrderLifetime   = ClaimPatience + ClaimTTL + maxWorkerLease // of a former owner that may still run: until its last order, plus the lease in that order.
+	// ClaimGracePeriod is how long an owner that cannot reach the store keeps giving orders to workers. Most store outages are shorter.
+	ClaimGracePeriod   = 7 * time.Second
+	maxWorkerLease     = 5500 * time.Millisecond                      // longest lease that an owner requests from a worker, as it lasts on a slow clock.
+	maxOrderLifetime   = ClaimGracePeriod + ClaimTTL + maxWorkerLease // of a former owner that may still run: until its last order, plus the lease in that order.
 	retryInterval      = 100 * time.Millisecond
 	workerWatchTimeout = time.Second // timeout of one watch on the list of workers.
 	maxQueuedMsgs      = 4096
@@ -95,11 +95,11 @@
 	lease    *lease.Lease
 	settings Settings
 	log      zerolog.Logger
-	stats    *stats.Set
+	stats    *stats.Registry
 
 	peers *desk.Client
 	*Carrier
-	entries    Entries
+	entries    HelperLister
 	holder     string
 	term       atomic.Pointer[term]
 	started    time.Time
@@ -107,8 +107,8 @@
 	lastOrders atomic.Pointer[lastOrders]
 }
 
-// Parts holds what New needs to build an Owner.
-type Parts struct {
+// Dependencies holds what New needs to build an Owner.
+type Dependencies struct {
 	Store    Store
 	Workers  Workers
 	Machines Machines
@@ -116,15 +116,15 @@
 	Board    *board.Board
 	Lease    *lease.Lease
 	Log      zerolog.Logger
-	Stats    *stats.Set
+	Stats    *stats.Registry
 	Peers    *desk.Client
 	Carrier  *Carrier
-	Entries  Entries
+	Entries  HelperLister
 	Holder   string // unique to this run of the process; starts with its peer address and a slash.
 }
 
 // New returns an owner without a claim.
-func New(p Parts, s Settings) *Owner {
+func New(p Dependencies, s Settings) *Owner {
 	o := &Owner{
 		store: p.Store, workers: p.Workers, machines: p.Machines, format: p.Format, board: p.Board, lease: p.Lease,
 		settings: s, log: p.Log, stats: p.Stats, peers: p.Peers, Carrier: p.Carrier, entries: p.Entries, holder: p.Holder, started: time.Now(),
--- a/node/owner/perform.go
+++ b/node/owner/perform.go
@@ -147,8 +147,8 @@
 }
 
 // count records the duration of a call, and counts and logs its error.
-func count(s *stats.Set, l zerolog.Logger, call string, begin time.Time, err error) {
-	s.Time(call, time.Since(begin))
+func count(s *stats.Registry, l zerolog.Logger, call string, begin time.Time, err error) {
+	s.Observe(call, time.Since(begin))
 	if err == nil {
 		return
 	}
--- a/node/owner/serve.go
+++ b/node/owner/serve.go
@@ -70,22 +70,22 @@
 func (o *Owner) request(ctx context.Context, msg func(uint64) batch.Msg) (*desk.Reply, error) {
 	t := o.term.Load()
 	if t == nil {
-		return nil, desk.NotOwner()
+		return nil, desk.NotOwnerError()
 	}
 	ref, c, ok := t.register()
 	if !ok {
-		return nil, desk.NotOwner()
+		return nil, desk.NotOwnerError()
 	}
 	defer t.unregister(ref)
 	select {
 	case t.msgs <- msg(ref):
 	case <-ctx.Done():
-		return nil, desk.NotOwner()
+		return nil, desk.NotOwnerError()
 	}
 	select {
 	case k := <-c:
 		if k.Verdict == batch.Unsettled {
-			return nil, desk.Unsettled()
+			return nil, desk.OutcomeUnknownError()
 		}
 		return &desk.Reply{Verdict: int32(k.Verdict), RetryAfterMs: k.RetryAfterMs, Reason: k.Reason}, nil
 	case <-ctx.Done():
@@ -119,7 +119,7 @@
 	if !o.withModel(ctx, func(m *batch.Model) {
 		a.Ready, a.State = m.Ready(), string(m.State(r.GetId()))
 	}) {
-		return nil, desk.NotOwner()
+		return nil, desk.NotOwnerError()
 	}
 	return a, nil
 }
@@ -133,13 +133,13 @@
 			a.Queues[q] = int64(n)
 		}
 	}) {
-		return nil, desk.NotOwner()
+		return nil, desk.NotOwnerError()
 	}
 	return a, nil
 }
 
-// Lookup reads the state of a job from the store. It returns batch.Absent for a job that was never accepted.
-func Lookup(ctx context.Context, s Getter, id string) (batch.State, error) {
+// ReadState reads the state of a job from the store. It returns batch.Absent for a job that was never accepted.
+func ReadState(ctx context.Context, s Getter, id string) (batch.State, error) {
 	if e, err := lookupEnd(ctx, s, id); err != nil || e != batch.Absent {
 		return e, err
 	}
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -66,7 +66,7 @@
 	if !agreed(l) {
 		c.inForce(l...)
 	}
-	time.Sleep(ledger.Remember)
+	time.Sleep(ledger.RecordTTL)
 	for i, n := range l {
 		if _, err := n.Take(n.ctx, fmt.Sprint("east/fresh", i), body, "1"); err != nil {
 			c.t.Errorf("a fresh key at %s: %v", n.self.Entry, err)
@@ -111,7 +111,7 @@
 	var no *RefusedError
 	var again *RepeatError
 	last, ran := c.ran[key]
-	recent := ran && start.Sub(last) < ledger.Remember-ledger.ClaimWithin
+	recent := ran && start.Sub(last) < ledger.RecordTTL-ledger.ClaimTimeout
 	switch {
 	case errors.As(err, &no):
 		c.refused++
@@ -127,7 +127,7 @@
 		t.Settle(ledger.NotRun, 0, "", nil)
 	default:
 		c.granted++
-		if ran && time.Since(last) < ledger.Remember-ledger.ClaimWithin {
+		if ran && time.Since(last) < ledger.RecordTTL-ledger.ClaimTimeout {
 			c.t.Errorf("%s of %s ran at %s, though it ran %s ago", id, key, n.self.Entry, time.Since(last))
 		}
 		c.ran[key] = time.Now()
--- a/node/relay/codec.go
+++ b/node/relay/codec.go
@@ -12,7 +12,7 @@
 func toRecord(r ledger.Record) *Record {
 	return &Record{
 		Key: r.ID.String(), AttemptHash: uint64(r.Attempt), DigestHash: uint64(r.Digest), Phase: Phase(r.Phase),
-		Status: int32(r.Status), Answer: r.Answer, Kept: r.Kept, ContentType: r.ContentType, AgeMillis: r.Age.Milliseconds(),
+		Status: int32(r.Status), Answer: r.Answer, Kept: r.HasAnswer, ContentType: r.ContentType, AgeMillis: r.Age.Milliseconds(),
 	}
 }
 
@@ -20,7 +20,7 @@
 	id, err := ledger.ParseID(r.GetKey())
 	return ledger.Record{
 		ID: id, Attempt: ledger.Attempt(r.GetAttemptHash()), Digest: ledger.Digest(r.GetDigestHash()), Phase: fromPhase(r.GetPhase()),
-		Status: int(r.GetStatus()), Answer: r.GetAnswer(), Kept: r.GetKept(), ContentType: r.GetContentType(),
+		Status: int(r.GetStatus()), Answer: r.GetAnswer(), HasAnswer: r.GetKept(), ContentType: r.GetContentType(),
 		Age: time.Duration(r.GetAgeMillis()) * time.Millisecond,
 	}, err
 }
@@ -34,7 +34,7 @@
 }
 
 func toReply(r ledger.ClaimReply) *ClaimReply {
-	o := &ClaimReply{Verdict: Verdict(r.Verdict), RetryMillis: r.Retry.Milliseconds(), Store: r.Store}
+	o := &ClaimReply{Verdict: Verdict(r.Verdict), RetryMillis: r.RetryAfter.Milliseconds(), Store: r.NeedsStoreKey}
 	if r.Verdict == ledger.Repeat || r.Verdict == ledger.Mismatch {
 		o.Record = toRecord(r.Record)
 	}
@@ -43,7 +43,7 @@
 
 func fromReply(r *ClaimReply) (ledger.ClaimReply, error) {
 	o := ledger.ClaimReply{
-		Verdict: ledger.Verdict(r.GetVerdict()), Store: r.GetStore(), Retry: time.Duration(r.GetRetryMillis()) * time.Millisecond,
+		Verdict: ledger.Verdict(r.GetVerdict()), NeedsStoreKey: r.GetStore(), RetryAfter: time.Duration(r.GetRetryMillis()) * time.Millisecond,
 	}
 	if r.GetVerdict() < Verdict_VERDICT_GRANTED || r.GetVerdict() > Verdict_VERDICT_FULL {
 		return o, eris.Errorf("relay: unknown verdict %d", r.GetVerdict())
@@ -56,7 +56,7 @@
 	return o, err
 }
 
-func toLapse(l ledger.Lapse, now time.Time) *Lapse {
+func toLapse(l ledger.RecordGap, now time.Time) *Lapse {
 	m, _ := json.Marshal(l.Members) // only strings and numbers
 	o, _ := json.Marshal(l.Lost)
 	w := &Lapse{Roster: l.Roster, Members: m, Lost: o}
@@ -66,8 +66,8 @@
 	return w
 }
 
-func fromLapse(w *Lapse, now time.Time) (ledger.Lapse, error) {
-	l := ledger.Lapse{Roster: w.GetRoster()}
+func fromLapse(w *Lapse, now time.Time) (ledger.RecordGap, error) {
+	l := ledger.RecordGap{Roster: w.GetRoster()}
 	if err := json.Unmarshal(w.GetMembers(), &l.Members); err != nil {
 		return l, eris.Wrap(err, "relay: lapse's members")
 	}
@@ -85,7 +85,7 @@
 	for _, e := range p.Records {
 		r.Records = append(r.Records, toRecord(e))
 	}
-	for _, l := range p.Lapses {
+	for _, l := range p.Gaps {
 		r.Lapses = append(r.Lapses, toLapse(l, now))
 	}
 	return r
@@ -105,7 +105,7 @@
 		if err != nil {
 			return p, err
 		}
-		p.Lapses = append(p.Lapses, l)
+		p.Gaps = append(p.Gaps, l)
 	}
 	return p, nil
 }
--- a/node/relay/errors.go
+++ b/node/relay/errors.go
@@ -36,7 +36,7 @@
 func (e *RepeatError) ContentType() string { return e.record.ContentType }
 
 // Answer returns the other copy's whole answer and whether it was kept.
-func (e *RepeatError) Answer() ([]byte, bool) { return e.record.Answer, e.record.Kept }
+func (e *RepeatError) Answer() ([]byte, bool) { return e.record.Answer, e.record.HasAnswer }
 
 // Age returns how long ago the record last changed.
 func (e *RepeatError) Age() time.Duration { return e.record.Age }
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -97,7 +97,7 @@
 func (k *Keeper) Holding() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Holding()
+	return k.book.ActiveRoster()
 }
 
 // Len returns the number of records held and the bytes of kept answers.
@@ -112,7 +112,7 @@
 func (k *Keeper) Gone(entries []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.membership.VMs(ledger.VMsMsg{Now: k.now(), Gone: entries})
+	k.membership.UpdateVMList(ledger.VMListMsg{Now: k.now(), Gone: entries})
 }
 
 // Learn takes up a roster document if it is newer than the one known of its data centre.
@@ -181,7 +181,7 @@
 func (k *Keeper) Settle(_ context.Context, r *SettleRequest) (*SettleReply, error) {
 	k.settleHere(ledger.Record{
 		ID: ledger.NewID(r.GetKey()), Attempt: ledger.NewAttempt(r.GetAttempt()), Phase: fromPhase(r.GetPhase()),
-		Status: int(r.GetStatus()), ContentType: r.GetContentType(), Answer: r.GetAnswer(), Kept: r.GetKept(),
+		Status: int(r.GetStatus()), ContentType: r.GetContentType(), Answer: r.GetAnswer(), HasAnswer: r.GetKept(),
 	})
 	return &SettleReply{Roster: k.Roster(k.dataCentre).Number()}, nil
 }
@@ -230,7 +230,7 @@
 // Leave takes this entry out of the roster and returns when the others hold its records, or with ctx's error.
 func (k *Keeper) Leave(ctx context.Context) error {
 	k.mu.Lock()
-	k.membership.Stop()
+	k.membership.Leave()
 	f := k.changed
 	k.mu.Unlock()
 	f()
@@ -252,18 +252,18 @@
 	defer k.mu.Unlock()
 	r := k.rosters[k.dataCentre]
 	m := r.Members()
-	if r.Number() == 0 || len(m) == 1 && m[0].Is(k.self) {
+	if r.Number() == 0 || len(m) == 1 && m[0].SameIncarnation(k.self) {
 		return true
 	}
 	_, in := r.Member(k.self.Entry)
-	return !in && k.membership.Complete()
+	return !in && k.membership.ActiveEverywhere()
 }
 
 // hear notes what another entry of the data centre said.
-func (k *Keeper) hear(m ledger.BeatMsg) {
+func (k *Keeper) hear(m ledger.HeartbeatMsg) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.membership.Beat(m)
+	k.membership.Heartbeat(m)
 }
 
 // missing returns the members that this entry has not heard, and those that the platform's list says are gone.
@@ -271,13 +271,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	return k.membership.Unheard(now), k.membership.Gone(now, k.book.Lost())
+	return k.membership.Unheard(now), k.membership.Gone(now, k.book.MissingMembers())
 }
 
 func (k *Keeper) stopping() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.membership.Stopping()
+	return k.membership.Leaving()
 }
 
 // Wait returns when this entry holds a roster, or when ctx ends.
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -59,7 +59,7 @@
 	o.mu.Lock()
 	full := o.waiting >= outboxMax
 	if o.bytes+len(j.record.Answer) > outboxAnswers {
-		j.record.Kept, j.record.Answer = false, nil
+		j.record.HasAnswer, j.record.Answer = false, nil
 	}
 	o.waiting++
 	o.bytes += len(j.record.Answer)
@@ -200,7 +200,7 @@
 		if p.err == nil {
 			j.told = append(j.told, p.to.Entry)
 			j.missed = j.missed || p.known > r.Number()
-		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // one that has left has been pulled from or is gone
+		} else if m, in := r.Member(p.to.Entry); in && m.SameIncarnation(p.to) { // one that has left has been pulled from or is gone
 			j.missed = true
 		}
 	}
@@ -262,6 +262,6 @@
 func (j *job) request() *SettleRequest {
 	return &SettleRequest{
 		Key: j.key, Attempt: j.attempt, Phase: Phase(j.record.Phase), Status: int32(j.record.Status),
-		Answer: j.record.Answer, Kept: j.record.Kept, ContentType: j.record.ContentType,
+		Answer: j.record.Answer, Kept: j.record.HasAnswer, ContentType: j.record.ContentType,
 	}
 }
--- a/node/relay/peer.go
+++ b/node/relay/peer.go
@@ -76,8 +76,8 @@
 	return ledger.Member{Entry: p.address.entry, Addr: p.address.addr, Incarnation: p.incarnation}
 }
 
-func (p Peer) beatMsg() ledger.BeatMsg {
-	return ledger.BeatMsg{Now: p.at, Member: p.member(), Holding: p.holding, Stopping: p.stopping, Unheard: p.unheard, Gone: p.gone}
+func (p Peer) beatMsg() ledger.HeartbeatMsg {
+	return ledger.HeartbeatMsg{Now: p.at, Member: p.member(), ActiveRoster: p.holding, Leaving: p.stopping, Unheard: p.unheard, Gone: p.gone}
 }
 
 func (p *Peer) fromRequest(r *BeatRequest) {
--- a/node/relay/roster.go
+++ b/node/relay/roster.go
@@ -138,7 +138,7 @@
 	now := k.now()
 	k.book.Tick(ledger.TickMsg{Now: now})
 	k.tellGone(now)
-	k.membership.Beat(k.ownBeat(now))
+	k.membership.Heartbeat(k.ownBeat(now))
 	var doc []byte
 	r := k.rosters[k.dataCentre]
 	switch {
@@ -158,18 +158,18 @@
 	}
 }
 
-func (k *Keeper) ownBeat(now time.Time) ledger.BeatMsg {
-	return ledger.BeatMsg{
-		Now: now, Member: k.self, Holding: k.book.Holding(), Stopping: k.membership.Stopping(), Unheard: k.membership.Unheard(now),
+func (k *Keeper) ownBeat(now time.Time) ledger.HeartbeatMsg {
+	return ledger.HeartbeatMsg{
+		Now: now, Member: k.self, ActiveRoster: k.book.ActiveRoster(), Leaving: k.membership.Leaving(), Unheard: k.membership.Unheard(now),
 	}
 }
 
 // tellGone tells the records which former holders are gone.
 func (k *Keeper) tellGone(now time.Time) {
 	r := k.rosters[k.dataCentre]
-	for _, l := range [][]ledger.Member{r.Previous(), k.book.Lost()} {
+	for _, l := range [][]ledger.Member{r.Previous(), k.book.MissingMembers()} {
 		for _, m := range l {
-			if k.membership.Over(m, now) {
+			if k.membership.Ended(m, now) {
 				k.book.Gone(ledger.GoneMsg{Now: now, Member: m})
 			}
 		}
@@ -232,12 +232,12 @@
 		if err != nil || !g.Complete {
 			if late {
 				k.mu.Lock()
-				k.book.Unreached(ledger.UnreachedMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry})
+				k.book.PullFailed(ledger.PullFailedMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry})
 				k.mu.Unlock()
 			}
 			return
 		}
-		if !k.take(ledger.PulledMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
+		if !k.take(ledger.PageMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
 			return
 		}
 		q.After = g.After
@@ -245,11 +245,11 @@
 }
 
 // take hands a page to the book and reports whether there are more; when the roster comes into force peers are told.
-func (k *Keeper) take(m ledger.PulledMsg) bool {
+func (k *Keeper) take(m ledger.PageMsg) bool {
 	k.mu.Lock()
-	was := k.book.Holding()
-	k.book.Pulled(m)
-	is, f := k.book.Holding(), k.changed
+	was := k.book.ActiveRoster()
+	k.book.AddPage(m)
+	is, f := k.book.ActiveRoster(), k.changed
 	k.mu.Unlock()
 	if is != was {
 		k.log.Info().Str("step", "handover").Int64("number", is).Msg("in force")
--- a/node/relay/store.go
+++ b/node/relay/store.go
@@ -17,7 +17,7 @@
 	// confirmEvery spaces the reads that confirm a roster.
 	confirmEvery = 25 * time.Millisecond
 	// storeLeaseFor is the life of a lease under which keys are created; each is used for the first half of it.
-	storeLeaseFor = 2 * ledger.Remember
+	storeLeaseFor = 2 * ledger.RecordTTL
 )
 
 // keyDocument is what the platform's service holds of a key.
@@ -37,13 +37,13 @@
 	return "dc/" + dataCentre + "/keys/" + id.String()
 }
 
-// currentLease returns a lease that lasts for at least ledger.Remember from now.
+// currentLease returns a lease that lasts for at least ledger.RecordTTL from now.
 func (k *Keeper) currentLease(ctx context.Context) (keyval.LeaseID, error) {
 	l := &k.lease
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := k.now()
-	if l.id != 0 && now.Sub(l.granted) < storeLeaseFor-ledger.Remember {
+	if l.id != 0 && now.Sub(l.granted) < storeLeaseFor-ledger.RecordTTL {
 		return l.id, nil
 	}
 	id, err := k.store.Grant(ctx, storeLeaseFor)
@@ -66,7 +66,7 @@
 	}
 	switch {
 	case err == nil:
-		m.Outcome = ledger.StoreMade
+		m.Outcome = ledger.StoreCreated
 	case errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnknown):
 		m.Outcome, m.Record = k.readKey(t, key, a)
 	}
@@ -82,9 +82,9 @@
 		return ledger.StoreFailed, ledger.Record{}
 	}
 	if ledger.Attempt(d.Attempt) == a.attempt {
-		return ledger.StoreMade, ledger.Record{}
+		return ledger.StoreCreated, ledger.Record{}
 	}
-	return ledger.StoreTaken, ledger.Record{ID: a.id, Attempt: ledger.Attempt(d.Attempt), Digest: ledger.Digest(d.Digest), Phase: ledger.Claimed}
+	return ledger.StoreExists, ledger.Record{ID: a.id, Attempt: ledger.Attempt(d.Attempt), Digest: ledger.Digest(d.Digest), Phase: ledger.Claimed}
 }
 
 // unstoreKey removes the key if it is this copy's, and reports whether it is gone.
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -22,12 +22,12 @@
 
 // Settle tells the holders, in the background, what became of the copy; it copies answer and may be called once.
 //
-// The phase is Answered, Unknown or NotRun; a whole answer of up to ledger.MaxAnswer bytes is kept for repeats.
+// The phase is Answered, Unknown or NotRun; a whole answer of up to ledger.MaxAnswerBytes bytes is kept for repeats.
 func (t *Ticket) Settle(p ledger.Phase, status int, contentType string, answer []byte) {
 	j := t.job
 	j.record.Phase, j.record.Status = p, status
-	if p == ledger.Answered && len(answer) <= ledger.MaxAnswer {
-		j.record.Kept, j.record.ContentType, j.record.Answer = true, contentType, bytes.Clone(answer)
+	if p == ledger.Answered && len(answer) <= ledger.MaxAnswerBytes {
+		j.record.HasAnswer, j.record.ContentType, j.record.Answer = true, contentType, bytes.Clone(answer)
 	}
 	j.send()
 }
@@ -48,7 +48,7 @@
 // The error is a *RepeatError when another copy was claimed before, or a *RefusedError; the copy must then not be sent.
 func (k *Keeper) Take(ctx context.Context, key string, digest []byte, attemptID string) (*Ticket, error) {
 	a := &attempt{
-		k: k, home: ledger.Home(key, k.dataCentres), id: ledger.NewID(key),
+		k: k, home: ledger.HomeDataCentre(key, k.dataCentres), id: ledger.NewID(key),
 		digest: ledger.NewDigest(digest), attempt: ledger.NewAttempt(attemptID),
 		request: &ClaimRequest{Key: key, Entry: k.self.Entry, Attempt: attemptID, Digest: digest},
 	}
@@ -59,8 +59,8 @@
 		var m ledger.Msg
 		for _, c := range cmds {
 			switch c := c.(type) {
-			case ledger.GoCmd:
-				return &Ticket{job: a.job(c.Holders, c.Store), until: start.Add(sendWithin)}, nil
+			case ledger.SendCmd:
+				return &Ticket{job: a.job(c.Holders, c.InStore), until: start.Add(sendWithin)}, nil
 			case ledger.RefuseCmd:
 				return nil, a.refused(c)
 			case ledger.RepeatCmd:
@@ -72,7 +72,7 @@
 			}
 		}
 		if ctx.Err() != nil {
-			m = ledger.EndMsg{}
+			m = ledger.CancelMsg{}
 		}
 		cmds = a.claim.Update(m)
 	}
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 		case <-t.C:
 		}
-		return ledger.FailMsg{Now: a.k.now(), Roster: a.k.Roster(a.home)}
+		return ledger.NoReplyMsg{Now: a.k.now(), Roster: a.k.Roster(a.home)}
 	case ledger.ConfirmCmd:
 		return ledger.ConfirmMsg{Number: a.k.confirm(ctx, a.home)}
 	default:
@@ -106,7 +106,7 @@
 }
 
 func (a *attempt) ask(ctx context.Context, c ledger.AskCmd) ledger.Msg {
-	if c.Holder.Is(a.k.self) {
+	if c.Holder.SameIncarnation(a.k.self) {
 		r := a.k.claimHere(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
 		return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 	}
@@ -120,13 +120,13 @@
 		r, err = fromReply(w)
 	}
 	if err != nil {
-		return ledger.FailMsg{Now: a.k.now(), Holder: c.Holder.Entry, Roster: a.k.Roster(a.home)}
+		return ledger.NoReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Roster: a.k.Roster(a.home)}
 	}
 	return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 }
 
 func (a *attempt) release(c ledger.ReleaseCmd) {
-	j := a.job(c.Holders, c.Store)
+	j := a.job(c.Holders, c.InStore)
 	j.record.Phase = ledger.NotRun
 	j.send()
 }
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -71,7 +71,7 @@
 	platform  Platform
 	log       zerolog.Logger
 	logWriter *logs.Writer
-	stats     *stats.Set
+	stats     *stats.Registry
 	board     *board.Board
 	claims    *claims
 	lease     *lease.Lease
@@ -96,14 +96,14 @@
 	e.log = zerolog.New(e.logWriter).Level(l).With().Timestamp().Str("entry", s.Name).Logger()
 	holder := fmt.Sprintf("%s/%d/%d", s.PeerAddr, os.Getpid(), time.Now().UnixNano())
 	e.lease = lease.New(p.Store, owner.ClaimKey, holder, lease.WithTTL(owner.ClaimTTL), lease.WithClock(steady.Now),
-		lease.WithPatience(owner.ClaimPatience), lease.WithLook(claimCheckInterval),
+		lease.WithPatience(owner.ClaimGracePeriod), lease.WithLook(claimCheckInterval),
 		lease.WithDelay(e.claims.delay))
 	e.claims.wakeLease = e.lease.Nudge
-	e.owner = owner.New(owner.Parts{
+	e.owner = owner.New(owner.Dependencies{
 		Store: p.Store, Workers: p.Workers, Machines: p.Machines, Format: p.Format, Board: e.board, Lease: e.lease, Log: e.log, Stats: e.stats,
 		Peers: e.desk, Holder: holder, Entries: e.claims, Carrier: owner.NewCarrier(e.carryCtx, &e.carryGroup, p.Workers, e.stats, e.log),
 	}, owner.Settings{AdviceAddr: s.AdviceAddr, Model: s.model(), HelperWorkers: s.HelperWorkers})
-	e.front = front.New(front.Parts{
+	e.front = front.New(front.Dependencies{
 		Board: e.board, Claims: e.claims, Desk: e.desk, Store: p.Store, Codec: p.Codec, Log: e.log, Stats: e.stats,
 	})
 	e.registerGauges()
@@ -201,7 +201,7 @@
 // ready reports whether the entry accepts new callers: it has a configuration and is not stopping.
 func (e *Site) ready() bool {
 	_, ok := e.board.Config()
-	return ok && !e.front.Leaving()
+	return ok && !e.front.Draining()
 }
 
 func (e *Site) serveReady(ctx context.Context, l net.Listener) error {
@@ -293,7 +293,7 @@
 			o.e.log.Error().Str("key", i.Key()).Int64("revision", int64(i.Rev())).Err(err).Msg("configuration passed over")
 			return
 		}
-		newer := o.e.board.Put(c)
+		newer := o.e.board.PutConfig(c)
 		o.e.log.Info().Int64("version", c.Version).Int64("revision", int64(i.Rev())).Int("queues", len(c.Queues)).Bool("newer", newer).Msg("configuration")
 		return
 	}
--- a/node/stats/stats.go
+++ b/node/stats/stats.go
@@ -16,8 +16,8 @@
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second,
 }
 
-// Set holds the counters, gauges and histograms of one process. It is safe for concurrent use.
-type Set struct {
+// Registry holds the counters, gauges and histograms of one process. It is safe for concurrent use.
+type Registry struct {
 	mu         sync.RWMutex
 	counters   map[string]*atomic.Int64
 	histograms map[string]*histogram
@@ -30,12 +30,12 @@
 }
 
 // New returns an empty set.
-func New() *Set {
-	return &Set{counters: map[string]*atomic.Int64{}, histograms: map[string]*histogram{}, gauges: map[string]func() int64{}}
+func New() *Registry {
+	return &Registry{counters: map[string]*atomic.Int64{}, histograms: map[string]*histogram{}, gauges: map[string]func() int64{}}
 }
 
 // Add adds n to the counter name, which it creates if needed.
-func (s *Set) Add(name string, n int64) {
+func (s *Registry) Add(name string, n int64) {
 	s.mu.RLock()
 	c := s.counters[name]
 	s.mu.RUnlock()
@@ -51,14 +51,14 @@
 }
 
 // Gauge registers f, which returns the value of name whenever the set is written.
-func (s *Set) Gauge(name string, f func() int64) {
+func (s *Registry) Gauge(name string, f func() int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gauges[name] = f
 }
 
-// Time records the duration d in the histogram name, which it creates if needed.
-func (s *Set) Time(name string, d time.Duration) {
+// Observe records the duration d in the histogram name, which it creates if needed.
+func (s *Registry) Observe(name string, d time.Duration) {
 	s.mu.RLock()
 	h := s.histograms[name]
 	s.mu.RUnlock()
@@ -77,7 +77,7 @@
 
 // WriteTo writes one line for each counter, gauge and histogram bucket, and the count and the sum in microseconds of each histogram.
 // Buckets are cumulative: each counts all values up to its bound in ms.
-func (s *Set) WriteTo(w io.Writer) (int64, error) {
+func (s *Registry) WriteTo(w io.Writer) (int64, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var l []string
--- a/node/stats/stats_test.go
+++ b/node/stats/stats_test.go
@@ -13,8 +13,8 @@
 	s := New()
 	s.Add("terms", 2)
 	s.Gauge("calls", func() int64 { return 7 })
-	s.Time("start", 3*time.Millisecond)
-	s.Time("start", time.Minute)
+	s.Observe("start", 3*time.Millisecond)
+	s.Observe("start", time.Minute)
 	var b strings.Builder
 	n, err := s.WriteTo(&b)
 	is.NoErr(err)
--- a/node/steer/act.go
+++ b/node/steer/act.go
@@ -97,7 +97,7 @@
 		return
 	}
 	r, err := t.store.Put(x, t.shardKey(c.Shard.Index()), b, condition(c.Revision), 0)
-	t.send(ctx, wave.WroteShardMsg{At: now(), Index: c.Shard.Index(), Outcome: t.outcome("writeShard", err), Revision: int64(r)})
+	t.send(ctx, wave.ShardWrittenMsg{At: now(), Index: c.Shard.Index(), Outcome: t.outcome("writeShard", err), Revision: int64(r)})
 }
 
 func (t *term) writeBudget(ctx, x context.Context, c wave.WriteBudgetCmd) {
@@ -107,7 +107,7 @@
 		return
 	}
 	r, err := t.store.Put(x, budgetKey(c.Service), b, condition(c.Revision), 0)
-	t.send(ctx, wave.WroteBudgetMsg{At: now(), Service: c.Service, Outcome: t.outcome("writeBudget", err), Revision: int64(r)})
+	t.send(ctx, wave.BudgetWrittenMsg{At: now(), Service: c.Service, Outcome: t.outcome("writeBudget", err), Revision: int64(r)})
 }
 
 // outcome tells what a write's error means; what was certainly not applied counts as a conflict, so that it is read again.
@@ -139,13 +139,13 @@
 
 func (t *term) readShard(ctx context.Context, at int64, i keyval.Item) {
 	var n int
-	if _, err := fmt.Sscanf(i.Key(), t.shardPrefix()+"%d", &n); err != nil || n < 0 || n >= pool.Count {
+	if _, err := fmt.Sscanf(i.Key(), t.shardPrefix()+"%d", &n); err != nil || n < 0 || n >= pool.ShardCount {
 		return
 	}
-	s := pool.NewShard(n, pool.Count)
+	s := pool.NewShard(n, pool.ShardCount)
 	if len(i.Value()) > 0 {
 		var err error
-		if s, err = pool.ParseShard(i.Value(), n, pool.Count); err != nil {
+		if s, err = pool.ParseShard(i.Value(), n, pool.ShardCount); err != nil {
 			t.log.Error().Str("step", "readShard").Str("key", i.Key()).Err(err).Msg("malformed")
 			return
 		}
--- a/node/steer/publish.go
+++ b/node/steer/publish.go
@@ -25,7 +25,7 @@
 		if !ok {
 			continue
 		}
-		targets = append(targets, t.target(m, h, table.Shard(table.Index(m.VM)).Number()))
+		targets = append(targets, t.target(m, h, table.Shard(table.Index(m.VM)).Version()))
 	}
 	t.version.Count++
 	v := view.New(t.version, targets)
@@ -67,9 +67,9 @@
 	failing := make(map[string]int)
 	words := t.peers.Words()
 	for _, w := range words {
-		m := wave.HeardMsg{At: w.At.UnixMilli(), Entry: w.Entry, Numbers: w.Numbers}
+		m := wave.EntryReportMsg{At: w.At.UnixMilli(), Entry: w.Entry, Versions: w.Numbers}
 		for _, q := range w.Quits {
-			m.Drained = append(m.Drained, wave.Drained{VM: q.VM, Number: q.Number})
+			m.Drained = append(m.Drained, wave.Drained{VM: q.VM, Version: q.Number})
 		}
 		for _, vm := range w.Failing {
 			failing[vm]++
@@ -121,7 +121,7 @@
 	var m spare.FleetMsg
 	for v := range t.planner.Table().All() {
 		m.VMs = append(m.VMs, spare.VM{
-			Name: v.VM, Pool: cmp.Or(v.To, v.Pool), Rack: v.Rack, Moving: v.To != "",
+			Name: v.VM, Pool: cmp.Or(v.MoveTo, v.Pool), Rack: v.Rack, Moving: v.MoveTo != "",
 			Out: v.State != pool.Serving && v.State != pool.Failed, Failed: v.State == pool.Failed,
 		})
 	}
--- a/node/steer/read.go
+++ b/node/steer/read.go
@@ -94,7 +94,7 @@
 	}
 	t.freshMu.Unlock()
 	if both {
-		t.send(ctx, wave.FreshMsg{At: at})
+		t.send(ctx, wave.DocumentsFreshMsg{At: at})
 	}
 }
 
@@ -137,7 +137,7 @@
 			gone = append(gone, v.ID())
 		}
 		m.Hosts = append(m.Hosts, wave.Host{
-			Name: v.ID(), Pool: v.Pool(), Rack: v.Rack(), State: hostState(v.State()), Entry: v.Kind() == hosts.Entry, Boot: v.Boot(),
+			Name: v.ID(), Pool: v.Pool(), Rack: v.Rack(), State: hostState(v.State()), RunsEntry: v.Kind() == hosts.Entry, Boot: v.Boot(),
 		})
 	}
 	t.hostsNow.Store(&own)
@@ -161,7 +161,7 @@
 	defer k.Stop()
 	for {
 		at := now()
-		t.send(ctx, wave.UnheardMsg{At: at, DataCentres: t.unheard(ctx)})
+		t.send(ctx, wave.UnreachableMsg{At: at, DataCentres: t.unheard(ctx)})
 		select {
 		case <-ctx.Done():
 			return nil
@@ -196,7 +196,7 @@
 	m := wave.PolicyMsg{At: at.UnixMilli()}
 	for _, s := range d.Services() {
 		p, _ := d.Profile(s.Profile)
-		m.Services = append(m.Services, wave.ServiceRule{
+		m.Services = append(m.Services, wave.ServicePolicy{
 			Name: s.Name, Pool: s.Pool, MaxOut: p.MaxOut,
 			DrainMillis: int64(p.DrainSeconds) * 1000, RebootMillis: int64(p.RebootSeconds) * 1000,
 		})
@@ -211,7 +211,7 @@
 
 // absent asks once for each document that may not exist yet, since a list shows only those that do.
 func (t *term) absent(d *conf.Document) {
-	for i := range pool.Count {
+	for i := range pool.ShardCount {
 		if t.planner.Table().Revision(i) == 0 {
 			t.pending = append(t.pending, wave.ReadShardCmd{Index: i})
 		}
--- a/node/steer/steer.go
+++ b/node/steer/steer.go
@@ -164,7 +164,7 @@
 
 func (l *Loop) term(ctx context.Context, fence keyval.Revision) error {
 	t := &term{
-		Loop: l, fence: fence, planner: wave.New(l.dataCentre, pool.Count), sizer: spare.New(),
+		Loop: l, fence: fence, planner: wave.New(l.dataCentre, pool.ShardCount), sizer: spare.New(),
 		inbox: make(chan wave.Msg, inboxSize), acts: make(chan wave.Cmd, inboxSize),
 		known: make(map[string]view.Target), dead: make(map[string]bool), asked: make(map[string]bool), freshAt: make(map[string]int64),
 	}
@@ -245,8 +245,8 @@
 }
 
 func changed(a, b pool.Table) bool {
-	for i, n := range a.Numbers() {
-		if b.Shard(i).Number() != n {
+	for i, n := range a.Versions() {
+		if b.Shard(i).Version() != n {
 			return true
 		}
 	}
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -106,11 +106,11 @@
 	if _, err := fmt.Sscanf(k[strings.LastIndex(k, "/")+1:], "%d", &n); err != nil {
 		return nil
 	}
-	s, err := pool.ParseShard(i.Value(), n, pool.Count)
+	s, err := pool.ParseShard(i.Value(), n, pool.ShardCount)
 	if err != nil {
 		return nil
 	}
-	t := pool.NewTable(pool.Count).Replace(n, s, int64(i.Rev()))
+	t := pool.NewTable(pool.ShardCount).Replace(n, s, int64(i.Rev()))
 	var l []pool.Member
 	for m := range t.All() {
 		l = append(l, m)
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -111,7 +111,7 @@
 	for i, n := range []string{"alpha", "beta"} {
 		c.Services = append(c.Services, batch.Service{Name: n, Guards: true})
 		c.Queues = append(c.Queues, board.Queue{
-			Name: n, Host: soakHost, Prefix: "/" + n + "/", Service: n, Priority: i, Attempts: 4, Stretch: 1.6, AimMs: 600,
+			Name: n, Host: soakHost, Prefix: "/" + n + "/", Service: n, Priority: i, Attempts: 4, ObjectiveFactor: 1.6, ObjectiveExtraMs: 600,
 		})
 	}
 	return c
