--- a/fleet/batch/commit.go
+++ b/fleet/batch/commit.go
@@ -39,36 +39,36 @@
 
 // commits are the writes that wait or are under way.
 type commits struct {
-	next    uint64
-	accepts []*job
-	dirty   []*job
-	queued  map[*job]bool // in dirty.
-	busy    map[*job]bool // its progress is being written.
-	flights map[uint64]*flight
-	since   int64 // when the first of the waiting writes came; 0 when none waits.
-	retryAt int64
-	away    bool // the last write failed.
-	waves   map[int]*wave
+	next         uint64
+	accepts      []*job
+	dirty        []*job
+	queued       map[*job]bool // in dirty.
+	writing      map[*job]bool // its progress is being written.
+	inFlight     map[uint64]*transaction
+	waitingSince int64 // when the first of the waiting writes came; 0 when none waits.
+	retryAt      int64
+	failing      bool // the last write failed.
+	dirtyWaves   map[int]*wave
 }
 
-// flight is one transaction under way.
-type flight struct {
-	accepts []*job
-	runs    []*job
-	version []int // of runs, as written.
-	wave    *wave
-	waveVer int
+// transaction is one transaction under way.
+type transaction struct {
+	accepts     []*job
+	progress    []*job
+	versions    []int // of runs, as written.
+	wave        *wave
+	waveVersion int
 }
 
 func (c *commits) start() {
-	c.queued, c.busy, c.flights, c.waves = map[*job]bool{}, map[*job]bool{}, map[uint64]*flight{}, map[int]*wave{}
+	c.queued, c.writing, c.inFlight, c.dirtyWaves = map[*job]bool{}, map[*job]bool{}, map[uint64]*transaction{}, map[int]*wave{}
 }
 
-func (c *commits) waiting() bool { return len(c.accepts)+len(c.dirty)+len(c.waves) > 0 }
+func (c *commits) waiting() bool { return len(c.accepts)+len(c.dirty)+len(c.dirtyWaves) > 0 }
 
-func (c *commits) accept(j *job) { c.accepts = append(c.accepts, j) }
+func (c *commits) addAccept(j *job) { c.accepts = append(c.accepts, j) }
 
-func (c *commits) add(j *job) {
+func (c *commits) addProgress(j *job) {
 	if !c.queued[j] {
 		c.queued[j] = true
 		c.dirty = append(c.dirty, j)
@@ -79,31 +79,31 @@
 func (m *Model) flush() {
 	c := &m.commits
 	if !c.waiting() {
-		c.since, c.away = 0, c.away && len(c.flights) > 0
+		c.waitingSince, c.failing = 0, c.failing && len(c.inFlight) > 0
 		return
 	}
-	if c.since == 0 {
-		c.since = m.now
+	if c.waitingSince == 0 {
+		c.waitingSince = m.now
 	}
-	full := len(c.accepts)+2*len(c.dirty) >= txnEntries
-	if m.now < c.retryAt || (m.now-c.since < commitWaitMs && !full) {
+	full := len(c.accepts)+2*len(c.dirty) >= maxTxnEntries
+	if m.now < c.retryAt || (m.now-c.waitingSince < commitWindowMs && !full) {
 		return
 	}
-	for len(c.flights) < maxInFlight && c.waiting() {
-		if !m.send() {
+	for len(c.inFlight) < maxInFlightTxns && c.waiting() {
+		if !m.sendTransaction() {
 			break
 		}
 	}
-	c.since = 0
+	c.waitingSince = 0
 }
 
-// send begins one transaction; it reports false when all that waits is being written already.
-func (m *Model) send() bool {
+// sendTransaction begins one transaction; it reports false when all that waits is being written already.
+func (m *Model) sendTransaction() bool {
 	c := &m.commits
-	f := &flight{}
+	f := &transaction{}
 	var rows []Row
-	room := txnEntries
-	if m.sendWave(f, &rows) {
+	room := maxTxnEntries
+	if m.addWaveRow(f, &rows) {
 		room -= 2
 	}
 	n := min(len(c.accepts), room)
@@ -116,18 +116,18 @@
 	var later []*job
 	for _, j := range c.dirty {
 		cost := 2
-		if j.phase == ended && !j.old {
+		if j.phase == ended && !j.purging {
 			cost = 3
 		}
-		if c.busy[j] || cost > room {
+		if c.writing[j] || cost > room {
 			later = append(later, j)
 			continue
 		}
 		room -= cost
 		delete(c.queued, j)
-		c.busy[j] = true
-		f.runs, f.version = append(f.runs, j), append(f.version, j.version)
-		if j.old {
+		c.writing[j] = true
+		f.progress, f.versions = append(f.progress, j), append(f.versions, j.version)
+		if j.purging {
 			rows = append(rows, Row{Key: RunPrefix + j.ID, Rev: j.rev, Guarded: true, Delete: true})
 			continue
 		}
@@ -141,149 +141,149 @@
 		return false
 	}
 	c.next++
-	c.flights[c.next] = f
-	m.do(CommitCmd{ID: c.next, Rows: rows})
+	c.inFlight[c.next] = f
+	m.emit(CommitCmd{ID: c.next, Rows: rows})
 	return true
 }
 
 // committed takes in what became of a transaction.
 func (m *Model) committed(g CommittedMsg) {
 	c := &m.commits
-	f := c.flights[g.ID]
+	f := c.inFlight[g.ID]
 	if f == nil {
 		return
 	}
-	delete(c.flights, g.ID)
-	for _, j := range f.runs {
-		delete(c.busy, j)
+	delete(c.inFlight, g.ID)
+	for _, j := range f.progress {
+		delete(c.writing, j)
 	}
 	if g.Outcome == Written {
-		c.away, c.retryAt = false, 0
-		m.written(f, g.Rev)
+		c.failing, c.retryAt = false, 0
+		m.applyWritten(f, g.Rev)
 		return
 	}
-	m.log("write failed", "", "outcome", int(g.Outcome), "accepts", len(f.accepts), "progress", len(f.runs))
+	m.log("write failed", "", "outcome", int(g.Outcome), "accepts", len(f.accepts), "progress", len(f.progress))
 	if g.Outcome == Conflict {
-		m.learnRevs(g.Now)
+		m.adoptRevs(g.Now)
 	} else {
-		c.away, c.retryAt = true, m.now+commitRetryMs
+		c.failing, c.retryAt = true, m.now+commitRetryMs
 	}
-	m.again(f, g.Outcome)
+	m.requeue(f, g.Outcome)
 }
 
-// learnRevs takes the revisions of progress records after a conflict.
-func (m *Model) learnRevs(l []Row) {
+// adoptRevs takes the revisions of progress records after a conflict.
+func (m *Model) adoptRevs(l []Row) {
 	for _, r := range l {
 		if id, ok := strings.CutPrefix(r.Key, RunPrefix); ok && m.jobs[id] != nil {
 			m.jobs[id].rev = r.Rev
 		}
 		if n, ok := strings.CutPrefix(r.Key, WavePrefix); ok {
-			if i, err := strconv.Atoi(n); err == nil && m.duty.waves[i] != nil {
-				m.duty.waves[i].rev = r.Rev
+			if i, err := strconv.Atoi(n); err == nil && m.fleet.waves[i] != nil {
+				m.fleet.waves[i].rev = r.Rev
 			}
 		}
 	}
 }
 
-// again queues what a transaction did not write, and refuses jobs that have waited too long and certainly are not accepted.
-func (m *Model) again(f *flight, o Outcome) {
+// requeue queues what a transaction did not write, and refuses jobs that have waited too long and certainly are not accepted.
+func (m *Model) requeue(f *transaction, o Outcome) {
 	for _, j := range f.accepts {
-		j.doubt = j.doubt || o == Unknown
-		if !j.doubt && m.now-j.tried >= refusalMs {
+		j.maybeStored = j.maybeStored || o == Unknown
+		if !j.maybeStored && m.now-j.firstTriedAt >= acceptTimeoutMs {
 			delete(m.jobs, j.ID)
-			m.refuse(j, "the store did not take it", refusalMs)
-			for _, r := range j.cancels {
-				m.do(ReplyCmd{Ref: r, Verdict: NotKnown})
+			m.refuse(j, "the store did not take it", acceptTimeoutMs)
+			for _, r := range j.cancelRefs {
+				m.emit(ReplyCmd{Ref: r, Verdict: NotKnown})
 			}
 			continue
 		}
-		m.commits.accept(j)
+		m.commits.addAccept(j)
 	}
-	for _, j := range f.runs {
-		m.commits.add(j)
+	for _, j := range f.progress {
+		m.commits.addProgress(j)
 	}
 	if f.wave != nil {
-		m.commits.waves[f.wave.Number] = f.wave
+		m.commits.dirtyWaves[f.wave.Number] = f.wave
 	}
 }
 
-func (m *Model) written(f *flight, rev int64) {
+func (m *Model) applyWritten(f *transaction, rev int64) {
 	for _, j := range f.accepts {
-		m.accepted(j)
+		m.openJob(j)
 	}
-	for i, j := range f.runs {
-		j.rev, j.stored = rev, max(j.stored, f.version[i])
-		if j.old {
+	for i, j := range f.progress {
+		j.rev, j.storedVersion = rev, max(j.storedVersion, f.versions[i])
+		if j.purging {
 			delete(m.jobs, j.ID)
 			continue
 		}
-		if j.version > j.stored {
-			m.commits.add(j)
+		if j.version > j.storedVersion {
+			m.commits.addProgress(j)
 		} else if j.phase == ended {
-			m.showEnd(j)
+			m.publishEnd(j)
 		}
 	}
 	if f.wave != nil {
-		f.wave.rev, f.wave.stored = rev, max(f.wave.stored, f.waveVer)
+		f.wave.rev, f.wave.storedVersion = rev, max(f.wave.storedVersion, f.waveVersion)
 	}
 	for _, w := range m.workers {
-		if len(w.marks) > 0 {
-			w.holdAt = 0
+		if len(w.unsavedEnds) > 0 {
+			w.nextPollAt = 0
 		}
 	}
 }
 
 // Purging of ended jobs.
 const (
-	purgeEveryMs = 5_000
-	purgeTimes   = 2 // an ended job is kept for so many times as long as its state can be asked for.
+	purgeIntervalMs = 5_000
+	retentionFactor = 2 // an ended job is kept for so many times as long as its state can be asked for.
 )
 
 // purge forgets jobs that ended long ago, here and in the store.
 func (m *Model) purge() {
-	if m.cfg.StatusMs <= 0 || m.now-m.purged < purgeEveryMs {
+	if m.cfg.StatusMs <= 0 || m.now-m.purgedAt < purgeIntervalMs {
 		return
 	}
-	m.purged = m.now
+	m.purgedAt = m.now
 	for _, id := range sortedKeys(m.jobs) {
 		j := m.jobs[id]
-		if j.shown != Absent && !j.old && j.rounds == nil && m.now-j.endedAt > purgeTimes*m.cfg.StatusMs {
-			j.old = true
+		if j.shownState != Absent && !j.purging && j.rounds == nil && m.now-j.endedAt > retentionFactor*m.cfg.StatusMs {
+			j.purging = true
 			j.version++
-			m.commits.add(j)
+			m.commits.addProgress(j)
 		}
 	}
 }
 
-// showEnd lets callers see how the job ended.
-func (m *Model) showEnd(j *job) {
-	j.shown = j.final
-	for _, r := range j.cancels {
-		m.do(ReplyCmd{Ref: r, Verdict: Accepted})
-	}
-	j.cancels = nil
-	m.tidy(j)
+// publishEnd lets callers see how the job ended.
+func (m *Model) publishEnd(j *job) {
+	j.shownState = j.finalState
+	for _, r := range j.cancelRefs {
+		m.emit(ReplyCmd{Ref: r, Verdict: Accepted})
+	}
+	j.cancelRefs = nil
+	m.freeEnded(j)
 }
 
-// accepted opens a job that the store has.
-func (m *Model) accepted(j *job) {
+// openJob opens a job that the store has.
+func (m *Model) openJob(j *job) {
 	j.phase = open
 	p := m.pool(j.Service)
-	p.open[j.ID] = j
+	p.openJobs[j.ID] = j
 	p.dirty = true
-	m.log("job accepted", j.ID, "queue", j.Queue, "ageMs", m.now-j.firstAt, "dueMs", j.due-m.now, "backlogCoreMs", int64(p.backlog)/1000)
-	for _, r := range j.refs {
-		m.do(ReplyCmd{Ref: r, Verdict: Accepted})
+	m.log("job accepted", j.ID, "queue", j.Queue, "ageMs", m.now-j.submittedAt, "dueMs", j.dueAt-m.now, "backlogCoreMs", int64(p.backlog)/1000)
+	for _, r := range j.submitRefs {
+		m.emit(ReplyCmd{Ref: r, Verdict: Accepted})
 	}
-	j.refs = nil
-	if len(j.cancels) > 0 {
-		m.cancelOpen(j)
+	j.submitRefs = nil
+	if len(j.cancelRefs) > 0 {
+		m.endCanceled(j)
 	}
 	m.openRounds()
 }
 
 func (m *Model) encodeJob(j *job) []byte {
-	b, err := json.Marshal(StoredJob{Job: j.Job, AtMs: j.firstAt + m.wall})
+	b, err := json.Marshal(StoredJob{Job: j.Job, AtMs: j.submittedAt + m.wallOffset})
 	if err != nil {
 		panic(fmt.Sprintf("batch: job %s cannot be encoded: %v", j.ID, err)) // only numbers and strings: a defect.
 	}
@@ -294,9 +294,9 @@
 func encodeRun(j *job) []byte {
 	s := StoredRun{}
 	if j.phase == ended {
-		s.State = j.final
+		s.State = j.finalState
 	} else {
-		s = progress(j)
+		s = progressRecord(j)
 	}
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -305,43 +305,43 @@
 	return b
 }
 
-func progress(j *job) StoredRun {
-	s := StoredRun{Done: map[string]string{}, Failed: map[string][]int{}, Saved: map[string]string{}, Last: map[string]int{}, Copied: j.copied > 0}
+func progressRecord(j *job) StoredRun {
+	s := StoredRun{Done: map[string]string{}, Failed: map[string][]int{}, Saved: map[string]string{}, Last: map[string]int{}, Copied: j.copiesVersion > 0}
 	for _, r := range j.rounds {
-		if r.left == 0 {
+		if r.stagesLeft == 0 {
 			s.Rounds = append(s.Rounds, r.number)
 			continue
 		}
 		for _, g := range r.stages {
 			at := fmt.Sprintf("%d.%d", r.number, g.number)
-			if g.left < len(g.tasks) {
-				s.Done[at] = digits(g)
+			if g.tasksLeft < len(g.tasks) {
+				s.Done[at] = doneDigits(g)
 			}
 			for _, t := range g.tasks {
-				t.store(s, at)
+				t.addTo(s, at)
 			}
 		}
 	}
 	return s
 }
 
-func (t *task) store(s StoredRun, stage string) {
+func (t *task) addTo(s StoredRun, stage string) {
 	if t.done {
 		return
 	}
 	at := fmt.Sprintf("%s.%d", stage, t.index)
-	if len(t.failed) > 0 {
-		s.Failed[at] = t.failed
+	if len(t.failedRuns) > 0 {
+		s.Failed[at] = t.failedRuns
 	}
-	if t.saved != "" {
-		s.Saved[at] = t.saved
+	if t.checkpoint != "" {
+		s.Saved[at] = t.checkpoint
 	}
-	if t.last > 1 {
-		s.Last[at] = t.last
+	if t.lastRun > 1 {
+		s.Last[at] = t.lastRun
 	}
 }
 
-func digits(s *stage) string {
+func doneDigits(s *stage) string {
 	b := make([]byte, len(s.tasks))
 	for i, t := range s.tasks {
 		b[i] = '0'
@@ -352,14 +352,14 @@
 	return string(b)
 }
 
-// load takes over the records of a former owner.
-func (m *Model) load(g LoadedMsg) {
-	m.blind = m.now + g.BlindMs
+// loadRecords takes over the records of a former owner.
+func (m *Model) loadRecords(g LoadedMsg) {
+	m.blindUntil = m.now + g.BlindMs
 	runs := make(map[string]StoredRun, len(g.Runs))
 	for _, r := range g.Runs {
 		runs[r.ID] = r
 		if r.State != Absent {
-			m.jobs[r.ID] = &job{Job: Job{ID: r.ID}, phase: ended, final: r.State, shown: r.State, rev: r.Rev, endedAt: m.now, started: true}
+			m.jobs[r.ID] = &job{Job: Job{ID: r.ID}, phase: ended, finalState: r.State, shownState: r.State, rev: r.Rev, endedAt: m.now, started: true}
 		}
 	}
 	n := 0
@@ -373,45 +373,45 @@
 	m.loadWaves(g.Waves)
 	m.loaded = true
 	m.log("records loaded", "", "open", n, "ended", len(m.jobs)-n, "blindMs", g.BlindMs)
-	l := m.early
-	m.early = nil
+	l := m.deferred
+	m.deferred = nil
 	for _, e := range l {
 		m.Update(m.now, e)
 	}
 }
 
 func (m *Model) loadJob(s StoredJob, r StoredRun) {
-	j := &job{Job: s.Job, phase: open, loaded: true, firstAt: s.AtMs - m.wall, rev: r.Rev, copiedBefore: r.Copied}
+	j := &job{Job: s.Job, phase: open, loaded: true, submittedAt: s.AtMs - m.wallOffset, rev: r.Rev, formerCopies: r.Copied}
 	if r.Copied {
-		j.copied = 1
-		j.version, j.stored = 1, 1
+		j.copiesVersion = 1
+		j.version, j.storedVersion = 1, 1
 	}
-	j.due = j.firstAt + m.objective(j)
+	j.dueAt = j.submittedAt + m.objectiveMs(j)
 	m.jobs[j.ID] = j
-	m.pool(j.Service).open[j.ID] = j
+	m.pool(j.Service).openJobs[j.ID] = j
 	m.openRounds()
 	for _, o := range j.rounds {
 		if slices.Contains(r.Rounds, o.number) {
-			o.finish()
+			o.markDone()
 		}
 		for _, g := range o.stages {
 			g.restore(r)
 		}
-		if o.left > 0 && !slices.ContainsFunc(o.stages, func(g *stage) bool { return g.left > 0 }) {
-			o.left = 0
+		if o.stagesLeft > 0 && !slices.ContainsFunc(o.stages, func(g *stage) bool { return g.tasksLeft > 0 }) {
+			o.stagesLeft = 0
 		}
 	}
 	j.started = r.Rev > 0
 	m.checkDone(j)
 	if j.phase == ended {
-		m.change(j)
+		m.markChanged(j)
 	}
 }
 
-func (r *round) finish() {
-	r.left = 0
+func (r *round) markDone() {
+	r.stagesLeft = 0
 	for _, s := range r.stages {
-		s.left, s.waiting = 0, 0
+		s.tasksLeft, s.tasksWaiting = 0, 0
 		for _, t := range s.tasks {
 			t.done = true
 		}
@@ -423,16 +423,16 @@
 	for i, t := range s.tasks {
 		if d := r.Done[at]; !t.done && i < len(d) && d[i] == '1' {
 			t.done = true
-			s.left--
-			s.waiting--
-			if s.left == 0 {
-				s.round.left--
+			s.tasksLeft--
+			s.tasksWaiting--
+			if s.tasksLeft == 0 {
+				s.round.stagesLeft--
 			}
 		}
 		k := fmt.Sprintf("%s.%d", at, i)
-		t.failed, t.saved, t.last = r.Failed[k], r.Saved[k], r.Last[k]
-		for _, n := range t.failed {
-			t.last = max(t.last, n)
+		t.failedRuns, t.checkpoint, t.lastRun = r.Failed[k], r.Saved[k], r.Last[k]
+		for _, n := range t.failedRuns {
+			t.lastRun = max(t.lastRun, n)
 		}
 	}
 }
--- a/fleet/batch/demand.go
+++ b/fleet/batch/demand.go
@@ -4,63 +4,63 @@
 
 // Demand of a pool as callers bring it.
 const (
-	rateTauMs = 700.0 // over which the present rate is averaged: short beside a turn of some seconds, long beside single jobs.
-	maxAsked  = 20_000
+	rateTimeConstantMs = 700.0 // over which the present rate is averaged: short beside a turn of some seconds, long beside single jobs.
+	maxCountedJobs     = 20_000
 )
 
 // demand is what a pool has needed lately.
 type demand struct {
-	rate     float64 // work asked for, in thousandths of a core.
-	rateAt   int64
-	lastFull int64   // when a task last waited for room.
-	short    float64 // work that waits for room, in thousandths of a core times ms.
-	want     int     // machines.
-	busyOnce bool    // it has wanted more machines than it had, since this owner began.
+	rate           float64 // work asked for, in thousandths of a core.
+	rateAt         int64
+	lastShortAt    int64   // when a task last waited for room.
+	waitingWork    float64 // work that waits for room, in thousandths of a core times ms.
+	wantedMachines int     // machines.
+	everShort      bool    // it has wanted more machines than it had, since this owner began.
 }
 
 // decay lets the present rate fade until now.
 func (d *demand) decay(now int64) {
 	if now > d.rateAt {
-		d.rate *= math.Exp(-float64(now-d.rateAt) / rateTauMs)
+		d.rate *= math.Exp(-float64(now-d.rateAt) / rateTimeConstantMs)
 		d.rateAt = now
 	}
 }
 
-// expect takes in the work that a job asks for, once for all attempts to hand it in.
-func (m *Model) expect(j *job) {
-	if j.Rounds > 0 || lastingJob(j) || m.asked[j.ID] {
+// addDemand takes in the work that a job asks for, once for all attempts to hand it in.
+func (m *Model) addDemand(j *job) {
+	if j.Rounds > 0 || hasLastingSteps(j) || m.demandCounted[j.ID] {
 		return
 	}
-	if len(m.asked) >= maxAsked {
-		clear(m.asked)
+	if len(m.demandCounted) >= maxCountedJobs {
+		clear(m.demandCounted)
 	}
-	m.asked[j.ID] = true
+	m.demandCounted[j.ID] = true
 	work := 0.0
 	for _, s := range j.Steps {
-		work += float64(s.Count) * float64(s.Size.CPU) * m.queue(j.Queue).expect(float64(s.EstimateMs))
+		work += float64(s.Count) * float64(s.Size.CPU) * m.estimator(j.Queue).expectedMs(float64(s.EstimateMs))
 	}
 	d := &m.pool(j.Service).demand
 	d.decay(m.now)
-	d.rate += work / rateTauMs
+	d.rate += work / rateTimeConstantMs
 }
 
-// measure notes for each pool how much work waits for room.
-func (m *Model) measure() {
+// measureWaiting notes for each pool how much work waits for room.
+func (m *Model) measureWaiting() {
 	for _, p := range m.pools {
 		p.demand.decay(m.now)
 		short := int64(0)
-		for _, j := range p.open {
+		for _, j := range p.openJobs {
 			for _, r := range j.rounds {
 				for _, s := range r.stages {
-					if s.waiting > 0 && !s.Lasting && s.ready() && !m.blocked(s) {
+					if s.tasksWaiting > 0 && !s.Lasting && s.ready() && !m.waitsForFormer(s) {
 						short += m.waitingWork(s)
 					}
 				}
 			}
 		}
-		p.demand.short = float64(short)
+		p.demand.waitingWork = float64(short)
 		if short > 0 {
-			p.demand.lastFull = m.now
+			p.demand.lastShortAt = m.now
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (m *Model) waitingWork(s *stage) int64 {
 	n := int64(0)
 	for _, t := range s.tasks {
-		if !t.done && len(t.runs) == 0 && t.after <= m.now {
+		if !t.done && len(t.runs) == 0 && t.notBefore <= m.now {
 			n++
 		}
 	}
--- a/fleet/batch/duty.go
+++ b/fleet/batch/duty.go
@@ -120,60 +120,60 @@
 
 // Times in milliseconds.
 const (
-	listBusyMs   = 700   // between lists while machines move or are maintained.
-	listCalmMs   = 6_000 // between lists otherwise.
-	listWaitMs   = 2_500 // a list that was not answered for so long is asked for again.
-	dutyRetryMs  = 500   // between orders to one machine.
-	comingMs     = 6_000 // an ordered machine that is not back after so long no longer counts as coming.
-	upkeepSpanMs = 5_500 // emptying a machine and its upkeep.
-	claimEndMs   = 1_200 // after a claim the former owner may believe in its own for so long.
-	clockSlackMs = 5_000 // by which clocks of machines may differ.
-	waveMarginMs = 7_000 // a wave is to be over so long before its time.
-	emptyWaitMs  = 4_000 // short tasks have so long to end before an upkeep that is urgent.
+	listBusyIntervalMs = 700   // between lists while machines move or are maintained.
+	listIdleIntervalMs = 6_000 // between lists otherwise.
+	orderTimeoutMs     = 2_500 // a list that was not answered for so long is asked for again.
+	upkeepRetryMs      = 500   // between orders to one machine.
+	arrivalTimeoutMs   = 6_000 // an ordered machine that is not back after so long no longer counts as coming.
+	upkeepDurationMs   = 5_500 // emptying a machine and its upkeep.
+	formerClaimMs      = 1_200 // after a claim the former owner may believe in its own for so long.
+	maxClockSkewMs     = 5_000 // by which clocks of machines may differ.
+	waveMarginMs       = 7_000 // a wave is to be over so long before its time.
+	shortTaskGraceMs   = 4_000 // short tasks have so long to end before an upkeep that is urgent.
 )
 
-// duty is what the owner knows of machines, and the orders to them.
-type duty struct {
-	from     int64            // no orders before.
-	span     int64            // since then all orders to machines are known.
-	last     map[string]int64 // when this owner last ordered each machine.
-	former   map[string]int64 // the same of former owners, as far as known.
-	machines map[string]*machine
-	list     []*machine // by name
-	room     float64    // mean CPU of a machine, in thousandths of a core.
-	waves    map[int]*wave
-	asked    int64 // when the list was last asked for; 0 while none is under way.
-	listed   int64 // when the list was last read.
-	listSent int64 // when the list that was last read was asked for.
+// fleet is what the owner knows of machines, and the orders to them.
+type fleet struct {
+	noOrdersBefore   int64            // no orders before.
+	ordersKnownSince int64            // since then all orders to machines are known.
+	lastOrderAt      map[string]int64 // when this owner last ordered each machine.
+	formerOrderAt    map[string]int64 // the same of former owners, as far as known.
+	machines         map[string]*machine
+	list             []*machine // by name
+	meanCPU          float64    // mean CPU of a machine, in thousandths of a core.
+	waves            map[int]*wave
+	listAskedAt      int64 // when the list was last asked for; 0 while none is under way.
+	listReadAt       int64 // when the list was last read.
+	listSentAt       int64 // when the list that was last read was asked for.
 }
 
 // machine is one machine and the order to it.
 type machine struct {
 	Machine
-	wave      *wave  // whose upkeep it is being prepared for or has.
-	since     int64  // when its preparation began.
-	target    string // pool that it moves to; empty when it does not move.
-	ordered   int64  // when the last order was sent; 0 for none.
-	done      int64  // when the order was acknowledged.
-	oldWorker string
-	again     bool // the order may have been given before, so that its answer does not say when it was carried out.
+	wave           *wave  // whose upkeep it is being prepared for or has.
+	preparingSince int64  // when its preparation began.
+	targetPool     string // pool that it moves to; empty when it does not move.
+	orderedAt      int64  // when the last order was sent; 0 for none.
+	ackedAt        int64  // when the order was acknowledged.
+	oldWorkerID    string
+	maybeRepeated  bool // the order may have been given before, so that its answer does not say when it was carried out.
 }
 
-func (d *duty) start(from int64) {
-	d.from, d.span = from, from
+func (d *fleet) start(from int64) {
+	d.noOrdersBefore, d.ordersKnownSince = from, from
 	d.machines, d.waves = map[string]*machine{}, map[int]*wave{}
-	d.last, d.former = map[string]int64{}, map[string]int64{}
+	d.lastOrderAt, d.formerOrderAt = map[string]int64{}, map[string]int64{}
 }
 
 // setMachines takes the list in.
 func (m *Model) setMachines(g MachinesMsg) {
-	d := &m.duty
-	d.asked = 0
+	d := &m.fleet
+	d.listAskedAt = 0
 	if g.Failed {
-		d.listed = max(d.listed, m.now-listCalmMs+listBusyMs)
+		d.listReadAt = max(d.listReadAt, m.now-listIdleIntervalMs+listBusyIntervalMs)
 		return
 	}
-	d.listed, d.listSent = m.now, g.Sent
+	d.listReadAt, d.listSentAt = m.now, g.Sent
 	seen := map[string]bool{}
 	for _, x := range g.List {
 		seen[x.Name] = true
@@ -183,7 +183,7 @@
 			d.machines[x.Name] = k
 		}
 		k.Machine = x
-		m.settleOrder(k, g.Sent)
+		m.completeOrder(k, g.Sent)
 	}
 	d.list = d.list[:0]
 	for _, n := range sortedKeys(d.machines) {
@@ -193,23 +193,23 @@
 		}
 		d.list = append(d.list, d.machines[n])
 	}
-	m.count()
+	m.countMachines()
 }
 
-// settleOrder ends the order to a machine that is up again with another worker.
-func (m *Model) settleOrder(k *machine, sent int64) {
-	if k.done == 0 || sent <= k.done || k.State != Up || k.Worker == "" || k.Worker == k.oldWorker && !k.again {
+// completeOrder ends the order to a machine that is up again with another worker.
+func (m *Model) completeOrder(k *machine, sent int64) {
+	if k.ackedAt == 0 || sent <= k.ackedAt || k.State != Up || k.Worker == "" || k.Worker == k.oldWorkerID && !k.maybeRepeated {
 		return
 	}
-	m.log("machine back", "", "machine", k.Name, "pool", k.Pool, "worker", k.Worker, "tookMs", m.now-k.done)
+	m.log("machine back", "", "machine", k.Name, "pool", k.Pool, "worker", k.Worker, "tookMs", m.now-k.ackedAt)
 	if k.wave != nil {
-		m.finish(k.wave, k.Name)
+		m.markMaintained(k.wave, k.Name)
 	}
-	m.release(k)
+	m.releaseMachine(k)
 }
 
-// finish notes that a machine needs no upkeep any more.
-func (m *Model) finish(w *wave, name string) {
+// markMaintained notes that a machine needs no upkeep any more.
+func (m *Model) markMaintained(w *wave, name string) {
 	w.finished[name] = true
 	m.saveWave(w)
 }
@@ -217,68 +217,68 @@
 // saveWave has the progress of the wave written.
 func (m *Model) saveWave(w *wave) {
 	w.version++
-	m.commits.waves[w.Number] = w
+	m.commits.dirtyWaves[w.Number] = w
 }
 
-// planDuties asks for the list of machines where it is needed, and plans upkeep and moves.
-func (m *Model) planDuties() {
-	d := &m.duty
-	gap := int64(listCalmMs)
-	if m.dutyBusy() || m.now < m.blind && m.anyUnseen() {
-		gap = listBusyMs
+// planMachineOrders asks for the list of machines where it is needed, and plans upkeep and moves.
+func (m *Model) planMachineOrders() {
+	d := &m.fleet
+	gap := int64(listIdleIntervalMs)
+	if m.ordersPending() || m.now < m.blindUntil && m.mayWaitForUnlisted() {
+		gap = listBusyIntervalMs
 	}
-	if d.asked != 0 && m.now-d.asked > listWaitMs {
-		d.asked = 0
+	if d.listAskedAt != 0 && m.now-d.listAskedAt > orderTimeoutMs {
+		d.listAskedAt = 0
 	}
-	if d.asked == 0 && (d.listed == 0 || m.now-d.listed >= gap) {
-		d.asked = m.now
-		m.do(ListMachinesCmd{})
+	if d.listAskedAt == 0 && (d.listReadAt == 0 || m.now-d.listReadAt >= gap) {
+		d.listAskedAt = m.now
+		m.emit(ListMachinesCmd{})
 	}
-	if d.listed == 0 {
+	if d.listReadAt == 0 {
 		return
 	}
-	m.count()
+	m.countMachines()
 	for _, n := range m.waveNumbers() {
-		m.runWave(d.waves[n])
+		m.advanceWave(d.waves[n])
 	}
 	m.planMoves()
 }
 
 // mayOrder reports whether orders to machines may be given at all: a former owner's claim has certainly ended.
-func (m *Model) mayOrder() bool { return m.fresh && m.now >= m.duty.from }
+func (m *Model) mayOrder() bool { return m.claimFresh && m.now >= m.fleet.noOrdersBefore }
 
 // mayOrderTo reports whether no former owner can have given the machine an order lately: its worker is older than that.
 func (m *Model) mayOrderTo(k *machine) bool {
-	last := m.duty.span
-	if at, ok := m.duty.former[k.Name]; ok {
+	last := m.fleet.ordersKnownSince
+	if at, ok := m.fleet.formerOrderAt[k.Name]; ok {
 		last = max(last, at)
 	}
 	if m.now >= last+m.cfg.DutyGapMs {
 		return true
 	}
 	w := m.workerOf(k)
-	return w != nil && w.Born > 0 && w.Born < m.cfg.WallMs-m.cfg.DutyGapMs-clockSlackMs
+	return w != nil && w.Born > 0 && w.Born < m.cfg.WallMs-m.cfg.DutyGapMs-maxClockSkewMs
 }
 
-// formerOrders takes in what the former owner ordered; it orders nothing any more.
-func (m *Model) formerOrders(g OrdersMsg) {
-	d := &m.duty
-	d.from, d.span = min(d.from, m.now), min(d.span, m.now-g.SpanMs)
+// takeFormerOrders takes in what the former owner ordered; it orders nothing any more.
+func (m *Model) takeFormerOrders(g OrdersMsg) {
+	d := &m.fleet
+	d.noOrdersBefore, d.ordersKnownSince = min(d.noOrdersBefore, m.now), min(d.ordersKnownSince, m.now-g.SpanMs)
 	for n, a := range g.AgeMs {
-		if at, ok := d.former[n]; !ok || at < m.now-a {
-			d.former[n] = m.now - a
+		if at, ok := d.formerOrderAt[n]; !ok || at < m.now-a {
+			d.formerOrderAt[n] = m.now - a
 		}
 	}
 	m.log("former orders known", "", "machines", len(g.AgeMs), "spanMs", g.SpanMs)
 }
 
-// noteOrder notes that the machine is ordered now.
-func (m *Model) noteOrder(k *machine) { k.ordered, m.duty.last[k.Name] = m.now, m.now }
+// recordOrder notes that the machine is ordered now.
+func (m *Model) recordOrder(k *machine) { k.orderedAt, m.fleet.lastOrderAt[k.Name] = m.now, m.now }
 
 // Orders returns the orders to machines that a successor must keep its distance from.
 func (m *Model) Orders(now int64) Orders {
-	o := Orders{AgeMs: map[string]int64{}, SpanMs: max(now-m.duty.span, 0)}
-	for _, l := range []map[string]int64{m.duty.former, m.duty.last} {
+	o := Orders{AgeMs: map[string]int64{}, SpanMs: max(now-m.fleet.ordersKnownSince, 0)}
+	for _, l := range []map[string]int64{m.fleet.formerOrderAt, m.fleet.lastOrderAt} {
 		for n, at := range l {
 			if now-at < m.cfg.DutyGapMs {
 				o.AgeMs[n] = now - at // our own are the later ones.
@@ -288,62 +288,62 @@
 	return o
 }
 
-// anyUnseen reports whether tasks may wait because a machine's worker is not listed.
-func (m *Model) anyUnseen() bool {
+// mayWaitForUnlisted reports whether tasks may wait because a machine's worker is not listed.
+func (m *Model) mayWaitForUnlisted() bool {
 	for _, p := range m.pools {
-		if p.tally.unseen > 0 && len(p.open) > 0 {
+		if p.counts.unlisted > 0 && len(p.openJobs) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Model) dutyBusy() bool {
-	for _, k := range m.duty.list {
-		if k.ordered != 0 || k.done != 0 {
+func (m *Model) ordersPending() bool {
+	for _, k := range m.fleet.list {
+		if k.orderedAt != 0 || k.ackedAt != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// dutyDone takes in what became of an order to a machine.
-func (m *Model) dutyDone(g DutyDoneMsg) {
-	k := m.duty.machines[g.Machine]
-	if k == nil || k.ordered == 0 {
+// orderAnswered takes in what became of an order to a machine.
+func (m *Model) orderAnswered(g DutyDoneMsg) {
+	k := m.fleet.machines[g.Machine]
+	if k == nil || k.orderedAt == 0 {
 		return
 	}
-	m.log("machine ordered", "", "machine", g.Machine, "wave", g.Wave, "pool", k.target, "result", int(g.Result))
+	m.log("machine ordered", "", "machine", g.Machine, "wave", g.Wave, "pool", k.targetPool, "result", int(g.Result))
 	switch g.Result {
 	case DutyOK:
-		k.done = m.now
-		if w := m.workers[k.oldWorker]; w != nil && !k.again {
-			w.over, w.left = true, true
+		k.ackedAt = m.now
+		if w := m.workers[k.oldWorkerID]; w != nil && !k.maybeRepeated {
+			w.dead, w.machineTaken = true, true
 			m.pool(w.Service).dirty = true
 		}
 	case DutyRejected:
 		if k.wave != nil {
-			m.finish(k.wave, k.Name)
+			m.markMaintained(k.wave, k.Name)
 		}
-		m.release(k)
+		m.releaseMachine(k)
 	case DutyBusy, DutyNotSent:
 		if g.Wave == 0 {
-			m.release(k)
+			m.releaseMachine(k)
 		} else {
-			k.ordered = m.now
+			k.orderedAt = m.now
 		}
 	case DutyUnsure:
-		k.again = true
+		k.maybeRepeated = true
 	}
 }
 
-// release gives a machine back to its pool.
-func (m *Model) release(k *machine) {
+// releaseMachine gives a machine back to its pool.
+func (m *Model) releaseMachine(k *machine) {
 	if w := m.workers[k.Worker]; w != nil {
 		w.cordoned = false
 		m.pool(w.Service).dirty = true
 	}
-	k.wave, k.target, k.ordered, k.done, k.oldWorker, k.again = nil, "", 0, 0, "", false
+	k.wave, k.targetPool, k.orderedAt, k.ackedAt, k.oldWorkerID, k.maybeRepeated = nil, "", 0, 0, "", false
 }
 
 // worker returns the machine's worker, nil when it is not known.
@@ -355,21 +355,21 @@
 }
 
 // empty reports whether w runs nothing and nothing of it is unsettled.
-func empty(w *worker) bool { return len(w.runs) == 0 && len(w.marks) == 0 }
+func empty(w *worker) bool { return len(w.runs) == 0 && len(w.unsavedEnds) == 0 }
 
-// mayLeave reports whether a lasting task may be stopped: few enough others of its step are away.
-func (m *Model) mayLeave(r *run) bool {
+// mayStopLasting reports whether a lasting task may be stopped: few enough others of its step are away.
+func (m *Model) mayStopLasting(r *run) bool {
 	s := r.task.stage
 	away := 0
 	for _, t := range s.tasks {
-		if t != r.task && !t.atWork() {
+		if t != r.task && !t.isServing() {
 			away++
 		}
 	}
 	return away < max(s.MayMiss, 1)
 }
 
-// atWork reports whether a lasting task has started up.
-func (t *task) atWork() bool {
-	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.state == running && r.percent >= 100 && r.worker.silent == 0 })
+// isServing reports whether a lasting task has started up.
+func (t *task) isServing() bool {
+	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.state == running && r.percent >= 100 && r.worker.silentSince == 0 })
 }
--- a/fleet/batch/export_test.go
+++ b/fleet/batch/export_test.go
@@ -14,10 +14,10 @@
 				if t.done {
 					continue
 				}
-				fmt.Fprintf(&b, " [%d.%d last %d after %d failed %v", s.number, t.index, t.last, t.after, t.failed)
+				fmt.Fprintf(&b, " [%d.%d last %d after %d failed %v", s.number, t.index, t.lastRun, t.notBefore, t.failedRuns)
 				for _, u := range t.runs {
 					fmt.Fprintf(&b, "; run %d at %s state %d known %d stopped %d, worker silent %d holding %v over %v listed %v",
-						u.number, u.worker.ID, u.state, u.known, u.stopped, u.worker.silent, u.worker.holding, u.worker.over, u.worker.listed)
+						u.number, u.worker.ID, u.state, u.confirmedAt, u.stopAckedAt, u.worker.silentSince, u.worker.polling, u.worker.dead, u.worker.listed)
 				}
 				b.WriteString("]")
 			}
--- a/fleet/batch/model.go
+++ b/fleet/batch/model.go
@@ -7,28 +7,28 @@
 
 // Times in milliseconds.
 const (
-	leaseMs       = 5_000 // lease at workers: outlives an owner's replacement, which takes about 3 s.
-	startLeaseMs  = 2_500 // an unanswered start is not carried out later than this.
-	holdWaitMs    = 2_000 // longest wait that workers take.
-	holdRetryMs   = 300   // between calls to a worker that does not answer.
-	overdueMs     = 4_000 // a call takes 2.7 s at most; leases last a second longer than this.
-	endRetryMs    = 250   // between looks while ends wait for the store.
-	stopRetryMs   = 400   // between stops of one run.
-	lapseSlackMs  = 150   // added to a worker's lease before its runs count as lapsed.
-	noRoomMs      = 300   // a worker that refused a start for want of room gets none for so long.
-	refusalMs     = 600   // a submission that the store certainly did not take for so long is refused.
-	commitWaitMs  = 4     // writes of so long go into one transaction.
-	commitRetryMs = 60    // after a write that failed.
-	sweepMs       = 50    // between two looks at what depends on time alone.
+	workerLeaseMs    = 5_000 // lease at workers: outlives an owner's replacement, which takes about 3 s.
+	startExpiryMs    = 2_500 // an unanswered start is not carried out later than this.
+	maxPollWaitMs    = 2_000 // longest wait that workers take.
+	pollRetryMs      = 300   // between calls to a worker that does not answer.
+	callTimeoutMs    = 4_000 // a call takes 2.7 s at most; leases last a second longer than this.
+	unsavedPollMs    = 250   // between looks while ends wait for the store.
+	stopRetryMs      = 400   // between stops of one run.
+	expirySlackMs    = 150   // added to a worker's lease before its runs count as lapsed.
+	refusalBackoffMs = 300   // a worker that refused a start for want of room gets none for so long.
+	acceptTimeoutMs  = 600   // a submission that the store certainly did not take for so long is refused.
+	commitWindowMs   = 4     // writes of so long go into one transaction.
+	commitRetryMs    = 60    // after a write that failed.
+	sweepIntervalMs  = 50    // between two looks at what depends on time alone.
 )
 
-// slowClock is the share of true time that the slowest allowed worker's clock counts.
-const slowClock = 0.98
+// minClockRate is the share of true time that the slowest allowed worker's clock counts.
+const minClockRate = 0.98
 
 // Limits of one transaction; the store takes 32 entries, one of which is the claim.
 const (
-	txnEntries  = 31
-	maxInFlight = 4 // transactions
+	maxTxnEntries   = 31
+	maxInFlightTxns = 4 // transactions
 )
 
 // Config is what a model is told when it begins.
@@ -43,55 +43,55 @@
 
 // Model is the owner's view of jobs and workers.
 type Model struct {
-	cfg     Config
-	now     int64
-	wall    int64 // Unix time minus the steady clock.
-	loaded  bool
-	blind   int64 // until then unreachable workers may run what a former owner started.
-	fresh   bool  // the lease is certainly held.
-	checked int64 // until then this was the only owner: no other one had extended a lease.
-	early   []Msg // messages that wait for the records of the former owner.
+	cfg            Config
+	now            int64
+	wallOffset     int64 // Unix time minus the steady clock.
+	loaded         bool
+	blindUntil     int64 // until then unreachable workers may run what a former owner started.
+	claimFresh     bool  // the lease is certainly held.
+	soleOwnerUntil int64 // until then this was the only owner: no other one had extended a lease.
+	deferred       []Msg // messages that wait for the records of the former owner.
 
-	services map[string]Service
-	pools    map[string]*pool
-	workers  map[string]*worker
-	list     []*worker // by id
-	swept    int64
-	purged   int64 // when ended jobs were last looked through.
-	nextHold int64 // when a worker is to be looked at next.
-	unplaced bool  // a pool waits for its next placement.
-	jobs     map[string]*job
-	queues   map[string]*queue
+	services         map[string]Service
+	pools            map[string]*pool
+	workers          map[string]*worker
+	workerList       []*worker // by id
+	sweptAt          int64
+	purgedAt         int64 // when ended jobs were last looked through.
+	nextPollAt       int64 // when a worker is to be looked at next.
+	placementPending bool  // a pool waits for its next placement.
+	jobs             map[string]*job
+	estimators       map[string]*estimator
 
-	movedAt int64
-	asked   map[string]bool // ids of jobs whose work the demand has.
-	commits commits
-	duty    duty
-	cmds    []Cmd
+	movesPlannedAt int64
+	demandCounted  map[string]bool // ids of jobs whose work the demand has.
+	commits        commits
+	fleet          fleet
+	cmds           []Cmd
 }
 
 // pool is the workers and the open jobs of one service.
 type pool struct {
-	name    string
-	workers []*worker // by id
-	open    map[string]*job
-	ready   []*stage // of the last placement.
-	dirty   bool
-	placed  int64   // when it was last placed.
-	backlog float64 // core-ms of accepted work that has not run.
-	demand  demand
-	tally   tally
+	name        string
+	workers     []*worker // by id
+	openJobs    map[string]*job
+	readyStages []*stage // of the last placement.
+	dirty       bool
+	placedAt    int64   // when it was last placed.
+	backlog     float64 // core-ms of accepted work that has not run.
+	demand      demand
+	counts      poolCounts
 }
 
 // New returns a model without workers or jobs.
 func New(c Config) *Model {
 	m := &Model{
-		cfg: c, now: c.Now, wall: c.WallMs - c.Now,
+		cfg: c, now: c.Now, wallOffset: c.WallMs - c.Now,
 		services: map[string]Service{}, pools: map[string]*pool{}, workers: map[string]*worker{},
-		jobs: map[string]*job{}, queues: map[string]*queue{}, asked: map[string]bool{},
+		jobs: map[string]*job{}, estimators: map[string]*estimator{}, demandCounted: map[string]bool{},
 	}
 	m.commits.start()
-	m.duty.start(c.Now + claimEndMs)
+	m.fleet.start(c.Now + formerClaimMs)
 	return m
 }
 
@@ -104,15 +104,15 @@
 	case WorkersMsg:
 		m.setWorkers(g)
 	case LoadedMsg:
-		m.load(g)
+		m.loadRecords(g)
 	case BlindMsg:
-		m.blind = min(m.blind, m.now+g.ForMs)
+		m.blindUntil = min(m.blindUntil, m.now+g.ForMs)
 	case SubmitMsg:
 		m.submit(g)
 	case CancelMsg:
 		m.cancel(g)
 	case HeldMsg:
-		m.held(g)
+		m.pollAnswered(g)
 	case StartedMsg:
 		m.startAnswered(g)
 	case StoppedMsg:
@@ -120,23 +120,23 @@
 	case CommittedMsg:
 		m.committed(g)
 	case LeaseMsg:
-		m.fresh, m.checked = g.Fresh, max(m.checked, g.Checked)
+		m.claimFresh, m.soleOwnerUntil = g.Fresh, max(m.soleOwnerUntil, g.Checked)
 	case WallMsg:
-		m.wall = g.UnixMs - m.now
+		m.wallOffset = g.UnixMs - m.now
 	case PacedMsg:
-		m.paced(g)
+		m.paceAnswered(g)
 	case LostMsg:
-		m.do(DeposedCmd(g))
+		m.emit(DeposedCmd(g))
 	case AdvisedMsg:
-		m.advised(g)
+		m.adviceAnswered(g)
 	case MachinesMsg:
 		m.setMachines(g)
 	case WaveMsg:
 		m.setWave(g)
 	case OrdersMsg:
-		m.formerOrders(g)
+		m.takeFormerOrders(g)
 	case DutyDoneMsg:
-		m.dutyDone(g)
+		m.orderAnswered(g)
 	}
 }
 
@@ -148,7 +148,7 @@
 		m.placeAll()
 		m.flush()
 	}
-	m.holdWorkers()
+	m.pollWorkers()
 	c := m.cmds
 	m.cmds = nil
 	return c
@@ -156,16 +156,16 @@
 
 // sweep does what depends on time alone, not more often than needed.
 func (m *Model) sweep() {
-	if m.now-m.swept < sweepMs {
+	if m.now-m.sweptAt < sweepIntervalMs {
 		return
 	}
-	m.swept = m.now
+	m.sweptAt = m.now
 	m.openRounds()
 	m.purge()
-	m.watchWorkers()
-	m.leaveDraining()
+	m.checkRuns()
+	m.evictFromDraining()
 	m.paceWorkers()
-	m.planDuties()
+	m.planMachineOrders()
 	for _, p := range m.pools {
 		p.dirty = true
 	}
@@ -173,22 +173,22 @@
 
 // Wake returns the milliseconds after which Round is to be called at the latest.
 func (m *Model) Wake() int64 {
-	if m.commits.waiting() || m.unplaced {
-		return commitWaitMs
+	if m.commits.waiting() || m.placementPending {
+		return commitWindowMs
 	}
-	return min(max(m.nextHold-m.now, 1), sweepMs)
+	return min(max(m.nextPollAt-m.now, 1), sweepIntervalMs)
 }
 
-func (m *Model) do(c Cmd) { m.cmds = append(m.cmds, c) }
+func (m *Model) emit(c Cmd) { m.cmds = append(m.cmds, c) }
 
 func (m *Model) log(event, job string, fields ...any) {
-	m.do(LogCmd{Event: event, Job: job, Fields: fields})
+	m.emit(LogCmd{Event: event, Job: job, Fields: fields})
 }
 
 func (m *Model) pool(service string) *pool {
 	p := m.pools[service]
 	if p == nil {
-		p = &pool{name: service, open: map[string]*job{}}
+		p = &pool{name: service, openJobs: map[string]*job{}}
 		m.pools[service] = p
 	}
 	return p
@@ -221,8 +221,8 @@
 // Workers returns the number of workers that are listed.
 func (m *Model) Workers() int {
 	n := 0
-	for _, w := range m.list {
-		if w.listed && !w.over {
+	for _, w := range m.workerList {
+		if w.listed && !w.dead {
 			n++
 		}
 	}
@@ -235,8 +235,8 @@
 	switch {
 	case j == nil || j.phase == committing:
 		return Absent
-	case j.shown != Absent:
-		return j.shown
+	case j.shownState != Absent:
+		return j.shownState
 	case j.started:
 		return Underway
 	}
@@ -247,7 +247,7 @@
 func (m *Model) Pending() map[string]int {
 	n := map[string]int{}
 	for _, p := range m.pools {
-		for _, j := range p.open {
+		for _, j := range p.openJobs {
 			if !j.started {
 				n[j.Queue]++
 			}
--- a/fleet/batch/order.go
+++ b/fleet/batch/order.go
@@ -9,7 +9,7 @@
 	if w == nil || t == nil {
 		return
 	}
-	r := t.find(g.Run)
+	r := t.findRun(g.Run)
 	if r == nil || r.worker != w {
 		return
 	}
@@ -18,41 +18,41 @@
 	}
 	switch g.Result {
 	case OK:
-		m.started(r)
+		m.startConfirmed(r)
 	case NoAnswer:
-		m.startUnsure(r)
+		m.startUnanswered(r)
 	case Fenced:
-		m.do(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
+		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
 	default:
 		m.startRefused(r, g.Result)
 	}
 }
 
-func (m *Model) started(r *run) {
-	if r.known == 0 {
-		r.known, r.moved = m.now, m.now
+func (m *Model) startConfirmed(r *run) {
+	if r.confirmedAt == 0 {
+		r.confirmedAt, r.advancedAt = m.now, m.now
 	}
-	if r.state == starting || r.state == unsure {
-		r.become(running)
+	if r.state == starting || r.state == unconfirmed {
+		r.setState(running)
 	}
 	if r.state == stopping {
-		m.stop(r)
+		m.stopRun(r)
 	}
 }
 
-// startUnsure stops a run that may start later, so that it never does.
-func (m *Model) startUnsure(r *run) {
+// startUnanswered stops a run that may start later, so that it never does.
+func (m *Model) startUnanswered(r *run) {
 	m.log("start unanswered", r.task.stage.job.ID, "task", r.task.name().String(), "run", r.number, "worker", r.worker.ID)
-	if r.known > 0 {
+	if r.confirmedAt > 0 {
 		return
 	}
-	r.worker.hasty = true
+	r.worker.shortPoll = true
 	if r.state == starting {
-		r.become(unsure)
+		r.setState(unconfirmed)
 	}
-	m.stop(r)
-	if !slices.Contains(r.task.avoid, r.worker.ID) {
-		r.task.avoid = append(r.task.avoid, r.worker.ID)
+	m.stopRun(r)
+	if !slices.Contains(r.task.avoidWorkers, r.worker.ID) {
+		r.task.avoidWorkers = append(r.task.avoidWorkers, r.worker.ID)
 	}
 }
 
@@ -60,20 +60,20 @@
 func (m *Model) startRefused(r *run, why Result) {
 	w, t := r.worker, r.task
 	m.log("start refused", t.stage.job.ID, "task", t.name().String(), "run", r.number, "worker", w.ID, "why", int(why))
-	m.drop(r)
+	m.dropRun(r)
 	switch why {
 	case NoRoom:
-		w.barred = m.now + noRoomMs
+		w.noStartsBefore = m.now + refusalBackoffMs
 	case Unwell:
-		w.barred = m.now + noRoomMs
-		w.asideFor = min(max(2*w.asideFor, asideMs), maxAsideMs)
-		w.aside = m.now + w.asideFor
+		w.noStartsBefore = m.now + refusalBackoffMs
+		w.quarantineMs = min(max(2*w.quarantineMs, minQuarantineMs), maxQuarantineMs)
+		w.quarantinedUntil = m.now + w.quarantineMs
 	case Foreign:
-		w.over, w.listed = true, false
+		w.dead, w.listed = true, false
 	case NotSent:
-		m.unheard(w)
+		m.markUnreachable(w)
 	case Rejected:
-		t.after = m.now + asideMs
+		t.notBefore = m.now + minQuarantineMs
 	}
 }
 
@@ -83,11 +83,11 @@
 		return
 	}
 	if g.Result == Fenced {
-		m.do(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
+		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
 		return
 	}
 	if g.Result == Foreign {
-		w.over, w.listed = true, false
+		w.dead, w.listed = true, false
 		return
 	}
 	if g.Result != OK {
@@ -96,15 +96,15 @@
 	if g.ClockMs > 0 {
 		m.setClock(w, g.ClockMs)
 	}
-	w.hasty = true
+	w.shortPoll = true
 	if t == nil {
 		return
 	}
-	r := t.find(g.Run)
+	r := t.findRun(g.Run)
 	if r == nil || r.worker != w || r.state != stopping {
 		return
 	}
-	if r.stopped == 0 {
-		r.stopped = m.now
+	if r.stopAckedAt == 0 {
+		r.stopAckedAt = m.now
 	}
 }
--- a/fleet/batch/pace.go
+++ b/fleet/batch/pace.go
@@ -4,18 +4,18 @@
 
 // Pace of filling tasks: they work with what others leave, and must not make lasting tasks miss their target.
 const (
-	paceEveryMs  = 500  // between changes of one worker's pace.
-	paceStepUp   = 20   // percent
-	tailHigh     = 0.85 // of the target: filling tasks are slowed down above it.
-	tailLow      = 0.6  // of the target: they are let on below it.
-	paceSlowdown = 0.5
-	leastPace    = 10 // percent; below it they are stopped.
+	paceIntervalMs = 500  // between changes of one worker's pace.
+	paceStepUp     = 20   // percent
+	slowDownAbove  = 0.85 // of the target: filling tasks are slowed down above it.
+	speedUpBelow   = 0.6  // of the target: they are let on below it.
+	paceSlowdown   = 0.5
+	minPace        = 10 // percent; below it they are stopped.
 )
 
 // paceWorkers adapts the pace of the filling tasks of each worker to the tail of the lasting tasks beside them.
 func (m *Model) paceWorkers() {
-	for _, w := range m.list {
-		if m.now-w.pacedAt < paceEveryMs || w.silent != 0 || len(w.runs) == 0 {
+	for _, w := range m.workerList {
+		if m.now-w.pacedAt < paceIntervalMs || w.silentSince != 0 || len(w.runs) == 0 {
 			continue
 		}
 		tail := 0.0
@@ -31,47 +31,47 @@
 			}
 		}
 		if len(fill) > 0 {
-			m.pace(w, fill, tail)
+			m.adjustPace(w, fill, tail)
 		}
 	}
 }
 
-func (m *Model) pace(w *worker, fill []*run, tail float64) {
+func (m *Model) adjustPace(w *worker, fill []*run, tail float64) {
 	w.pacedAt = m.now
 	for _, r := range fill {
 		next := r.pace
 		switch {
 		case tail > 1:
 			next = 0
-		case tail > tailHigh:
+		case tail > slowDownAbove:
 			next = int(float64(r.pace) * paceSlowdown)
-			if next < leastPace {
+			if next < minPace {
 				next = 0
 			}
-		case tail < tailLow:
+		case tail < speedUpBelow:
 			next = min(r.pace+paceStepUp, fullPace)
 		}
 		if next == r.pace {
 			continue
 		}
 		r.pace = next
-		m.do(PaceCmd{Worker: w.ID, Addr: w.Addr, Task: r.task.name(), Run: r.number, Percent: next, Fence: m.cfg.Fence})
+		m.emit(PaceCmd{Worker: w.ID, Addr: w.Addr, Task: r.task.name(), Run: r.number, Percent: next, Fence: m.cfg.Fence})
 	}
 }
 
-// paced takes in what became of a change of pace; one that may not have been carried out is made again.
-func (m *Model) paced(g PacedMsg) {
+// paceAnswered takes in what became of a change of pace; one that may not have been carried out is made again.
+func (m *Model) paceAnswered(g PacedMsg) {
 	w, t := m.workers[g.Worker], m.task(g.Task)
 	if g.Result == OK || w == nil || t == nil {
 		return
 	}
-	if r := t.find(g.Run); r != nil && r.worker == w && r.pace == g.Percent {
+	if r := t.findRun(g.Run); r != nil && r.worker == w && r.pace == g.Percent {
 		r.pace = min(max(g.Percent+1, 1), fullPace-1) // differs from any pace that is asked for next.
 	}
 }
 
-// hasTarget reports whether a lasting task with a target runs at w beside filling ones.
-func (w *worker) hasTarget() bool {
+// needsPacing reports whether a lasting task with a target runs at w beside filling ones.
+func (w *worker) needsPacing() bool {
 	fills, serves := false, false
 	for _, r := range w.runs {
 		fills = fills || r.task.stage.Fills
@@ -80,7 +80,7 @@
 	return fills && serves
 }
 
-// lastingJob reports whether the job has steps that last.
-func lastingJob(j *job) bool {
+// hasLastingSteps reports whether the job has steps that last.
+func hasLastingSteps(j *job) bool {
 	return slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Lasting })
 }
--- a/fleet/batch/place.go
+++ b/fleet/batch/place.go
@@ -8,28 +8,28 @@
 
 // Placement.
 const (
-	placeGapMs  = 4     // between two placements of a pool: what comes meanwhile is placed together.
-	farWeight   = 4.0   // load by which a worker away from the data counts as fuller.
-	slowWeight  = 0.5   // load for each multiple of the usual run time that a worker takes.
-	avoidWeight = 2.0   // load of a worker on which the task failed or was lost.
-	maxStarting = 24    // starts that one worker has unanswered at a time.
-	stuckMs     = 1_500 // a task that has not advanced for so long, and for several times its run time, is started elsewhere.
-	stuckTimes  = 2.5
+	placeIntervalMs     = 4     // between two placements of a pool: what comes meanwhile is placed together.
+	remoteDataCost      = 4.0   // load by which a worker away from the data counts as fuller.
+	slowWorkerCost      = 0.5   // load for each multiple of the usual run time that a worker takes.
+	avoidedWorkerCost   = 2.0   // load of a worker on which the task failed or was lost.
+	maxUnansweredStarts = 24    // starts that one worker has unanswered at a time.
+	minStuckMs          = 1_500 // a task that has not advanced for so long, and for several times its run time, is started elsewhere.
+	stuckFactor         = 2.5
 )
 
 // placeAll places the waiting tasks of every pool in which something has changed.
 func (m *Model) placeAll() {
-	m.unplaced = false
+	m.placementPending = false
 	for _, n := range sortedKeys(m.pools) {
 		p := m.pools[n]
 		if !p.dirty {
 			continue
 		}
-		if m.now-p.placed < placeGapMs {
-			m.unplaced = true
+		if m.now-p.placedAt < placeIntervalMs {
+			m.placementPending = true
 			continue
 		}
-		p.dirty, p.placed = false, m.now
+		p.dirty, p.placedAt = false, m.now
 		m.place(p)
 	}
 }
@@ -50,7 +50,7 @@
 			if !m.mayStart(t) {
 				continue
 			}
-			w := m.choose(p, t, held)
+			w := m.chooseWorker(p, t, held)
 			if w == nil {
 				if k := m.emptiest(p, s, held, nil); k != nil {
 					held[k] = true
@@ -58,59 +58,59 @@
 				}
 				break
 			}
-			m.start(t, w, t.last+1)
+			m.startRun(t, w, t.lastRun+1)
 		}
 	}
 }
 
 // readyStages returns the stages with tasks to start, those to be served first at the front, and sums up the backlog.
 func (m *Model) readyStages(p *pool) []*stage {
-	l := p.ready[:0]
+	l := p.readyStages[:0]
 	backlog := int64(0)
-	for _, j := range p.open {
+	for _, j := range p.openJobs {
 		if j.phase != open {
 			continue
 		}
 		for _, r := range j.rounds {
 			for _, s := range r.stages {
-				if s.left == 0 {
+				if s.tasksLeft == 0 {
 					continue
 				}
-				if !s.Lasting && !m.blocked(s) {
-					backlog += int64(s.left) * s.Step.Size.CPU * int64(s.runMs)
+				if !s.Lasting && !m.waitsForFormer(s) {
+					backlog += int64(s.tasksLeft) * s.Step.Size.CPU * int64(s.runMs)
 				}
-				if s.waiting > 0 && s.ready() {
+				if s.tasksWaiting > 0 && s.ready() {
 					s.rank = m.rankOf(s)
 					l = append(l, s)
 				}
 			}
 		}
 	}
-	slices.SortFunc(l, order)
-	p.ready, p.backlog = l, float64(backlog)
+	slices.SortFunc(l, compareStages)
+	p.readyStages, p.backlog = l, float64(backlog)
 	return l
 }
 
 // rank is the place of a stage in the order of service: lasting tasks first, then what can still be on time by priority and due
 // time, then what is late.
 type rank struct {
-	class    int
-	hopeless bool
-	due      int64
+	class int
+	late  bool
+	due   int64
 }
 
 func (m *Model) rankOf(s *stage) rank {
-	r := rank{class: class(s), due: m.dueOf(s)}
-	r.hopeless = !s.Lasting && m.now+int64(s.restMs) > r.due
+	r := rank{class: priorityClass(s), due: m.dueTime(s)}
+	r.late = !s.Lasting && m.now+int64(s.chainMs) > r.due
 	return r
 }
 
-func order(a, b *stage) int {
+func compareStages(a, b *stage) int {
 	if c := cmp.Compare(a.rank.class, b.rank.class); c != 0 {
 		return c
 	}
-	if a.rank.hopeless != b.rank.hopeless {
-		if b.rank.hopeless {
+	if a.rank.late != b.rank.late {
+		if b.rank.late {
 			return -1
 		}
 		return 1
@@ -123,7 +123,7 @@
 	)
 }
 
-func class(s *stage) int {
+func priorityClass(s *stage) int {
 	switch {
 	case s.Lasting && !s.Fills:
 		return 0
@@ -133,63 +133,63 @@
 	return 1
 }
 
-func (m *Model) dueOf(s *stage) int64 {
+func (m *Model) dueTime(s *stage) int64 {
 	if s.job.Rounds > 0 {
-		return s.round.due + s.job.due - s.job.firstAt
+		return s.round.dueAt + s.job.dueAt - s.job.submittedAt
 	}
-	return s.job.due
+	return s.job.dueAt
 }
 
 // mayStart reports whether t may be started now.
 func (m *Model) mayStart(t *task) bool {
-	if t.done || len(t.runs) > 0 || t.after > m.now {
+	if t.done || len(t.runs) > 0 || t.notBefore > m.now {
 		return false
 	}
-	return t.ours || !m.blocked(t.stage)
+	return t.noFormerRuns || !m.waitsForFormer(t.stage)
 }
 
-// blocked reports whether a former owner may have started tasks of s at a worker that has not been read yet.
-func (m *Model) blocked(s *stage) bool {
-	return s.job.loaded && !s.ours && m.now < m.blind && (m.unseen(s.job.Service) || m.unread(s.job.Service))
+// waitsForFormer reports whether a former owner may have started tasks of s at a worker that has not been read yet.
+func (m *Model) waitsForFormer(s *stage) bool {
+	return s.job.loaded && !s.noFormerRuns && m.now < m.blindUntil && (m.workersUnlisted(s.job.Service) || m.workersUnread(s.job.Service))
 }
 
-// unseen reports whether a machine of the pool may have a worker that is not listed: its entry lapses while it does not reach the
+// workersUnlisted reports whether a machine of the pool may have a worker that is not listed: its entry lapses while it does not reach the
 // store, and it goes on with what a former owner gives it.
-func (m *Model) unseen(service string) bool {
-	return m.duty.listed == 0 || m.pool(service).tally.unseen > 0
+func (m *Model) workersUnlisted(service string) bool {
+	return m.fleet.listReadAt == 0 || m.pool(service).counts.unlisted > 0
 }
 
-// unread reports whether a worker that a former owner used has not told what it runs.
-func (m *Model) unread(service string) bool {
-	return slices.ContainsFunc(m.pool(service).workers, func(w *worker) bool { return !w.synced && !w.over })
+// workersUnread reports whether a worker that a former owner used has not told what it runs.
+func (m *Model) workersUnread(service string) bool {
+	return slices.ContainsFunc(m.pool(service).workers, func(w *worker) bool { return !w.synced && !w.dead })
 }
 
-// takes reports whether w may be given a task of s at all.
-func (m *Model) takes(w *worker, s *stage) bool {
+// eligible reports whether w may be given a task of s at all.
+func (m *Model) eligible(w *worker, s *stage) bool {
 	switch {
-	case !w.listed, w.over, !w.synced, w.silent != 0, w.Draining, w.cordoned, m.now < w.barred, m.now < w.aside:
+	case !w.listed, w.dead, !w.synced, w.silentSince != 0, w.Draining, w.cordoned, m.now < w.noStartsBefore, m.now < w.quarantinedUntil:
 		return false
-	case !m.fresh && w.lifeAt > m.checked:
+	case !m.claimFresh && w.lifetimeKnownAt > m.soleOwnerUntil:
 		return false // it may have restarted since a successor fenced it: nothing would keep this owner off.
 	case s.Label != "" && !slices.Contains(w.Labels, s.Label):
 		return false
-	case s.PerWorker > 0 && s.on(w) >= s.PerWorker:
+	case s.PerWorker > 0 && s.runsOn(w) >= s.PerWorker:
 		return false
 	}
-	return m.ticketed(w, s) && w.starting < maxStarting
+	return m.hasTicket(w, s) && w.unansweredStarts < maxUnansweredStarts
 }
 
-// room is what is free at w.
-func (w *worker) room() Size { return w.Room.minus(w.used) }
+// freeRoom is what is free at w.
+func (w *worker) freeRoom() Size { return w.Room.minus(w.used) }
 
-// choose returns the worker for t, nil when none has room.
-func (m *Model) choose(p *pool, t *task, held map[*worker]bool) *worker {
+// chooseWorker returns the worker for t, nil when none has room.
+func (m *Model) chooseWorker(p *pool, t *task, held map[*worker]bool) *worker {
 	var best *worker
 	low := 0.0
 	s := t.stage
 	size := s.size()
 	for _, w := range p.workers {
-		if held[w] || !size.Fits(w.room()) || !m.takes(w, s) {
+		if held[w] || !size.Fits(w.freeRoom()) || !m.eligible(w, s) {
 			continue
 		}
 		if c := m.cost(w, t); best == nil || c < low {
@@ -203,26 +203,26 @@
 // moved; lasting ones go where least is taken.
 func (m *Model) cost(w *worker, t *task) float64 {
 	s := t.stage
-	c := slowWeight * max(w.slow-1, 0)
+	c := slowWorkerCost * max(w.slowdown-1, 0)
 	if s.Lasting {
-		c += load(w.used.plus(s.Step.Size), w.Room)
+		c += loadShare(w.used.plus(s.Step.Size), w.Room)
 	} else {
-		c -= load(w.used, w.Room)
+		c -= loadShare(w.used, w.Room)
 	}
 	if s.DataRack != "" && s.DataRack != w.rack {
-		c += farWeight
+		c += remoteDataCost
 	}
-	if slices.Contains(t.avoid, w.ID) {
-		c += avoidWeight
+	if slices.Contains(t.avoidWorkers, w.ID) {
+		c += avoidedWorkerCost
 	}
 	if s.Lasting {
-		c += float64(s.inRack(w.rack)) / float64(s.Count)
+		c += float64(s.runsInRack(w.rack)) / float64(s.Count)
 	}
 	return c
 }
 
-// inRack returns the number of the stage's runs in the rack.
-func (s *stage) inRack(rack string) int {
+// runsInRack returns the number of the stage's runs in the rack.
+func (s *stage) runsInRack(rack string) int {
 	n := 0
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
@@ -234,11 +234,11 @@
 	return n
 }
 
-func load(used, room Size) float64 {
-	return max(share(used.CPU, room.CPU), share(used.MemMB, room.MemMB), share(used.GPU, room.GPU))
+func loadShare(used, room Size) float64 {
+	return max(ratio(used.CPU, room.CPU), ratio(used.MemMB, room.MemMB), ratio(used.GPU, room.GPU))
 }
 
-func share(a, b int64) float64 {
+func ratio(a, b int64) float64 {
 	if b <= 0 {
 		return 0
 	}
@@ -249,10 +249,10 @@
 func (m *Model) emptiest(p *pool, s *stage, held map[*worker]bool, extra map[*worker]Size) *worker {
 	var best *worker
 	for _, w := range p.workers {
-		if held[w] || !s.size().Fits(w.roomOnceEmptied().minus(extra[w])) || !m.takes(w, s) {
+		if held[w] || !s.size().Fits(w.roomOnceEmptied().minus(extra[w])) || !m.eligible(w, s) {
 			continue
 		}
-		if best == nil || w.room().minus(extra[w]).CPU > best.room().minus(extra[best]).CPU {
+		if best == nil || w.freeRoom().minus(extra[w]).CPU > best.freeRoom().minus(extra[best]).CPU {
 			best = w
 		}
 	}
@@ -270,21 +270,21 @@
 	return free
 }
 
-// start starts run n of t at w.
-func (m *Model) start(t *task, w *worker, n int) {
-	r := &run{task: t, number: n, worker: w, asked: m.now, pace: fullPace, born: w.Born, resumed: t.saved != "", own: true}
-	r.until = m.clockNow(w) + startLeaseMs
-	w.until = max(w.until, r.until)
+// startRun starts run n of t at w.
+func (m *Model) startRun(t *task, w *worker, n int) {
+	r := &run{task: t, number: n, worker: w, startSentAt: m.now, pace: fullPace, workerBorn: w.Born, resumed: t.checkpoint != "", ownStart: true}
+	r.startExpiresAt = m.workerClock(w) + startExpiryMs
+	w.leaseUntil = max(w.leaseUntil, r.startExpiresAt)
 	if j := t.stage.job; !j.started {
-		m.log("job started", j.ID, "queue", j.Queue, "waitMs", m.now-j.firstAt, "leftMs", j.due-m.now, "worker", w.ID)
+		m.log("job started", j.ID, "queue", j.Queue, "waitMs", m.now-j.submittedAt, "leftMs", j.dueAt-m.now, "worker", w.ID)
 	}
 	if t.stage.Lasting {
 		m.log("lasting task placed", t.stage.job.ID, "task", t.name().String(), "run", n, "worker", w.ID, "rack", w.rack)
 	}
-	m.attach(r)
-	m.do(StartCmd{
-		Worker: w.ID, Addr: w.Addr, Task: t.name(), Run: n, Spec: t.stage.job.Spec, UntilMs: r.until,
-		Fence: m.cfg.Fence, Saved: t.saved, Ticket: t.stage.ticket(w, m.now),
+	m.attachRun(r)
+	m.emit(StartCmd{
+		Worker: w.ID, Addr: w.Addr, Task: t.name(), Run: n, Spec: t.stage.job.Spec, UntilMs: r.startExpiresAt,
+		Fence: m.cfg.Fence, Saved: t.checkpoint, Ticket: t.stage.ticket(w, m.now),
 	})
 }
 
@@ -300,22 +300,22 @@
 		at = m.gangInRack(p, s, held, at)
 	}
 	if at == nil {
-		m.holdForGang(p, s, held)
+		m.reserveForGang(p, s, held)
 		return
 	}
 	n := 0
 	for _, t := range s.tasks {
-		n = max(n, t.last)
+		n = max(n, t.lastRun)
 	}
-	saved := s.tasks[0].saved
+	saved := s.tasks[0].checkpoint
 	for i, t := range s.tasks {
-		t.saved = saved
-		m.start(t, at[i], n+1)
+		t.checkpoint = saved
+		m.startRun(t, at[i], n+1)
 	}
 }
 
-// holdForGang keeps the emptiest workers on which all tasks of s fit, unless even these are too few.
-func (m *Model) holdForGang(p *pool, s *stage, held map[*worker]bool) {
+// reserveForGang keeps the emptiest workers on which all tasks of s fit, unless even these are too few.
+func (m *Model) reserveForGang(p *pool, s *stage, held map[*worker]bool) {
 	extra, count := map[*worker]Size{}, map[*worker]int{}
 	full := maps.Clone(held)
 	for range s.tasks {
@@ -325,7 +325,7 @@
 		}
 		extra[w] = extra[w].plus(s.size())
 		count[w]++
-		full[w] = s.PerWorker > 0 && s.on(w)+count[w] >= s.PerWorker
+		full[w] = s.PerWorker > 0 && s.runsOn(w)+count[w] >= s.PerWorker
 	}
 	for w := range extra {
 		held[w] = true
@@ -356,13 +356,13 @@
 	for range s.tasks {
 		var best *worker
 		for _, w := range p.workers {
-			if held[w] || (rack != "" && w.rack != rack) || !m.takes(w, s) || !size.Fits(w.room().minus(extra[w])) {
+			if held[w] || (rack != "" && w.rack != rack) || !m.eligible(w, s) || !size.Fits(w.freeRoom().minus(extra[w])) {
 				continue
 			}
-			if s.PerWorker > 0 && s.on(w)+count[w] >= s.PerWorker {
+			if s.PerWorker > 0 && s.runsOn(w)+count[w] >= s.PerWorker {
 				continue
 			}
-			if best == nil || w.room().minus(extra[w]).CPU > best.room().minus(extra[best]).CPU {
+			if best == nil || w.freeRoom().minus(extra[w]).CPU > best.freeRoom().minus(extra[best]).CPU {
 				best = w
 			}
 		}
@@ -383,11 +383,11 @@
 			for _, r := range w.runs {
 				if m.stuck(r) {
 					t := r.task
-					m.log("run stuck", t.stage.job.ID, "task", t.name().String(), "run", r.number, "worker", w.ID, "percent", r.percent, "sinceMs", m.now-r.moved)
-					t.avoid = append(t.avoid, w.ID)
-					w.slow = max(w.slow, stuckTimes)
+					m.log("run stuck", t.stage.job.ID, "task", t.name().String(), "run", r.number, "worker", w.ID, "percent", r.percent, "sinceMs", m.now-r.advancedAt)
+					t.avoidWorkers = append(t.avoidWorkers, w.ID)
+					w.slowdown = max(w.slowdown, stuckFactor)
 					r.evicted = true
-					m.stop(r)
+					m.stopRun(r)
 				}
 			}
 		}
@@ -396,9 +396,9 @@
 
 func (m *Model) stuck(r *run) bool {
 	s := r.task.stage
-	if r.state != running || s.Lasting || s.Gang || r.worker.silent != 0 {
+	if r.state != running || s.Lasting || s.Gang || r.worker.silentSince != 0 {
 		return false
 	}
-	limit := max(stuckMs, int64(stuckTimes*s.runMs))
-	return r.listed-r.moved > limit && r.percent < 100
+	limit := max(minStuckMs, int64(stuckFactor*s.runMs))
+	return r.listedAt-r.advancedAt > limit && r.percent < 100
 }
--- a/fleet/batch/preempt.go
+++ b/fleet/batch/preempt.go
@@ -8,17 +8,17 @@
 // preempt stops tasks at w that come after s in the order of service, so that a task of s fits; only tasks that go on from a
 // checkpoint, and none when they are too few.
 func (m *Model) preempt(w *worker, s *stage) {
-	free := w.room()
+	free := w.freeRoom()
 	var l []*run
 	for _, r := range w.runs {
 		switch {
 		case r.state == stopping && r.evicted:
 			free = free.plus(r.task.stage.size())
-		case r.state == running && givesWay(r.task.stage, s):
+		case r.state == running && yieldsTo(r.task.stage, s):
 			l = append(l, r)
 		}
 	}
-	slices.SortFunc(l, func(a, b *run) int { return cmp.Compare(b.known, a.known) }) // the youngest have done least.
+	slices.SortFunc(l, func(a, b *run) int { return cmp.Compare(b.confirmedAt, a.confirmedAt) }) // the youngest have done least.
 	n := 0
 	for n < len(l) && !s.size().Fits(free) {
 		free = free.plus(l[n].task.stage.size())
@@ -31,17 +31,17 @@
 		j := r.task.stage.job
 		m.log("run preempted", j.ID, "task", r.task.name().String(), "run", r.number, "worker", w.ID, "for", s.job.ID, "percent", r.percent)
 		r.evicted = true
-		m.stop(r)
+		m.stopRun(r)
 	}
 }
 
-// givesWay reports whether tasks of o give way to s.
-func givesWay(o, s *stage) bool {
+// yieldsTo reports whether tasks of o give way to s.
+func yieldsTo(o, s *stage) bool {
 	if !o.Checkpoints || o.Lasting || o.Gang {
 		return false
 	}
-	if class(s) != class(o) {
-		return class(s) < class(o)
+	if priorityClass(s) != priorityClass(o) {
+		return priorityClass(s) < priorityClass(o)
 	}
-	return !s.rank.hopeless && s.job.Priority < o.job.Priority
+	return !s.rank.late && s.job.Priority < o.job.Priority
 }
--- a/fleet/batch/task.go
+++ b/fleet/batch/task.go
@@ -14,55 +14,55 @@
 // job is a job under way.
 type job struct {
 	Job
-	phase        phase
-	final        State // what it ended as, while phase is ended.
-	shown        State // what callers may see of its end: final, once the store has it.
-	started      bool
-	old          bool  // its record is being removed.
-	copied       int   // version of the progress that says that copies may be started; 0 before.
-	copiedBefore bool  // a former owner may have started copies.
-	loaded       bool  // accepted by a former owner.
-	firstAt      int64 // steady time at which its caller first sent it, as far as known.
-	endedAt      int64
-	due          int64 // when it earns in full at the latest.
-	rounds       []*round
-	next         int // the next round to open.
-
-	version, stored int   // of its progress; stored is what the store has.
-	rev             int64 // of its progress in the store.
-	refs            []uint64
-	cancels         []uint64
-	doubt           bool  // its acceptance may have been written.
-	tried           int64 // when its acceptance was first asked for.
+	phase         phase
+	finalState    State // what it ended as, while phase is ended.
+	shownState    State // what callers may see of its end: final, once the store has it.
+	started       bool
+	purging       bool  // its record is being removed.
+	copiesVersion int   // version of the progress that says that copies may be started; 0 before.
+	formerCopies  bool  // a former owner may have started copies.
+	loaded        bool  // accepted by a former owner.
+	submittedAt   int64 // steady time at which its caller first sent it, as far as known.
+	endedAt       int64
+	dueAt         int64 // when it earns in full at the latest.
+	rounds        []*round
+	nextRound     int // the next round to open.
+
+	version, storedVersion int   // of its progress; stored is what the store has.
+	rev                    int64 // of its progress in the store.
+	submitRefs             []uint64
+	cancelRefs             []uint64
+	maybeStored            bool  // its acceptance may have been written.
+	firstTriedAt           int64 // when its acceptance was first asked for.
 }
 
 // round is one run of all steps.
 type round struct {
-	number int
-	due    int64
-	stages []*stage
-	left   int // stages that are not done.
+	number     int
+	dueAt      int64
+	stages     []*stage
+	stagesLeft int // stages that are not done.
 }
 
 // stage is one step of one round.
 type stage struct {
 	Step
-	job     *job
-	round   *round
-	number  int
-	tasks   []*task
-	left    int     // tasks that are not done.
-	waiting int     // of those, the ones without a run.
-	runMs   float64 // expected run time of one task.
-	rank    rank    // in the last order of service.
-	restMs  float64 // the same for the longest chain from here on.
-
-	ours     bool              // no former owner can have started any of its tasks.
-	tickets  map[string]ticket // by worker.
-	denied   map[string]bool   // workers that may not run the step.
-	asked    []string          // workers that the last request for advice named.
-	asking   bool
-	askAfter int64
+	job          *job
+	round        *round
+	number       int
+	tasks        []*task
+	tasksLeft    int     // tasks that are not done.
+	tasksWaiting int     // of those, the ones without a run.
+	runMs        float64 // expected run time of one task.
+	rank         rank    // in the last order of service.
+	chainMs      float64 // the same for the longest chain from here on.
+
+	noFormerRuns   bool              // no former owner can have started any of its tasks.
+	tickets        map[string]ticket // by worker.
+	denied         map[string]bool   // workers that may not run the step.
+	askedWorkers   []string          // workers that the last request for advice named.
+	adviceInFlight bool
+	nextAdviceAt   int64
 }
 
 // task is one task of a stage.
@@ -70,13 +70,13 @@
 	stage           *stage
 	index           int
 	done            bool
-	failed          []int // runs that ended failed.
-	last            int   // highest run number.
+	failedRuns      []int // runs that ended failed.
+	lastRun         int   // highest run number.
 	runs            []*run
-	saved           string
-	after           int64 // not started before.
-	avoid           []string
-	ours            bool // no former owner can have started it at a worker that has not been read.
+	checkpoint      string
+	notBefore       int64 // not started before.
+	avoidWorkers    []string
+	noFormerRuns    bool // no former owner can have started it at a worker that has not been read.
 	unknownToFormer bool // it is done, and no former owner can know that.
 }
 
@@ -86,37 +86,37 @@
 const (
 	starting runState = iota
 	running
-	unsure   // the start was not answered.
-	stopping // a stop was sent.
+	unconfirmed // the start was not answered.
+	stopping    // a stop was sent.
 )
 
 // run is one start of a task at a worker.
 type run struct {
-	task    *task
-	number  int
-	worker  *worker
-	state   runState
-	asked   int64 // when the start was sent.
-	known   int64 // when the start was answered or the run was first listed.
-	until   int64 // on the worker's clock: the start is not carried out later.
-	born    int64 // the worker's lifetime on whose clock until is.
-	stopped int64 // when the stop was answered; 0 before.
-	stopAt  int64 // when the last stop was sent.
-	percent int
-	moved   int64 // when percent last changed.
-	listed  int64 // when the worker last listed it.
-	gauge   int64
-	pace    int
-	resumed bool // it began from a checkpoint.
-	evicted bool // it was stopped by our own choice.
-	own     bool // this owner started it.
+	task           *task
+	number         int
+	worker         *worker
+	state          runState
+	startSentAt    int64 // when the start was sent.
+	confirmedAt    int64 // when the start was answered or the run was first listed.
+	startExpiresAt int64 // on the worker's clock: the start is not carried out later.
+	workerBorn     int64 // the worker's lifetime on whose clock until is.
+	stopAckedAt    int64 // when the stop was answered; 0 before.
+	stopSentAt     int64 // when the last stop was sent.
+	percent        int
+	advancedAt     int64 // when percent last changed.
+	listedAt       int64 // when the worker last listed it.
+	gauge          int64
+	pace           int
+	resumed        bool // it began from a checkpoint.
+	evicted        bool // it was stopped by our own choice.
+	ownStart       bool // this owner started it.
 }
 
 func (t *task) name() TaskName {
 	return TaskName{Job: t.stage.job.ID, Round: t.stage.round.number, Step: t.stage.number, Index: t.index}
 }
 
-func (t *task) find(n int) *run {
+func (t *task) findRun(n int) *run {
 	for _, r := range t.runs {
 		if r.number == n {
 			return r
@@ -133,8 +133,8 @@
 	return s.Step.Size
 }
 
-// on returns the number of the stage's runs on w.
-func (s *stage) on(w *worker) int {
+// runsOn returns the number of the stage's runs runsOn w.
+func (s *stage) runsOn(w *worker) int {
 	n := 0
 	for _, r := range w.runs {
 		if r.task.stage == s {
@@ -146,13 +146,13 @@
 
 // ready reports whether all earlier stages that s waits for are done.
 func (s *stage) ready() bool {
-	return !slices.ContainsFunc(s.After, func(a int) bool { return s.round.stages[a].left > 0 })
+	return !slices.ContainsFunc(s.After, func(a int) bool { return s.round.stages[a].tasksLeft > 0 })
 }
 
-func (j *job) open(number int, due int64) *round {
-	r := &round{number: number, due: due, left: len(j.Steps)}
+func (j *job) addRound(number int, due int64) *round {
+	r := &round{number: number, dueAt: due, stagesLeft: len(j.Steps)}
 	for i, p := range j.Steps {
-		s := &stage{Step: p, job: j, round: r, number: i, left: p.Count, waiting: p.Count, tasks: make([]*task, p.Count)}
+		s := &stage{Step: p, job: j, round: r, number: i, tasksLeft: p.Count, tasksWaiting: p.Count, tasks: make([]*task, p.Count)}
 		for k := range s.tasks {
 			s.tasks[k] = &task{stage: s, index: k}
 		}
@@ -187,85 +187,85 @@
 // openRounds opens the rounds that are due.
 func (m *Model) openRounds() {
 	for _, p := range m.pools {
-		for _, j := range p.open {
-			for j.phase == open && j.next < max(j.Rounds, 1) && m.roundDue(j) <= m.now {
-				m.forecast(j.open(j.next, m.roundDue(j)))
-				j.next++
+		for _, j := range p.openJobs {
+			for j.phase == open && j.nextRound < max(j.Rounds, 1) && m.roundDue(j) <= m.now {
+				m.setExpectedTimes(j.addRound(j.nextRound, m.roundDue(j)))
+				j.nextRound++
 				p.dirty = true
 			}
 		}
 	}
 }
 
-// forecast sets the expected run times of the stages of a round.
-func (m *Model) forecast(r *round) {
+// setExpectedTimes sets the expected run times of the stages of a round.
+func (m *Model) setExpectedTimes(r *round) {
 	for i := len(r.stages) - 1; i >= 0; i-- {
 		s := r.stages[i]
-		s.runMs = m.queue(s.job.Queue).expect(float64(s.EstimateMs))
+		s.runMs = m.estimator(s.job.Queue).expectedMs(float64(s.EstimateMs))
 		for _, o := range r.stages[i+1:] {
 			if slices.Contains(o.After, i) {
-				s.restMs = max(s.restMs, o.restMs)
+				s.chainMs = max(s.chainMs, o.chainMs)
 			}
 		}
-		s.restMs += s.runMs
+		s.chainMs += s.runMs
 	}
 }
 
 // roundDue returns the steady time at which the next round of j is due.
 func (m *Model) roundDue(j *job) int64 {
 	if j.Rounds == 0 {
-		return j.firstAt
+		return j.submittedAt
 	}
-	return j.FirstMs + int64(j.next)*j.EveryMs - m.wall
+	return j.FirstMs + int64(j.nextRound)*j.EveryMs - m.wallOffset
 }
 
-// change notes that the progress of j must be written.
-func (m *Model) change(j *job) {
+// markChanged notes that the progress of j must be written.
+func (m *Model) markChanged(j *job) {
 	j.version++
-	m.commits.add(j)
+	m.commits.addProgress(j)
 	m.pool(j.Service).dirty = true
 }
 
-// drop forgets a run that certainly is not at its worker any more.
-func (m *Model) drop(r *run) {
+// dropRun forgets a run that certainly is not at its worker any more.
+func (m *Model) dropRun(r *run) {
 	w := r.worker
 	i := slices.Index(w.runs, r)
 	if i < 0 {
 		return
 	}
 	w.runs = slices.Delete(w.runs, i, i+1)
-	w.usedAt = m.now
+	w.lastUsedAt = m.now
 	if r.state == starting {
-		w.starting--
+		w.unansweredStarts--
 	}
 	w.used = w.used.minus(r.task.stage.size())
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(o *run) bool { return o == r })
 	if len(r.task.runs) == 0 && !r.task.done {
-		r.task.stage.waiting++
+		r.task.stage.tasksWaiting++
 	}
 	m.pool(w.Service).dirty = true
 	m.pool(r.task.stage.job.Service).dirty = true
-	m.tidy(r.task.stage.job)
+	m.freeEnded(r.task.stage.job)
 }
 
-// attach adds a run to its worker and task.
-func (m *Model) attach(r *run) {
+// attachRun adds a run to its worker and task.
+func (m *Model) attachRun(r *run) {
 	r.worker.runs = append(r.worker.runs, r)
 	if r.state == starting {
-		r.worker.starting++
+		r.worker.unansweredStarts++
 	}
 	r.worker.used = r.worker.used.plus(r.task.stage.size())
 	r.task.runs = append(r.task.runs, r)
 	if len(r.task.runs) == 1 && !r.task.done {
-		r.task.stage.waiting--
+		r.task.stage.tasksWaiting--
 	}
-	r.task.last = max(r.task.last, r.number)
+	r.task.lastRun = max(r.task.lastRun, r.number)
 	r.task.stage.job.started = true
 }
 
-// tidy frees the tasks of a job that has ended and has nothing running.
-func (m *Model) tidy(j *job) {
-	if j.phase != ended || j.stored < j.version {
+// freeEnded frees the tasks of a job that has ended and has nothing running.
+func (m *Model) freeEnded(j *job) {
+	if j.phase != ended || j.storedVersion < j.version {
 		return
 	}
 	for _, r := range j.rounds {
@@ -285,7 +285,7 @@
 		return false
 	}
 	if saved != "" {
-		t.saved = saved
+		t.checkpoint = saved
 	}
 	switch how {
 	case Done:
@@ -294,8 +294,8 @@
 		}
 		t.unknownToFormer = unknownToFormer
 		m.taskDone(t)
-		if t.stage.left == 0 {
-			t.stage.opens()
+		if t.stage.tasksLeft == 0 {
+			t.stage.markNextStages()
 		}
 		return true
 	case Failed:
@@ -315,51 +315,51 @@
 			continue
 		}
 		o.done = true
-		s.left--
+		s.tasksLeft--
 		if len(o.runs) == 0 {
-			s.waiting--
+			s.tasksWaiting--
 		}
 		for _, r := range o.runs {
 			if o != t || !s.Gang {
-				m.stop(r)
+				m.stopRun(r)
 			}
 		}
 	}
-	if s.left == 0 {
-		s.round.left--
+	if s.tasksLeft == 0 {
+		s.round.stagesLeft--
 	}
 	m.checkDone(s.job)
-	m.change(s.job)
+	m.markChanged(s.job)
 }
 
-// opens notes that no former owner has started the steps after s, if for it a task of s has not ended; one that had copies may know
+// markNextStages notes that no former owner has started the steps after s, if for it a task of s has not ended; one that had copies may know
 // of other ends.
-func (s *stage) opens() {
-	if s.job.copiedBefore || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.unknownToFormer }) {
+func (s *stage) markNextStages() {
+	if s.job.formerCopies || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.unknownToFormer }) {
 		return
 	}
 	for _, o := range s.round.stages[s.number+1:] {
-		o.ours = o.ours || slices.Contains(o.After, s.number)
+		o.noFormerRuns = o.noFormerRuns || slices.Contains(o.After, s.number)
 	}
 }
 
 func (m *Model) checkDone(j *job) {
-	if j.next < max(j.Rounds, 1) || slices.ContainsFunc(j.rounds, func(r *round) bool { return r.left > 0 }) {
+	if j.nextRound < max(j.Rounds, 1) || slices.ContainsFunc(j.rounds, func(r *round) bool { return r.stagesLeft > 0 }) {
 		return
 	}
-	m.end(j, Completed)
+	m.endJob(j, Completed)
 }
 
-// end ends the job; callers see it once the store has it.
-func (m *Model) end(j *job, s State) {
-	j.phase, j.final, j.endedAt = ended, s, m.now
-	delete(m.pool(j.Service).open, j.ID)
-	m.log("job ended", j.ID, "state", string(s), "ageMs", m.now-j.firstAt, "lateMs", m.now-j.due)
+// endJob ends the job; callers see it once the store has it.
+func (m *Model) endJob(j *job, s State) {
+	j.phase, j.finalState, j.endedAt = ended, s, m.now
+	delete(m.pool(j.Service).openJobs, j.ID)
+	m.log("job ended", j.ID, "state", string(s), "ageMs", m.now-j.submittedAt, "lateMs", m.now-j.dueAt)
 	for _, r := range j.rounds {
 		for _, g := range r.stages {
 			for _, t := range g.tasks {
 				for _, u := range t.runs {
-					m.stop(u)
+					m.stopRun(u)
 				}
 			}
 		}
@@ -367,44 +367,44 @@
 }
 
 func (m *Model) taskFailed(t *task, number int) bool {
-	if slices.Contains(t.failed, number) {
+	if slices.Contains(t.failedRuns, number) {
 		return false
 	}
-	t.failed = append(t.failed, number)
+	t.failedRuns = append(t.failedRuns, number)
 	j := t.stage.job
-	if !t.stage.Lasting && j.Attempts > 0 && len(t.failed) >= j.Attempts {
-		m.end(j, Broke)
+	if !t.stage.Lasting && j.Attempts > 0 && len(t.failedRuns) >= j.Attempts {
+		m.endJob(j, Broke)
 	}
-	m.change(j)
+	m.markChanged(j)
 	return true
 }
 
 // unknownToFormer reports whether no former owner can know that the task is done when r ends so: r has begun under this owner, or it is
 // the first run and this owner found it running. Before a later run, an earlier one may have ended unheard.
-func (r *run) unknownToFormer() bool { return r.own || r.number == 1 }
+func (r *run) unknownToFormer() bool { return r.ownStart || r.number == 1 }
 
-// stop sends a stop for the run, unless one has been sent lately.
-func (m *Model) stop(r *run) {
-	if r.state == stopping && m.now-r.stopAt < stopRetryMs {
+// stopRun sends a stopRun for the run, unless one has been sent lately.
+func (m *Model) stopRun(r *run) {
+	if r.state == stopping && m.now-r.stopSentAt < stopRetryMs {
 		return
 	}
 	if r.state != stopping {
-		r.become(stopping)
-		r.stopped = 0
+		r.setState(stopping)
+		r.stopAckedAt = 0
 	}
-	r.stopAt = m.now
-	m.do(StopCmd{Worker: r.worker.ID, Addr: r.worker.Addr, Task: r.task.name(), Run: r.number, Fence: m.cfg.Fence})
+	r.stopSentAt = m.now
+	m.emit(StopCmd{Worker: r.worker.ID, Addr: r.worker.Addr, Task: r.task.name(), Run: r.number, Fence: m.cfg.Fence})
 }
 
-// become changes the run's state.
-func (r *run) become(s runState) {
+// setState changes the run's state.
+func (r *run) setState(s runState) {
 	if r.state == starting {
-		r.worker.starting--
+		r.worker.unansweredStarts--
 	}
 	r.state = s
 }
 
 // stopUnknown stops a run that no task has.
 func (m *Model) stopUnknown(w *worker, n TaskName, run int) {
-	m.do(StopCmd{Worker: w.ID, Addr: w.Addr, Task: n, Run: run, Fence: m.cfg.Fence})
+	m.emit(StopCmd{Worker: w.ID, Addr: w.Addr, Task: n, Run: run, Fence: m.cfg.Fence})
 }
--- a/fleet/batch/ticket.go
+++ b/fleet/batch/ticket.go
@@ -7,8 +7,8 @@
 
 // ticket allows one step on one worker until a steady time.
 type ticket struct {
-	text  string
-	until int64
+	text       string
+	validUntil int64
 }
 
 // AdviseCmd asks which workers may run a step.
@@ -29,21 +29,21 @@
 func (AdviseCmd) cmd()  {}
 func (AdvisedMsg) msg() {}
 
-// ticketed reports whether the step may run on w, and asks for advice when that is not known.
-func (m *Model) ticketed(w *worker, s *stage) bool {
+// hasTicket reports whether the step may run on w, and asks for advice when that is not known.
+func (m *Model) hasTicket(w *worker, s *stage) bool {
 	if !s.job.Advised {
 		return true
 	}
-	if t, ok := s.tickets[w.ID]; ok && t.until > m.now+startLeaseMs/4 {
+	if t, ok := s.tickets[w.ID]; ok && t.validUntil > m.now+startExpiryMs/4 {
 		return true
 	}
-	m.advise(s)
+	m.requestAdvice(s)
 	return false
 }
 
-// advise asks for tickets unless a request is under way or was made lately.
-func (m *Model) advise(s *stage) {
-	if s.asking || m.now < s.askAfter {
+// requestAdvice asks for tickets unless a request is under way or was made lately.
+func (m *Model) requestAdvice(s *stage) {
+	if s.adviceInFlight || m.now < s.nextAdviceAt {
 		return
 	}
 	var l []string
@@ -55,33 +55,33 @@
 	if len(l) == 0 {
 		return
 	}
-	s.asking, s.asked = true, l
-	m.do(AdviseCmd{Task: s.tasks[0].name(), Workers: l})
+	s.adviceInFlight, s.askedWorkers = true, l
+	m.emit(AdviseCmd{Task: s.tasks[0].name(), Workers: l})
 }
 
-// advised takes the tickets in; a worker that was named and not granted may never run the step.
-func (m *Model) advised(g AdvisedMsg) {
+// adviceAnswered takes the tickets in; a worker that was named and not granted may never run the step.
+func (m *Model) adviceAnswered(g AdvisedMsg) {
 	t := m.task(g.Task)
 	if t == nil {
 		return
 	}
 	s := t.stage
-	s.asking, s.askAfter = false, m.now+noRoomMs
+	s.adviceInFlight, s.nextAdviceAt = false, m.now+refusalBackoffMs
 	m.pool(s.job.Service).dirty = true
 	if g.Failed {
 		return
 	}
 	s.tickets, s.denied = map[string]ticket{}, map[string]bool{}
 	for w, x := range g.Tickets {
-		s.tickets[w] = ticket{text: x, until: g.Sent + g.ValidMs}
+		s.tickets[w] = ticket{text: x, validUntil: g.Sent + g.ValidMs}
 	}
-	for _, w := range s.asked {
+	for _, w := range s.askedWorkers {
 		s.denied[w] = s.tickets[w].text == ""
 	}
 }
 
 func (s *stage) ticket(w *worker, now int64) string {
-	if t := s.tickets[w.ID]; t.until > now {
+	if t := s.tickets[w.ID]; t.validUntil > now {
 		return t.text
 	}
 	return ""
--- a/fleet/batch/wave.go
+++ b/fleet/batch/wave.go
@@ -9,59 +9,59 @@
 	"strconv"
 )
 
-// poolShare is the share of a pool's workers that is taken out for upkeep at once.
-const poolShare = 0.34
+// maxUpkeepShare is the share of a pool's workers that is taken out for upkeep at once.
+const maxUpkeepShare = 0.34
 
-// idleShare is the load below which a worker counts as idle, lasting tasks aside.
-const idleShare = 0.05
+// maxIdleLoad is the load below which a worker counts as idle, lasting tasks aside.
+const maxIdleLoad = 0.05
 
 // wave is one order of the operator to maintain machines.
 type wave struct {
 	WaveMsg
-	begin    int64
+	beganAt  int64
 	begun    map[string]bool // the upkeep was or may have been ordered.
 	finished map[string]bool
 	reported bool
-	over     bool
+	done     bool
 
-	version, stored int
-	rev             int64
+	version, storedVersion int
+	rev                    int64
 }
 
 func (m *Model) setWave(g WaveMsg) {
-	d := &m.duty
+	d := &m.fleet
 	w := d.waves[g.Number]
 	if g.Gone {
 		if w != nil {
-			m.endWave(w)
+			m.releaseUnbegun(w)
 			delete(d.waves, g.Number)
 		}
 		return
 	}
 	if w == nil {
-		w = &wave{begin: m.now, begun: map[string]bool{}, finished: map[string]bool{}}
+		w = &wave{beganAt: m.now, begun: map[string]bool{}, finished: map[string]bool{}}
 		d.waves[g.Number] = w
 		m.log("wave ordered", "", "wave", g.Number, "machines", len(g.Machines), "most", g.Most, "durationMs", g.DurationMs)
 	}
 	w.WaveMsg = g
-	w.over = w.over || g.Completed
+	w.done = w.done || g.Completed
 }
 
-// endWave gives the machines back that have not begun.
-func (m *Model) endWave(w *wave) {
-	for _, k := range m.duty.list {
+// releaseUnbegun gives the machines back that have not begun.
+func (m *Model) releaseUnbegun(w *wave) {
+	for _, k := range m.fleet.list {
 		if k.wave == w && !w.begun[k.Name] {
-			m.release(k)
+			m.releaseMachine(k)
 		}
 	}
 }
 
 func (m *Model) loadWaves(l []StoredWave) {
 	for _, s := range l {
-		w := m.duty.waves[s.Number]
+		w := m.fleet.waves[s.Number]
 		if w == nil {
-			w = &wave{begin: m.now, finished: map[string]bool{}, begun: map[string]bool{}, WaveMsg: WaveMsg{Number: s.Number, Gone: true}}
-			m.duty.waves[s.Number] = w
+			w = &wave{beganAt: m.now, finished: map[string]bool{}, begun: map[string]bool{}, WaveMsg: WaveMsg{Number: s.Number, Gone: true}}
+			m.fleet.waves[s.Number] = w
 		}
 		w.rev = s.Rev
 		for _, n := range s.Begun {
@@ -74,56 +74,56 @@
 }
 
 func (m *Model) waveNumbers() []int {
-	l := make([]int, 0, len(m.duty.waves))
-	for n := range m.duty.waves {
+	l := make([]int, 0, len(m.fleet.waves))
+	for n := range m.fleet.waves {
 		l = append(l, n)
 	}
 	slices.Sort(l)
 	return l
 }
 
-// runWave takes the next steps of one wave.
-func (m *Model) runWave(w *wave) {
-	if w.over || w.Gone {
+// advanceWave takes the next steps of one wave.
+func (m *Model) advanceWave(w *wave) {
+	if w.done || w.Gone {
 		return
 	}
 	if !w.reported {
 		w.reported = true
-		m.do(ReportCmd{Wave: w.Number})
+		m.emit(ReportCmd{Wave: w.Number})
 	}
-	left, out := m.progressOf(w)
+	left, out := m.waveProgress(w)
 	if len(left) == 0 && out == 0 {
-		w.over = true
-		m.log("wave completed", "", "wave", w.Number, "tookMs", m.now-w.begin)
-		m.do(ReportCmd{Wave: w.Number, Completed: true})
+		w.done = true
+		m.log("wave completed", "", "wave", w.Number, "tookMs", m.now-w.beganAt)
+		m.emit(ReportCmd{Wave: w.Number, Completed: true})
 		return
 	}
 	if !m.mayOrder() {
 		return
 	}
-	m.pick(w, left, out)
-	for _, k := range m.duty.list {
+	m.takeOutMachines(w, left, out)
+	for _, k := range m.fleet.list {
 		if k.wave == w {
 			m.prepare(w, k)
 		}
 	}
 }
 
-// progressOf returns the machines whose upkeep has not been taken up, and the number that are or may be out.
-func (m *Model) progressOf(w *wave) ([]*machine, int) {
+// waveProgress returns the machines whose upkeep has not been taken up, and the number that are or may be out.
+func (m *Model) waveProgress(w *wave) ([]*machine, int) {
 	var left []*machine
 	out := 0
 	for _, n := range w.Machines {
-		k := m.duty.machines[n]
+		k := m.fleet.machines[n]
 		switch {
 		case k == nil || w.finished[n]:
 		case k.wave == w:
 			out++
 		case w.begun[n]: // a former owner may have ordered it: order it again to learn that it is done.
 			m.takeOut(w, k)
-			k.again = true
+			k.maybeRepeated = true
 			out++
-		case k.wave == nil && k.target == "":
+		case k.wave == nil && k.targetPool == "":
 			left = append(left, k)
 		default:
 			out++ // busy otherwise.
@@ -132,38 +132,38 @@
 	return left, out
 }
 
-// pick takes machines out for the wave: idle ones at any time, busy ones when the time that is left asks for it.
-func (m *Model) pick(w *wave, left []*machine, out int) {
-	span := max(w.begin+w.DurationMs-waveMarginMs-m.now, upkeepSpanMs)
-	need := int(math.Ceil(float64((len(left)+out)*upkeepSpanMs) / float64(span)))
-	slices.SortStableFunc(left, func(a, b *machine) int { return cmp.Compare(m.busyShare(a), m.busyShare(b)) })
+// takeOutMachines takes machines out for the wave: idle ones at any time, busy ones when the time that is left asks for it.
+func (m *Model) takeOutMachines(w *wave, left []*machine, out int) {
+	span := max(w.beganAt+w.DurationMs-waveMarginMs-m.now, upkeepDurationMs)
+	need := int(math.Ceil(float64((len(left)+out)*upkeepDurationMs) / float64(span)))
+	slices.SortStableFunc(left, func(a, b *machine) int { return cmp.Compare(m.shortTaskShare(a), m.shortTaskShare(b)) })
 	for _, k := range left {
 		if out >= w.Most {
 			return
 		}
-		if k.State != Up || !m.poolSpares(k) || !m.mayOrderTo(k) {
+		if k.State != Up || !m.belowUpkeepLimit(k) || !m.mayOrderTo(k) {
 			continue
 		}
-		if o := m.workerOf(k); o != nil && !m.read(o) || out >= need && !m.idle(k) {
+		if o := m.workerOf(k); o != nil && !m.knowsRuns(o) || out >= need && !m.canTakeNow(k) {
 			continue
 		}
 		m.takeOut(w, k)
 		out++
-		m.log("machine taken out", "", "machine", k.Name, "wave", w.Number, "pool", k.Pool, "worker", k.Worker, "load", m.busyShare(k))
+		m.log("machine taken out", "", "machine", k.Name, "wave", w.Number, "pool", k.Pool, "worker", k.Worker, "load", m.shortTaskShare(k))
 	}
 }
 
 // takeOut begins to empty a machine for its upkeep.
 func (m *Model) takeOut(w *wave, k *machine) {
-	k.wave, k.since, k.oldWorker = w, m.now, k.Worker
-	m.pool(k.Pool).tally.upkeep++
+	k.wave, k.preparingSince, k.oldWorkerID = w, m.now, k.Worker
+	m.pool(k.Pool).counts.upkeep++
 	if o := m.workerOf(k); o != nil {
 		o.cordoned = true
 	}
 }
 
-// busyShare is the share of the machine's CPU that short tasks hold.
-func (m *Model) busyShare(k *machine) float64 {
+// shortTaskShare is the share of the machine's CPU that short tasks hold.
+func (m *Model) shortTaskShare(k *machine) float64 {
 	w := m.workerOf(k)
 	if w == nil {
 		return 0
@@ -174,65 +174,65 @@
 			n += r.task.stage.size().CPU
 		}
 	}
-	return share(n, w.Room.CPU)
+	return ratio(n, w.Room.CPU)
 }
 
-// idle reports whether the machine's pool can do without it now.
-func (m *Model) idle(k *machine) bool {
+// canTakeNow reports whether the machine's pool can do without it now.
+func (m *Model) canTakeNow(k *machine) bool {
 	p := m.pool(k.Pool)
-	return m.busyShare(k) <= idleShare && m.now-p.demand.lastFull > quietMs
+	return m.shortTaskShare(k) <= maxIdleLoad && m.now-p.demand.lastShortAt > quietAfterMs
 }
 
-// poolSpares reports whether few enough machines of the pool are out for upkeep.
-func (m *Model) poolSpares(k *machine) bool {
-	t := m.pool(k.Pool).tally
-	return float64(t.upkeep+1) <= max(1, poolShare*float64(t.machines))
+// belowUpkeepLimit reports whether few enough machines of the pool are out for upkeep.
+func (m *Model) belowUpkeepLimit(k *machine) bool {
+	t := m.pool(k.Pool).counts
+	return float64(t.upkeep+1) <= max(1, maxUpkeepShare*float64(t.machines))
 }
 
 // prepare empties a machine and then orders its upkeep.
 func (m *Model) prepare(w *wave, k *machine) {
-	if k.done != 0 {
-		if m.now-k.done > comingMs && k.State == Up && m.duty.listSent > k.done {
-			m.finish(w, k.Name) // its worker did not change its id.
-			m.release(k)
+	if k.ackedAt != 0 {
+		if m.now-k.ackedAt > arrivalTimeoutMs && k.State == Up && m.fleet.listSentAt > k.ackedAt {
+			m.markMaintained(w, k.Name) // its worker did not change its id.
+			m.releaseMachine(k)
 		}
 		return
 	}
-	if k.ordered != 0 && m.now-k.ordered < dutyRetryMs {
+	if k.orderedAt != 0 && m.now-k.orderedAt < upkeepRetryMs {
 		return
 	}
-	if k.ordered == 0 && !m.emptied(k) || !m.mayOrderTo(k) {
+	if k.orderedAt == 0 && !m.evacuate(k) || !m.mayOrderTo(k) {
 		return
 	}
 	if !w.begun[k.Name] {
 		w.begun[k.Name] = true
 		m.saveWave(w)
 	}
-	if w.version > w.stored {
+	if w.version > w.storedVersion {
 		return // the order follows the record of it.
 	}
-	m.noteOrder(k)
-	m.do(UpkeepCmd{Machine: k.Name, Wave: w.Number, Fence: m.cfg.Fence})
+	m.recordOrder(k)
+	m.emit(UpkeepCmd{Machine: k.Name, Wave: w.Number, Fence: m.cfg.Fence})
 }
 
-// emptied reports whether nothing runs at the machine any more, and moves lasting tasks away.
-func (m *Model) emptied(k *machine) bool {
+// evacuate reports whether nothing runs at the machine any more, and moves lasting tasks away.
+func (m *Model) evacuate(k *machine) bool {
 	o := m.workerOf(k)
-	if o == nil || o.over {
-		return m.now >= m.blind
+	if o == nil || o.dead {
+		return m.now >= m.blindUntil
 	}
 	o.cordoned = true
-	if !m.read(o) {
+	if !m.knowsRuns(o) {
 		return false
 	}
-	for _, r := range o.all() {
-		m.evict(r, m.now-k.since > emptyWaitMs)
+	for _, r := range o.runsCopy() {
+		m.evict(r, m.now-k.preparingSince > shortTaskGraceMs)
 	}
 	return len(o.runs) == 0
 }
 
-// read reports whether the owner knows what runs at the worker.
-func (m *Model) read(w *worker) bool { return w.synced && w.silent == 0 }
+// knowsRuns reports whether the owner knows what runs at the worker.
+func (m *Model) knowsRuns(w *worker) bool { return w.synced && w.silentSince == 0 }
 
 // evict stops a run where that is allowed: a lasting task when another worker has room, a short one only when it is urgent.
 func (m *Model) evict(r *run, urgent bool) {
@@ -241,43 +241,43 @@
 	}
 	s := r.task.stage
 	switch {
-	case s.Lasting && m.mayLeave(r) && m.choose(m.pool(s.job.Service), r.task, nil) != nil:
+	case s.Lasting && m.mayStopLasting(r) && m.chooseWorker(m.pool(s.job.Service), r.task, nil) != nil:
 	case !s.Lasting && urgent:
 	default:
 		return
 	}
 	m.log("run evicted", s.job.ID, "task", r.task.name().String(), "run", r.number, "worker", r.worker.ID)
 	r.evicted = true
-	m.stop(r)
+	m.stopRun(r)
 }
 
-// sendWave adds the progress of one wave to a transaction.
-func (m *Model) sendWave(f *flight, rows *[]Row) bool {
-	for n, w := range m.commits.waves {
+// addWaveRow adds the progress of one wave to a transaction.
+func (m *Model) addWaveRow(f *transaction, rows *[]Row) bool {
+	for n, w := range m.commits.dirtyWaves {
 		b, err := json.Marshal(StoredWave{Number: n, Begun: sortedKeys(w.begun), Done: sortedKeys(w.finished)})
 		if err != nil {
 			panic(fmt.Sprintf("batch: wave %d cannot be encoded: %v", n, err))
 		}
 		*rows = append(*rows, Row{Key: WavePrefix + strconv.Itoa(n), Value: b, Rev: w.rev, Guarded: true})
-		f.wave, f.waveVer = w, w.version
-		delete(m.commits.waves, n)
+		f.wave, f.waveVersion = w, w.version
+		delete(m.commits.dirtyWaves, n)
 		return true
 	}
 	return false
 }
 
-// leaveDraining moves tasks away from workers that are about to leave, those that would not end in time.
-func (m *Model) leaveDraining() {
-	for _, w := range m.list {
-		if !w.Draining || w.silent != 0 || w.over {
+// evictFromDraining moves tasks away from workers that are about to leave, those that would not end in time.
+func (m *Model) evictFromDraining() {
+	for _, w := range m.workerList {
+		if !w.Draining || w.silentSince != 0 || w.dead {
 			continue
 		}
-		for _, r := range w.all() {
+		for _, r := range w.runsCopy() {
 			s := r.task.stage
-			if r.state == running && (s.Lasting || s.Checkpoints) && m.choose(m.pool(s.job.Service), r.task, nil) != nil {
+			if r.state == running && (s.Lasting || s.Checkpoints) && m.chooseWorker(m.pool(s.job.Service), r.task, nil) != nil {
 				m.log("run evicted", s.job.ID, "task", r.task.name().String(), "run", r.number, "worker", w.ID, "draining", true)
 				r.evicted = true
-				m.stop(r)
+				m.stopRun(r)
 			}
 		}
 	}
