--- a/fleet/batch/commit.go
+++ b/fleet/batch/commit.go
@@ -8,54 +8,54 @@
 	"strings"
 )
 
-// Keys of the store.
+// Prefixes of the keys in the store.
 const (
-	// JobPrefix precedes the ids of accepted jobs.
+	// JobPrefix precedes the IDs of accepted jobs.
 	JobPrefix = "job/"
-	// RunPrefix precedes the ids of jobs whose progress is kept.
+	// RunPrefix precedes the IDs of jobs whose progress is stored.
 	RunPrefix = "run/"
-	// WavePrefix precedes the numbers of waves whose progress is kept.
+	// WavePrefix precedes the numbers of waves whose progress is stored.
 	WavePrefix = "wave/"
 )
 
 // StoredJob is an accepted job in the store.
 type StoredJob struct {
 	Job  Job   `json:"job"`
-	AtMs int64 `json:"atMs"` // Unix time at which its caller first sent it.
+	AtMs int64 `json:"atMs"` // Unix time in ms at which its caller first sent it.
 }
 
 // StoredRun is the progress of a job in the store.
 type StoredRun struct {
 	ID     string            `json:"-"`
 	Rev    int64             `json:"-"`
-	State  State             `json:"state,omitempty"`  // how it ended; empty while it is open.
+	State  State             `json:"state,omitempty"`  // how the job ended; empty while it is open.
 	Rounds []int             `json:"rounds,omitempty"` // rounds that are done.
-	Done   map[string]string `json:"done,omitempty"`   // by ROUND.STEP: a digit 1 for each task that is done.
-	Failed map[string][]int  `json:"failed,omitempty"` // by ROUND.STEP.INDEX: runs that failed.
+	Done   map[string]string `json:"done,omitempty"`   // by ROUND.STEP: one digit per task, 1 if it is done.
+	Failed map[string][]int  `json:"failed,omitempty"` // by ROUND.STEP.INDEX: numbers of the failed runs.
 	Saved  map[string]string `json:"saved,omitempty"`  // by ROUND.STEP.INDEX: checkpoint.
 	Last   map[string]int    `json:"last,omitempty"`   // by ROUND.STEP.INDEX: highest run number.
 	Copied bool              `json:"copied,omitempty"` // copies of its tasks may have been started.
 }
 
-// commits are the writes that wait or are under way.
+// commits holds the writes that wait and the transactions in flight.
 type commits struct {
 	next         uint64
 	accepts      []*job
 	dirty        []*job
-	queued       map[*job]bool // in dirty.
-	writing      map[*job]bool // its progress is being written.
+	queued       map[*job]bool // the jobs in dirty.
+	writing      map[*job]bool // jobs whose progress is being written.
 	inFlight     map[uint64]*transaction
-	waitingSince int64 // when the first of the waiting writes came; 0 when none waits.
+	waitingSince int64 // when the first of the waiting writes came; 0 if none waits.
 	retryAt      int64
 	failing      bool // the last write failed.
 	dirtyWaves   map[int]*wave
 }
 
-// transaction is one transaction under way.
+// transaction is one transaction in flight.
 type transaction struct {
 	accepts     []*job
-	progress    []*job
-	versions    []int // of runs, as written.
+	progress    []*job // jobs whose progress it writes.
+	versions    []int  // version of each of them, as written.
 	wave        *wave
 	waveVersion int
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// flush sends the waiting writes once they have waited for others, a few transactions at a time.
+// flush sends the waiting writes once commitWindowMs has passed or they fill a transaction, with at most
+// maxInFlightTxns in flight.
 func (m *Model) flush() {
 	c := &m.commits
 	if !c.waiting() {
@@ -97,7 +98,8 @@
 	c.waitingSince = 0
 }
 
-// sendTransaction begins one transaction; it reports false when all that waits is being written already.
+// sendTransaction sends one transaction. It returns false if every waiting write is for a record that is already being
+// written.
 func (m *Model) sendTransaction() bool {
 	c := &m.commits
 	f := &transaction{}
@@ -146,7 +148,7 @@
 	return true
 }
 
-// committed takes in what became of a transaction.
+// committed handles the answer to a transaction.
 func (m *Model) committed(g CommittedMsg) {
 	c := &m.commits
 	f := c.inFlight[g.ID]
@@ -171,7 +173,7 @@
 	m.requeue(f, g.Outcome)
 }
 
-// adoptRevs takes the revisions of progress records after a conflict.
+// adoptRevs takes over the revisions of progress records after a conflict.
 func (m *Model) adoptRevs(l []Row) {
 	for _, r := range l {
 		if id, ok := strings.CutPrefix(r.Key, RunPrefix); ok && m.jobs[id] != nil {
@@ -185,7 +187,8 @@
 	}
 }
 
-// requeue queues what a transaction did not write, and refuses jobs that have waited too long and certainly are not accepted.
+// requeue queues the writes of a failed transaction again. It refuses jobs that have waited too long and certainly are
+// not in the store.
 func (m *Model) requeue(f *transaction, o Outcome) {
 	for _, j := range f.accepts {
 		j.maybeStored = j.maybeStored || o == Unknown
@@ -233,13 +236,13 @@
 	}
 }
 
-// Purging of ended jobs.
+// Limits of how long ended jobs are kept.
 const (
 	purgeIntervalMs = 5_000
-	retentionFactor = 2 // an ended job is kept for so many times as long as its state can be asked for.
+	retentionFactor = 2 // an ended job is kept for this multiple of StatusMs.
 )
 
-// purge forgets jobs that ended long ago, here and in the store.
+// purge removes jobs that ended long ago, from memory and from the store.
 func (m *Model) purge() {
 	if m.cfg.StatusMs <= 0 || m.now-m.purgedAt < purgeIntervalMs {
 		return
@@ -255,7 +258,7 @@
 	}
 }
 
-// publishEnd lets callers see how the job ended.
+// publishEnd makes the end of a job visible to callers, once it is stored.
 func (m *Model) publishEnd(j *job) {
 	j.shownState = j.finalState
 	for _, r := range j.cancelRefs {
@@ -265,7 +268,7 @@
 	m.freeEnded(j)
 }
 
-// openJob opens a job that the store has.
+// openJob opens a job whose acceptance is stored.
 func (m *Model) openJob(j *job) {
 	j.phase = open
 	p := m.pool(j.Service)
@@ -285,12 +288,12 @@
 func (m *Model) encodeJob(j *job) []byte {
 	b, err := json.Marshal(StoredJob{Job: j.Job, AtMs: j.submittedAt + m.wallOffset})
 	if err != nil {
-		panic(fmt.Sprintf("batch: job %s cannot be encoded: %v", j.ID, err)) // only numbers and strings: a defect.
+		panic(fmt.Sprintf("batch: job %s cannot be encoded: %v", j.ID, err)) // cannot happen: the job holds only numbers and strings.
 	}
 	return b
 }
 
-// encodeRun returns the progress of j as the store keeps it.
+// encodeRun returns the progress record of j.
 func encodeRun(j *job) []byte {
 	s := StoredRun{}
 	if j.phase == ended {
@@ -313,12 +316,12 @@
 			continue
 		}
 		for _, g := range r.stages {
-			at := fmt.Sprintf("%d.%d", r.number, g.number)
+			key := fmt.Sprintf("%d.%d", r.number, g.number)
 			if g.tasksLeft < len(g.tasks) {
-				s.Done[at] = doneDigits(g)
+				s.Done[key] = doneDigits(g)
 			}
 			for _, t := range g.tasks {
-				t.addTo(s, at)
+				t.addTo(s, key)
 			}
 		}
 	}
@@ -329,15 +332,15 @@
 	if t.done {
 		return
 	}
-	at := fmt.Sprintf("%s.%d", stage, t.index)
+	key := fmt.Sprintf("%s.%d", stage, t.index)
 	if len(t.failedRuns) > 0 {
-		s.Failed[at] = t.failedRuns
+		s.Failed[key] = t.failedRuns
 	}
 	if t.checkpoint != "" {
-		s.Saved[at] = t.checkpoint
+		s.Saved[key] = t.checkpoint
 	}
 	if t.lastRun > 1 {
-		s.Last[at] = t.lastRun
+		s.Last[key] = t.lastRun
 	}
 }
 
@@ -352,7 +355,7 @@
 	return string(b)
 }
 
-// loadRecords takes over the records of a former owner.
+// loadRecords loads the records of a former owner.
 func (m *Model) loadRecords(g LoadedMsg) {
 	m.blindUntil = m.now + g.BlindMs
 	runs := make(map[string]StoredRun, len(g.Runs))
@@ -419,9 +422,9 @@
 }
 
 func (s *stage) restore(r StoredRun) {
-	at := fmt.Sprintf("%d.%d", s.round.number, s.number)
+	key := fmt.Sprintf("%d.%d", s.round.number, s.number)
 	for i, t := range s.tasks {
-		if d := r.Done[at]; !t.done && i < len(d) && d[i] == '1' {
+		if d := r.Done[key]; !t.done && i < len(d) && d[i] == '1' {
 			t.done = true
 			s.tasksLeft--
 			s.tasksWaiting--
@@ -429,8 +432,8 @@
 				s.round.stagesLeft--
 			}
 		}
-		k := fmt.Sprintf("%s.%d", at, i)
-		t.failedRuns, t.checkpoint, t.lastRun = r.Failed[k], r.Saved[k], r.Last[k]
+		taskKey := fmt.Sprintf("%s.%d", key, i)
+		t.failedRuns, t.checkpoint, t.lastRun = r.Failed[taskKey], r.Saved[taskKey], r.Last[taskKey]
 		for _, n := range t.failedRuns {
 			t.lastRun = max(t.lastRun, n)
 		}
--- a/fleet/batch/copies.go
+++ b/fleet/batch/copies.go
@@ -1,14 +1,16 @@
 package batch
 
-// Second copies of tasks that lag, where their job allows them: the first that is done counts. With copies, two owners may see a step
-// end by different runs; so the job's record tells a successor of them, and it takes no later step for closed until then.
+// Speculative copies of slow tasks, where their job allows them: the first run to finish counts. With copies, two
+// owners may see a step end by different runs. The job's record therefore tells a successor that there may be copies,
+// and the successor then does not assume that only it knows of a step's end (see markNextStages).
 const (
-	copyLagFactor    = 2.0 // a run that takes so many times as long as usual lags.
-	minCopyAgeMs     = 200 // ms; shorter lags are not worth a start.
-	minCopyLeftShare = 0.5 // of the usual run time: with less to do, a run is soon done itself.
+	copyLagFactor    = 2.0 // a run is slow when it takes this multiple of the expected run time.
+	minCopyAgeMs     = 200 // ms; a run that is younger gets no copy, since starting one would not pay off.
+	minCopyLeftShare = 0.5 // of the expected run time; a run with less left to do will soon finish by itself.
 )
 
-// copyLaggards starts copies in the pools where nothing has waited for room lately, nor waits for a former owner's workers to be read.
+// copyLaggards starts copies of slow runs in pools where no task has waited for room lately. It does nothing while
+// unreachable workers may still run what a former owner started.
 func (m *Model) copyLaggards() {
 	for _, n := range sortedKeys(m.pools) {
 		p := m.pools[n]
@@ -25,7 +27,7 @@
 	}
 }
 
-// lags reports whether r goes on for much longer than usual, as far as its worker's last list tells.
+// lags reports whether r takes much longer than expected, judged by its worker's last list.
 func (m *Model) lags(r *run) bool {
 	s := r.task.stage
 	if !s.Copies || s.Gang || s.Lasting || r.state != running || r.worker.silentSince != 0 || len(r.task.runs) > 1 || r.task.done {
@@ -44,7 +46,7 @@
 // fullPercent is the progress of a run that is done.
 const fullPercent = 100
 
-// startCopy starts a copy once the job's record says that there may be some.
+// startCopy starts a copy of r, once the stored record says that the job may have copies.
 func (m *Model) startCopy(p *pool, r *run) {
 	t := r.task
 	if j := t.stage.job; j.copiesVersion == 0 {
--- a/fleet/batch/demand.go
+++ b/fleet/batch/demand.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Demand of a pool as callers bring it.
+// Estimation of the demand of a pool from the jobs that callers submit.
 const (
-	rateTimeConstantMs = 700.0 // over which the present rate is averaged: short beside a turn of some seconds, long beside single jobs.
+	rateTimeConstantMs = 700.0 // of the average rate: short beside a load peak of some seconds, long beside single jobs.
 	maxCountedJobs     = 20_000
 )
 
-// demand is what a pool has needed lately.
+// demand is the recent demand of a pool.
 type demand struct {
-	rate           float64 // work asked for, in thousandths of a core.
+	rate           float64 // submitted work per time, in thousandths of a core.
 	rateAt         int64
 	lastShortAt    int64   // when a task last waited for room.
 	waitingWork    float64 // work that waits for room, in thousandths of a core times ms.
-	wantedMachines int     // machines.
-	everShort      bool    // it has wanted more machines than it had, since this owner began.
+	wantedMachines int     // number of machines.
+	everShort      bool    // the pool has needed more machines than it had at some time since this owner began.
 }
 
-// decay lets the present rate fade until now.
+// decay reduces the rate by the time that has passed until now.
 func (d *demand) decay(now int64) {
 	if now > d.rateAt {
 		d.rate *= math.Exp(-float64(now-d.rateAt) / rateTimeConstantMs)
@@ -26,7 +26,7 @@
 	}
 }
 
-// addDemand takes in the work that a job asks for, once for all attempts to hand it in.
+// addDemand adds the work of a job to its pool's demand, once for all attempts to submit it.
 func (m *Model) addDemand(j *job) {
 	if j.Rounds > 0 || hasLastingSteps(j) || m.demandCounted[j.ID] {
 		return
@@ -44,7 +44,7 @@
 	d.rate += work / rateTimeConstantMs
 }
 
-// measureWaiting notes for each pool how much work waits for room.
+// measureWaiting updates the work that waits for room in each pool.
 func (m *Model) measureWaiting() {
 	for _, p := range m.pools {
 		p.demand.decay(m.now)
@@ -65,7 +65,7 @@
 	}
 }
 
-// waitingWork is the work of the tasks of s that could start, in thousandths of a core times ms.
+// waitingWork returns the work of the tasks of s that could start, in thousandths of a core times ms.
 func (m *Model) waitingWork(s *stage) int64 {
 	n := int64(0)
 	for _, t := range s.tasks {
--- a/fleet/batch/doc.go
+++ b/fleet/batch/doc.go
@@ -1,3 +1,4 @@
-// Package batch runs jobs of steps on workers: what is accepted, where each task starts, when it is retried, and which
-// worker is moved or maintained. Model is changed only by Update; the commands that it returns are carried out by others.
+// Package batch decides which jobs are accepted, where and when each task starts, when a task is retried, and which
+// worker's machine is moved or maintained. Only Update changes a Model; Round returns the commands that the caller has
+// to carry out.
 package batch
--- a/fleet/batch/duty.go
+++ b/fleet/batch/duty.go
@@ -4,17 +4,17 @@
 	"slices"
 )
 
-// Orders to machines: moves between pools and upkeep.
+// Orders to machines: moves between pools, and upkeep, which is the maintenance of a machine.
 
 // Machine is one machine of the platform.
 type Machine struct {
 	Name, Pool, Zone string
 	State            MachineState
 	Room             Size
-	Worker           string // id of its worker, empty while there is none.
+	Worker           string // ID of its worker; empty if it has none.
 }
 
-// MachineState is what a machine does.
+// MachineState is the state of a machine.
 type MachineState string
 
 // The states of a machine.
@@ -25,21 +25,21 @@
 	Down     MachineState = "down"
 )
 
-// MachinesMsg is the platform's list of machines, asked for at Sent.
+// MachinesMsg is the platform's list of machines; the request for it was sent at Sent.
 type MachinesMsg struct {
 	Sent   int64
 	Failed bool
 	List   []Machine
 }
 
-// WaveMsg is the operator's order to maintain machines; Gone takes it back.
+// WaveMsg is the operator's order to maintain machines. Gone withdraws it.
 type WaveMsg struct {
 	Number     int
 	Machines   []string
 	DurationMs int64
-	Most       int // machines that may be down for it at once.
+	Most       int // most machines that may be down for the wave at once.
 	Gone       bool
-	Completed  bool // its status says so already.
+	Completed  bool // the platform already shows the wave as completed.
 }
 
 // StoredWave is the progress of a wave in the store.
@@ -57,16 +57,17 @@
 	Result  DutyResult
 }
 
-// OrdersMsg is what a former owner, which gives no orders any more, told of its last orders to machines.
+// OrdersMsg holds the last orders that a former owner gave to machines; it gives no more.
 type OrdersMsg struct{ Orders }
 
-// Orders are the last orders to machines: their age in ms by the machine's name, as far as they were given within SpanMs.
+// Orders are the last orders to machines: the age of each in ms, by machine name. SpanMs is the age up to which no
+// order is missing.
 type Orders struct {
 	AgeMs  map[string]int64 `json:"ageMs,omitempty"`
 	SpanMs int64            `json:"spanMs"`
 }
 
-// Aged returns the orders as they stand ms later.
+// Aged returns the orders as of ms milliseconds later.
 func (o Orders) Aged(ms int64) Orders {
 	a := make(map[string]int64, len(o.AgeMs))
 	for n, x := range o.AgeMs {
@@ -75,7 +76,7 @@
 	return Orders{AgeMs: a, SpanMs: o.SpanMs + ms}
 }
 
-// DutyResult is what became of an order to a machine.
+// DutyResult is the result of an order to a machine.
 type DutyResult int
 
 // The results of an order to a machine.
@@ -87,7 +88,7 @@
 	DutyNotSent
 )
 
-// ListMachinesCmd asks for the platform's list of machines.
+// ListMachinesCmd requests the platform's list of machines.
 type ListMachinesCmd struct{}
 
 // MoveCmd moves an empty machine to another pool.
@@ -96,14 +97,14 @@
 	Fence         int64
 }
 
-// UpkeepCmd begins the upkeep of a machine.
+// UpkeepCmd starts the upkeep of a machine.
 type UpkeepCmd struct {
 	Machine string
 	Wave    int
 	Fence   int64
 }
 
-// ReportCmd tells the operator the state of a wave.
+// ReportCmd reports the state of a wave to the operator.
 type ReportCmd struct {
 	Wave      int
 	Completed bool
@@ -120,43 +121,43 @@
 
 // Times in milliseconds.
 const (
-	listBusyIntervalMs = 700   // between lists while machines move or are maintained.
-	listIdleIntervalMs = 6_000 // between lists otherwise.
-	orderTimeoutMs     = 2_500 // a list that was not answered for so long is asked for again.
-	upkeepRetryMs      = 500   // between orders to one machine.
-	arrivalTimeoutMs   = 6_000 // an ordered machine that is not back after so long no longer counts as coming.
-	upkeepDurationMs   = 5_500 // emptying a machine and its upkeep.
-	formerClaimMs      = 1_200 // after a claim the former owner may believe in its own for so long.
-	maxClockSkewMs     = 5_000 // by which clocks of machines may differ.
-	waveMarginMs       = 7_000 // a wave is to be over so long before its time.
-	shortTaskGraceMs   = 4_000 // short tasks have so long to end before an upkeep that is urgent.
+	listBusyIntervalMs = 700   // between requests for the list while orders to machines are pending.
+	listIdleIntervalMs = 6_000 // between requests for the list otherwise.
+	orderTimeoutMs     = 2_500 // a list request or a move without an answer is repeated after this.
+	upkeepRetryMs      = 500   // between repeated upkeep orders to one machine.
+	arrivalTimeoutMs   = 6_000 // a machine that is not back this long after its order no longer counts as arriving.
+	upkeepDurationMs   = 5_500 // time to empty a machine and maintain it.
+	formerClaimMs      = 1_200 // how long after a takeover the former owner may still believe that it holds the claim.
+	maxClockSkewMs     = 5_000 // largest difference between the clocks of two machines.
+	waveMarginMs       = 7_000 // a wave is planned to end this long before its deadline.
+	shortTaskGraceMs   = 4_000 // how long short tasks may go on at a machine that is to be maintained; then they are evicted.
 )
 
-// fleet is what the owner knows of machines, and the orders to them.
+// fleet holds the known machines, the orders to them, and the waves.
 type fleet struct {
-	noOrdersBefore   int64            // no orders before.
-	ordersKnownSince int64            // since then all orders to machines are known.
+	noOrdersBefore   int64            // no order to any machine is sent before this time.
+	ordersKnownSince int64            // all orders to machines since this time are known.
 	lastOrderAt      map[string]int64 // when this owner last ordered each machine.
-	formerOrderAt    map[string]int64 // the same of former owners, as far as known.
+	formerOrderAt    map[string]int64 // when former owners last ordered each machine, as far as known.
 	machines         map[string]*machine
 	list             []*machine // by name
 	meanCPU          float64    // mean CPU of a machine, in thousandths of a core.
 	waves            map[int]*wave
-	listAskedAt      int64 // when the list was last asked for; 0 while none is under way.
-	listReadAt       int64 // when the list was last read.
-	listSentAt       int64 // when the list that was last read was asked for.
+	listAskedAt      int64 // when the pending list request was sent; 0 if none is pending.
+	listReadAt       int64 // when the list was last received.
+	listSentAt       int64 // when the request for the last received list was sent.
 }
 
-// machine is one machine and the order to it.
+// machine is one machine and the pending order to it.
 type machine struct {
 	Machine
-	wave           *wave  // whose upkeep it is being prepared for or has.
-	preparingSince int64  // when its preparation began.
-	targetPool     string // pool that it moves to; empty when it does not move.
-	orderedAt      int64  // when the last order was sent; 0 for none.
-	ackedAt        int64  // when the order was acknowledged.
+	wave           *wave  // wave that the machine is being emptied or maintained for.
+	preparingSince int64  // when the wave began to empty it.
+	targetPool     string // pool that it moves to; empty if it does not move.
+	orderedAt      int64  // when the last order was sent; 0 if there is none.
+	ackedAt        int64  // when the order was acknowledged; 0 before.
 	oldWorkerID    string
-	maybeRepeated  bool // the order may have been given before, so that its answer does not say when it was carried out.
+	maybeRepeated  bool // an earlier order may have been carried out already, so the acknowledgement does not tell when.
 }
 
 func (d *fleet) start(from int64) {
@@ -165,7 +166,7 @@
 	d.lastOrderAt, d.formerOrderAt = map[string]int64{}, map[string]int64{}
 }
 
-// setMachines takes the list in.
+// setMachines applies the platform's list of machines.
 func (m *Model) setMachines(g MachinesMsg) {
 	d := &m.fleet
 	d.listAskedAt = 0
@@ -196,7 +197,7 @@
 	m.countMachines()
 }
 
-// completeOrder ends the order to a machine that is up again with another worker.
+// completeOrder ends the order to a machine that is up again with a new worker.
 func (m *Model) completeOrder(k *machine, sent int64) {
 	if k.ackedAt == 0 || sent <= k.ackedAt || k.State != Up || k.Worker == "" || k.Worker == k.oldWorkerID && !k.maybeRepeated {
 		return
@@ -208,19 +209,19 @@
 	m.releaseMachine(k)
 }
 
-// markMaintained notes that a machine needs no upkeep any more.
+// markMaintained records that a machine needs no more upkeep for the wave.
 func (m *Model) markMaintained(w *wave, name string) {
 	w.finished[name] = true
 	m.saveWave(w)
 }
 
-// saveWave has the progress of the wave written.
+// saveWave queues the progress of the wave to be written.
 func (m *Model) saveWave(w *wave) {
 	w.version++
 	m.commits.dirtyWaves[w.Number] = w
 }
 
-// planMachineOrders asks for the list of machines where it is needed, and plans upkeep and moves.
+// planMachineOrders requests the list of machines when it is due, and plans upkeep and moves.
 func (m *Model) planMachineOrders() {
 	d := &m.fleet
 	gap := int64(listIdleIntervalMs)
@@ -244,14 +245,15 @@
 	m.planMoves()
 }
 
-// mayOrder reports whether orders to machines may be given at all: a former owner's claim has certainly ended.
+// mayOrder reports whether any machine may be ordered: the claim is held, and the former owner's has certainly ended.
 func (m *Model) mayOrder() bool { return m.claimFresh && m.now >= m.fleet.noOrdersBefore }
 
-// mayOrderTo reports whether no former owner can have given the machine an order lately: its worker is older than that.
+// mayOrderTo reports whether certainly no former owner has ordered the machine recently: enough time has passed since
+// its last possible order, or its worker is older than that. An order would have ended the worker.
 func (m *Model) mayOrderTo(k *machine) bool {
 	last := m.fleet.ordersKnownSince
-	if at, ok := m.fleet.formerOrderAt[k.Name]; ok {
-		last = max(last, at)
+	if orderedAt, ok := m.fleet.formerOrderAt[k.Name]; ok {
+		last = max(last, orderedAt)
 	}
 	if m.now >= last+m.cfg.DutyGapMs {
 		return true
@@ -260,35 +262,35 @@
 	return w != nil && w.Born > 0 && w.Born < m.cfg.WallMs-m.cfg.DutyGapMs-maxClockSkewMs
 }
 
-// takeFormerOrders takes in what the former owner ordered; it orders nothing any more.
+// takeFormerOrders records the orders of a former owner, which gives no more.
 func (m *Model) takeFormerOrders(g OrdersMsg) {
 	d := &m.fleet
 	d.noOrdersBefore, d.ordersKnownSince = min(d.noOrdersBefore, m.now), min(d.ordersKnownSince, m.now-g.SpanMs)
 	for n, a := range g.AgeMs {
-		if at, ok := d.formerOrderAt[n]; !ok || at < m.now-a {
+		if orderedAt, ok := d.formerOrderAt[n]; !ok || orderedAt < m.now-a {
 			d.formerOrderAt[n] = m.now - a
 		}
 	}
 	m.log("former orders known", "", "machines", len(g.AgeMs), "spanMs", g.SpanMs)
 }
 
-// recordOrder notes that the machine is ordered now.
+// recordOrder records that the machine is ordered now.
 func (m *Model) recordOrder(k *machine) { k.orderedAt, m.fleet.lastOrderAt[k.Name] = m.now, m.now }
 
-// Orders returns the orders to machines that a successor must keep its distance from.
+// Orders returns the recent orders to machines. A successor must wait before it orders these machines.
 func (m *Model) Orders(now int64) Orders {
 	o := Orders{AgeMs: map[string]int64{}, SpanMs: max(now-m.fleet.ordersKnownSince, 0)}
 	for _, l := range []map[string]int64{m.fleet.formerOrderAt, m.fleet.lastOrderAt} {
-		for n, at := range l {
-			if now-at < m.cfg.DutyGapMs {
-				o.AgeMs[n] = now - at // our own are the later ones.
+		for n, orderedAt := range l {
+			if now-orderedAt < m.cfg.DutyGapMs {
+				o.AgeMs[n] = now - orderedAt // overwrites the former owner's entry, which is older.
 			}
 		}
 	}
 	return o
 }
 
-// mayWaitForUnlisted reports whether tasks may wait because a machine's worker is not listed.
+// mayWaitForUnlisted reports whether tasks may be waiting because a machine's worker is not listed.
 func (m *Model) mayWaitForUnlisted() bool {
 	for _, p := range m.pools {
 		if p.counts.unlisted > 0 && len(p.openJobs) > 0 {
@@ -307,7 +309,7 @@
 	return false
 }
 
-// orderAnswered takes in what became of an order to a machine.
+// orderAnswered handles the answer to an order to a machine.
 func (m *Model) orderAnswered(g DutyDoneMsg) {
 	k := m.fleet.machines[g.Machine]
 	if k == nil || k.orderedAt == 0 {
@@ -337,7 +339,7 @@
 	}
 }
 
-// releaseMachine gives a machine back to its pool.
+// releaseMachine ends the machine's order and lets its worker take tasks again.
 func (m *Model) releaseMachine(k *machine) {
 	if w := m.workers[k.Worker]; w != nil {
 		w.cordoned = false
@@ -346,7 +348,7 @@
 	k.wave, k.targetPool, k.orderedAt, k.ackedAt, k.oldWorkerID, k.maybeRepeated = nil, "", 0, 0, "", false
 }
 
-// worker returns the machine's worker, nil when it is not known.
+// workerOf returns the machine's worker, or nil if it is not known.
 func (m *Model) workerOf(k *machine) *worker {
 	if k.Worker == "" {
 		return nil
@@ -354,10 +356,11 @@
 	return m.workers[k.Worker]
 }
 
-// empty reports whether w runs nothing and nothing of it is unsettled.
+// empty reports whether w has no runs and no ended runs that wait to be stored.
 func empty(w *worker) bool { return len(w.runs) == 0 && len(w.unsavedEnds) == 0 }
 
-// mayStopLasting reports whether a lasting task may be stopped: few enough others of its step are away.
+// mayStopLasting reports whether a lasting task may be stopped: fewer than max(MayMiss, 1) other tasks of its step are
+// not serving.
 func (m *Model) mayStopLasting(r *run) bool {
 	s := r.task.stage
 	away := 0
@@ -369,7 +372,7 @@
 	return away < max(s.MayMiss, 1)
 }
 
-// isServing reports whether a lasting task has started up.
+// isServing reports whether a lasting task has started up and its worker answers.
 func (t *task) isServing() bool {
 	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.state == running && r.percent >= 100 && r.worker.silentSince == 0 })
 }
--- a/fleet/batch/job.go
+++ b/fleet/batch/job.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Limits of a job; a larger one is refused as malformed.
+// Limits of a job. A job beyond them is refused as malformed.
 const (
 	maxSteps     = 64     // steps of one job
 	maxTasks     = 10_000 // tasks of one step
@@ -16,7 +16,7 @@
 	idBytes      = 16
 )
 
-// Size is what a task takes of a worker.
+// Size is the amount of each resource that a task needs or a worker has.
 type Size struct {
 	CPU   int64 `json:"cpu,omitempty"` // thousandths of a core
 	MemMB int64 `json:"memMb,omitempty"`
@@ -36,52 +36,52 @@
 	return Size{CPU: s.CPU - o.CPU, MemMB: s.MemMB - o.MemMB, GPU: s.GPU - o.GPU}
 }
 
-// Step is a number of like tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Count       int    `json:"count"`
 	Size        Size   `json:"size"`
-	EstimateMs  int64  `json:"estimateMs,omitempty"` // rough run time of one task.
-	After       []int  `json:"after,omitempty"`      // steps whose tasks must all be done first.
+	EstimateMs  int64  `json:"estimateMs,omitempty"` // estimated run time of one task.
+	After       []int  `json:"after,omitempty"`      // indexes of the steps that must be done first.
 	Checkpoints bool   `json:"checkpoints,omitempty"`
 	Gang        bool   `json:"gang,omitempty"`      // the tasks run only together.
-	SameRack    bool   `json:"sameRack,omitempty"`  // slower on several racks.
-	Label       string `json:"label,omitempty"`     // the worker must have it.
-	DataRack    string `json:"dataRack,omitempty"`  // slower on other racks.
-	PerWorker   int    `json:"perWorker,omitempty"` // most tasks on one worker; 0 for no bound.
-	Copies      bool   `json:"copies,omitempty"`    // copies of a task may run beside it.
+	SameRack    bool   `json:"sameRack,omitempty"`  // the tasks are slower when spread over several racks.
+	Label       string `json:"label,omitempty"`     // label that the worker must have.
+	DataRack    string `json:"dataRack,omitempty"`  // rack of the data; the tasks are slower on other racks.
+	PerWorker   int    `json:"perWorker,omitempty"` // most tasks on one worker; 0 means no limit.
+	Copies      bool   `json:"copies,omitempty"`    // a task may have speculative copies.
 	Lasting     bool   `json:"lasting,omitempty"`   // the tasks run until the job is canceled.
-	Fills       bool   `json:"fills,omitempty"`     // the tasks take only CPU that others leave.
-	Image       string `json:"image,omitempty"`     // tasks of one image behave alike.
-	TargetMs    int64  `json:"targetMs,omitempty"`  // bound of the tail latency of a lasting task.
-	MayMiss     int    `json:"mayMiss,omitempty"`   // tasks that may be away at once by our doing.
+	Fills       bool   `json:"fills,omitempty"`     // the tasks use only CPU that other tasks leave free.
+	Image       string `json:"image,omitempty"`     // tasks with the same image behave alike.
+	TargetMs    int64  `json:"targetMs,omitempty"`  // limit of the tail latency of a lasting task.
+	MayMiss     int    `json:"mayMiss,omitempty"`   // most tasks that the owner may have stopped at once.
 }
 
-// Job is one submission.
+// Job is a job as its caller submits it.
 type Job struct {
 	ID       string  `json:"id"`
 	Queue    string  `json:"queue"`
 	Service  string  `json:"service"`
-	Priority int     `json:"priority,omitempty"` // 0 comes first.
-	Attempts int     `json:"attempts,omitempty"` // failures of one task after which the job has failed.
-	Stretch  float64 `json:"stretch,omitempty"`  // objective in multiples of the longest chain of work.
+	Priority int     `json:"priority,omitempty"` // 0 is the most urgent.
+	Attempts int     `json:"attempts,omitempty"` // the job fails once a task has failed this often.
+	Stretch  float64 `json:"stretch,omitempty"`  // objective as a multiple of the longest chain of steps.
 	AimMs    int64   `json:"aimMs,omitempty"`    // added to the objective.
 	Spec     string  `json:"spec,omitempty"`
 	Steps    []Step  `json:"steps"`
 	FirstMs  int64   `json:"firstMs,omitempty"` // Unix time of the first round.
 	EveryMs  int64   `json:"everyMs,omitempty"`
-	Rounds   int     `json:"rounds,omitempty"` // 0 for a job that runs once, at once.
+	Rounds   int     `json:"rounds,omitempty"` // 0 for a job that runs once, immediately.
 	TicketMs int64   `json:"ticketMs,omitempty"`
-	Advised  bool    `json:"advised,omitempty"` // each worker needs a ticket for the step.
+	Advised  bool    `json:"advised,omitempty"` // a task may start only on a worker that has a ticket for its step.
 }
 
-// FieldError names a field of a submission that is not allowed.
+// FieldError reports a field of a submission whose value is not allowed.
 type FieldError struct {
 	Field string
 	Value string
 	Want  string
 }
 
-// Error names the field, its value and what is allowed.
+// Error returns the field, its value and the allowed values.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("field %q is %s, want %s", e.Field, e.Value, e.Want)
 }
@@ -93,7 +93,7 @@
 	}) < 0
 }
 
-// Validate returns a FieldError for the first field that is not allowed.
+// Validate returns a FieldError for the first field whose value is not allowed.
 func (j Job) Validate() error {
 	switch {
 	case !ValidID(j.ID):
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// TaskName names one task of a job.
+// TaskName identifies one task of a job.
 type TaskName struct {
 	Job                string
 	Round, Step, Index int
 }
 
-// String returns the form JOB.ROUND.STEP.INDEX.
+// String returns the name as JOB.ROUND.STEP.INDEX.
 func (n TaskName) String() string {
 	b := make([]byte, 0, idBytes+12)
 	b = append(b, n.Job...)
@@ -147,20 +147,20 @@
 	return string(b)
 }
 
-// ParseTaskName reads the form JOB.ROUND.STEP.INDEX.
+// ParseTaskName parses a name of the form JOB.ROUND.STEP.INDEX.
 func ParseTaskName(s string) (TaskName, error) {
 	var n TaskName
 	rest := s
 	for i, d := range []*int{&n.Index, &n.Step, &n.Round} {
-		at := strings.LastIndexByte(rest, '.')
-		if at < 0 {
+		dot := strings.LastIndexByte(rest, '.')
+		if dot < 0 {
 			return TaskName{}, fmt.Errorf("task name %q does not have four parts", s)
 		}
-		v, err := strconv.Atoi(rest[at+1:])
+		v, err := strconv.Atoi(rest[dot+1:])
 		if err != nil || v < 0 {
 			return TaskName{}, fmt.Errorf("part %d of task name %q is not a number", 4-i, s)
 		}
-		*d, rest = v, rest[:at]
+		*d, rest = v, rest[:dot]
 	}
 	if rest == "" || strings.Contains(rest, ".") {
 		return TaskName{}, fmt.Errorf("task name %q does not have four parts", s)
--- a/fleet/batch/learn.go
+++ b/fleet/batch/learn.go
@@ -2,21 +2,23 @@
 
 import "math"
 
-// Learning of run times: callers' estimates are rough, so the model learns for each queue how they relate to what tasks took.
+// Learning of run times. Callers' estimates are rough, so for each queue the model learns the relation between
+// estimates and actual run times.
 const (
-	decayFactor = 0.995 // weight that past runs keep with each new one: about 200 runs count.
-	priorRuns   = 4.0   // weight of the belief that estimates are right, in runs.
-	priorVar    = 0.1   // variance of the logarithm of an estimate, in that belief.
-	maxSlowdown = 8.0   // a run that took so many times the expected time counts as that.
+	decayFactor = 0.995 // factor by which each new run reduces the weight of earlier ones: about 200 runs count.
+	priorRuns   = 4.0   // weight of the prior that estimates are right, as a number of runs.
+	priorVar    = 0.1   // variance of the logarithm of the estimates under that prior.
+	maxSlowdown = 8.0   // a longer run counts as this multiple of the expected run time.
 	minRunMs    = 1.0
 )
 
-// estimator is what has been learned of one estimator's jobs: a line through the logarithms of estimates and run times.
+// estimator predicts the run times of one queue's tasks by linear regression over the logarithms of estimates and run
+// times.
 type estimator struct {
 	n, x, y, xx, xy, yy float64
 }
 
-// add takes in a task that was estimated and took so many ms.
+// add records a task with the given estimate and actual run time in ms.
 func (q *estimator) add(estimate, took float64) {
 	x, y := math.Log(max(estimate, minRunMs)), math.Log(max(took, minRunMs))
 	for _, s := range []*float64{&q.n, &q.x, &q.y, &q.xx, &q.xy, &q.yy} {
@@ -25,7 +27,7 @@
 	q.n, q.x, q.y, q.xx, q.xy, q.yy = q.n+1, q.x+x, q.y+y, q.xx+x*x, q.xy+x*y, q.yy+y*y
 }
 
-// expectedMs returns the expected run time in ms of a task with that estimate.
+// expectedMs returns the expected run time in ms of a task with the given estimate in ms.
 func (q *estimator) expectedMs(estimate float64) float64 {
 	if q.n == 0 || estimate <= 0 {
 		return estimate
@@ -38,7 +40,7 @@
 	w := q.n / (q.n + priorRuns)
 	slope := (q.n*cxy + priorRuns*priorVar) / (q.n*vx + priorRuns*priorVar)
 	rest := max(vy-slope*slope*vx, 0)
-	line := my + slope*(x-mx) + rest/2 // the mean of a lognormal lies above its median.
+	line := my + slope*(x-mx) + rest/2 // the mean of a lognormal distribution lies above its median.
 	return math.Exp(w*line + (1-w)*x)
 }
 
@@ -51,7 +53,7 @@
 	return q
 }
 
-// learnRunTime takes in how long a run took, for its queue and its worker.
+// learnRunTime records the run time of a run that is done, for its queue and its worker.
 func (m *Model) learnRunTime(w *worker, r *run) {
 	s := r.task.stage
 	if r.confirmedAt == 0 || s.EstimateMs == 0 || s.Lasting || r.resumed {
@@ -62,7 +64,7 @@
 	if e := q.expectedMs(float64(s.EstimateMs)); e > 0 {
 		w.slowdown += learnRate * (min(took/e, maxSlowdown) - w.slowdown)
 	}
-	if w.slowdown < stuckFactor { // a slow worker says nothing about the queue.
+	if w.slowdown < stuckFactor { // the run times of a slow worker say nothing about the queue.
 		q.add(float64(s.EstimateMs), took)
 	}
 }
--- a/fleet/batch/look.go
+++ b/fleet/batch/look.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Looks at workers, which extend their leases and read their lists.
+// Polls of workers. A poll extends the worker's lease and returns its running and ended runs.
 
-// tailPollWaitMs is the longest wait of a look at a worker where filling tasks run beside lasting ones.
+// tailPollWaitMs is the longest long poll of a worker that runs filling tasks beside lasting ones, whose tail latency
+// must be read more often.
 const tailPollWaitMs = 600
 
-// workerClock returns what the worker's clock shows now, as far as known.
+// workerClock returns the estimated reading of the worker's clock now.
 func (m *Model) workerClock(w *worker) int64 { return w.clockMs + m.now - w.clockAt }
 
-// expiresBy returns the steady time at which an end on the worker's clock has certainly passed.
+// expiresBy returns the steady time by which the worker's clock has certainly passed until.
 func (w *worker) expiresBy(until int64) int64 {
 	return w.clockAt + int64(math.Ceil(float64(max(until-w.clockMs, 0))/minClockRate)) + expirySlackMs
 }
@@ -24,7 +25,7 @@
 	}
 }
 
-// requestedLeaseMs returns the longest lease to ask for.
+// requestedLeaseMs returns the length of the lease to ask for.
 func (m *Model) requestedLeaseMs() int64 {
 	if m.cfg.LeaseMs > 0 {
 		return min(workerLeaseMs, m.cfg.LeaseMs)
@@ -32,14 +33,15 @@
 	return workerLeaseMs
 }
 
-// Gap between two looks at a worker whose tasks end, in ms: busy workers are read less often, as each look costs as much as a start.
+// Gap in ms between two polls of a worker whose runs end. Busy workers are polled less often, as each poll costs as
+// much as a start.
 const (
 	minPollGapMs    = 10
 	pollGapPerRunMs = 2
 	maxPollGapMs    = 50
 )
 
-// pollWorkers looks at the workers that run something or whose lists have not been read.
+// pollWorkers polls the workers that have runs or whose lists have not been read yet.
 func (m *Model) pollWorkers() {
 	m.nextPollAt = m.now + sweepIntervalMs
 	if !m.loaded {
@@ -50,8 +52,8 @@
 		if m.retire(w) || w.polling || w.dead {
 			continue
 		}
-		if at := max(w.nextPollAt, w.noPollBefore); m.now < at {
-			m.nextPollAt = min(m.nextPollAt, at)
+		if dueAt := max(w.nextPollAt, w.noPollBefore); m.now < dueAt {
+			m.nextPollAt = min(m.nextPollAt, dueAt)
 			continue
 		}
 		if w.synced && len(w.runs) == 0 && len(w.unsavedEnds) == 0 && w.silentSince == 0 && w.lastEnd == w.sentAck {
@@ -66,7 +68,7 @@
 
 func (m *Model) poll(w *worker) {
 	h := HoldCmd{Worker: w.ID, Addr: w.Addr, LastSeen: w.forgettableEnd(), WaitMs: maxPollWaitMs, Fence: m.cfg.Fence}
-	if w.clockAt > 0 && w.silentSince == 0 && (len(w.runs) > 0 || !w.synced) { // a silent worker's lease must come to its end.
+	if w.clockAt > 0 && w.silentSince == 0 && (len(w.runs) > 0 || !w.synced) { // the lease of a worker that does not answer must expire.
 		h.UntilMs = m.workerClock(w) + m.requestedLeaseMs()
 		w.leaseUntil = max(w.leaseUntil, h.UntilMs)
 	}
@@ -79,14 +81,14 @@
 	w.shortPoll = false
 	w.polling, w.pollSentAt, w.sentAck = true, m.now, h.LastSeen
 	if h.LastSeen == w.confirmedAck {
-		h.LastSeen = 0 // should the worker have restarted unnoticed, its new ends must not be forgotten.
+		h.LastSeen = 0 // if the worker has restarted unnoticed, it must not forget the ended runs of its new lifetime.
 	}
 	m.emit(h)
 }
 
-// timeOutPoll takes a look whose answer is long overdue as not answered, so that the worker's lease is extended by another one.
+// timeOutPoll treats a poll whose answer is overdue as unanswered, so that another one extends the worker's lease.
 func (m *Model) timeOutPoll(w *worker) {
-	if !w.polling || m.now-w.pollSentAt < callTimeoutMs {
+	if !w.polling || m.now-w.pollSentAt < overdueCallMs {
 		return
 	}
 	m.log("look overdue", "", "worker", w.ID, "addr", w.Addr, "runs", len(w.runs), "sinceMs", m.now-w.pollSentAt)
@@ -94,7 +96,7 @@
 	m.markUnreachable(w)
 }
 
-// forgettableEnd returns the number up to which ends may be forgotten.
+// forgettableEnd returns the number up to which the worker may forget its ended runs: their results are stored.
 func (w *worker) forgettableEnd() int64 {
 	for i, k := range w.unsavedEnds {
 		if k.job.storedVersion < k.version {
@@ -106,10 +108,11 @@
 	return w.lastEnd
 }
 
-// leaseExpired reports whether the worker's lease has passed, with no other owner that could have extended it before.
+// leaseExpired reports whether the worker's lease has expired, and no other owner can have extended it before.
 func (m *Model) leaseExpired(w *worker) bool { return m.soleOwnerUntil >= w.expiresBy(w.leaseUntil) }
 
-// retire gives up the runs of a worker whose lease has certainly lapsed, and forgets workers that are gone.
+// retire drops the runs of a worker whose lease has certainly expired or whose lifetime is over, and forgets workers
+// that are gone.
 func (m *Model) retire(w *worker) bool {
 	if w.silentSince != 0 && m.leaseExpired(w) {
 		for _, r := range w.runsCopy() {
@@ -176,7 +179,7 @@
 	}
 }
 
-// markReachable notes that the worker can be reached.
+// markReachable records that the worker answered.
 func (m *Model) markReachable(w *worker) {
 	if w.silentSince == 0 {
 		return
@@ -186,7 +189,7 @@
 	m.pool(w.Service).dirty = true
 }
 
-// markUnreachable notes that the worker did not answer.
+// markUnreachable records that the worker did not answer.
 func (m *Model) markUnreachable(w *worker) {
 	if w.silentSince == 0 {
 		w.silentSince = m.now
--- a/fleet/batch/model.go
+++ b/fleet/batch/model.go
@@ -7,78 +7,78 @@
 
 // Times in milliseconds.
 const (
-	workerLeaseMs    = 5_000 // lease at workers: outlives an owner's replacement, which takes about 3 s.
-	startExpiryMs    = 2_500 // an unanswered start is not carried out later than this.
-	maxPollWaitMs    = 2_000 // longest wait that workers take.
-	pollRetryMs      = 300   // between calls to a worker that does not answer.
-	callTimeoutMs    = 4_000 // a call takes 2.7 s at most; leases last a second longer than this.
-	unsavedPollMs    = 250   // between looks while ends wait for the store.
-	stopRetryMs      = 400   // between stops of one run.
+	workerLeaseMs    = 5_000 // lease of a worker; replacing an owner takes about 3 s, so runs survive it.
+	startExpiryMs    = 2_500 // a worker does not carry out a start that arrives later than this.
+	maxPollWaitMs    = 2_000 // longest long poll that workers accept.
+	pollRetryMs      = 300   // between polls of a worker that does not answer.
+	overdueCallMs    = 4_000 // then an unanswered call is given up: it takes at most 2.7 s, and leases last 1 s longer.
+	unsavedPollMs    = 250   // between polls while ended runs wait to be stored.
+	stopRetryMs      = 400   // between stop commands for one run.
 	expirySlackMs    = 150   // added to a worker's lease before its runs count as lapsed.
-	refusalBackoffMs = 300   // a worker that refused a start for want of room gets none for so long.
-	acceptTimeoutMs  = 600   // a submission that the store certainly did not take for so long is refused.
-	commitWindowMs   = 4     // writes of so long go into one transaction.
+	refusalBackoffMs = 300   // a worker that lacks room gets no start for this long; also between requests for advice.
+	acceptTimeoutMs  = 600   // a submission that the store has certainly not taken is refused after this.
+	commitWindowMs   = 4     // writes that arrive within this time share a transaction.
 	commitRetryMs    = 60    // after a write that failed.
-	sweepIntervalMs  = 50    // between two looks at what depends on time alone.
+	sweepIntervalMs  = 50    // between runs of the time-driven work in sweep.
 )
 
-// minClockRate is the share of true time that the slowest allowed worker's clock counts.
+// minClockRate is the rate of the slowest worker clock that is allowed, relative to true time.
 const minClockRate = 0.98
 
-// Limits of one transaction; the store takes 32 entries, one of which is the claim.
+// Limits of the store transactions. The store takes 32 entries per transaction, one of which is the claim.
 const (
 	maxTxnEntries   = 31
-	maxInFlightTxns = 4 // transactions
+	maxInFlightTxns = 4
 )
 
-// Config is what a model is told when it begins.
+// Config holds the settings of a model.
 type Config struct {
-	Fence     int64 // of the owner's claim.
+	Fence     int64 // fencing number of the owner's claim.
 	Now       int64 // steady clock, ms.
-	WallMs    int64 // Unix time at Now.
+	WallMs    int64 // Unix time in ms at Now.
 	LeaseMs   int64 // longest lease that workers grant.
-	StatusMs  int64 // how long the state of an ended job can be asked for.
-	DutyGapMs int64 // before orders to machines that another owner may have given orders to.
+	StatusMs  int64 // how long callers can query the state of an ended job.
+	DutyGapMs int64 // wait before an order to a machine that another owner may have ordered.
 }
 
-// Model is the owner's view of jobs and workers.
+// Model is the owner's view of jobs, workers and machines.
 type Model struct {
 	cfg            Config
 	now            int64
-	wallOffset     int64 // Unix time minus the steady clock.
+	wallOffset     int64 // Unix time minus the steady clock, ms.
 	loaded         bool
-	blindUntil     int64 // until then unreachable workers may run what a former owner started.
-	claimFresh     bool  // the lease is certainly held.
-	soleOwnerUntil int64 // until then this was the only owner: no other one had extended a lease.
-	deferred       []Msg // messages that wait for the records of the former owner.
+	blindUntil     int64 // until then, unreachable workers may run what a former owner started.
+	claimFresh     bool  // this owner certainly holds its claim.
+	soleOwnerUntil int64 // until then this was the only owner, so no other one can have extended a lease.
+	deferred       []Msg // messages to handle once the former owner's records are loaded.
 
 	services         map[string]Service
 	pools            map[string]*pool
 	workers          map[string]*worker
-	workerList       []*worker // by id
+	workerList       []*worker // by ID
 	sweptAt          int64
-	purgedAt         int64 // when ended jobs were last looked through.
-	nextPollAt       int64 // when a worker is to be looked at next.
-	placementPending bool  // a pool waits for its next placement.
+	purgedAt         int64 // when purge last checked the ended jobs.
+	nextPollAt       int64 // when the next poll of any worker is due.
+	placementPending bool  // a pool has changed and waits for its next placement.
 	jobs             map[string]*job
 	estimators       map[string]*estimator
 
 	movesPlannedAt int64
-	demandCounted  map[string]bool // ids of jobs whose work the demand has.
+	demandCounted  map[string]bool // IDs of the jobs whose work the demand includes.
 	commits        commits
 	fleet          fleet
 	cmds           []Cmd
 }
 
-// pool is the workers and the open jobs of one service.
+// pool holds the workers and the open jobs of one service.
 type pool struct {
 	name        string
-	workers     []*worker // by id
+	workers     []*worker // by ID
 	openJobs    map[string]*job
-	readyStages []*stage // of the last placement.
+	readyStages []*stage // of the last placement; its memory is reused.
 	dirty       bool
-	placedAt    int64   // when it was last placed.
-	backlog     float64 // core-ms of accepted work that has not run.
+	placedAt    int64   // time of the last placement.
+	backlog     float64 // accepted work that is not done, in thousandths of a core times ms.
 	demand      demand
 	counts      poolCounts
 }
@@ -95,7 +95,7 @@
 	return m
 }
 
-// Update takes one message in at the steady time now; what follows from it is returned by Round.
+// Update handles one message at the steady time now. Round returns the resulting commands.
 func (m *Model) Update(now int64, msg Msg) {
 	m.now = max(m.now, now)
 	switch g := msg.(type) {
@@ -140,7 +140,8 @@
 	}
 }
 
-// Round returns what is to be done after the messages so far; it is to be called again after Wake milliseconds at the latest.
+// Round returns the commands that follow from the messages so far. The caller must call it again within Wake
+// milliseconds.
 func (m *Model) Round(now int64) []Cmd {
 	m.now = max(m.now, now)
 	if m.loaded {
@@ -154,7 +155,7 @@
 	return c
 }
 
-// sweep does what depends on time alone, not more often than needed.
+// sweep does the work that depends only on time, at most once per sweepIntervalMs.
 func (m *Model) sweep() {
 	if m.now-m.sweptAt < sweepIntervalMs {
 		return
@@ -171,7 +172,7 @@
 	}
 }
 
-// Wake returns the milliseconds after which Round is to be called at the latest.
+// Wake returns the number of milliseconds within which Round must be called again.
 func (m *Model) Wake() int64 {
 	if m.commits.waiting() || m.placementPending {
 		return commitWindowMs
@@ -215,10 +216,10 @@
 	Absent    State = ""
 )
 
-// Ready reports whether the records of the former owner have been read.
+// Ready reports whether the former owner's records have been loaded.
 func (m *Model) Ready() bool { return m.loaded }
 
-// Workers returns the number of workers that are listed.
+// Workers returns the number of listed workers.
 func (m *Model) Workers() int {
 	n := 0
 	for _, w := range m.workerList {
@@ -229,7 +230,7 @@
 	return n
 }
 
-// State returns the state of a job, Absent when it was never accepted.
+// State returns the state of a job, or Absent if it was never accepted.
 func (m *Model) State(id string) State {
 	j := m.jobs[id]
 	switch {
@@ -243,7 +244,7 @@
 	return Queued
 }
 
-// Pending returns for each queue the number of accepted jobs of which no task has started.
+// Pending returns the number of accepted jobs per queue of which no task has started.
 func (m *Model) Pending() map[string]int {
 	n := map[string]int{}
 	for _, p := range m.pools {
--- a/fleet/batch/moves.go
+++ b/fleet/batch/moves.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Moves between pools.
+// Planning of moves between pools. Times in milliseconds.
 const (
-	quietAfterMs    = 1_500   // a pool that has had no waiting task for so long is quiet.
-	minIdleToGiveMs = 300     // a worker that has been empty for so long may be given to a pool that lacks machines.
-	unneededIdleMs  = 1_000   // one that has been empty for so long is not needed, whatever the forecast says.
-	parkAfterIdleMs = 2_500   // one that nobody needs for so long is parked: a move each way costs as much.
-	demandHeadroom  = 1.1     // room that a pool is given for its present demand.
-	backlogDrainMs  = 1_500.0 // in which a backlog is to be worked off.
-	minWorkers      = 2       // a pool that is served keeps so many.
-	maxPoolMoves    = 64      // moves under way to one pool: the platform takes about as many orders a second.
+	quietAfterMs    = 1_500   // a pool without a waiting task for this long is quiet.
+	minIdleToGiveMs = 300     // a worker that has been empty for this long may be given to a pool that lacks machines.
+	unneededIdleMs  = 1_000   // empty for this long, it is not needed while no work waits, whatever the forecast says.
+	parkAfterIdleMs = 2_500   // unneeded for this long, it is parked: a move each way costs about as much.
+	demandHeadroom  = 1.1     // room that a pool is given, relative to its present demand.
+	backlogDrainMs  = 1_500.0 // time within which a pool's backlog is to be worked off.
+	minWorkers      = 2       // least number of machines for a pool in use.
+	maxPoolMoves    = 64      // pending moves to one pool: the platform takes about as many orders per second.
 	planIntervalMs  = 100     // between two plans.
 )
 
-// planMoves brings idle machines to pools whose work waits or is about to come, and parks those that nobody needs.
+// planMoves moves idle machines to pools whose work waits or is about to come, and parks those that no pool needs.
 func (m *Model) planMoves() {
 	m.measureWaiting()
 	if !m.mayOrder() || m.now-m.movesPlannedAt < planIntervalMs {
@@ -47,7 +47,7 @@
 	}
 }
 
-// lastingCPU is the CPU that lasting tasks hold in the pool, in thousandths of a core.
+// lastingCPU returns the CPU that lasting tasks hold in the pool, in thousandths of a core.
 func (m *Model) lastingCPU(p *pool) float64 {
 	n := int64(0)
 	for _, w := range p.workers {
@@ -60,7 +60,7 @@
 	return float64(n)
 }
 
-// poolsByNeed returns the pools that lack machines, the one whose work waits longest first.
+// poolsByNeed returns the pools that lack machines, those with the most waiting work first.
 func (m *Model) poolsByNeed() []*pool {
 	var l []*pool
 	for _, n := range sortedKeys(m.pools) {
@@ -72,21 +72,21 @@
 	return l
 }
 
-// missingMachines is the number of machines that the pool lacks, those on their way aside.
+// missingMachines returns the number of machines to move to the pool, not counting those on their way.
 func (m *Model) missingMachines(p *pool) int {
 	return min(p.demand.wantedMachines-p.counts.serving-p.counts.arriving, maxPoolMoves-p.counts.arriving)
 }
 
-// poolCounts counts the machines of each pool, for the plans of one round.
+// poolCounts holds the numbers of machines of one pool that the plans use.
 type poolCounts struct {
-	serving  int // workers that take tasks.
-	arriving int // machines on their way.
-	upkeep   int // machines that are out for upkeep, or about to be.
+	serving  int // workers that accept tasks.
+	arriving int // machines on their way to the pool.
+	upkeep   int // machines that are being emptied or maintained.
 	machines int
-	unlisted int // machines that are up with a worker that is not listed.
+	unlisted int // machines that are up and whose worker is not listed.
 }
 
-// countMachines takes the tallies of all pools, and the mean CPU of a machine.
+// countMachines sets the counts of all pools and the mean CPU of a machine.
 func (m *Model) countMachines() {
 	for _, p := range m.pools {
 		p.counts = poolCounts{}
@@ -114,7 +114,8 @@
 	m.fleet.meanCPU = float64(cpu) / float64(max(len(m.fleet.list), 1))
 }
 
-// giveMachines moves idle machines to the pools that lack some, those first that their own pool misses least.
+// giveMachines moves idle machines to the pools that lack some, beginning with the machines that cost their own pool
+// least.
 func (m *Model) giveMachines(to []*pool) {
 	type offer struct {
 		k    *machine
@@ -144,7 +145,7 @@
 	}
 }
 
-// giveCost weighs what the machine's pool loses; it reports false when the machine must stay.
+// giveCost returns the cost to the machine's pool of giving the machine away, and false if it must stay.
 func (m *Model) giveCost(k *machine) (float64, bool) {
 	if m.services[k.Pool].Standby {
 		return 0, true
@@ -156,7 +157,7 @@
 	return 1 + float64(p.demand.wantedMachines)/float64(max(p.counts.serving, 1)), true
 }
 
-// canSpare reports whether the machine is idle and its pool has more than it wants.
+// canSpare reports whether the machine is idle and its pool has more machines than it wants, or has no waiting work.
 func (m *Model) canSpare(k *machine) bool {
 	w, p := m.workerOf(k), m.pool(k.Pool)
 	if w == nil || !w.listed || w.Draining || w.cordoned || w.silentSince != 0 || !w.synced || !empty(w) {
@@ -181,7 +182,7 @@
 	m.emit(MoveCmd{Machine: k.Name, Pool: pool, Fence: m.cfg.Fence})
 }
 
-// parkIdle moves machines that nobody needs to a pool where they cost nothing.
+// parkIdle moves machines that no pool needs to a pool where they cost nothing.
 func (m *Model) parkIdle() {
 	to := ""
 	for _, n := range sortedKeys(m.services) {
@@ -195,7 +196,7 @@
 	for _, k := range m.fleet.list {
 		if k.State != Up || k.wave != nil || k.targetPool != "" || m.services[k.Pool].Standby || !m.pool(k.Pool).demand.everShort ||
 			!m.mayOrderTo(k) || !m.canSpare(k) {
-			continue // a pool keeps its machines until its first turn.
+			continue // a pool keeps its machines until its first load peak.
 		}
 		if m.now-m.workerOf(k).lastUsedAt >= parkAfterIdleMs {
 			m.moveMachine(k, to)
@@ -203,7 +204,7 @@
 	}
 }
 
-// retryMoves repeats orders whose answer did not come, and forgets those that are long done.
+// retryMoves repeats unanswered orders and ends those that were carried out long ago.
 func (m *Model) retryMoves() {
 	for _, k := range m.fleet.list {
 		switch {
--- a/fleet/batch/msg.go
+++ b/fleet/batch/msg.go
@@ -1,55 +1,56 @@
 package batch
 
-// Msg is a message to the model; times are milliseconds of the process's steady clock.
+// Msg is a message to the model. Times are milliseconds of the process's steady clock unless noted.
 type Msg interface{ msg() }
 
-// ServicesMsg replaces the services of the configuration.
+// ServicesMsg replaces the configured services.
 type ServicesMsg struct{ Services []Service }
 
-// Service is a pool of workers.
+// Service is the configuration of one pool of workers.
 type Service struct {
 	Name    string
-	Guards  bool // its workers refuse what does not fit.
+	Guards  bool // its workers refuse tasks that do not fit.
 	Standby bool // its machines are off and cost nothing.
 }
 
-// WorkersMsg tells entries of the list of workers that are new, changed or gone; All means that those not named are gone.
+// WorkersMsg reports changes to the list of workers: entries that are new or changed, and the IDs of those removed. If
+// All is set, every worker that is not in Set is gone.
 type WorkersMsg struct {
 	All  bool
 	Set  []Entry
 	Gone []string
 }
 
-// Entry is what a worker says of itself in the list.
+// Entry is a worker's entry in the list, as the worker wrote it.
 type Entry struct {
 	ID, Service, Addr, Zone string
 	Draining                bool
 	DrainLeftMs             int64
 	Room                    Size
 	Labels                  []string
-	ClockMs                 int64 // the worker's clock when it wrote.
-	Born                    int64 // Unix milliseconds of its start; 0 when it does not say.
+	ClockMs                 int64 // the worker's clock when it wrote the entry.
+	Born                    int64 // Unix time in ms at which the worker started; 0 if unknown.
 }
 
-// LoadedMsg brings the records of a former owner; it comes once, before any other job.
+// LoadedMsg carries the records of a former owner. It comes once; submissions and cancels wait for it.
 type LoadedMsg struct {
 	Jobs    []StoredJob
 	Runs    []StoredRun
 	Waves   []StoredWave
-	BlindMs int64 // how long orders of a former owner may still be carried out at workers that are out of reach.
+	BlindMs int64 // how long a former owner's commands may still be carried out at unreachable workers.
 }
 
-// BlindMsg shortens the time for which a former owner's orders may still be carried out.
+// BlindMsg shortens the time in which a former owner's commands may still be carried out.
 type BlindMsg struct{ ForMs int64 }
 
-// SubmitMsg asks for a job; AgeMs is the time since its caller first sent it, as far as known.
+// SubmitMsg submits a job. AgeMs is the time since its caller first sent it, as far as known.
 type SubmitMsg struct {
 	Ref   uint64
 	Job   Job
 	AgeMs int64
 }
 
-// CancelMsg asks to cancel a job.
+// CancelMsg cancels a job.
 type CancelMsg struct {
 	Ref uint64
 	ID  string
@@ -58,7 +59,7 @@
 // ForgetMsg says that nobody waits for the answer to Ref any more.
 type ForgetMsg struct{ Ref uint64 }
 
-// HeldMsg is the answer to a HoldCmd; Sent and the time of the message bound the worker's clock.
+// HeldMsg is the answer to a HoldCmd. The worker read its clock between Sent and the time at which the message arrives.
 type HeldMsg struct {
 	Worker   string
 	Sent     int64
@@ -67,16 +68,16 @@
 	ClockMs  int64
 	Running  []Running
 	Ended    []Ended
-	ListFull bool // more ends are listed than the answer holds.
+	ListFull bool // the worker lists more ended runs than the answer holds.
 }
 
-// Running is a task that runs at a worker.
+// Running is a run that is in progress at a worker.
 type Running struct {
 	Task    TaskName
 	Run     int
 	Saved   string
 	Percent int
-	Gauge   int64 // tail in ms of a lasting task, thousandths of a core in use of any other.
+	Gauge   int64 // tail latency in ms for a lasting task, CPU use in thousandths of a core for any other.
 }
 
 // Ended is a run that has ended at a worker.
@@ -88,7 +89,7 @@
 	Saved  string
 }
 
-// How is how a run ended.
+// How is the way in which a run ended.
 type How string
 
 // The ways in which a run ends.
@@ -98,25 +99,25 @@
 	Stopped How = "stopped"
 	Lapsed  How = "lapsed"
 	Broken  How = "broken" // another task of its gang ended.
-	Alone   How = "alone"  // the rest of its gang did not come.
+	Alone   How = "alone"  // the rest of its gang did not start.
 )
 
-// Result is what became of an order to a worker.
+// Result is the result of a command to a worker.
 type Result int
 
-// The results of an order.
+// The results of a command to a worker.
 const (
 	OK       Result = iota
-	NoAnswer        // it may have been carried out, or may be yet.
+	NoAnswer        // it may have been carried out, or may still be.
 	NotSent         // the worker was not reached.
 	Unwell          // the worker did nothing because it is unhealthy or overloaded.
-	Foreign         // another lifetime or another worker answers at the address.
-	Fenced          // a newer owner gives orders.
-	OldRun          // a higher run of the task was there.
-	TooLate         // the order's time has passed.
+	Foreign         // another worker, or another lifetime of this one, answered at the address.
+	Fenced          // the worker has seen a newer owner.
+	OldRun          // the worker had a run of the task with a higher number.
+	TooLate         // the command arrived after its expiry time.
 	NoRoom          // the task does not fit.
-	NoTicket        // the ticket is missing or not valid any more.
-	Rejected        // the worker cannot read the order.
+	NoTicket        // the ticket is missing or has expired.
+	Rejected        // the worker cannot parse the command.
 )
 
 // StartedMsg is the answer to a StartCmd.
@@ -144,10 +145,10 @@
 	ID      uint64
 	Outcome Outcome
 	Rev     int64
-	Now     []Row // the guarded keys as they are, after a conflict.
+	Now     []Row // after a conflict, the current rows of the guarded keys.
 }
 
-// Outcome is what became of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
 // The outcomes of a write.
@@ -155,7 +156,7 @@
 	Written Outcome = iota
 	Conflict
 	Unwritten // certainly not applied.
-	Unknown   // applied, or applied later, or never.
+	Unknown   // it may be applied already, or later, or never.
 )
 
 // PacedMsg is the answer to a PaceCmd.
@@ -167,19 +168,19 @@
 	Result  Result
 }
 
-// LostMsg says that the claim is not this owner's any more.
+// LostMsg says that this owner has lost the claim.
 type LostMsg struct{ Reason string }
 
-// WallMsg tells the time of day.
+// WallMsg sets the time of day.
 type WallMsg struct{ UnixMs int64 }
 
-// LeaseMsg tells whether the owner's claim is fresh, and until when it certainly was the only owner.
+// LeaseMsg says whether this owner certainly holds its claim, and until when it certainly was the only owner.
 type LeaseMsg struct {
 	Fresh   bool
-	Checked int64 // steady time at which the last renewal that succeeded was sent.
+	Checked int64 // when the last successful renewal was sent.
 }
 
-// TickMsg lets time pass.
+// TickMsg only lets time pass.
 type TickMsg struct{}
 
 func (ServicesMsg) msg()  {}
@@ -199,14 +200,15 @@
 func (LostMsg) msg()      {}
 func (TickMsg) msg()      {}
 
-// Cmd is what the model wants done.
+// Cmd is a command that the model wants carried out.
 type Cmd interface{ cmd() }
 
-// HoldCmd extends a worker's lease and asks for its lists; the answer waits up to WaitMs for an end.
+// HoldCmd polls a worker: it extends the worker's lease and asks for its running and ended runs. The worker may delay
+// its answer by up to WaitMs until a run ends.
 type HoldCmd struct {
 	Worker, Addr string
-	UntilMs      int64 // on the worker's clock; 0 leaves the lease as it is.
-	LastSeen     int64 // ends up to this one may be forgotten.
+	UntilMs      int64 // new end of the lease on the worker's clock; 0 leaves the lease unchanged.
+	LastSeen     int64 // the worker may forget ended runs up to this number.
 	WaitMs       int64
 	Fence        int64
 }
@@ -231,7 +233,7 @@
 	Fence        int64
 }
 
-// PaceCmd lets a run work at a share of its speed.
+// PaceCmd limits a run to a percentage of its full speed.
 type PaceCmd struct {
 	Worker, Addr string
 	Task         TaskName
@@ -240,7 +242,7 @@
 	Fence        int64
 }
 
-// CommitCmd writes to the store under the owner's claim.
+// CommitCmd writes rows to the store in one transaction, on condition that the owner still holds its claim.
 type CommitCmd struct {
 	ID   uint64
 	Rows []Row
@@ -250,8 +252,8 @@
 type Row struct {
 	Key     string
 	Value   []byte
-	Rev     int64 // 0 when the key does not exist.
-	Guarded bool  // the write demands that the key is at Rev.
+	Rev     int64 // 0 if the key does not exist.
+	Guarded bool  // the transaction fails unless the key is at Rev.
 	Delete  bool
 }
 
@@ -269,20 +271,20 @@
 // The verdicts.
 const (
 	Accepted  Verdict = iota
-	Refused           // not accepted, and never runs by this attempt.
-	Malformed         // a field is not allowed.
+	Refused           // not accepted, and this attempt will never make the job run.
+	Malformed         // a field has a value that is not allowed.
 	NotKnown          // no such job.
-	Unsettled         // it may have been accepted.
+	Unsettled         // the job may have been accepted.
 )
 
-// DeposedCmd says that another owner holds the claim: this model must not be used any more.
+// DeposedCmd says that another owner holds the claim. The model must not be used any more.
 type DeposedCmd struct{ Reason string }
 
-// LogCmd reports a decision.
+// LogCmd logs a decision.
 type LogCmd struct {
 	Event  string
 	Job    string
-	Fields []any // pairs of name and value
+	Fields []any // alternating names and values
 }
 
 func (HoldCmd) cmd()    {}
--- a/fleet/batch/order.go
+++ b/fleet/batch/order.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// startUnanswered stops a run that may start later, so that it never does.
+// startUnanswered stops a run whose start may still be carried out, so that it never is.
 func (m *Model) startUnanswered(r *run) {
 	m.log("start unanswered", r.task.stage.job.ID, "task", r.task.name().String(), "run", r.number, "worker", r.worker.ID)
 	if r.confirmedAt > 0 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// startRefused takes in that a start certainly did nothing.
+// startRefused handles a start that certainly did nothing.
 func (m *Model) startRefused(r *run, why Result) {
 	w, t := r.worker, r.task
 	m.log("start refused", t.stage.job.ID, "task", t.name().String(), "run", r.number, "worker", w.ID, "why", int(why))
--- a/fleet/batch/pace.go
+++ b/fleet/batch/pace.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Pace of filling tasks: they work with what others leave, and must not make lasting tasks miss their target.
+// Pacing of filling tasks. They use the CPU that other tasks leave free, and must not make lasting tasks miss their
+// latency target.
 const (
-	paceIntervalMs = 500  // between changes of one worker's pace.
+	paceIntervalMs = 500  // between two changes at one worker, ms.
 	paceStepUp     = 20   // percent
-	slowDownAbove  = 0.85 // of the target: filling tasks are slowed down above it.
-	speedUpBelow   = 0.6  // of the target: they are let on below it.
+	slowDownAbove  = 0.85 // share of the target; filling tasks are slowed down when the tail latency is above it.
+	speedUpBelow   = 0.6  // share of the target; filling tasks are sped up when the tail latency is below it.
 	paceSlowdown   = 0.5
-	minPace        = 10 // percent; below it they are stopped.
+	minPace        = 10 // percent; a task that would go below it is paused.
 )
 
-// paceWorkers adapts the pace of the filling tasks of each worker to the tail of the lasting tasks beside them.
+// paceWorkers adapts the pace of the filling tasks of each worker to the tail latency of the lasting tasks beside them.
 func (m *Model) paceWorkers() {
 	for _, w := range m.workerList {
 		if m.now-w.pacedAt < paceIntervalMs || w.silentSince != 0 || len(w.runs) == 0 {
@@ -59,18 +60,18 @@
 	}
 }
 
-// paceAnswered takes in what became of a change of pace; one that may not have been carried out is made again.
+// paceAnswered handles the answer to a change of pace. A change that may not have been carried out is repeated.
 func (m *Model) paceAnswered(g PacedMsg) {
 	w, t := m.workers[g.Worker], m.task(g.Task)
 	if g.Result == OK || w == nil || t == nil {
 		return
 	}
 	if r := t.findRun(g.Run); r != nil && r.worker == w && r.pace == g.Percent {
-		r.pace = min(max(g.Percent+1, 1), fullPace-1) // differs from any pace that is asked for next.
+		r.pace = min(max(g.Percent+1, 1), fullPace-1) // differs from any pace that is requested next, so the change is repeated.
 	}
 }
 
-// needsPacing reports whether a lasting task with a target runs at w beside filling ones.
+// needsPacing reports whether w runs a lasting task with a latency target beside filling tasks.
 func (w *worker) needsPacing() bool {
 	fills, serves := false, false
 	for _, r := range w.runs {
@@ -80,7 +81,7 @@
 	return fills && serves
 }
 
-// hasLastingSteps reports whether the job has steps that last.
+// hasLastingSteps reports whether the job has steps with lasting tasks.
 func hasLastingSteps(j *job) bool {
 	return slices.ContainsFunc(j.Steps, func(s Step) bool { return s.Lasting })
 }
--- a/fleet/batch/place.go
+++ b/fleet/batch/place.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// Placement.
+// Placement of tasks on workers. Costs are in units of a worker's load: 1 is a full worker.
 const (
-	placeIntervalMs     = 4     // between two placements of a pool: what comes meanwhile is placed together.
-	remoteDataCost      = 4.0   // load by which a worker away from the data counts as fuller.
-	slowWorkerCost      = 0.5   // load for each multiple of the usual run time that a worker takes.
-	avoidedWorkerCost   = 2.0   // load of a worker on which the task failed or was lost.
-	maxUnansweredStarts = 24    // starts that one worker has unanswered at a time.
-	minStuckMs          = 1_500 // a task that has not advanced for so long, and for several times its run time, is started elsewhere.
+	placeIntervalMs     = 4     // ms between two placements of a pool; changes in between are handled together.
+	remoteDataCost      = 4.0   // cost of a worker outside the rack that holds the data.
+	slowWorkerCost      = 0.5   // cost per multiple of the expected run time that the worker takes beyond the first.
+	avoidedWorkerCost   = 2.0   // cost of a worker on which the task failed or was lost.
+	maxUnansweredStarts = 24    // most unanswered starts at one worker.
+	minStuckMs          = 1_500 // ms; a task without progress for this long, and for stuckFactor times its run time, is restarted elsewhere.
 	stuckFactor         = 2.5
 )
 
-// placeAll places the waiting tasks of every pool in which something has changed.
+// placeAll places the waiting tasks of every pool that has changed.
 func (m *Model) placeAll() {
 	m.placementPending = false
 	for _, n := range sortedKeys(m.pools) {
@@ -34,26 +34,26 @@
 	}
 }
 
-// place starts the waiting tasks of the pool in the order of their jobs; a task that does not fit keeps the emptiest worker for itself.
+// place starts the waiting tasks of the pool in service order. A task that does not fit reserves the emptiest worker.
 func (m *Model) place(p *pool) {
 	l := m.readyStages(p)
-	held := map[*worker]bool{}
+	reserved := map[*worker]bool{}
 	for _, s := range l {
-		if len(held) >= len(p.workers) {
-			return // all room is spoken for.
+		if len(reserved) >= len(p.workers) {
+			return // every worker is reserved.
 		}
 		if s.Gang {
-			m.placeGang(p, s, held)
+			m.placeGang(p, s, reserved)
 			continue
 		}
 		for _, t := range s.tasks {
 			if !m.mayStart(t) {
 				continue
 			}
-			w := m.chooseWorker(p, t, held)
+			w := m.chooseWorker(p, t, reserved)
 			if w == nil {
-				if k := m.emptiest(p, s, held, nil); k != nil {
-					held[k] = true
+				if k := m.emptiest(p, s, reserved, nil); k != nil {
+					reserved[k] = true
 					m.preempt(k, s)
 				}
 				break
@@ -63,7 +63,7 @@
 	}
 }
 
-// readyStages returns the stages with tasks to start, those to be served first at the front, and sums up the backlog.
+// readyStages returns the stages that have tasks to start, in service order, and updates the backlog.
 func (m *Model) readyStages(p *pool) []*stage {
 	l := p.readyStages[:0]
 	backlog := int64(0)
@@ -91,8 +91,8 @@
 	return l
 }
 
-// rank is the place of a stage in the order of service: lasting tasks first, then what can still be on time by priority and due
-// time, then what is late.
+// rank is the position of a stage in service order: lasting tasks first, then what can still be on time, by priority
+// and due time, then what is late. Lasting tasks that fill come last.
 type rank struct {
 	class int
 	late  bool
@@ -148,29 +148,30 @@
 	return t.noFormerRuns || !m.waitsForFormer(t.stage)
 }
 
-// waitsForFormer reports whether a former owner may have started tasks of s at a worker that has not been read yet.
+// waitsForFormer reports whether a former owner may have started tasks of s at a worker whose lists have not been read
+// yet.
 func (m *Model) waitsForFormer(s *stage) bool {
 	return s.job.loaded && !s.noFormerRuns && m.now < m.blindUntil && (m.workersUnlisted(s.job.Service) || m.workersUnread(s.job.Service))
 }
 
-// workersUnlisted reports whether a machine of the pool may have a worker that is not listed: its entry lapses while it does not reach the
-// store, and it goes on with what a former owner gives it.
+// workersUnlisted reports whether a machine of the pool may have a worker that is not listed. A worker's entry lapses
+// while it cannot reach the store, and the worker still carries out a former owner's commands.
 func (m *Model) workersUnlisted(service string) bool {
 	return m.fleet.listReadAt == 0 || m.pool(service).counts.unlisted > 0
 }
 
-// workersUnread reports whether a worker that a former owner used has not told what it runs.
+// workersUnread reports whether the pool has a worker whose running and ended runs are not known yet.
 func (m *Model) workersUnread(service string) bool {
 	return slices.ContainsFunc(m.pool(service).workers, func(w *worker) bool { return !w.synced && !w.dead })
 }
 
-// eligible reports whether w may be given a task of s at all.
+// eligible reports whether w may be given a task of s, apart from the room that it needs.
 func (m *Model) eligible(w *worker, s *stage) bool {
 	switch {
 	case !w.listed, w.dead, !w.synced, w.silentSince != 0, w.Draining, w.cordoned, m.now < w.noStartsBefore, m.now < w.quarantinedUntil:
 		return false
 	case !m.claimFresh && w.lifetimeKnownAt > m.soleOwnerUntil:
-		return false // it may have restarted since a successor fenced it: nothing would keep this owner off.
+		return false // the worker may have restarted since a successor fenced it, and would not refuse this owner's commands.
 	case s.Label != "" && !slices.Contains(w.Labels, s.Label):
 		return false
 	case s.PerWorker > 0 && s.runsOn(w) >= s.PerWorker:
@@ -179,28 +180,28 @@
 	return m.hasTicket(w, s) && w.unansweredStarts < maxUnansweredStarts
 }
 
-// freeRoom is what is free at w.
+// freeRoom returns the resources that are free at w.
 func (w *worker) freeRoom() Size { return w.Room.minus(w.used) }
 
-// chooseWorker returns the worker for t, nil when none has room.
-func (m *Model) chooseWorker(p *pool, t *task, held map[*worker]bool) *worker {
+// chooseWorker returns the cheapest worker for t, or nil if none has room.
+func (m *Model) chooseWorker(p *pool, t *task, reserved map[*worker]bool) *worker {
 	var best *worker
-	low := 0.0
+	lowest := 0.0
 	s := t.stage
 	size := s.size()
 	for _, w := range p.workers {
-		if held[w] || !size.Fits(w.freeRoom()) || !m.eligible(w, s) {
+		if reserved[w] || !size.Fits(w.freeRoom()) || !m.eligible(w, s) {
 			continue
 		}
-		if c := m.cost(w, t); best == nil || c < low {
-			best, low = w, c
+		if c := m.cost(w, t); best == nil || c < lowest {
+			best, lowest = w, c
 		}
 	}
 	return best
 }
 
-// cost weighs what speaks against w for t. Short tasks go where most room is taken, so that other workers become empty and can be
-// moved; lasting ones go where least is taken.
+// cost returns the cost of starting t at w. Short tasks go to the fullest worker, so that other workers become empty
+// and can be moved. Lasting tasks go to the emptiest.
 func (m *Model) cost(w *worker, t *task) float64 {
 	s := t.stage
 	c := slowWorkerCost * max(w.slowdown-1, 0)
@@ -245,11 +246,12 @@
 	return float64(a) / float64(b)
 }
 
-// emptiest returns the worker with the most free CPU that gets room for a task of s, beside extra, once its short tasks have ended.
-func (m *Model) emptiest(p *pool, s *stage, held map[*worker]bool, extra map[*worker]Size) *worker {
+// emptiest returns the worker with the most free CPU that will have room for a task of s, besides extra, once its short
+// tasks have ended.
+func (m *Model) emptiest(p *pool, s *stage, reserved map[*worker]bool, extra map[*worker]Size) *worker {
 	var best *worker
 	for _, w := range p.workers {
-		if held[w] || !s.size().Fits(w.roomOnceEmptied().minus(extra[w])) || !m.eligible(w, s) {
+		if reserved[w] || !s.size().Fits(w.roomOnceEmptied().minus(extra[w])) || !m.eligible(w, s) {
 			continue
 		}
 		if best == nil || w.freeRoom().minus(extra[w]).CPU > best.freeRoom().minus(extra[best]).CPU {
@@ -259,7 +261,7 @@
 	return best
 }
 
-// roomOnceEmptied is what is free at w when all but lasting tasks have ended.
+// roomOnceEmptied returns the resources that are free at w once all but its lasting tasks have ended.
 func (w *worker) roomOnceEmptied() Size {
 	free := w.Room
 	for _, r := range w.runs {
@@ -289,18 +291,18 @@
 }
 
 // placeGang starts all tasks of s together, or none.
-func (m *Model) placeGang(p *pool, s *stage, held map[*worker]bool) {
+func (m *Model) placeGang(p *pool, s *stage, reserved map[*worker]bool) {
 	for _, t := range s.tasks {
 		if !m.mayStart(t) {
 			return
 		}
 	}
-	at := m.gangWorkers(p, s, held, "")
+	workers := m.gangWorkers(p, s, reserved, "")
 	if s.SameRack {
-		at = m.gangInRack(p, s, held, at)
+		workers = m.gangInRack(p, s, reserved, workers)
 	}
-	if at == nil {
-		m.reserveForGang(p, s, held)
+	if workers == nil {
+		m.reserveForGang(p, s, reserved)
 		return
 	}
 	n := 0
@@ -310,14 +312,14 @@
 	saved := s.tasks[0].checkpoint
 	for i, t := range s.tasks {
 		t.checkpoint = saved
-		m.startRun(t, at[i], n+1)
+		m.startRun(t, workers[i], n+1)
 	}
 }
 
-// reserveForGang keeps the emptiest workers on which all tasks of s fit, unless even these are too few.
-func (m *Model) reserveForGang(p *pool, s *stage, held map[*worker]bool) {
+// reserveForGang reserves the emptiest workers for the tasks of s, unless they do not all fit even there.
+func (m *Model) reserveForGang(p *pool, s *stage, reserved map[*worker]bool) {
 	extra, count := map[*worker]Size{}, map[*worker]int{}
-	full := maps.Clone(held)
+	full := maps.Clone(reserved)
 	for range s.tasks {
 		w := m.emptiest(p, s, full, extra)
 		if w == nil {
@@ -328,12 +330,12 @@
 		full[w] = s.PerWorker > 0 && s.runsOn(w)+count[w] >= s.PerWorker
 	}
 	for w := range extra {
-		held[w] = true
+		reserved[w] = true
 	}
 }
 
-// gangInRack prefers workers of one rack.
-func (m *Model) gangInRack(p *pool, s *stage, held map[*worker]bool, spread []*worker) []*worker {
+// gangInRack returns workers of a single rack if all tasks fit there, or else spread.
+func (m *Model) gangInRack(p *pool, s *stage, reserved map[*worker]bool, spread []*worker) []*worker {
 	var racks []string
 	for _, w := range p.workers {
 		if !slices.Contains(racks, w.rack) {
@@ -341,22 +343,23 @@
 		}
 	}
 	for _, r := range racks {
-		if l := m.gangWorkers(p, s, held, r); l != nil {
+		if l := m.gangWorkers(p, s, reserved, r); l != nil {
 			return l
 		}
 	}
 	return spread
 }
 
-// gangWorkers returns a worker for each task of s, nil when they do not all fit; rack bounds the choice unless it is empty.
-func (m *Model) gangWorkers(p *pool, s *stage, held map[*worker]bool, rack string) []*worker {
+// gangWorkers returns a worker for each task of s, or nil if they do not all fit. If rack is not empty, it uses only
+// workers of that rack.
+func (m *Model) gangWorkers(p *pool, s *stage, reserved map[*worker]bool, rack string) []*worker {
 	var l []*worker
 	extra, size := map[*worker]Size{}, s.size()
 	count := map[*worker]int{}
 	for range s.tasks {
 		var best *worker
 		for _, w := range p.workers {
-			if held[w] || (rack != "" && w.rack != rack) || !m.eligible(w, s) || !size.Fits(w.freeRoom().minus(extra[w])) {
+			if reserved[w] || (rack != "" && w.rack != rack) || !m.eligible(w, s) || !size.Fits(w.freeRoom().minus(extra[w])) {
 				continue
 			}
 			if s.PerWorker > 0 && s.runsOn(w)+count[w] >= s.PerWorker {
@@ -376,7 +379,7 @@
 	return l
 }
 
-// stopStuck stops tasks that do not advance, so that they are started elsewhere.
+// stopStuck stops tasks that make no progress, so that they are restarted elsewhere.
 func (m *Model) stopStuck() {
 	for _, n := range sortedKeys(m.pools) {
 		for _, w := range m.pools[n].workers {
--- a/fleet/batch/preempt.go
+++ b/fleet/batch/preempt.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// preempt stops tasks at w that come after s in the order of service, so that a task of s fits; only tasks that go on from a
-// checkpoint, and none when they are too few.
+// preempt stops tasks at w that come after s in service order, to make room for a task of s. It stops only tasks that
+// resume from a checkpoint, and none if that does not make enough room.
 func (m *Model) preempt(w *worker, s *stage) {
 	free := w.freeRoom()
 	var l []*run
@@ -18,7 +18,7 @@
 			l = append(l, r)
 		}
 	}
-	slices.SortFunc(l, func(a, b *run) int { return cmp.Compare(b.confirmedAt, a.confirmedAt) }) // the youngest have done least.
+	slices.SortFunc(l, func(a, b *run) int { return cmp.Compare(b.confirmedAt, a.confirmedAt) }) // the youngest runs lose the least work.
 	n := 0
 	for n < len(l) && !s.size().Fits(free) {
 		free = free.plus(l[n].task.stage.size())
@@ -35,7 +35,7 @@
 	}
 }
 
-// yieldsTo reports whether tasks of o give way to s.
+// yieldsTo reports whether tasks of o may be stopped in favour of s.
 func yieldsTo(o, s *stage) bool {
 	if !o.Checkpoints || o.Lasting || o.Gang {
 		return false
--- a/fleet/batch/submit.go
+++ b/fleet/batch/submit.go
@@ -2,15 +2,15 @@
 
 import "errors"
 
-// Admission.
+// Limits and defaults of admission. Times in milliseconds.
 const (
-	maxLateFactor  = 3.0    // a job that ends after so many objectives is of no use to its caller.
-	minRetryMs     = 200    // shortest time after which a refused caller is asked back.
-	maxRetryMs     = 10_000 // longest one.
-	defaultStretch = 1.6    // objective of a queue that names none, in multiples of the work.
+	maxLateFactor  = 3.0    // a job that ends after this multiple of its objective is of no use to its caller.
+	minRetryMs     = 200    // shortest retry delay for a refused caller.
+	maxRetryMs     = 10_000 // longest retry delay for a refused caller.
+	defaultStretch = 1.6    // objective as a multiple of the longest chain of steps, for jobs that set none.
 )
 
-// submit accepts a job, or refuses it at once when it cannot be served in time.
+// submit accepts a job, or refuses it at once if it cannot be done in time.
 func (m *Model) submit(g SubmitMsg) {
 	if !m.loaded {
 		m.deferred = append(m.deferred, g)
@@ -41,7 +41,7 @@
 	m.commits.addAccept(j)
 }
 
-// resubmit answers another attempt to hand in a job that is known.
+// resubmit answers a repeated submission of a known job.
 func (m *Model) resubmit(j *job, g SubmitMsg) {
 	if j.phase == committing {
 		j.submitRefs = append(j.submitRefs, g.Ref)
@@ -50,7 +50,7 @@
 	m.emit(ReplyCmd{Ref: g.Ref, Verdict: Accepted})
 }
 
-// refuse answers that the job was not accepted and never runs by these attempts.
+// refuse answers that the job was not accepted and that these attempts will never make it run.
 func (m *Model) refuse(j *job, why string, retry int64) {
 	retry = min(max(retry, minRetryMs), maxRetryMs)
 	m.log("job refused", j.ID, "queue", j.Queue, "reason", why, "retryMs", retry, "backlogCoreMs", int64(m.pool(j.Service).backlog)/1000)
@@ -59,7 +59,8 @@
 	}
 }
 
-// objectiveMs is the time in ms from handing in within which the job earns in full, as far as its run times are known.
+// objectiveMs returns the time in ms from submission within which the job must end to have its full value, as far as
+// its run times are known.
 func (m *Model) objectiveMs(j *job) int64 {
 	s := j.Stretch
 	if s <= 0 {
@@ -68,7 +69,7 @@
 	return int64(s*m.chainMs(j)) + j.AimMs
 }
 
-// chainMs is the expected run time in ms of the longest chainMs of steps.
+// chainMs returns the expected run time in ms of the longest chain of steps.
 func (m *Model) chainMs(j *job) float64 {
 	q := m.estimator(j.Queue)
 	ends := make([]float64, len(j.Steps))
@@ -83,7 +84,8 @@
 	return longest
 }
 
-// inTime reports whether the job can end while it is of use; else the time in ms after which the pool has room again.
+// inTime reports whether the job can end while it is still of use. If not, it also returns the time in ms until the
+// pool has room for it.
 func (m *Model) inTime(j *job) (int64, bool) {
 	if j.Rounds > 0 || hasLastingSteps(j) {
 		return 0, true
@@ -99,7 +101,7 @@
 	return int64(wait - spare), wait <= spare
 }
 
-// shortTaskCPU is the CPU of the pool that is not held by lasting tasks, in thousandths of a core.
+// shortTaskCPU returns the CPU of the pool that is not held by lasting tasks, in thousandths of a core.
 func (m *Model) shortTaskCPU(p *pool) float64 {
 	n := int64(0)
 	for _, w := range p.workers {
@@ -116,7 +118,7 @@
 	return float64(n)
 }
 
-// cancel ends a job at its caller's wish; the answer follows once the store has it.
+// cancel ends a job at its caller's request. The answer follows once the end is stored.
 func (m *Model) cancel(g CancelMsg) {
 	if !m.loaded {
 		m.deferred = append(m.deferred, g)
--- a/fleet/batch/task.go
+++ b/fleet/batch/task.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// phase is how far a job has come for its owner.
+// phase is the stage of a job's life at the owner.
 type phase int
 
 const (
-	committing phase = iota // the store has not acknowledged it yet.
+	committing phase = iota // its acceptance is not stored yet.
 	open
-	ended // completed, failed or canceled; the store may not know it yet.
+	ended // completed, failed or canceled; the end may not be stored yet.
 )
 
-// job is a job under way.
+// job is a job that the owner knows.
 type job struct {
 	Job
 	phase         phase
-	finalState    State // what it ended as, while phase is ended.
-	shownState    State // what callers may see of its end: final, once the store has it.
+	finalState    State // state in which it ended; valid in phase ended.
+	shownState    State // state in which it ended, as callers see it: set once the end is stored.
 	started       bool
-	purging       bool  // its record is being removed.
-	copiesVersion int   // version of the progress that says that copies may be started; 0 before.
+	purging       bool  // its record is being deleted.
+	copiesVersion int   // version of the progress record that first says that there may be copies; 0 if none does.
 	formerCopies  bool  // a former owner may have started copies.
 	loaded        bool  // accepted by a former owner.
 	submittedAt   int64 // steady time at which its caller first sent it, as far as known.
 	endedAt       int64
-	dueAt         int64 // when it earns in full at the latest.
+	dueAt         int64 // latest end at which it has its full value.
 	rounds        []*round
-	nextRound     int // the next round to open.
+	nextRound     int // number of the next round to open.
 
-	version, storedVersion int   // of its progress; stored is what the store has.
-	rev                    int64 // of its progress in the store.
+	version, storedVersion int   // version of the progress in memory, and the version that is stored.
+	rev                    int64 // revision of the progress record in the store.
 	submitRefs             []uint64
 	cancelRefs             []uint64
-	maybeStored            bool  // its acceptance may have been written.
-	firstTriedAt           int64 // when its acceptance was first asked for.
+	maybeStored            bool  // the acceptance may be in the store.
+	firstTriedAt           int64 // when this owner first took the submission.
 }
 
 // round is one run of all steps.
@@ -52,15 +52,15 @@
 	number       int
 	tasks        []*task
 	tasksLeft    int     // tasks that are not done.
-	tasksWaiting int     // of those, the ones without a run.
+	tasksWaiting int     // tasks that are not done and have no run.
 	runMs        float64 // expected run time of one task.
-	rank         rank    // in the last order of service.
-	chainMs      float64 // the same for the longest chain from here on.
+	rank         rank    // position when the stages were last ordered.
+	chainMs      float64 // expected run time of the longest chain that begins with this stage.
 
 	noFormerRuns   bool              // no former owner can have started any of its tasks.
-	tickets        map[string]ticket // by worker.
-	denied         map[string]bool   // workers that may not run the step.
-	askedWorkers   []string          // workers that the last request for advice named.
+	tickets        map[string]ticket // by worker ID.
+	denied         map[string]bool   // IDs of workers that must not run the step.
+	askedWorkers   []string          // IDs of the workers in the last request for advice.
 	adviceInFlight bool
 	nextAdviceAt   int64
 }
@@ -70,17 +70,17 @@
 	stage           *stage
 	index           int
 	done            bool
-	failedRuns      []int // runs that ended failed.
+	failedRuns      []int // numbers of the failed runs.
 	lastRun         int   // highest run number.
 	runs            []*run
 	checkpoint      string
-	notBefore       int64 // not started before.
+	notBefore       int64 // steady time before which it must not start.
 	avoidWorkers    []string
-	noFormerRuns    bool // no former owner can have started it at a worker that has not been read.
+	noFormerRuns    bool // no former owner can have started it at a worker whose lists have not been read.
 	unknownToFormer bool // it is done, and no former owner can know that.
 }
 
-// runState is what the owner believes of a run.
+// runState is the state of a run as far as the owner knows.
 type runState int
 
 const (
@@ -97,9 +97,9 @@
 	worker         *worker
 	state          runState
 	startSentAt    int64 // when the start was sent.
-	confirmedAt    int64 // when the start was answered or the run was first listed.
-	startExpiresAt int64 // on the worker's clock: the start is not carried out later.
-	workerBorn     int64 // the worker's lifetime on whose clock until is.
+	confirmedAt    int64 // when the start was answered or the run was first listed; 0 before.
+	startExpiresAt int64 // time on the worker's clock after which it does not carry out the start.
+	workerBorn     int64 // start time of the worker's lifetime to whose clock startExpiresAt refers.
 	stopAckedAt    int64 // when the stop was answered; 0 before.
 	stopSentAt     int64 // when the last stop was sent.
 	percent        int
@@ -108,7 +108,7 @@
 	gauge          int64
 	pace           int
 	resumed        bool // it began from a checkpoint.
-	evicted        bool // it was stopped by our own choice.
+	evicted        bool // this owner stopped it to free the worker or to restart the task elsewhere.
 	ownStart       bool // this owner started it.
 }
 
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// size is what the task takes of a worker's room.
+// size returns the resources that a task of s occupies at a worker.
 func (s *stage) size() Size {
 	if s.Fills {
 		return Size{MemMB: s.Step.Size.MemMB, GPU: s.Step.Size.GPU}
@@ -133,7 +133,7 @@
 	return s.Step.Size
 }
 
-// runsOn returns the number of the stage's runs runsOn w.
+// runsOn returns the number of the stage's runs on w.
 func (s *stage) runsOn(w *worker) int {
 	n := 0
 	for _, r := range w.runs {
@@ -144,7 +144,7 @@
 	return n
 }
 
-// ready reports whether all earlier stages that s waits for are done.
+// ready reports whether all stages that s depends on are done.
 func (s *stage) ready() bool {
 	return !slices.ContainsFunc(s.After, func(a int) bool { return s.round.stages[a].tasksLeft > 0 })
 }
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// task returns the task of that name, nil when there is none.
+// task returns the task with that name, or nil if there is none.
 func (m *Model) task(n TaskName) *task {
 	j := m.jobs[n.Job]
 	if j == nil {
@@ -219,7 +219,7 @@
 	return j.FirstMs + int64(j.nextRound)*j.EveryMs - m.wallOffset
 }
 
-// markChanged notes that the progress of j must be written.
+// markChanged records that the progress of j must be written.
 func (m *Model) markChanged(j *job) {
 	j.version++
 	m.commits.addProgress(j)
@@ -263,7 +263,7 @@
 	r.task.stage.job.started = true
 }
 
-// freeEnded frees the tasks of a job that has ended and has nothing running.
+// freeEnded frees the tasks of a job that has ended and has no runs left.
 func (m *Model) freeEnded(j *job) {
 	if j.phase != ended || j.storedVersion < j.version {
 		return
@@ -278,7 +278,8 @@
 	j.rounds, j.Steps, j.Spec = nil, nil, ""
 }
 
-// runEnded takes in how a run ended, and whether a former owner can know of it. It reports whether the job's progress changed.
+// runEnded applies the end of a run. unknownToFormer says that no former owner can know of it. It reports whether the
+// job's progress changed.
 func (m *Model) runEnded(t *task, number int, how How, saved string, unknownToFormer bool) bool {
 	j := t.stage.job
 	if j.phase == ended || t.done {
@@ -332,8 +333,9 @@
 	m.markChanged(s.job)
 }
 
-// markNextStages notes that no former owner has started the steps after s, if for it a task of s has not ended; one that had copies may know
-// of other ends.
+// markNextStages records that no former owner can have started the steps after s, because none can know that all tasks
+// of s are done. It does nothing if a former owner may have started copies, since that owner may have seen the tasks
+// end by other runs.
 func (s *stage) markNextStages() {
 	if s.job.formerCopies || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.unknownToFormer }) {
 		return
@@ -350,7 +352,7 @@
 	m.endJob(j, Completed)
 }
 
-// endJob ends the job; callers see it once the store has it.
+// endJob ends the job. Callers see the end once it is stored.
 func (m *Model) endJob(j *job, s State) {
 	j.phase, j.finalState, j.endedAt = ended, s, m.now
 	delete(m.pool(j.Service).openJobs, j.ID)
@@ -379,11 +381,12 @@
 	return true
 }
 
-// unknownToFormer reports whether no former owner can know that the task is done when r ends so: r has begun under this owner, or it is
-// the first run and this owner found it running. Before a later run, an earlier one may have ended unheard.
+// unknownToFormer reports whether no former owner can know that the task is done when r ends it: this owner started r,
+// or r is the first run and this owner found it running. Before a later run, an earlier one may have ended without this
+// owner's knowledge.
 func (r *run) unknownToFormer() bool { return r.ownStart || r.number == 1 }
 
-// stopRun sends a stopRun for the run, unless one has been sent lately.
+// stopRun sends a stop for the run, unless one was sent recently.
 func (m *Model) stopRun(r *run) {
 	if r.state == stopping && m.now-r.stopSentAt < stopRetryMs {
 		return
@@ -404,7 +407,7 @@
 	r.state = s
 }
 
-// stopUnknown stops a run that no task has.
+// stopUnknown stops a run that belongs to no known task.
 func (m *Model) stopUnknown(w *worker, n TaskName, run int) {
 	m.emit(StopCmd{Worker: w.ID, Addr: w.Addr, Task: n, Run: run, Fence: m.cfg.Fence})
 }
--- a/fleet/batch/ticket.go
+++ b/fleet/batch/ticket.go
@@ -2,10 +2,10 @@
 
 // Advice: some queues allow a step only on workers for which a ticket was granted.
 
-// adviceWorkers is the most workers that one request for advice names.
+// adviceWorkers is the largest number of workers in one request for advice.
 const adviceWorkers = 100
 
-// ticket allows one step on one worker until a steady time.
+// ticket permits one step on one worker until a steady time.
 type ticket struct {
 	text       string
 	validUntil int64
@@ -13,23 +13,23 @@
 
 // AdviseCmd asks which workers may run a step.
 type AdviseCmd struct {
-	Task    TaskName // of any task of the step.
+	Task    TaskName // any task of the step.
 	Workers []string
 }
 
-// AdvisedMsg is the answer to an AdviseCmd; an empty Tickets with Failed set means to ask again.
+// AdvisedMsg is the answer to an AdviseCmd. If Failed is set, there is no answer and the request is to be repeated.
 type AdvisedMsg struct {
 	Task    TaskName
 	Failed  bool
 	ValidMs int64
 	Sent    int64
-	Tickets map[string]string // by worker.
+	Tickets map[string]string // by worker ID.
 }
 
 func (AdviseCmd) cmd()  {}
 func (AdvisedMsg) msg() {}
 
-// hasTicket reports whether the step may run on w, and asks for advice when that is not known.
+// hasTicket reports whether the step may run on w. It requests advice if that is not known.
 func (m *Model) hasTicket(w *worker, s *stage) bool {
 	if !s.job.Advised {
 		return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-// requestAdvice asks for tickets unless a request is under way or was made lately.
+// requestAdvice requests tickets unless a request is pending or was answered recently.
 func (m *Model) requestAdvice(s *stage) {
 	if s.adviceInFlight || m.now < s.nextAdviceAt {
 		return
@@ -59,7 +59,7 @@
 	m.emit(AdviseCmd{Task: s.tasks[0].name(), Workers: l})
 }
 
-// adviceAnswered takes the tickets in; a worker that was named and not granted may never run the step.
+// adviceAnswered stores the tickets. A worker that was asked for and got none must never run the step.
 func (m *Model) adviceAnswered(g AdvisedMsg) {
 	t := m.task(g.Task)
 	if t == nil {
--- a/fleet/batch/wave.go
+++ b/fleet/batch/wave.go
@@ -9,17 +9,17 @@
 	"strconv"
 )
 
-// maxUpkeepShare is the share of a pool's workers that is taken out for upkeep at once.
+// maxUpkeepShare is the largest share of a pool's machines that may be out for upkeep at once.
 const maxUpkeepShare = 0.34
 
-// maxIdleLoad is the load below which a worker counts as idle, lasting tasks aside.
+// maxIdleLoad is the largest CPU share of short tasks at which a machine counts as idle.
 const maxIdleLoad = 0.05
 
 // wave is one order of the operator to maintain machines.
 type wave struct {
 	WaveMsg
 	beganAt  int64
-	begun    map[string]bool // the upkeep was or may have been ordered.
+	begun    map[string]bool // machines whose upkeep was or may have been ordered.
 	finished map[string]bool
 	reported bool
 	done     bool
@@ -47,7 +47,7 @@
 	w.done = w.done || g.Completed
 }
 
-// releaseUnbegun gives the machines back that have not begun.
+// releaseUnbegun releases the machines whose upkeep has not begun.
 func (m *Model) releaseUnbegun(w *wave) {
 	for _, k := range m.fleet.list {
 		if k.wave == w && !w.begun[k.Name] {
@@ -109,7 +109,7 @@
 	}
 }
 
-// waveProgress returns the machines whose upkeep has not been taken up, and the number that are or may be out.
+// waveProgress returns the machines whose upkeep is still to start, and the number of those that are or may be out.
 func (m *Model) waveProgress(w *wave) ([]*machine, int) {
 	var left []*machine
 	out := 0
@@ -119,20 +119,20 @@
 		case k == nil || w.finished[n]:
 		case k.wave == w:
 			out++
-		case w.begun[n]: // a former owner may have ordered it: order it again to learn that it is done.
+		case w.begun[n]: // a former owner may have ordered it; ordering it again shows whether it is done.
 			m.takeOut(w, k)
 			k.maybeRepeated = true
 			out++
 		case k.wave == nil && k.targetPool == "":
 			left = append(left, k)
 		default:
-			out++ // busy otherwise.
+			out++ // in use for another wave or a move.
 		}
 	}
 	return left, out
 }
 
-// takeOutMachines takes machines out for the wave: idle ones at any time, busy ones when the time that is left asks for it.
+// takeOutMachines takes machines out for the wave: idle ones at any time, busy ones if the time left requires it.
 func (m *Model) takeOutMachines(w *wave, left []*machine, out int) {
 	span := max(w.beganAt+w.DurationMs-waveMarginMs-m.now, upkeepDurationMs)
 	need := int(math.Ceil(float64((len(left)+out)*upkeepDurationMs) / float64(span)))
@@ -162,7 +162,7 @@
 	}
 }
 
-// shortTaskShare is the share of the machine's CPU that short tasks hold.
+// shortTaskShare returns the share of the machine's CPU that short tasks hold.
 func (m *Model) shortTaskShare(k *machine) float64 {
 	w := m.workerOf(k)
 	if w == nil {
@@ -177,13 +177,13 @@
 	return ratio(n, w.Room.CPU)
 }
 
-// canTakeNow reports whether the machine's pool can do without it now.
+// canTakeNow reports whether the machine is idle and no task of its pool has waited for room lately.
 func (m *Model) canTakeNow(k *machine) bool {
 	p := m.pool(k.Pool)
 	return m.shortTaskShare(k) <= maxIdleLoad && m.now-p.demand.lastShortAt > quietAfterMs
 }
 
-// belowUpkeepLimit reports whether few enough machines of the pool are out for upkeep.
+// belowUpkeepLimit reports whether one more machine of the pool may be out for upkeep.
 func (m *Model) belowUpkeepLimit(k *machine) bool {
 	t := m.pool(k.Pool).counts
 	return float64(t.upkeep+1) <= max(1, maxUpkeepShare*float64(t.machines))
@@ -193,7 +193,7 @@
 func (m *Model) prepare(w *wave, k *machine) {
 	if k.ackedAt != 0 {
 		if m.now-k.ackedAt > arrivalTimeoutMs && k.State == Up && m.fleet.listSentAt > k.ackedAt {
-			m.markMaintained(w, k.Name) // its worker did not change its id.
+			m.markMaintained(w, k.Name) // the machine is back with the same worker ID.
 			m.releaseMachine(k)
 		}
 		return
@@ -209,13 +209,13 @@
 		m.saveWave(w)
 	}
 	if w.version > w.storedVersion {
-		return // the order follows the record of it.
+		return // the order is sent only after its record is stored.
 	}
 	m.recordOrder(k)
 	m.emit(UpkeepCmd{Machine: k.Name, Wave: w.Number, Fence: m.cfg.Fence})
 }
 
-// evacuate reports whether nothing runs at the machine any more, and moves lasting tasks away.
+// evacuate moves lasting tasks off the machine, and reports whether nothing runs there any more.
 func (m *Model) evacuate(k *machine) bool {
 	o := m.workerOf(k)
 	if o == nil || o.dead {
@@ -234,7 +234,8 @@
 // knowsRuns reports whether the owner knows what runs at the worker.
 func (m *Model) knowsRuns(w *worker) bool { return w.synced && w.silentSince == 0 }
 
-// evict stops a run where that is allowed: a lasting task when another worker has room, a short one only when it is urgent.
+// evict stops a run if that is allowed: a lasting task if another worker has room for it, a short task only if urgent
+// is set.
 func (m *Model) evict(r *run, urgent bool) {
 	if r.state != running {
 		return
@@ -266,7 +267,8 @@
 	return false
 }
 
-// evictFromDraining moves tasks away from workers that are about to leave, those that would not end in time.
+// evictFromDraining stops the tasks at draining workers that would not end in time, lasting ones and those with
+// checkpoints, if another worker has room for them.
 func (m *Model) evictFromDraining() {
 	for _, w := range m.workerList {
 		if !w.Draining || w.silentSince != 0 || w.dead {
--- a/fleet/batch/worker.go
+++ b/fleet/batch/worker.go
@@ -5,62 +5,62 @@
 	"slices"
 )
 
-// Workers that fail what they start.
+// Quarantine of workers that fail the tasks they start.
 const (
-	quarantineFailures = 3     // failures in a row, of different jobs, after which a worker is set aside.
-	minQuarantineMs    = 2_000 // first time aside; it doubles with each further failure.
+	quarantineFailures = 3     // failures in a row, of different jobs, after which a worker is quarantined.
+	minQuarantineMs    = 2_000 // first quarantine, ms; it doubles each time. A start that a worker cannot parse is also retried after this.
 	maxQuarantineMs    = 16_000
-	learnRate          = 0.1 // weight of one run in what is learned.
+	learnRate          = 0.1 // weight of one run in a worker's slowdown.
 )
 
-// worker is one lifetime of a worker.
+// worker is one worker; the fields apply to its current lifetime.
 type worker struct {
 	Entry
 	rack         string
-	listed       bool // the list has its entry.
+	listed       bool // the list has an entry for it.
 	dead         bool // the lifetime has certainly ended.
-	machineTaken bool // its machine was moved or maintained.
+	machineTaken bool // its machine was moved or maintained, which ends the worker.
 
 	runs             []*run // in the order of their starts.
 	used             Size
 	unansweredStarts int // runs whose start has not been answered.
 
-	clockMs      int64 // the worker's clock, at least, at clockAt.
+	clockMs      int64 // lower bound of the worker's clock at clockAt.
 	clockAt      int64
-	leaseUntil   int64 // on its clock: the latest end of a lease that any order asked for.
-	sentAck      int64 // the last end that the worker was told may be forgotten.
-	confirmedAck int64 // the last end that it is known to have forgotten.
-	lastEnd      int64 // the last end that was taken in.
+	leaseUntil   int64 // latest lease end or start expiry sent to the worker, on its clock.
+	sentAck      int64 // the highest ended run that the worker was told it may forget.
+	confirmedAck int64 // the highest ended run that it has certainly forgotten.
+	lastEnd      int64 // the highest ended run that was applied.
 	unsavedEnds  []unsavedEnd
 
 	polling        bool
-	pollSentAt     int64 // when the look that is under way was asked for.
-	nextPollAt     int64 // when to look again.
-	noPollBefore   int64 // not before: ends that come soon after one another are read together.
-	shortPoll      bool  // look at once.
-	silentSince    int64 // since when it has not answered; 0 while it does.
-	synced         bool  // its lists have been read under this owner's fence.
-	noStartsBefore int64 // no starts before.
+	pollSentAt     int64 // when the pending poll was sent.
+	nextPollAt     int64 // when the next poll is due.
+	noPollBefore   int64 // no poll before: ends that follow each other closely are read together.
+	shortPoll      bool  // the next poll must not wait.
+	silentSince    int64 // when it stopped answering; 0 while it answers.
+	synced         bool  // its lists have been read by this owner.
+	noStartsBefore int64 // no starts before this time.
 
 	failuresInRow    int
 	failedJobs       []string
-	quarantinedUntil int64 // set aside until then.
+	quarantinedUntil int64 // in quarantine until this time.
 	quarantineMs     int64
 	pacedAt          int64
-	lastUsedAt       int64 // when it last ran something.
-	lifetimeKnownAt  int64 // when its lifetime was first heard of.
-	cordoned         bool  // a duty is about to empty it.
+	lastUsedAt       int64 // when it last had a run.
+	lifetimeKnownAt  int64 // when this owner first learned of its lifetime.
+	cordoned         bool  // its machine is about to be moved or maintained.
 	slowdown         float64
 }
 
-// unsavedEnd is an end that may be forgotten once the store has the job's progress up to version.
+// unsavedEnd is an ended run that the worker may forget once the job's progress is stored up to version.
 type unsavedEnd struct {
 	number  int64
 	job     *job
 	version int
 }
 
-// rackLabelIndex is the position of the rack in a worker's labels, after its kind.
+// rackLabelIndex is the index of the rack in a worker's labels, after the worker's kind.
 const rackLabelIndex = 1
 
 func (m *Model) setWorkers(g WorkersMsg) {
@@ -145,8 +145,8 @@
 	m.workerList = slices.DeleteFunc(m.workerList, func(o *worker) bool { return o == w })
 }
 
-// restart begins a new lifetime under the same id, whose counts begin anew. Its next list tells which runs are gone: a start
-// may have reached the new lifetime already.
+// restart begins a new lifetime under the same ID and resets its counters. Runs are kept until the next list shows
+// which are gone, since a start may already have reached the new lifetime.
 func (m *Model) restart(w *worker, born int64) {
 	m.log("worker restarted", "", "worker", w.ID, "runs", len(w.runs))
 	w.Born, w.sentAck, w.confirmedAck, w.lastEnd, w.unsavedEnds = born, 0, 0, 0, nil
@@ -155,10 +155,10 @@
 	w.nextPollAt, w.shortPoll, w.lifetimeKnownAt = 0, true, m.now
 }
 
-// runsCopy returns a copy of the worker's runs, which may change while it is gone through.
+// runsCopy returns a copy of the worker's runs, for loops that change them.
 func (w *worker) runsCopy() []*run { return slices.Clone(w.runs) }
 
-// applyEnded takes in the listed ends that are new.
+// applyEnded applies the ended runs of a list that are new.
 func (m *Model) applyEnded(w *worker, g HeldMsg, first bool) {
 	for _, e := range g.Ended {
 		if e.Number <= w.lastEnd {
@@ -174,7 +174,7 @@
 			r = nil
 		}
 		if r == nil && !first {
-			continue // an earlier run that was given up long ago.
+			continue // an earlier run that was dropped long ago.
 		}
 		if r != nil {
 			m.learnFromEnd(w, r, e.How)
@@ -195,9 +195,10 @@
 	}
 }
 
-// applyRunning takes in what runs, stops what should not, and misses what is neither running nor ended.
+// applyRunning applies the running runs of a list. It stops runs that should not be there and checks those that are
+// neither running nor ended.
 func (m *Model) applyRunning(w *worker, g HeldMsg, first bool) {
-	at := make(map[*run]bool, len(g.Running))
+	listed := make(map[*run]bool, len(g.Running))
 	for _, e := range g.Running {
 		t := m.task(e.Task)
 		var r *run
@@ -214,14 +215,14 @@
 			m.stopUnknown(w, e.Task, e.Run)
 			continue
 		}
-		at[r] = true
+		listed[r] = true
 		m.updateRun(r, e)
 	}
 	if g.ListFull {
 		return
 	}
 	for _, r := range w.runsCopy() {
-		if !at[r] {
+		if !listed[r] {
 			m.checkMissing(r, g)
 		}
 	}
@@ -237,10 +238,10 @@
 	return r
 }
 
-// fullPace is the pace of a task that is not held back, in percent.
+// fullPace is the pace of a task that is not slowed down, in percent.
 const fullPace = 100
 
-// updateRun takes in what a worker says of a run.
+// updateRun applies what a worker's list says of a run.
 func (m *Model) updateRun(r *run, e Running) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt, r.advancedAt = m.now, m.now
@@ -261,7 +262,7 @@
 	}
 }
 
-// checkMissing takes in that a list does not name the run.
+// checkMissing handles a run that a worker's list does not name.
 func (m *Model) checkMissing(r *run, g HeldMsg) {
 	switch {
 	case r.state == running && r.confirmedAt > 0 && g.Sent > r.confirmedAt,
@@ -274,14 +275,14 @@
 	}
 }
 
-// checkRuns repeats stops that have not been answered.
+// checkRuns repeats unanswered stops, gives up overdue starts, restarts stuck tasks and starts copies.
 func (m *Model) checkRuns() {
 	for _, w := range m.workerList {
 		for _, r := range w.runs {
 			switch {
 			case r.state == stopping && m.now-r.stopSentAt >= stopRetryMs && w.silentSince == 0:
 				m.stopRun(r)
-			case r.state == starting && m.now-r.startSentAt >= callTimeoutMs:
+			case r.state == starting && m.now-r.startSentAt >= overdueCallMs:
 				m.log("start overdue", r.task.stage.job.ID, "task", r.task.name().String(), "run", r.number, "worker", w.ID, "sinceMs", m.now-r.startSentAt)
 				m.startUnanswered(r)
 			}
@@ -291,7 +292,7 @@
 	m.copyLaggards()
 }
 
-// learnFromEnd takes in how long a run took and whether its worker fails what it starts.
+// learnFromEnd updates the run times that are learned, and counts a worker's failures in a row.
 func (m *Model) learnFromEnd(w *worker, r *run, how How) {
 	switch how {
 	case Done:
