--- a/fleet/batch/bench_test.go
+++ b/fleet/batch/bench_test.go
@@ -6,23 +6,23 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// BenchmarkOwner plays ten seconds of a heavy turn: workers of 32 cores, 140 jobs a second of 13 tasks each.
+// BenchmarkOwner simulates ten seconds of heavy load: workers of 32 cores, and 140 jobs of 13 tasks each per second.
 func BenchmarkOwner(b *testing.B) {
-	b.Run("room for all", func(b *testing.B) { heavyTurn(b, 85) })
-	b.Run("overload", func(b *testing.B) { heavyTurn(b, 20) })
+	b.Run("room for all", func(b *testing.B) { heavyLoad(b, 85) })
+	b.Run("overload", func(b *testing.B) { heavyLoad(b, 20) })
 }
 
-func heavyTurn(b *testing.B, workers int) {
+func heavyLoad(b *testing.B, workers int) {
 	b.Helper()
 	for range b.N {
-		w := newWorld(&testing.T{}, 1, workers, faults{})
+		w := newSimulation(&testing.T{}, 1, workers, faults{})
 		for _, f := range w.workers {
 			f.SetRoom(batch.Size{CPU: 32_000, MemMB: 64_000})
 		}
 		w.owners = nil
-		w.own()
+		w.startOwner()
 		n := 0
-		w.play(11_000, func() {
+		w.run(11_000, func() {
 			for range 140 * stepMs / 10 / 100 * 1 {
 				n++
 				j := plainJob(n)
--- a/fleet/batch/chaos_test.go
+++ b/fleet/batch/chaos_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Seeds that failed once stay as cases of their own.
+// Seeds that failed once are kept as regression cases.
 var regressions = []struct {
 	seed   uint64
 	faults faults
@@ -15,37 +15,37 @@
 	{4, faults{depose: 2, crash: 4, restart: 2, cut: 6, late: 10, lost: 10}, "an owner without the store started tasks at a restarted worker, which had forgotten its successor's fence"},
 }
 
-// chaosSeeds bounds the run in CI; make soak plays more.
+// chaosSeeds limits the run in CI; make soak runs more seeds.
 var chaosSeeds = flag.Uint64("batch.seeds", 15, "seeds that TestChaos plays of each mix of faults")
 
-// chaos plays jobs for 40 s of virtual time under faults, then 40 s without, and checks every promise.
-func chaos(t *testing.T, seed uint64, f faults) {
+// runChaos runs jobs for 40 s of virtual time under faults and for 49 s without, and then checks every guarantee.
+func runChaos(t *testing.T, seed uint64, f faults) {
 	t.Helper()
-	w := newWorld(t, seed, 8, f)
+	w := newSimulation(t, seed, 8, f)
 	n := 0
 	w.submit(longJob(900_000))
-	w.play(41_000, func() {
+	w.run(41_000, func() {
 		if w.now%200 == 0 && w.rnd.IntN(3) > 0 {
 			n++
 			w.submit(w.job(n))
 		}
-		if w.now%600 == 0 && n > 0 { // a caller that got no answer asks again.
+		if w.now%600 == 0 && n > 0 { // a caller without an answer submits again.
 			id := 1 + w.rnd.IntN(n)
 			if x := w.judge.Find(jobID(id)); x != nil && !x.Accepted {
 				w.submit(x.Job)
 			}
 		}
 	})
-	w.faults, w.down = faults{}, false
+	w.faults, w.storeDown = faults{}, false
 	for _, a := range w.owners {
-		clear(a.away)
+		clear(a.unreachable)
 	}
-	w.play(90_000, func() {
+	w.run(90_000, func() {
 		if len(w.owners) == 0 && w.now%1000 == 0 {
-			w.own()
+			w.startOwner()
 		}
 	})
-	w.settled()
+	w.checkSettled()
 	w.report()
 }
 
@@ -68,7 +68,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for s := uint64(1); s <= *chaosSeeds; s++ {
-				chaos(t, s, c.f)
+				runChaos(t, s, c.f)
 				if t.Failed() {
 					return
 				}
@@ -77,7 +77,7 @@
 	}
 	for _, r := range regressions {
 		t.Run(fmt.Sprintf("seed %d", r.seed), func(t *testing.T) {
-			chaos(t, r.seed, r.faults)
+			runChaos(t, r.seed, r.faults)
 		})
 	}
 }
--- a/fleet/batch/copies_test.go
+++ b/fleet/batch/copies_test.go
@@ -8,17 +8,17 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// benchModel is a model with workers that a test answers for.
-type benchModel struct {
+// harness is a model whose commands a test answers.
+type harness struct {
 	*batch.Model
-	now    int64
-	away   bool // the store does not answer.
-	starts []batch.StartCmd
-	stops  []batch.StopCmd
+	now       int64
+	storeDown bool // writes to the store have an unknown outcome.
+	starts    []batch.StartCmd
+	stops     []batch.StopCmd
 }
 
-func newBench(workers ...string) *benchModel {
-	b := &benchModel{Model: batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500}), now: 1000}
+func newHarness(workers ...string) *harness {
+	b := &harness{Model: batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500}), now: 1000}
 	var set []batch.Entry
 	for _, w := range workers {
 		set = append(set, batch.Entry{ID: w, Service: "s", Addr: w, Room: batch.Size{CPU: 4000, MemMB: 8000}, ClockMs: 5, Born: 1})
@@ -26,18 +26,19 @@
 	b.Update(b.now, batch.LeaseMsg{Fresh: true, Checked: b.now})
 	b.Update(b.now, batch.WorkersMsg{All: true, Set: set})
 	b.Update(b.now, batch.LoadedMsg{})
-	b.pass(100)
+	b.advance(100)
 	return b
 }
 
-// pass lets ms pass; commits, starts and stops are answered at once, and workers list nothing but what tell gives.
-func (b *benchModel) pass(ms int64) {
+// advance lets ms milliseconds pass. It answers commits, starts and stops at once. Polls are answered with empty lists
+// until the first start; after that only listRuns answers for a worker.
+func (b *harness) advance(ms int64) {
 	for end := b.now + ms; b.now < end; b.now += 10 {
 		b.Update(b.now, batch.LeaseMsg{Fresh: true, Checked: b.now})
 		for _, c := range b.Round(b.now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
-				if b.away {
+				if b.storeDown {
 					b.Update(b.now, batch.CommittedMsg{ID: k.ID, Outcome: batch.Unknown})
 				} else {
 					b.Update(b.now, batch.CommittedMsg{ID: k.ID, Rev: b.now})
@@ -57,23 +58,24 @@
 	}
 }
 
-// tell has a worker list the given runs.
-func (b *benchModel) tell(worker string, running []batch.Running, ended ...batch.Ended) {
+// listRuns delivers a worker's list with the given runs.
+func (b *harness) listRuns(worker string, running []batch.Running, ended ...batch.Ended) {
 	b.Update(b.now, batch.HeldMsg{Worker: worker, Sent: b.now, ClockMs: b.now, Born: 1, Running: running, Ended: ended})
 }
 
-// A task that lags gets a second copy elsewhere, where its job allows it; the other is stopped once one is done.
+// A slow task gets a speculative copy on another worker if its job allows it. Once one run is done, the other is
+// stopped.
 func TestCopies(t *testing.T) {
 	store := true
-	play := func(copies bool, percent int) *benchModel {
-		b := newBench("w1", "w2")
+	play := func(copies bool, percent int) *harness {
+		b := newHarness("w1", "w2")
 		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", AimMs: 9000, Steps: []batch.Step{
 			{Count: 1, Size: batch.Size{CPU: 1000}, EstimateMs: 500, Copies: copies},
 		}}})
-		b.pass(900)
-		b.away = !store
-		b.tell(b.starts[0].Worker, []batch.Running{{Task: b.starts[0].Task, Run: 1, Percent: percent}})
-		b.pass(400)
+		b.advance(900)
+		b.storeDown = !store
+		b.listRuns(b.starts[0].Worker, []batch.Running{{Task: b.starts[0].Task, Run: 1, Percent: percent}})
+		b.advance(400)
 		return b
 	}
 	t.Run("it lags", func(t *testing.T) {
@@ -83,8 +85,8 @@
 		first, second := b.starts[0], b.starts[1]
 		is.True(first.Worker != second.Worker)
 		is.Equal(second.Run, 2)
-		b.tell(second.Worker, nil, batch.Ended{Number: 1, Task: second.Task, Run: 2, How: batch.Done})
-		b.pass(100)
+		b.listRuns(second.Worker, nil, batch.Ended{Number: 1, Task: second.Task, Run: 2, How: batch.Done})
+		b.advance(100)
 		is.Equal(b.State(jobID(1)), batch.Completed)
 		is.Equal(b.stops[0].Worker, first.Worker)
 		is.Equal(len(b.starts), 2)
@@ -98,18 +100,19 @@
 	t.Run("not allowed", func(t *testing.T) { is.New(t).Equal(len(play(false, 10).starts), 1) })
 }
 
-// A task of a higher priority takes the place of ones that go on from a checkpoint; others run to their end.
+// A task of a higher priority preempts tasks that resume from a checkpoint, as many as needed; other tasks run to their
+// end.
 func TestPreemption(t *testing.T) {
-	play := func(saves bool, priority int) *benchModel {
-		b := newBench("w1")
+	play := func(saves bool, priority int) *harness {
+		b := newHarness("w1")
 		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", Priority: 1, AimMs: 90_000, Steps: []batch.Step{
 			{Count: 4, Size: batch.Size{CPU: 1000}, EstimateMs: 5000, Checkpoints: saves},
 		}}})
-		b.pass(200)
+		b.advance(200)
 		b.Update(b.now, batch.SubmitMsg{Ref: 2, Job: batch.Job{ID: jobID(2), Queue: "u", Service: "s", Priority: priority, AimMs: 90_000, Steps: []batch.Step{
 			{Count: 1, Size: batch.Size{CPU: 2000}, EstimateMs: 500},
 		}}})
-		b.pass(200)
+		b.advance(200)
 		return b
 	}
 	t.Run("as many as are needed", func(t *testing.T) {
@@ -126,8 +129,8 @@
 				left = append(left, batch.Running{Task: s.Task, Run: s.Run, Percent: 10})
 			}
 		}
-		b.tell("w1", left, ends...)
-		b.pass(100)
+		b.listRuns("w1", left, ends...)
+		b.advance(100)
 		is.Equal(len(b.starts), 5)
 		is.Equal(b.starts[4].Task.Job, jobID(2))
 	})
--- a/fleet/batch/export_test.go
+++ b/fleet/batch/export_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Describe tells what the model believes of a job's unfinished tasks.
+// Describe returns what the model knows of a job's unfinished tasks.
 func Describe(m *Model, id string) string {
 	var b strings.Builder
 	for _, r := range m.jobs[id].rounds {
@@ -26,5 +26,5 @@
 	return b.String()
 }
 
-// Now returns the time of the last message.
+// Now returns the model's current time.
 func (m *Model) Now() int64 { return m.now }
--- a/fleet/batch/kinds_test.go
+++ b/fleet/batch/kinds_test.go
@@ -10,11 +10,11 @@
 
 func TestRounds(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 4, faults{})
+	w := newSimulation(t, 1, 4, faults{})
 	j := plainJob(1)
 	j.Rounds, j.FirstMs, j.EveryMs = 3, 5_000, 2_000
 	w.submit(j)
-	w.play(20_000, nil)
+	w.run(20_000, nil)
 	w.report()
 	is.Equal(w.owners[0].m.State(j.ID), batch.Completed)
 	for k := range j.Rounds {
@@ -22,7 +22,7 @@
 			for i := range p.Count {
 				l := w.judge.Stints(batch.TaskName{Job: j.ID, Round: k, Step: s, Index: i}.String())
 				is.Equal(len(l), 1)
-				is.True(l[0].From >= j.FirstMs+int64(k)*j.EveryMs) // not before its time.
+				is.True(l[0].From >= j.FirstMs+int64(k)*j.EveryMs) // not before the round is due.
 			}
 		}
 	}
@@ -30,28 +30,28 @@
 
 func TestRoundsOutliveTheirOwner(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 4, faults{})
+	w := newSimulation(t, 1, 4, faults{})
 	j := plainJob(1)
 	j.Rounds, j.FirstMs, j.EveryMs = 3, 5_000, 2_000
 	w.submit(j)
-	w.play(6_500, nil)
+	w.run(6_500, nil)
 	w.owners[0].alive = false
-	w.after(1_300, w.own)
-	w.play(30_000, nil)
-	w.settled()
+	w.schedule(1_300, w.startOwner)
+	w.run(30_000, nil)
+	w.checkSettled()
 	w.report()
 	is.Equal(w.owners[len(w.owners)-1].m.State(j.ID), batch.Completed)
 }
 
-// A gang starts as a whole, under one run number, and only where all of it has room.
+// The tasks of a gang start together under one run number, and only if all of them fit.
 func TestGang(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 3, faults{})
+	w := newSimulation(t, 1, 3, faults{})
 	j := batch.Job{ID: jobID(1), Queue: "g", Service: "s", Attempts: 4, Steps: []batch.Step{
 		{Count: 5, Size: batch.Size{CPU: 4000, MemMB: 100}, EstimateMs: 1000, Gang: true},
 	}}
 	w.submit(j)
-	w.play(4_000, nil)
+	w.run(4_000, nil)
 	w.report()
 	var from int64
 	for i := range 5 {
@@ -66,11 +66,11 @@
 	big := j
 	big.ID, big.Steps = jobID(2), []batch.Step{{Count: 7, Size: batch.Size{CPU: 4000, MemMB: 100}, EstimateMs: 1000, Gang: true}}
 	w.submit(big)
-	w.play(9_000, nil)
-	is.Equal(len(w.judge.Stints(batch.TaskName{Job: big.ID}.String())), 0) // six have room: none starts.
+	w.run(9_000, nil)
+	is.Equal(len(w.judge.Stints(batch.TaskName{Job: big.ID}.String())), 0) // only six tasks fit, so none starts.
 }
 
-// Tasks of an advised queue start only at workers for which a ticket was granted, and carry it.
+// Tasks of an advised queue start only at workers for which a ticket was granted, and the start carries the ticket.
 func TestAdvice(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
@@ -109,7 +109,8 @@
 	}
 }
 
-// Filling tasks are slowed down while a lasting one beside them misses its target, and let on again.
+// Filling tasks are slowed down while a lasting task beside them misses its latency target, and sped up again
+// afterwards.
 func TestPace(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
--- a/fleet/batch/learn_test.go
+++ b/fleet/batch/learn_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// near fails when got is not within share of want.
+// near fails the test unless got is within the given share of want.
 func near(t *testing.T, name string, got, want, share float64) {
 	t.Helper()
 	if math.Abs(got-want) > share*want {
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -8,8 +8,8 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// firstMoves plays a new owner of two idle machines that another pool needs, and returns when it first orders each; tell is what it
-// learns of the former owner's orders at 1100.
+// firstMoves runs a new owner with two idle machines that another pool needs, and returns when it first orders each
+// one. At 1100 ms the owner receives the given messages about the former owner's orders.
 func firstMoves(tell ...batch.Msg) map[string]int64 {
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
@@ -52,7 +52,8 @@
 	return at
 }
 
-// Two owners keep their distance at each machine; what the former one tells of its orders frees all others at once.
+// Two owners must leave the configured gap between their orders to one machine. A successor that knows its former
+// owner's orders may order all other machines at once.
 func TestSuccessorOrdersMachines(t *testing.T) {
 	const claimEnd, gap = 1_200, 3_500
 	t.Run("nothing is known", func(t *testing.T) {
@@ -73,7 +74,7 @@
 	})
 }
 
-// What an owner tells of its orders holds those that it knows of former owners, too, and grows old.
+// Orders includes the former owners' orders that the model knows of, and their ages grow with time.
 func TestOrdersAge(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, DutyGapMs: 3500})
--- a/fleet/batch/park_test.go
+++ b/fleet/batch/park_test.go
@@ -11,49 +11,49 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// Times of machines, in ms.
+// Times of the simulated machines, in ms.
 const (
-	moveMs   = 1_500
-	upkeepMs = 2_000
-	turnsMs  = 3_000 // two owners do not give one machine orders within this time.
+	moveMs        = 1_500
+	upkeepMs      = 2_000
+	minOrderGapMs = 3_000 // two owners must not order one machine within this time.
 )
 
-// park is the machines of a world and the operator's waves.
-type park struct {
-	w        *world
-	services []batch.Service
-	machines []*fakeMachine
-	pool     map[string]string // of each worker.
-	waves    []batch.WaveMsg
-	told     map[int]bool // waves that were said to be completed.
-	moves    int
-	born     int
+// fakeFleet holds the simulated machines and the operator's waves.
+type fakeFleet struct {
+	w            *simulation
+	services     []batch.Service
+	machines     []*fakeMachine
+	pool         map[string]string // pool of each worker, by worker ID.
+	waves        []batch.WaveMsg
+	reportedDone map[int]bool // waves that were reported as completed.
+	moves        int
+	workerCount  int
 }
 
-// fakeMachine is one machine; its worker ends with each move and each upkeep.
+// fakeMachine is one simulated machine. Its worker ends with each move and each upkeep.
 type fakeMachine struct {
-	name, pool string
-	room       batch.Size
-	worker     *floor.Worker
-	backAt     int64 // it is up again then; 0 while it is up.
-	state      batch.MachineState
-	wave       int
-	begun      map[int]bool
-	last       int64 // the last order.
-	fence      int64 // of that order.
+	name, pool  string
+	room        batch.Size
+	worker      *floor.Worker
+	backAt      int64 // when it is up again; 0 while it is up.
+	state       batch.MachineState
+	wave        int
+	begun       map[int]bool
+	lastOrderAt int64 // time of the last order.
+	lastFence   int64 // fence of the last order.
 }
 
-func (p *park) add(pool string, room batch.Size) {
+func (p *fakeFleet) add(pool string, room batch.Size) {
 	m := &fakeMachine{name: fmt.Sprintf("m%02d", len(p.machines)), pool: pool, room: room, state: batch.Up, begun: map[int]bool{}}
 	p.machines = append(p.machines, m)
-	p.birth(m)
+	p.startWorker(m)
 }
 
-// birth gives the machine a new worker.
-func (p *park) birth(m *fakeMachine) {
+// startWorker starts a new worker on the machine.
+func (p *fakeFleet) startWorker(m *fakeMachine) {
 	w := p.w
-	m.worker = floor.New(fmt.Sprintf("w%02d", p.born), m.room, 0.98+0.02*w.rnd.Float64(), w.now, w.judge.Hooks())
-	p.born++
+	m.worker = floor.New(fmt.Sprintf("w%02d", p.workerCount), m.room, 0.98+0.02*w.rnd.Float64(), w.now, w.judge.Hooks())
+	p.workerCount++
 	if p.pool == nil {
 		p.pool = map[string]string{}
 	}
@@ -61,8 +61,8 @@
 	w.workers = append(w.workers, m.worker)
 }
 
-// off reports whether the worker is gone or stands in a pool that is off.
-func (p *park) off(id string) bool {
+// isOff reports whether the worker is gone or belongs to a pool whose machines are off.
+func (p *fakeFleet) isOff(id string) bool {
 	for _, m := range p.machines {
 		if m.worker != nil && m.worker.ID() == id {
 			return p.standby(m.pool)
@@ -71,11 +71,11 @@
 	return true
 }
 
-func (p *park) standby(pool string) bool {
+func (p *fakeFleet) standby(pool string) bool {
 	return slices.ContainsFunc(p.services, func(s batch.Service) bool { return s.Name == pool && s.Standby })
 }
 
-func (p *park) list() []batch.Machine {
+func (p *fakeFleet) list() []batch.Machine {
 	l := []batch.Machine{}
 	for _, m := range p.machines {
 		x := batch.Machine{Name: m.name, Pool: m.pool, State: m.state, Room: m.room}
@@ -87,48 +87,48 @@
 	return l
 }
 
-// end takes the machine out for ms.
-func (p *park) end(m *fakeMachine, s batch.MachineState, ms int64) {
+// takeDown ends the machine's worker and takes the machine out for ms milliseconds.
+func (p *fakeFleet) takeDown(m *fakeMachine, s batch.MachineState, ms int64) {
 	m.worker.Crash(floor.Never)
 	p.w.workers = slices.DeleteFunc(p.w.workers, func(f *floor.Worker) bool { return f == m.worker })
 	m.worker, m.state, m.backAt = nil, s, p.w.now+ms
 }
 
-func (p *park) pass() {
+func (p *fakeFleet) step() {
 	for _, m := range p.machines {
 		if m.backAt != 0 && p.w.now >= m.backAt {
 			m.backAt, m.state, m.wave = 0, batch.Up, 0
-			p.birth(m)
+			p.startWorker(m)
 		}
 	}
 }
 
-// ordered checks who gives orders.
-func (p *park) ordered(a *actor, m *fakeMachine) {
-	if a.fence < m.fence {
-		p.w.judge.Wrong("ONE: %s is ordered under fence %d after %d", m.name, a.fence, m.fence)
+// checkOrder checks that orders to one machine come from one owner at a time.
+func (p *fakeFleet) checkOrder(a *fakeOwner, m *fakeMachine) {
+	if a.fence < m.lastFence {
+		p.w.judge.Wrong("ONE: %s is ordered under fence %d after %d", m.name, a.fence, m.lastFence)
 	}
-	if a.fence != m.fence && m.fence != 0 && p.w.now-m.last < turnsMs {
-		p.w.judge.Wrong("ONE: %s is ordered by two owners within %d ms", m.name, p.w.now-m.last)
+	if a.fence != m.lastFence && m.lastFence != 0 && p.w.now-m.lastOrderAt < minOrderGapMs {
+		p.w.judge.Wrong("ONE: %s is ordered by two owners within %d ms", m.name, p.w.now-m.lastOrderAt)
 	}
-	m.last, m.fence = p.w.now, max(m.fence, a.fence)
+	m.lastOrderAt, m.lastFence = p.w.now, max(m.lastFence, a.fence)
 }
 
-func (p *park) move(a *actor, m *fakeMachine, pool string) batch.DutyResult {
-	p.ordered(a, m)
+func (p *fakeFleet) move(a *fakeOwner, m *fakeMachine, pool string) batch.DutyResult {
+	p.checkOrder(a, m)
 	if m.state != batch.Up {
 		return batch.DutyBusy
 	}
 	if m.pool != pool {
 		p.moves++
 		m.pool = pool
-		p.end(m, batch.Moving, moveMs)
+		p.takeDown(m, batch.Moving, moveMs)
 	}
 	return batch.DutyOK
 }
 
-func (p *park) upkeep(a *actor, m *fakeMachine, wave int) batch.DutyResult {
-	p.ordered(a, m)
+func (p *fakeFleet) upkeep(a *fakeOwner, m *fakeMachine, wave int) batch.DutyResult {
+	p.checkOrder(a, m)
 	switch {
 	case m.begun[wave]:
 		return batch.DutyOK
@@ -148,12 +148,12 @@
 	}
 	p.checkAway(m)
 	m.begun[wave], m.wave = true, wave
-	p.end(m, batch.InUpkeep, upkeepMs)
+	p.takeDown(m, batch.InUpkeep, upkeepMs)
 	return batch.DutyOK
 }
 
-// checkAway checks that no lasting task is at work at the machine: it is to be moved away before.
-func (p *park) checkAway(m *fakeMachine) {
+// checkAway checks that no lasting task runs at the machine: the owner must move it away before the upkeep.
+func (p *fakeFleet) checkAway(m *fakeMachine) {
 	for _, r := range m.worker.Runs() {
 		if r.End == floor.Never {
 			p.w.judge.Wrong("AVAIL: the upkeep of %s ends %s", m.name, r.Task)
@@ -161,14 +161,14 @@
 	}
 }
 
-func (p *park) report(k batch.ReportCmd) {
+func (p *fakeFleet) report(k batch.ReportCmd) {
 	if !k.Completed {
 		return
 	}
-	if p.told == nil {
-		p.told = map[int]bool{}
+	if p.reportedDone == nil {
+		p.reportedDone = map[int]bool{}
 	}
-	p.told[k.Wave] = true
+	p.reportedDone[k.Wave] = true
 	for _, x := range p.waves {
 		for _, m := range p.machines {
 			if x.Number == k.Wave && slices.Contains(x.Machines, m.name) && !m.begun[k.Wave] {
@@ -178,14 +178,14 @@
 	}
 }
 
-// duty carries an order to a machine out; its answer may be lost.
-func (a *actor) duty(name string, wave int, do func(*fakeMachine) batch.DutyResult) {
+// orderMachine carries out an order to a machine. Its answer may be lost.
+func (a *fakeOwner) orderMachine(name string, wave int, do func(*fakeMachine) batch.DutyResult) {
 	w := a.w
-	if w.now-a.passed >= 900 {
-		a.tell(1, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: batch.DutyNotSent}) // the claim is not fresh.
+	if w.now-a.renewedAt >= 900 {
+		a.deliver(1, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: batch.DutyNotSent}) // the claim is not fresh.
 		return
 	}
-	for _, m := range w.park.machines {
+	for _, m := range w.fleet.machines {
 		if m.name != name {
 			continue
 		}
@@ -193,19 +193,19 @@
 		if w.chance(w.faults.lost) {
 			r = batch.DutyUnsure
 		}
-		a.tell(10, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: r})
+		a.deliver(10, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: r})
 	}
 }
 
-// order a wave of upkeep.
-func (p *park) order(x batch.WaveMsg) {
+// orderWave orders a wave of upkeep.
+func (p *fakeFleet) orderWave(x batch.WaveMsg) {
 	p.waves = append(p.waves, x)
 	for _, a := range p.w.owners {
 		a.m.Update(p.w.now, x)
 	}
 }
 
-func (p *park) names() []string {
+func (p *fakeFleet) names() []string {
 	var l []string
 	for _, m := range p.machines {
 		l = append(l, m.name)
@@ -214,64 +214,64 @@
 }
 
 func TestWave(t *testing.T) {
-	play := func(t *testing.T, seed uint64, f faults) *world {
+	play := func(t *testing.T, seed uint64, f faults) *simulation {
 		t.Helper()
-		w := newWorld(t, seed, 10, f)
+		w := newSimulation(t, seed, 10, f)
 		w.submit(longJob(900_000))
 		w.submit(longJob(900_001))
 		n := 0
-		w.play(9_000, nil)
-		w.park.order(batch.WaveMsg{Number: 3, Machines: w.park.names(), DurationMs: 30_000, Most: 3})
-		w.play(44_000, func() {
+		w.run(9_000, nil)
+		w.fleet.orderWave(batch.WaveMsg{Number: 3, Machines: w.fleet.names(), DurationMs: 30_000, Most: 3})
+		w.run(44_000, func() {
 			if w.now%400 == 0 {
 				n++
 				w.submit(plainJob(n))
 			}
 		})
 		w.faults = faults{}
-		w.play(80_000, nil)
-		w.settled()
+		w.run(80_000, nil)
+		w.checkSettled()
 		w.report()
 		return w
 	}
 	t.Run("calm", func(t *testing.T) {
 		is := is.New(t)
 		w := play(t, 1, faults{})
-		is.True(w.park.told[3])
-		for _, m := range w.park.machines {
+		is.True(w.fleet.reportedDone[3])
+		for _, m := range w.fleet.machines {
 			is.True(m.begun[3])
 		}
 	})
 	t.Run("under faults", func(t *testing.T) {
 		for s := uint64(1); s <= *chaosSeeds; s++ {
 			w := play(t, s, faults{depose: 1, lost: 20, crash: 1})
-			if !w.park.told[3] && len(w.owners) > 0 {
+			if !w.fleet.reportedDone[3] && len(w.owners) > 0 {
 				t.Errorf("seed %d: the wave is not completed", s)
 			}
 		}
 	})
 }
 
-// turn plays a turn of one pool that asks for three times its room, beside a quiet pool and one that is parked, and returns the share
-// of the jobs that ended within their objective.
-func turn(t *testing.T, moves bool) (share float64, moved int) {
+// loadPeak simulates a load peak in which one pool needs three times its room, beside a quiet pool and a parked one. It
+// returns the share of the jobs that ended within their objective, and the number of moves.
+func loadPeak(t *testing.T, moves bool) (share float64, moved int) {
 	t.Helper()
-	w := newWorld(t, 5, 0, faults{})
-	w.park.services = []batch.Service{{Name: "busy", Guards: true}, {Name: "quiet", Guards: true}, {Name: "parked", Standby: true}}
+	w := newSimulation(t, 5, 0, faults{})
+	w.fleet.services = []batch.Service{{Name: "busy", Guards: true}, {Name: "quiet", Guards: true}, {Name: "parked", Standby: true}}
 	room := batch.Size{CPU: 8000, MemMB: 16_000}
 	for i := range 24 {
-		w.park.add([]string{"busy", "quiet", "parked"}[i%3], room)
+		w.fleet.add([]string{"busy", "quiet", "parked"}[i%3], room)
 	}
 	w.owners = nil
 	if !moves {
-		w.dutyGap = floor.Never // no order to a machine is ever due.
+		w.dutyGap = floor.Never // no order to a machine is ever allowed.
 	}
-	w.own()
+	w.startOwner()
 	type sent struct{ at, objective int64 }
 	jobs := map[string]sent{}
 	done := map[string]int64{}
 	n := 0
-	w.play(20_000, func() {
+	w.run(20_000, func() {
 		if w.now > 6_000 && w.now <= 11_000 && w.now%40 == 0 {
 			n++
 			j := plainJob(n)
@@ -292,17 +292,17 @@
 			good++
 		}
 	}
-	return float64(good) / float64(len(jobs)), w.park.moves
+	return float64(good) / float64(len(jobs)), w.fleet.moves
 }
 
-// Machines that follow the demand serve most of a turn that the pool alone cannot hold.
-func TestTurn(t *testing.T) {
+// Moving machines to the demand lets a pool serve most of a load peak that exceeds its own room.
+func TestLoadPeak(t *testing.T) {
 	is := is.New(t)
-	alone, none := turn(t, false)
-	with, moved := turn(t, true)
+	alone, none := loadPeak(t, false)
+	with, moved := loadPeak(t, true)
 	t.Logf("in time: %.2f with %d moves, %.2f without", with, moved, alone)
 	is.Equal(none, 0)
-	is.True(moved >= 6)         // the parked machines at least are fetched.
-	is.True(with >= 0.8)        // of the jobs, where the pools together have room for all.
-	is.True(with >= 1.25*alone) // a turn of a few seconds leaves little time to gain more.
+	is.True(moved >= 6)         // at least the parked machines are moved.
+	is.True(with >= 0.8)        // of the jobs; the pools together have room for all.
+	is.True(with >= 1.25*alone) // a peak of a few seconds leaves little time for a larger gain.
 }
--- a/fleet/batch/room_test.go
+++ b/fleet/batch/room_test.go
@@ -8,10 +8,10 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// pressed plays a pool whose room is asked for by small tasks all the time, and returns how many tasks of j have begun by the end.
-func pressed(t *testing.T, workers int, labels map[int][]string, j batch.Job) int {
+// startedUnderLoad runs a pool that small tasks keep full, and returns how many tasks of j have started by the end.
+func startedUnderLoad(t *testing.T, workers int, labels map[int][]string, j batch.Job) int {
 	t.Helper()
-	w := newWorld(t, 1, workers, faults{})
+	w := newSimulation(t, 1, workers, faults{})
 	w.labels = func(id string) []string {
 		for i, l := range labels {
 			if w.workers[i].ID() == id {
@@ -21,7 +21,7 @@
 		return []string{"a", "r1"}
 	}
 	n := 100
-	w.play(15_000, func() {
+	w.run(15_000, func() {
 		if w.now%200 == 0 {
 			for range 4 * workers {
 				n++
@@ -46,31 +46,31 @@
 	return begun
 }
 
-// A task that needs much of a worker gets one emptied for it, however many small tasks press: one that it may run on.
+// A large task gets a worker that it may run on emptied for it, however many small tasks wait.
 func TestLargeTasksGetRoom(t *testing.T) {
 	large := batch.Size{CPU: 6000, MemMB: 1000}
 	t.Run("lasting, one on a worker", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(pressed(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", Steps: []batch.Step{
 			{Count: 3, Size: batch.Size{CPU: 4000, MemMB: 1000}, EstimateMs: 500, Lasting: true, PerWorker: 1, MayMiss: 1},
 		}}), 3)
 	})
 	t.Run("beside a lasting task", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(pressed(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
 			{Count: 2, Size: batch.Size{CPU: 500, MemMB: 15_900}, EstimateMs: 500, Lasting: true, PerWorker: 1},
 			{Count: 2, Size: batch.Size{CPU: 6000, MemMB: 9000}, EstimateMs: 500},
 		}}), 4)
 	})
 	t.Run("labelled", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(pressed(t, 3, map[int][]string{1: {"b", "r1"}}, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, map[int][]string{1: {"b", "r1"}}, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
 			{Count: 1, Size: large, EstimateMs: 500, Label: "b"},
 		}}), 1)
 	})
 	t.Run("gang", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(pressed(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
 			{Count: 3, Size: large, EstimateMs: 500, Gang: true},
 		}}), 3)
 	})
--- a/fleet/batch/takeover_test.go
+++ b/fleet/batch/takeover_test.go
@@ -8,8 +8,8 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// takeover is a new owner that finds one accepted job and one worker, which it has read.
-func takeover() *batch.Model {
+// newSuccessor returns a new owner that has loaded one accepted job and has read the lists of its one worker.
+func newSuccessor() *batch.Model {
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
 	m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
 	m.Update(1000, batch.ServicesMsg{Services: []batch.Service{{Name: "s", Guards: true}}})
@@ -22,9 +22,10 @@
 	return m
 }
 
-// successor is a new owner that knows the machines, too; the entries of some of their workers may be missing.
-func successor(machineWorkers ...string) *batch.Model {
-	m := takeover()
+// newSuccessorWithMachines returns a new owner that also knows the machines. Some of their workers may be missing from
+// the list of workers.
+func newSuccessorWithMachines(machineWorkers ...string) *batch.Model {
+	m := newSuccessor()
 	var l []batch.Machine
 	for _, w := range machineWorkers {
 		l = append(l, batch.Machine{Name: "m-" + w, Pool: "s", State: batch.Up, Room: batch.Size{CPU: 8000, MemMB: 8000}, Worker: w})
@@ -33,7 +34,7 @@
 	return m
 }
 
-// starts returns the number of starts that the model orders at the time.
+// starts returns the number of starts that the model orders at the given time.
 func starts(m *batch.Model, at int64) int {
 	n := 0
 	for _, c := range m.Round(at) {
@@ -47,27 +48,27 @@
 func TestSuccessorWaitsForMissingEntries(t *testing.T) {
 	t.Run("every machine's worker is listed", func(t *testing.T) {
 		is := is.New(t)
-		m := successor("w1")
+		m := newSuccessorWithMachines("w1")
 		is.Equal(starts(m, 1100)+starts(m, 1200), 4)
 	})
 	t.Run("a machine's worker is missing", func(t *testing.T) {
 		is := is.New(t)
-		m := successor("w1", "w2") // w2 may run tasks, and its entry has lapsed.
+		m := newSuccessorWithMachines("w1", "w2") // w2 may run tasks, and its entry has lapsed.
 		is.Equal(starts(m, 1100)+starts(m, 1200)+starts(m, 3700)+starts(m, 13_900), 0)
 		is.Equal(starts(m, 14_100)+starts(m, 14_200), 4)
 	})
 	t.Run("a machine's worker is missing until it is listed", func(t *testing.T) {
 		is := is.New(t)
-		m := successor("w1", "w2")
+		m := newSuccessorWithMachines("w1", "w2")
 		is.Equal(starts(m, 1100), 0)
 		m.Update(1200, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
-		is.Equal(starts(m, 1210)+starts(m, 1260), 0) // it has not been read.
+		is.Equal(starts(m, 1210)+starts(m, 1260), 0) // its lists have not been read.
 		m.Update(1270, batch.HeldMsg{Worker: "w2", Sent: 1265, Born: 900_000, ClockMs: 2})
 		is.Equal(starts(m, 1320)+starts(m, 1380), 4)
 	})
 	t.Run("a machine of another pool has none", func(t *testing.T) {
 		is := is.New(t)
-		m := successor("w1")
+		m := newSuccessorWithMachines("w1")
 		m.Update(1040, batch.MachinesMsg{Sent: 1035, List: []batch.Machine{
 			{Name: "m-w1", Pool: "s", State: batch.Up, Worker: "w1"}, {Name: "m-w2", Pool: "other", State: batch.Up, Worker: "w2"},
 		}})
@@ -75,33 +76,34 @@
 	})
 	t.Run("the machines are not known", func(t *testing.T) {
 		is := is.New(t)
-		m := takeover()
+		m := newSuccessor()
 		m.Update(1031, batch.MachinesMsg{Sent: 1010, Failed: true})
 		is.Equal(starts(m, 1100)+starts(m, 13_900), 0)
 		is.Equal(starts(m, 14_100)+starts(m, 14_200), 4)
 	})
 	t.Run("a worker has not been read", func(t *testing.T) {
 		is := is.New(t)
-		m := successor("w1")
+		m := newSuccessorWithMachines("w1")
 		m.Update(1040, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
 		is.Equal(starts(m, 1100)+starts(m, 5000), 0)
-		m.Update(5010, batch.BlindMsg{ForMs: 500}) // the former owner is gone, and its orders with it.
+		m.Update(5010, batch.BlindMsg{ForMs: 500}) // the former owner is gone, so its orders cannot be carried out any more.
 		is.Equal(starts(m, 5600)+starts(m, 5700), 4)
 	})
 }
 
-// Lists that were read before the records would tell of tasks that no record knows.
+// Workers must not be polled before the records are loaded: their lists would name tasks that the model does not know
+// yet.
 func TestWorkersAreReadAfterTheRecords(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
 	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 1}, ClockMs: 5}}})
-	is.Equal(looks(m, 1100), 0)
+	is.Equal(polls(m, 1100), 0)
 	m.Update(1110, batch.LoadedMsg{})
-	is.Equal(looks(m, 1200), 1)
+	is.Equal(polls(m, 1200), 1)
 }
 
-// looks returns the number of looks at workers that the model orders at the time.
-func looks(m *batch.Model, at int64) int {
+// polls returns the number of polls that the model orders at the given time.
+func polls(m *batch.Model, at int64) int {
 	n := 0
 	for _, c := range m.Round(at) {
 		if _, ok := c.(batch.HoldCmd); ok {
@@ -111,7 +113,8 @@
 	return n
 }
 
-// A worker that falls silent loses its lease, however often it is asked: its tasks are started elsewhere within the lease's time.
+// A worker that stops answering must lose its lease although it is still polled. Its tasks start elsewhere within the
+// time of the lease.
 func TestSilentWorkerLapses(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
@@ -147,10 +150,11 @@
 		}
 	}
 	is.True(second != "" && second != first)
-	is.True(again <= 1000+5000*102/100+1000) // the lease on the slowest clock, and a second.
+	is.True(again <= 1000+5000*102/100+1000) // the lease on the slowest clock, and one second.
 }
 
-// A failure that the store has already is listed again by a worker that was not told to forget it; it counts once.
+// A worker that was not told to forget a failed run lists it again. A failure that is stored already must not count
+// twice.
 func TestFailuresCountOnce(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
@@ -167,10 +171,11 @@
 	m.Update(1020, batch.HeldMsg{Worker: "w1", Sent: 1010, ClockMs: 20, Born: 1, Ended: []batch.Ended{
 		{Number: 1, Task: n, Run: 2, How: batch.Failed}, {Number: 2, Task: n, Run: 3, How: batch.Failed},
 	}})
-	is.Equal(starts(m, 1100)+starts(m, 1200), 1) // its fourth and last attempt.
+	is.Equal(starts(m, 1100)+starts(m, 1200), 1) // the fourth and last attempt.
 }
 
-// The records of ended jobs go, here and in the store, once their state need not be told any more.
+// The records of ended jobs are removed, from memory and from the store, some time after callers can no longer query
+// their state.
 func TestEndedJobsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, StatusMs: 10_000})
@@ -193,7 +198,8 @@
 	is.Equal(m.State(id), batch.Absent)
 }
 
-// A look or a start whose answer never comes is taken as not answered: the worker keeps its lease, and the task its way to a run.
+// A poll or a start whose answer is lost must be given up. Otherwise the worker's lease would expire and the task would
+// never run.
 func TestLostAnswersAreGivenUp(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
@@ -201,7 +207,7 @@
 	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}}})
 	m.Update(1000, batch.LoadedMsg{})
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: longJob(1)})
-	var until, last int64 // on the worker's clock, which shows the same as ours.
+	var until, last int64 // on the worker's clock, which shows the same time as ours.
 	stops, lost := 0, false
 	for now := int64(1000); now < 20_000; now += 10 {
 		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
@@ -213,13 +219,13 @@
 				stops++
 			case batch.HoldCmd:
 				if last > 0 {
-					is.True(now < until) // the lease has not lapsed.
+					is.True(now < until) // the lease has not expired.
 				}
 				if k.UntilMs > 0 {
 					until = k.UntilMs
 				}
 				last = now
-				if now < 3_000 || lost { // the answer to one look is lost, and those to all starts.
+				if now < 3_000 || lost { // the answers to one poll and to all starts are lost.
 					m.Update(now, batch.HeldMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1})
 				}
 				lost = now >= 3_000
@@ -227,11 +233,11 @@
 		}
 	}
 	is.True(last > 15_000)
-	is.True(stops > 0) // of starts that were not answered.
+	is.True(stops > 0) // of unanswered starts.
 }
 
-// With copies, the former owner may have seen a step end by a run that its successor does not know: the steps after it wait for the
-// workers that have not been read.
+// With copies, a former owner may have seen a step end by a run that its successor does not know. The successor must
+// not start the next steps until it has read the lists of all workers.
 func TestSuccessorOfCopies(t *testing.T) {
 	play := func(copied bool) *batch.Model {
 		m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
@@ -267,20 +273,22 @@
 	})
 }
 
-// Before a later run, an earlier one may have ended unheard at a worker that has not been read: the task waits for it.
+// Before a run with a number above 1, an earlier run may have ended, without the successor's knowledge, at a worker
+// whose lists have not been read. The task must wait for that worker.
 func TestSuccessorOfLaterRuns(t *testing.T) {
 	play := func(run int) int {
-		m := successor("w1", "w2")
+		m := newSuccessorWithMachines("w1", "w2")
 		m.Update(1040, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
 		n := batch.TaskName{Job: jobID(1)}
-		return adopted(m, n, run)
+		return startsAfterAdopting(m, n, run)
 	}
 	t.Run("the first run", func(t *testing.T) { is.New(t).Equal(play(1), 1) })
 	t.Run("the second run", func(t *testing.T) { is.New(t).Equal(play(2), 0) })
 }
 
-// adopted has the model find the run at a worker that it reads anew, and fail; it returns how often the task is started then.
-func adopted(m *batch.Model, n batch.TaskName, run int) int {
+// startsAfterAdopting lets the model find the run at a newly listed worker and lets the run fail. It returns how often
+// the model then starts the task.
+func startsAfterAdopting(m *batch.Model, n batch.TaskName, run int) int {
 	m.Update(1050, batch.WorkersMsg{Set: []batch.Entry{{ID: "w3", Service: "s", Addr: "w3", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 1, Born: 900_000}}})
 	m.Round(1100)
 	m.Update(1110, batch.HeldMsg{Worker: "w3", Sent: 1100, Born: 900_000, ClockMs: 50, Running: []batch.Running{{Task: n, Run: run, Percent: 10}}})
--- a/fleet/batch/world_test.go
+++ b/fleet/batch/world_test.go
@@ -14,124 +14,125 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// world plays a store, workers and owners in virtual time, with faults, and checks what callers and workers see.
-type world struct {
-	t      *testing.T
-	seed   uint64
-	rnd    *rand.Rand
-	now    int64
-	events []event // by time
-	order  int
-
-	rows    map[string]batch.Row
-	rev     int64
-	claim   int64 // revision of the claim, 0 while nobody has it.
-	down    bool  // the store answers nobody.
-	workers []*floor.Worker
-	owners  []*actor
-	claims  int
-
-	faults  faults
-	ref     uint64
-	refs    map[uint64]*floor.Known // by the number of the request.
-	judge   *floor.Judge
-	park    park
-	dutyGap int64 // ms between two owners' orders to one machine.
-	labels  func(worker string) []string
-	gone    *actor           // the last owner that is known to be dead.
-	lapsed  map[string]int64 // until when a worker's entry is missing.
+// simulation runs a store, workers and owners in virtual time and injects faults. It checks what callers and workers
+// see.
+type simulation struct {
+	t          *testing.T
+	seed       uint64
+	rnd        *rand.Rand
+	now        int64
+	events     []event // by time
+	eventCount int
+
+	rows       map[string]batch.Row
+	rev        int64
+	claimRev   int64 // revision of the claim; 0 while nobody holds it.
+	storeDown  bool  // the store does not answer.
+	workers    []*floor.Worker
+	owners     []*fakeOwner
+	claimCount int
+
+	faults        faults
+	ref           uint64
+	refs          map[uint64]*floor.Known // by request number.
+	judge         *floor.Judge
+	fleet         fakeFleet
+	dutyGap       int64 // ms between two owners' orders to one machine.
+	labels        func(worker string) []string
+	deadOwner     *fakeOwner       // the last owner that is known to be dead.
+	unlistedUntil map[string]int64 // until when a worker's entry is missing, by worker ID.
 }
 
-// faults are the chances, in thousandths, of what may go wrong with one order, and of what happens in one step.
+// faults holds the probabilities, in thousandths, of faults of one call and of events in one step.
 type faults struct {
 	late, lost, crash, restart, cut, depose, storeDown, storeLost, fail int
 	slow                                                                int  // runs that take five times as long.
 	copies                                                              bool // half of the jobs allow copies of the tasks of their first step.
-	lapse                                                               int  // of those cut off: their entries lapse too.
+	lapse                                                               int  // of the workers cut off: their entries lapse too.
 }
 
 type event struct {
-	at    int64
-	order int
-	do    func()
+	at     int64
+	number int
+	do     func()
 }
 
-// actor is one owner.
-type actor struct {
-	w      *world
-	m      *batch.Model
-	fence  int64
-	alive  bool
-	cut    bool // from the store.
-	away   map[string]bool
-	passed int64 // last renewal.
-	diedAt int64
+// fakeOwner is one simulated owner process.
+type fakeOwner struct {
+	w           *simulation
+	m           *batch.Model
+	fence       int64
+	alive       bool
+	cutOff      bool // cut off from the store.
+	unreachable map[string]bool
+	renewedAt   int64 // when the claim was last renewed.
+	diedAt      int64
 }
 
 const stepMs = 10
 
-func newWorld(t *testing.T, seed uint64, workers int, f faults) *world {
-	w := &world{
+func newSimulation(t *testing.T, seed uint64, workers int, f faults) *simulation {
+	w := &simulation{
 		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), rows: map[string]batch.Row{}, rev: 10, now: 1000,
 		faults: f, dutyGap: 3500, refs: map[uint64]*floor.Known{},
-		lapsed: map[string]int64{},
+		unlistedUntil: map[string]int64{},
 	}
 	w.labels = func(string) []string { return []string{"a", "r1"} }
 	w.judge = floor.NewJudge(func() int64 { return w.now })
-	w.park = park{w: w, services: []batch.Service{{Name: "s", Guards: true}}}
+	w.fleet = fakeFleet{w: w, services: []batch.Service{{Name: "s", Guards: true}}}
 	for range workers {
-		w.park.add("s", batch.Size{CPU: 8000, MemMB: 16000})
+		w.fleet.add("s", batch.Size{CPU: 8000, MemMB: 16000})
 	}
-	w.own()
+	w.startOwner()
 	return w
 }
 
-func (w *world) chance(n int) bool { return n > 0 && w.rnd.IntN(1000) < n }
+func (w *simulation) chance(n int) bool { return n > 0 && w.rnd.IntN(1000) < n }
 
-func (w *world) after(d int64, f func()) {
-	w.order++
-	w.events = append(w.events, event{at: w.now + d, order: w.order, do: f})
+func (w *simulation) schedule(d int64, f func()) {
+	w.eventCount++
+	w.events = append(w.events, event{at: w.now + d, number: w.eventCount, do: f})
 }
 
-// own makes a new owner, which reads the store.
-func (w *world) own() {
+// startOwner starts a new owner, which reads the store.
+func (w *simulation) startOwner() {
 	w.rev++
-	w.claim = w.rev
-	w.claims++
-	a := &actor{w: w, fence: w.rev, alive: true, away: map[string]bool{}}
+	w.claimRev = w.rev
+	w.claimCount++
+	a := &fakeOwner{w: w, fence: w.rev, alive: true, unreachable: map[string]bool{}}
 	a.m = batch.New(batch.Config{
 		Fence: a.fence, Now: w.now, WallMs: w.now, LeaseMs: 6000, DutyGapMs: w.dutyGap,
 	})
 	w.owners = append(w.owners, a)
-	a.m.Update(w.now, batch.ServicesMsg{Services: w.park.services})
+	a.m.Update(w.now, batch.ServicesMsg{Services: w.fleet.services})
 	a.m.Update(w.now, w.entries())
 	a.m.Update(w.now, w.records())
-	if g := w.gone; g != nil {
+	if g := w.deadOwner; g != nil {
 		a.m.Update(w.now, batch.OrdersMsg{Orders: g.m.Orders(g.diedAt).Aged(w.now - g.diedAt)})
 		a.m.Update(w.now, batch.BlindMsg{ForMs: 6_500}) // the longest lease, on a slow clock.
 	}
-	w.gone = nil
-	for _, x := range w.park.waves {
+	w.deadOwner = nil
+	for _, x := range w.fleet.waves {
 		a.m.Update(w.now, x)
 	}
 }
 
-func (w *world) entries() batch.WorkersMsg {
+func (w *simulation) entries() batch.WorkersMsg {
 	m := batch.WorkersMsg{All: true}
 	for _, f := range w.workers {
-		if w.park.off(f.ID()) || w.now < w.lapsed[f.ID()] {
+		if w.fleet.isOff(f.ID()) || w.now < w.unlistedUntil[f.ID()] {
 			continue
 		}
 		m.Set = append(m.Set, batch.Entry{
-			ID: f.ID(), Service: w.park.pool[f.ID()], Addr: f.ID(), Room: f.Room(), Labels: w.labels(f.ID()), ClockMs: f.Clock(), Born: f.Born(),
+			ID: f.ID(), Service: w.fleet.pool[f.ID()], Addr: f.ID(), Room: f.Room(), Labels: w.labels(f.ID()), ClockMs: f.Clock(), Born: f.Born(),
 		})
 	}
 	return m
 }
 
-func (w *world) records() batch.LoadedMsg {
+func (w *simulation) records() batch.LoadedMsg {
 	m := batch.LoadedMsg{}
-	if w.claims > 1 {
+	if w.claimCount > 1 {
 		m.BlindMs = 14_000
 	}
 	for _, k := range floor.Sorted(w.rows) {
@@ -154,18 +155,18 @@
 	return m
 }
 
-func (w *world) must(err error) {
+func (w *simulation) must(err error) {
 	w.t.Helper()
 	if err != nil {
 		w.t.Fatalf("seed %d: %v", w.seed, err)
 	}
 }
 
-// play lets the time pass until the given time.
-func (w *world) play(until int64, each func()) {
+// run lets time pass until the given time. It calls each in every step.
+func (w *simulation) run(until int64, each func()) {
 	for w.now < until {
 		w.now += stepMs
-		slices.SortFunc(w.events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), a.order-b.order) })
+		slices.SortFunc(w.events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), a.number-b.number) })
 		for len(w.events) > 0 && w.events[0].at <= w.now {
 			e := w.events[0]
 			w.events = w.events[1:]
@@ -174,19 +175,19 @@
 		for _, f := range w.workers {
 			f.Pass(w.now)
 		}
-		w.park.pass()
-		w.trouble()
+		w.fleet.step()
+		w.injectFaults()
 		if each != nil {
 			each()
 		}
 		for _, a := range slices.Clone(w.owners) {
-			a.pass()
+			a.step()
 		}
 	}
 }
 
-// trouble brings faults about.
-func (w *world) trouble() {
+// injectFaults causes the faults of one step.
+func (w *simulation) injectFaults() {
 	f := w.faults
 	if len(w.workers) == 0 {
 		return
@@ -198,71 +199,71 @@
 	case w.chance(f.restart):
 		k.Crash(50)
 	case w.chance(f.storeDown):
-		w.down = true
-		w.after(500+w.rnd.Int64N(4000), func() { w.down = false })
+		w.storeDown = true
+		w.schedule(500+w.rnd.Int64N(4000), func() { w.storeDown = false })
 	case w.chance(f.cut) && len(w.owners) > 0:
 		a := w.owners[w.rnd.IntN(len(w.owners))]
-		a.away[k.ID()] = true
+		a.unreachable[k.ID()] = true
 		d := 500 + w.rnd.Int64N(7000)
-		w.after(d, func() { delete(a.away, k.ID()) })
+		w.schedule(d, func() { delete(a.unreachable, k.ID()) })
 		if w.chance(f.lapse) {
-			w.lapsed[k.ID()] = w.now + d
+			w.unlistedUntil[k.ID()] = w.now + d
 		}
-	case w.chance(f.depose) && len(w.owners) == 1 && !w.down:
+	case w.chance(f.depose) && len(w.owners) == 1 && !w.storeDown:
 		w.depose(w.owners[0])
 	}
 }
 
 // depose lets another process take over, while the old owner is dead or cut off from the store.
-func (w *world) depose(a *actor) {
+func (w *simulation) depose(a *fakeOwner) {
 	if w.rnd.IntN(2) == 0 {
-		a.alive, w.gone, a.diedAt = false, a, w.now
+		a.alive, w.deadOwner, a.diedAt = false, a, w.now
 	} else {
-		a.cut = true
-		for _, f := range w.workers { // each reaches some of the workers.
+		a.cutOff = true
+		for _, f := range w.workers { // each owner reaches only some of the workers.
 			if w.rnd.IntN(3) == 0 {
-				a.away[f.ID()] = true
+				a.unreachable[f.ID()] = true
 			}
 		}
 	}
-	w.after(1300, func() {
+	w.schedule(1300, func() {
 		var far []string
-		if a.cut {
+		if a.cutOff {
 			for _, f := range w.workers {
-				if !a.away[f.ID()] && w.rnd.IntN(2) == 0 {
+				if !a.unreachable[f.ID()] && w.rnd.IntN(2) == 0 {
 					far = append(far, f.ID())
 					if w.chance(w.faults.lapse) {
-						w.lapsed[f.ID()] = w.now + 4000
+						w.unlistedUntil[f.ID()] = w.now + 4000
 					}
 				}
 			}
 		}
-		w.own()
+		w.startOwner()
 		n := w.owners[len(w.owners)-1]
 		for _, id := range far {
-			n.away[id] = true
-			w.after(4000, func() { delete(n.away, id) })
+			n.unreachable[id] = true
+			w.schedule(4000, func() { delete(n.unreachable, id) })
 		}
 	})
 }
 
-// pass lets the owner act.
-func (a *actor) pass() {
+// step lets the owner act.
+func (a *fakeOwner) step() {
 	w := a.w
 	if !a.alive {
-		w.owners = slices.DeleteFunc(w.owners, func(o *actor) bool { return o == a })
+		w.owners = slices.DeleteFunc(w.owners, func(o *fakeOwner) bool { return o == a })
 		return
 	}
-	fresh := !a.cut && !w.down && w.claim == a.fence
+	fresh := !a.cutOff && !w.storeDown && w.claimRev == a.fence
 	if fresh {
-		a.passed = w.now
+		a.renewedAt = w.now
 	}
-	if w.now-a.passed > 8000 || (w.claim != a.fence && !a.cut) {
+	if w.now-a.renewedAt > 8000 || (w.claimRev != a.fence && !a.cutOff) {
 		a.alive = false
 		return
 	}
 	if w.now%400 == 0 {
-		a.m.Update(w.now, batch.LeaseMsg{Fresh: w.now-a.passed < 900, Checked: a.passed})
+		a.m.Update(w.now, batch.LeaseMsg{Fresh: w.now-a.renewedAt < 900, Checked: a.renewedAt})
 		a.m.Update(w.now, w.entries())
 	}
 	for _, c := range a.m.Round(w.now) {
@@ -270,87 +271,87 @@
 	}
 }
 
-func (a *actor) tell(delay int64, m batch.Msg) {
-	a.w.after(delay, func() {
+func (a *fakeOwner) deliver(delay int64, m batch.Msg) {
+	a.w.schedule(delay, func() {
 		if a.alive {
 			a.m.Update(a.w.now, m)
 		}
 	})
 }
 
-func (a *actor) perform(c batch.Cmd) {
+func (a *fakeOwner) perform(c batch.Cmd) {
 	w := a.w
 	switch k := c.(type) {
 	case batch.DeposedCmd:
 		a.alive = false
 	case batch.ReplyCmd:
-		w.answer(k)
+		w.recordReply(k)
 	case batch.CommitCmd:
 		a.commit(k)
 	case batch.HoldCmd:
 		sent := w.now
-		a.order(k.Worker, func(f *floor.Worker) batch.Msg {
+		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
 			g := f.Hold(k)
 			g.Sent = sent
 			return g
 		}, func(r batch.Result) batch.Msg { return batch.HeldMsg{Worker: k.Worker, Sent: sent, Result: r} })
 	case batch.StartCmd:
-		a.order(k.Worker, func(f *floor.Worker) batch.Msg {
-			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Start(k, w.plan(k.Task)), ClockMs: f.Clock()}
+		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
+			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Start(k, w.runPlan(k.Task)), ClockMs: f.Clock()}
 		}, func(r batch.Result) batch.Msg {
 			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r}
 		})
 	case batch.StopCmd:
-		a.order(k.Worker, func(f *floor.Worker) batch.Msg {
+		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
 			return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Stop(k), ClockMs: f.Clock()}
 		}, func(r batch.Result) batch.Msg {
 			return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r}
 		})
 	case batch.ListMachinesCmd:
-		a.tell(5, batch.MachinesMsg{Sent: w.now, List: w.park.list()})
+		a.deliver(5, batch.MachinesMsg{Sent: w.now, List: w.fleet.list()})
 	case batch.MoveCmd:
-		a.duty(k.Machine, 0, func(m *fakeMachine) batch.DutyResult { return w.park.move(a, m, k.Pool) })
+		a.orderMachine(k.Machine, 0, func(m *fakeMachine) batch.DutyResult { return w.fleet.move(a, m, k.Pool) })
 	case batch.UpkeepCmd:
-		a.duty(k.Machine, k.Wave, func(m *fakeMachine) batch.DutyResult { return w.park.upkeep(a, m, k.Wave) })
+		a.orderMachine(k.Machine, k.Wave, func(m *fakeMachine) batch.DutyResult { return w.fleet.upkeep(a, m, k.Wave) })
 	case batch.ReportCmd:
-		w.park.report(k)
+		w.fleet.report(k)
 	}
 }
 
-// order carries an order to a worker: it may be late, and its answer may be lost.
-func (a *actor) order(id string, do func(*floor.Worker) batch.Msg, fail func(batch.Result) batch.Msg) {
+// callWorker carries out a command at a worker. The command may be late, and its answer may be lost.
+func (a *fakeOwner) callWorker(id string, do func(*floor.Worker) batch.Msg, fail func(batch.Result) batch.Msg) {
 	w := a.w
 	f := w.worker(id)
 	switch {
-	case a.away[id] || f.Dark():
-		a.tell(700, fail(batch.NoAnswer))
+	case a.unreachable[id] || f.Dark():
+		a.deliver(700, fail(batch.NoAnswer))
 	case w.chance(w.faults.late):
-		born := f.Lifetime() // an order that a worker holds up ends with its lifetime.
-		w.after(1000+w.rnd.Int64N(6000), func() {
+		born := f.Lifetime() // a command that is held up at a worker is lost when the worker restarts.
+		w.schedule(1000+w.rnd.Int64N(6000), func() {
 			if !f.Dark() && f.Lifetime() == born {
 				do(f)
 			}
 		})
-		a.tell(700, fail(batch.NoAnswer))
+		a.deliver(700, fail(batch.NoAnswer))
 	case w.chance(w.faults.lost):
-		w.after(1, func() {
+		w.schedule(1, func() {
 			if !f.Dark() {
 				do(f)
 			}
 		})
-		a.tell(700, fail(batch.NoAnswer))
+		a.deliver(700, fail(batch.NoAnswer))
 	default:
-		w.after(1+w.rnd.Int64N(3), func() {
+		w.schedule(1+w.rnd.Int64N(3), func() {
 			if f.Dark() {
-				a.tell(700, fail(batch.NoAnswer))
+				a.deliver(700, fail(batch.NoAnswer))
 				return
 			}
-			a.tell(1, do(f))
+			a.deliver(1, do(f))
 		})
 	}
 }
 
-func (w *world) worker(id string) *floor.Worker {
+func (w *simulation) worker(id string) *floor.Worker {
 	for _, f := range w.workers {
 		if f.ID() == id {
 			return f
@@ -360,11 +361,11 @@
 	return nil
 }
 
-// commit applies a transaction at the store.
-func (a *actor) commit(k batch.CommitCmd) {
+// commit applies a transaction to the store.
+func (a *fakeOwner) commit(k batch.CommitCmd) {
 	w := a.w
 	apply := func() batch.CommittedMsg {
-		if w.claim != a.fence {
+		if w.claimRev != a.fence {
 			return batch.CommittedMsg{ID: k.ID, Outcome: batch.Conflict, Now: nil}
 		}
 		var l []batch.Row
@@ -391,25 +392,25 @@
 		return batch.CommittedMsg{ID: k.ID, Rev: w.rev}
 	}
 	switch {
-	case a.cut || w.down:
-		a.tell(100, batch.CommittedMsg{ID: k.ID, Outcome: []batch.Outcome{batch.Unwritten, batch.Unknown}[w.rnd.IntN(2)]})
+	case a.cutOff || w.storeDown:
+		a.deliver(100, batch.CommittedMsg{ID: k.ID, Outcome: []batch.Outcome{batch.Unwritten, batch.Unknown}[w.rnd.IntN(2)]})
 	case w.chance(w.faults.storeLost):
-		w.after([]int64{1, 3000}[w.rnd.IntN(2)], func() { apply() })
-		a.tell(1500, batch.CommittedMsg{ID: k.ID, Outcome: batch.Unknown})
+		w.schedule([]int64{1, 3000}[w.rnd.IntN(2)], func() { apply() })
+		a.deliver(1500, batch.CommittedMsg{ID: k.ID, Outcome: batch.Unknown})
 	default:
-		w.after(4, func() {
+		w.schedule(4, func() {
 			g := apply()
-			if g.Outcome == batch.Conflict && w.claim != a.fence {
-				a.tell(1, batch.LostMsg{Reason: "claim"})
+			if g.Outcome == batch.Conflict && w.claimRev != a.fence {
+				a.deliver(1, batch.LostMsg{Reason: "claim"})
 				return
 			}
-			a.tell(1, g)
+			a.deliver(1, g)
 		})
 	}
 }
 
-// submit hands a job in at the newest owner.
-func (w *world) submit(j batch.Job) {
+// submit submits a job to the newest owner.
+func (w *simulation) submit(j batch.Job) {
 	k := w.judge.Know(j)
 	if len(w.owners) == 0 {
 		return
@@ -420,7 +421,7 @@
 	w.owners[len(w.owners)-1].m.Update(w.now, batch.SubmitMsg{Ref: w.ref, Job: j})
 }
 
-func (w *world) answer(k batch.ReplyCmd) {
+func (w *simulation) recordReply(k batch.ReplyCmd) {
 	x := w.refs[k.Ref]
 	if x == nil {
 		return
@@ -433,8 +434,8 @@
 	}
 }
 
-// plan tells how a run of the task goes.
-func (w *world) plan(n batch.TaskName) floor.Plan {
+// runPlan decides how a run of the task goes.
+func (w *simulation) runPlan(n batch.TaskName) floor.Plan {
 	s := w.judge.Find(n.Job).Job.Steps[n.Step]
 	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), How: batch.Done, Size: s.Size}
 	if w.chance(w.faults.slow) {
@@ -449,8 +450,9 @@
 	return p
 }
 
-// settled checks, once the faults are over, that every accepted job has ended and none is shown so without cause.
-func (w *world) settled() {
+// checkSettled checks, once the faults are over, that every accepted job has ended and that no job is shown as ended
+// without cause.
+func (w *simulation) checkSettled() {
 	if len(w.owners) == 0 {
 		w.judge.Wrong("LOST: no owner")
 		return
@@ -459,8 +461,8 @@
 	w.judge.Settle(m.State, func(id string) string { return batch.Describe(m, id) })
 }
 
-// report fails the test with what was broken.
-func (w *world) report() {
+// report fails the test for each violated guarantee, up to eight of them.
+func (w *simulation) report() {
 	w.t.Helper()
 	for _, b := range w.judge.Broken()[:min(len(w.judge.Broken()), 8)] {
 		w.t.Errorf("seed %d: %s", w.seed, b)
@@ -469,7 +471,7 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// plainJob is a job of two steps.
+// plainJob returns a job of two steps.
 func plainJob(n int) batch.Job {
 	return batch.Job{
 		ID: jobID(n), Queue: "q" + strconv.Itoa(n%2), Service: "s", Attempts: 4, Stretch: 1.6, AimMs: 600,
@@ -480,14 +482,14 @@
 	}
 }
 
-// job is a plain job, which allows copies where the world's faults say so.
-func (w *world) job(n int) batch.Job {
+// job returns a plain job. If the faults include copies, half of the jobs allow them.
+func (w *simulation) job(n int) batch.Job {
 	j := plainJob(n)
 	j.Steps[0].Copies = w.faults.copies && n%2 == 0
 	return j
 }
 
-// longJob is a job of tasks that last.
+// longJob returns a job with lasting tasks.
 func longJob(n int) batch.Job {
 	return batch.Job{ID: jobID(n), Queue: "l", Service: "s", Steps: []batch.Step{{Count: 4, Size: batch.Size{CPU: 1000, MemMB: 1000}, EstimateMs: 500, Lasting: true, PerWorker: 1, MayMiss: 1}}}
 }
