--- a/fleet/batch/export_test.go
+++ b/fleet/batch/export_test.go
@@ -14,9 +14,9 @@
 				if t.done {
 					continue
 				}
-				fmt.Fprintf(&b, " [%d.%d last %d after %d failed %v", s.number, t.index, t.lastRun, t.notBefore, t.failedRuns)
+				fmt.Fprintf(&b, " [%d.%d last run %d not before %d failed runs %v", s.number, t.index, t.lastRun, t.notBefore, t.failedRuns)
 				for _, u := range t.runs {
-					fmt.Fprintf(&b, "; run %d at %s state %d known %d stopped %d, worker silent %d holding %v over %v listed %v",
+					fmt.Fprintf(&b, "; run %d at %s state %d confirmed at %d stop acknowledged at %d, worker silent since %d polling %v dead %v listed %v",
 						u.number, u.worker.ID, u.state, u.confirmedAt, u.stopAckedAt, u.worker.silentSince, u.worker.polling, u.worker.dead, u.worker.listed)
 				}
 				b.WriteString("]")
--- a/fleet/batch/room_test.go
+++ b/fleet/batch/large_tasks_test.go
@@ -35,15 +35,15 @@
 		}
 	})
 	w.report()
-	begun := 0
+	started := 0
 	for s, p := range j.Steps {
 		for i := range p.Count {
 			if len(w.judge.Stints(batch.TaskName{Job: j.ID, Step: s, Index: i}.String())) > 0 {
-				begun++
+				started++
 			}
 		}
 	}
-	return begun
+	return started
 }
 
 // A large task gets a worker that it may run on emptied for it, however many small tasks wait.
--- a/fleet/batch/park_test.go
+++ b/fleet/batch/machines_test.go
@@ -40,7 +40,7 @@
 	wave        int
 	begun       map[int]bool
 	lastOrderAt int64 // time of the last order.
-	lastFence   int64 // fence of the last order.
+	lastFence   int64 // highest fence of its orders.
 }
 
 func (p *fakeFleet) add(pool string, room batch.Size) {
@@ -143,7 +143,7 @@
 	}
 	for _, x := range p.waves {
 		if x.Number == wave && down >= x.Most {
-			p.w.judge.Wrong("LIMIT: %s begins its upkeep beside %d of %d", m.name, down, x.Most)
+			p.w.judge.Wrong("LIMIT: upkeep of %s begins while %d machines are down, and %d are allowed", m.name, down, x.Most)
 		}
 	}
 	p.checkAway(m)
@@ -156,7 +156,7 @@
 func (p *fakeFleet) checkAway(m *fakeMachine) {
 	for _, r := range m.worker.Runs() {
 		if r.End == floor.Never {
-			p.w.judge.Wrong("AVAIL: the upkeep of %s ends %s", m.name, r.Task)
+			p.w.judge.Wrong("AVAIL: the upkeep of %s cuts off the lasting task %s", m.name, r.Task)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	for _, x := range p.waves {
 		for _, m := range p.machines {
 			if x.Number == k.Wave && slices.Contains(x.Machines, m.name) && !m.begun[k.Wave] {
-				p.w.judge.Wrong("MIXED: wave %d is said to be completed and %s has not begun", k.Wave, m.name)
+				p.w.judge.Wrong("MIXED: wave %d is reported as completed but the upkeep of %s has not begun", k.Wave, m.name)
 			}
 		}
 	}
@@ -267,7 +267,7 @@
 		w.dutyGap = floor.Never // no order to a machine is ever allowed.
 	}
 	w.startOwner()
-	type sent struct{ at, objective int64 }
+	type sent struct{ submittedAt, objective int64 }
 	jobs := map[string]sent{}
 	done := map[string]int64{}
 	n := 0
@@ -288,7 +288,7 @@
 	w.report()
 	good := 0
 	for id, s := range jobs {
-		if at := done[id]; at != 0 && at-s.at <= s.objective {
+		if at := done[id]; at != 0 && at-s.submittedAt <= s.objective {
 			good++
 		}
 	}
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -10,7 +10,7 @@
 
 // firstMoves runs a new owner with two idle machines that another pool needs, and returns when it first orders each
 // one. At 1100 ms the owner receives the given messages about the former owner's orders.
-func firstMoves(tell ...batch.Msg) map[string]int64 {
+func firstMoves(messages ...batch.Msg) map[string]int64 {
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
 	m.Update(1000, batch.ServicesMsg{Services: []batch.Service{{Name: "s"}, {Name: "o"}}})
@@ -25,11 +25,11 @@
 	j := plainJob(1)
 	j.AimMs = 60_000
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: j})
-	at := map[string]int64{}
+	firstOrderAt := map[string]int64{}
 	for now := int64(1000); now < 9_000; now += 10 {
 		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
 		if now == 1100 {
-			for _, g := range tell {
+			for _, g := range messages {
 				m.Update(now, g)
 			}
 		}
@@ -42,14 +42,14 @@
 			case batch.ListMachinesCmd:
 				m.Update(now, batch.MachinesMsg{Sent: now, List: list})
 			case batch.MoveCmd:
-				if at[k.Machine] == 0 {
-					at[k.Machine] = now
+				if firstOrderAt[k.Machine] == 0 {
+					firstOrderAt[k.Machine] = now
 				}
 				m.Update(now, batch.DutyDoneMsg{Machine: k.Machine, Result: batch.DutyUnsure})
 			}
 		}
 	}
-	return at
+	return firstOrderAt
 }
 
 // Two owners must leave the configured gap between their orders to one machine. A successor that knows its former
--- a/fleet/batch/world_test.go
+++ b/fleet/batch/simulation_test.go
@@ -52,7 +52,7 @@
 }
 
 type event struct {
-	at     int64
+	dueAt  int64
 	number int
 	do     func()
 }
@@ -91,7 +91,7 @@
 
 func (w *simulation) schedule(d int64, f func()) {
 	w.eventCount++
-	w.events = append(w.events, event{at: w.now + d, number: w.eventCount, do: f})
+	w.events = append(w.events, event{dueAt: w.now + d, number: w.eventCount, do: f})
 }
 
 // startOwner starts a new owner, which reads the store.
@@ -166,8 +166,8 @@
 func (w *simulation) run(until int64, each func()) {
 	for w.now < until {
 		w.now += stepMs
-		slices.SortFunc(w.events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), a.number-b.number) })
-		for len(w.events) > 0 && w.events[0].at <= w.now {
+		slices.SortFunc(w.events, func(a, b event) int { return cmp.Or(cmp.Compare(a.dueAt, b.dueAt), a.number-b.number) })
+		for len(w.events) > 0 && w.events[0].dueAt <= w.now {
 			e := w.events[0]
 			w.events = w.events[1:]
 			e.do()
