--- a/fleet/batch/job.go
+++ b/fleet/batch/job.go
@@ -67,7 +67,7 @@
 	AimMs    int64   `json:"aimMs,omitempty"`    // added to the objective.
 	Spec     string  `json:"spec,omitempty"`
 	Steps    []Step  `json:"steps"`
-	FirstMs  int64   `json:"firstMs,omitempty"` // Unix time of the first round.
+	FirstMs  int64   `json:"firstMs,omitempty"` // Unix time in ms of the first round.
 	EveryMs  int64   `json:"everyMs,omitempty"`
 	Rounds   int     `json:"rounds,omitempty"` // 0 for a job that runs once, immediately.
 	TicketMs int64   `json:"ticketMs,omitempty"`
--- a/fleet/batch/model.go
+++ b/fleet/batch/model.go
@@ -95,7 +95,7 @@
 	return m
 }
 
-// Update handles one message at the steady time now. Round returns the resulting commands.
+// Update handles one message at the steady time now. [Model.Round] returns the resulting commands.
 func (m *Model) Update(now int64, msg Msg) {
 	m.now = max(m.now, now)
 	switch g := msg.(type) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Wake returns the number of milliseconds within which Round must be called again.
+// Wake returns the number of milliseconds within which [Model.Round] must be called again.
 func (m *Model) Wake() int64 {
 	if m.commits.waiting() || m.placementPending {
 		return commitWindowMs
--- a/fleet/batch/moves.go
+++ b/fleet/batch/moves.go
@@ -9,9 +9,9 @@
 // Planning of moves between pools. Times in milliseconds.
 const (
 	quietAfterMs    = 1_500   // a pool without a waiting task for this long is quiet.
-	minIdleToGiveMs = 300     // a worker that has been empty for this long may be given to a pool that lacks machines.
-	unneededIdleMs  = 1_000   // empty for this long, it is not needed while no work waits, whatever the forecast says.
-	parkAfterIdleMs = 2_500   // unneeded for this long, it is parked: a move each way costs about as much.
+	minIdleToGiveMs = 300     // a worker empty for this long may be given to a pool that lacks machines.
+	unneededIdleMs  = 1_000   // a worker empty for this long is not needed while no work waits, whatever the forecast says.
+	parkAfterIdleMs = 2_500   // an unneeded worker empty for this long is parked: a move each way costs about as much.
 	demandHeadroom  = 1.1     // room that a pool is given, relative to its present demand.
 	backlogDrainMs  = 1_500.0 // time within which a pool's backlog is to be worked off.
 	minWorkers      = 2       // least number of machines for a pool in use.
--- a/fleet/batch/msg.go
+++ b/fleet/batch/msg.go
@@ -59,7 +59,7 @@
 // ForgetMsg says that nobody waits for the answer to Ref any more.
 type ForgetMsg struct{ Ref uint64 }
 
-// HeldMsg is the answer to a HoldCmd. The worker read its clock between Sent and the time at which the message arrives.
+// HeldMsg is the answer to a [HoldCmd]. The worker read its clock between Sent and the arrival of the message.
 type HeldMsg struct {
 	Worker   string
 	Sent     int64
--- a/fleet/batch/takeover_test.go
+++ b/fleet/batch/takeover_test.go
@@ -35,9 +35,9 @@
 }
 
 // starts returns the number of starts that the model orders at the given time.
-func starts(m *batch.Model, at int64) int {
+func starts(m *batch.Model, now int64) int {
 	n := 0
-	for _, c := range m.Round(at) {
+	for _, c := range m.Round(now) {
 		if _, ok := c.(batch.StartCmd); ok {
 			n++
 		}
@@ -103,9 +103,9 @@
 }
 
 // polls returns the number of polls that the model orders at the given time.
-func polls(m *batch.Model, at int64) int {
+func polls(m *batch.Model, now int64) int {
 	n := 0
-	for _, c := range m.Round(at) {
+	for _, c := range m.Round(now) {
 		if _, ok := c.(batch.HoldCmd); ok {
 			n++
 		}
