--- a/fleet/batch/model.go
+++ b/fleet/batch/model.go
@@ -230,7 +230,7 @@
 	return n
 }
 
-// State returns the state of a job, or Absent if it was never accepted.
+// State returns the state of a job, or [Absent] if it was never accepted.
 func (m *Model) State(id string) State {
 	j := m.jobs[id]
 	switch {
