--- /dev/null
+++ b/fleet/batch/answers.go
@@ -0,0 +1,110 @@
+package batch
+
+import "slices"
+
+// Answers to starts and stops.
+
+func (m *Model) startAnswered(g StartedMsg) {
+	w, t := m.workers[g.Worker], m.task(g.Task)
+	if w == nil || t == nil {
+		return
+	}
+	r := t.findRun(g.Run)
+	if r == nil || r.worker != w {
+		return
+	}
+	if g.ClockMs > 0 {
+		m.setClock(w, g.ClockMs)
+	}
+	switch g.Result {
+	case OK:
+		m.startConfirmed(r)
+	case NoAnswer:
+		m.startUnanswered(r)
+	case Fenced:
+		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
+	default:
+		m.startRefused(r, g.Result)
+	}
+}
+
+func (m *Model) startConfirmed(r *run) {
+	if r.confirmedAt == 0 {
+		r.confirmedAt, r.advancedAt = m.now, m.now
+	}
+	if r.state == starting || r.state == unconfirmed {
+		r.setState(running)
+	}
+	if r.state == stopping {
+		m.stopRun(r)
+	}
+}
+
+// startUnanswered stops a run whose start may still be carried out, so that it never is.
+func (m *Model) startUnanswered(r *run) {
+	m.log("start unanswered", r.task.stage.job.ID, "task", r.task.name().String(), "run", r.number, "worker", r.worker.ID)
+	if r.confirmedAt > 0 {
+		return
+	}
+	r.worker.shortPoll = true
+	if r.state == starting {
+		r.setState(unconfirmed)
+	}
+	m.stopRun(r)
+	if !slices.Contains(r.task.avoidWorkers, r.worker.ID) {
+		r.task.avoidWorkers = append(r.task.avoidWorkers, r.worker.ID)
+	}
+}
+
+// startRefused handles a start that certainly did nothing.
+func (m *Model) startRefused(r *run, why Result) {
+	w, t := r.worker, r.task
+	m.log("start refused", t.stage.job.ID, "task", t.name().String(), "run", r.number, "worker", w.ID, "why", int(why))
+	m.dropRun(r)
+	switch why {
+	case NoRoom:
+		w.noStartsBefore = m.now + refusalBackoffMs
+	case Unwell:
+		w.noStartsBefore = m.now + refusalBackoffMs
+		w.quarantineMs = min(max(2*w.quarantineMs, minQuarantineMs), maxQuarantineMs)
+		w.quarantinedUntil = m.now + w.quarantineMs
+	case Foreign:
+		w.dead, w.listed = true, false
+	case NotSent:
+		m.markUnreachable(w)
+	case Rejected:
+		t.notBefore = m.now + minQuarantineMs
+	}
+}
+
+func (m *Model) stopAnswered(g StoppedMsg) {
+	w, t := m.workers[g.Worker], m.task(g.Task)
+	if w == nil {
+		return
+	}
+	if g.Result == Fenced {
+		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
+		return
+	}
+	if g.Result == Foreign {
+		w.dead, w.listed = true, false
+		return
+	}
+	if g.Result != OK {
+		return
+	}
+	if g.ClockMs > 0 {
+		m.setClock(w, g.ClockMs)
+	}
+	w.shortPoll = true
+	if t == nil {
+		return
+	}
+	r := t.findRun(g.Run)
+	if r == nil || r.worker != w || r.state != stopping {
+		return
+	}
+	if r.stopAckedAt == 0 {
+		r.stopAckedAt = m.now
+	}
+}
--- a/fleet/batch/export_test.go
+++ b/fleet/batch/export_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Describe tells what the model believes of a job's unfinished tasks.
+// Describe returns what the model knows of a job's unfinished tasks.
 func Describe(m *Model, id string) string {
 	var b strings.Builder
 	for _, r := range m.jobs[id].rounds {
@@ -14,10 +14,10 @@
 				if t.done {
 					continue
 				}
-				fmt.Fprintf(&b, " [%d.%d last %d after %d failed %v", s.number, t.index, t.last, t.after, t.failed)
+				fmt.Fprintf(&b, " [%d.%d last run %d not before %d failed runs %v", s.number, t.index, t.lastRun, t.notBefore, t.failedRuns)
 				for _, u := range t.runs {
-					fmt.Fprintf(&b, "; run %d at %s state %d known %d stopped %d, worker silent %d holding %v over %v listed %v",
-						u.number, u.worker.ID, u.state, u.known, u.stopped, u.worker.silent, u.worker.holding, u.worker.over, u.worker.listed)
+					fmt.Fprintf(&b, "; run %d at %s state %d confirmed at %d stop acknowledged at %d, worker silent since %d polling %v dead %v listed %v",
+						u.number, u.worker.ID, u.state, u.confirmedAt, u.stopAckedAt, u.worker.silentSince, u.worker.polling, u.worker.dead, u.worker.listed)
 				}
 				b.WriteString("]")
 			}
@@ -26,5 +26,5 @@
 	return b.String()
 }
 
-// Now returns the time of the last message.
+// Now returns the model's current time.
 func (m *Model) Now() int64 { return m.now }
--- /dev/null
+++ b/fleet/batch/machines.go
@@ -0,0 +1,378 @@
+package batch
+
+import (
+	"slices"
+)
+
+// Orders to machines: moves between pools, and upkeep, which is the maintenance of a machine.
+
+// Machine is one machine of the platform.
+type Machine struct {
+	Name, Pool, Zone string
+	State            MachineState
+	Room             Size
+	Worker           string // ID of its worker; empty if it has none.
+}
+
+// MachineState is the state of a machine.
+type MachineState string
+
+// The states of a machine.
+const (
+	Up       MachineState = "up"
+	Moving   MachineState = "moving"
+	InUpkeep MachineState = "upkeep"
+	Down     MachineState = "down"
+)
+
+// MachinesMsg is the platform's list of machines; the request for it was sent at Sent.
+type MachinesMsg struct {
+	Sent   int64
+	Failed bool
+	List   []Machine
+}
+
+// WaveMsg is the operator's order to maintain machines. Gone withdraws it.
+type WaveMsg struct {
+	Number     int
+	Machines   []string
+	DurationMs int64
+	Most       int // most machines that may be down for the wave at once.
+	Gone       bool
+	Completed  bool // the platform already shows the wave as completed.
+}
+
+// StoredWave is the progress of a wave in the store.
+type StoredWave struct {
+	Number int      `json:"number"`
+	Begun  []string `json:"begun,omitempty"` // machines whose upkeep was or may have been ordered.
+	Done   []string `json:"done,omitempty"`  // machines that are back.
+	Rev    int64    `json:"-"`
+}
+
+// DutyDoneMsg is the answer to a MoveCmd or an UpkeepCmd.
+type DutyDoneMsg struct {
+	Machine string
+	Wave    int // 0 for a move.
+	Result  DutyResult
+}
+
+// OrdersMsg holds the last orders that a former owner gave to machines; it gives no more.
+type OrdersMsg struct{ Orders }
+
+// Orders are the last orders to machines: the age of each in ms, by machine name. SpanMs is the age up to which no
+// order is missing.
+type Orders struct {
+	AgeMs  map[string]int64 `json:"ageMs,omitempty"`
+	SpanMs int64            `json:"spanMs"`
+}
+
+// Aged returns the orders as of ms milliseconds later.
+func (o Orders) Aged(ms int64) Orders {
+	a := make(map[string]int64, len(o.AgeMs))
+	for n, x := range o.AgeMs {
+		a[n] = x + ms
+	}
+	return Orders{AgeMs: a, SpanMs: o.SpanMs + ms}
+}
+
+// DutyResult is the result of an order to a machine.
+type DutyResult int
+
+// The results of an order to a machine.
+const (
+	DutyOK DutyResult = iota
+	DutyBusy
+	DutyRejected
+	DutyUnsure
+	DutyNotSent
+)
+
+// ListMachinesCmd requests the platform's list of machines.
+type ListMachinesCmd struct{}
+
+// MoveCmd moves an empty machine to another pool.
+type MoveCmd struct {
+	Machine, Pool string
+	Fence         int64
+}
+
+// UpkeepCmd starts the upkeep of a machine.
+type UpkeepCmd struct {
+	Machine string
+	Wave    int
+	Fence   int64
+}
+
+// ReportCmd reports the state of a wave to the operator.
+type ReportCmd struct {
+	Wave      int
+	Completed bool
+}
+
+func (MachinesMsg) msg()     {}
+func (OrdersMsg) msg()       {}
+func (WaveMsg) msg()         {}
+func (DutyDoneMsg) msg()     {}
+func (ListMachinesCmd) cmd() {}
+func (MoveCmd) cmd()         {}
+func (UpkeepCmd) cmd()       {}
+func (ReportCmd) cmd()       {}
+
+// Times in milliseconds.
+const (
+	listBusyIntervalMs = 700   // between requests for the list while orders to machines are pending.
+	listIdleIntervalMs = 6_000 // between requests for the list otherwise.
+	orderTimeoutMs     = 2_500 // a list request or a move without an answer is repeated after this.
+	upkeepRetryMs      = 500   // between repeated upkeep orders to one machine.
+	arrivalTimeoutMs   = 6_000 // a machine that is not back this long after its order no longer counts as arriving.
+	upkeepDurationMs   = 5_500 // time to empty a machine and maintain it.
+	formerClaimMs      = 1_200 // how long after a takeover the former owner may still believe that it holds the claim.
+	maxClockSkewMs     = 5_000 // largest difference between the clocks of two machines.
+	waveMarginMs       = 7_000 // a wave is planned to end this long before its deadline.
+	shortTaskGraceMs   = 4_000 // how long short tasks may go on at a machine that is to be maintained; then they are evicted.
+)
+
+// fleet holds the known machines, the orders to them, and the waves.
+type fleet struct {
+	noOrdersBefore   int64            // no order to any machine is sent before this time.
+	ordersKnownSince int64            // all orders to machines since this time are known.
+	lastOrderAt      map[string]int64 // when this owner last ordered each machine.
+	formerOrderAt    map[string]int64 // when former owners last ordered each machine, as far as known.
+	machines         map[string]*machine
+	list             []*machine // by name
+	meanCPU          float64    // mean CPU of a machine, in thousandths of a core.
+	waves            map[int]*wave
+	listAskedAt      int64 // when the pending list request was sent; 0 if none is pending.
+	listReadAt       int64 // when the list was last received.
+	listSentAt       int64 // when the request for the last received list was sent.
+}
+
+// machine is one machine and the pending order to it.
+type machine struct {
+	Machine
+	wave           *wave  // wave that the machine is being emptied or maintained for.
+	preparingSince int64  // when the wave began to empty it.
+	targetPool     string // pool that it moves to; empty if it does not move.
+	orderedAt      int64  // when the last order was sent; 0 if there is none.
+	ackedAt        int64  // when the order was acknowledged; 0 before.
+	oldWorkerID    string
+	maybeRepeated  bool // an earlier order may have been carried out already, so the acknowledgement does not tell when.
+}
+
+func (d *fleet) start(from int64) {
+	d.noOrdersBefore, d.ordersKnownSince = from, from
+	d.machines, d.waves = map[string]*machine{}, map[int]*wave{}
+	d.lastOrderAt, d.formerOrderAt = map[string]int64{}, map[string]int64{}
+}
+
+// setMachines applies the platform's list of machines.
+func (m *Model) setMachines(g MachinesMsg) {
+	d := &m.fleet
+	d.listAskedAt = 0
+	if g.Failed {
+		d.listReadAt = max(d.listReadAt, m.now-listIdleIntervalMs+listBusyIntervalMs)
+		return
+	}
+	d.listReadAt, d.listSentAt = m.now, g.Sent
+	seen := map[string]bool{}
+	for _, x := range g.List {
+		seen[x.Name] = true
+		k := d.machines[x.Name]
+		if k == nil {
+			k = &machine{}
+			d.machines[x.Name] = k
+		}
+		k.Machine = x
+		m.completeOrder(k, g.Sent)
+	}
+	d.list = d.list[:0]
+	for _, n := range sortedKeys(d.machines) {
+		if !seen[n] {
+			delete(d.machines, n)
+			continue
+		}
+		d.list = append(d.list, d.machines[n])
+	}
+	m.countMachines()
+}
+
+// completeOrder ends the order to a machine that is up again with a new worker.
+func (m *Model) completeOrder(k *machine, sent int64) {
+	if k.ackedAt == 0 || sent <= k.ackedAt || k.State != Up || k.Worker == "" || k.Worker == k.oldWorkerID && !k.maybeRepeated {
+		return
+	}
+	m.log("machine back", "", "machine", k.Name, "pool", k.Pool, "worker", k.Worker, "tookMs", m.now-k.ackedAt)
+	if k.wave != nil {
+		m.markMaintained(k.wave, k.Name)
+	}
+	m.releaseMachine(k)
+}
+
+// markMaintained records that a machine needs no more upkeep for the wave.
+func (m *Model) markMaintained(w *wave, name string) {
+	w.finished[name] = true
+	m.saveWave(w)
+}
+
+// saveWave queues the progress of the wave to be written.
+func (m *Model) saveWave(w *wave) {
+	w.version++
+	m.commits.dirtyWaves[w.Number] = w
+}
+
+// planMachineOrders requests the list of machines when it is due, and plans upkeep and moves.
+func (m *Model) planMachineOrders() {
+	d := &m.fleet
+	gap := int64(listIdleIntervalMs)
+	if m.ordersPending() || m.now < m.blindUntil && m.mayWaitForUnlisted() {
+		gap = listBusyIntervalMs
+	}
+	if d.listAskedAt != 0 && m.now-d.listAskedAt > orderTimeoutMs {
+		d.listAskedAt = 0
+	}
+	if d.listAskedAt == 0 && (d.listReadAt == 0 || m.now-d.listReadAt >= gap) {
+		d.listAskedAt = m.now
+		m.emit(ListMachinesCmd{})
+	}
+	if d.listReadAt == 0 {
+		return
+	}
+	m.countMachines()
+	for _, n := range m.waveNumbers() {
+		m.advanceWave(d.waves[n])
+	}
+	m.planMoves()
+}
+
+// mayOrder reports whether any machine may be ordered: the claim is held, and the former owner's has certainly ended.
+func (m *Model) mayOrder() bool { return m.claimFresh && m.now >= m.fleet.noOrdersBefore }
+
+// mayOrderTo reports whether certainly no former owner has ordered the machine recently: enough time has passed since
+// its last possible order, or its worker is older than that. An order would have ended the worker.
+func (m *Model) mayOrderTo(k *machine) bool {
+	last := m.fleet.ordersKnownSince
+	if orderedAt, ok := m.fleet.formerOrderAt[k.Name]; ok {
+		last = max(last, orderedAt)
+	}
+	if m.now >= last+m.cfg.DutyGapMs {
+		return true
+	}
+	w := m.workerOf(k)
+	return w != nil && w.Born > 0 && w.Born < m.cfg.WallMs-m.cfg.DutyGapMs-maxClockSkewMs
+}
+
+// takeFormerOrders records the orders of a former owner, which gives no more.
+func (m *Model) takeFormerOrders(g OrdersMsg) {
+	d := &m.fleet
+	d.noOrdersBefore, d.ordersKnownSince = min(d.noOrdersBefore, m.now), min(d.ordersKnownSince, m.now-g.SpanMs)
+	for n, a := range g.AgeMs {
+		if orderedAt, ok := d.formerOrderAt[n]; !ok || orderedAt < m.now-a {
+			d.formerOrderAt[n] = m.now - a
+		}
+	}
+	m.log("former orders known", "", "machines", len(g.AgeMs), "spanMs", g.SpanMs)
+}
+
+// recordOrder records that the machine is ordered now.
+func (m *Model) recordOrder(k *machine) { k.orderedAt, m.fleet.lastOrderAt[k.Name] = m.now, m.now }
+
+// Orders returns the recent orders to machines. A successor must wait before it orders these machines.
+func (m *Model) Orders(now int64) Orders {
+	o := Orders{AgeMs: map[string]int64{}, SpanMs: max(now-m.fleet.ordersKnownSince, 0)}
+	for _, l := range []map[string]int64{m.fleet.formerOrderAt, m.fleet.lastOrderAt} {
+		for n, orderedAt := range l {
+			if now-orderedAt < m.cfg.DutyGapMs {
+				o.AgeMs[n] = now - orderedAt // overwrites the former owner's entry, which is older.
+			}
+		}
+	}
+	return o
+}
+
+// mayWaitForUnlisted reports whether tasks may be waiting because a machine's worker is not listed.
+func (m *Model) mayWaitForUnlisted() bool {
+	for _, p := range m.pools {
+		if p.counts.unlisted > 0 && len(p.openJobs) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+func (m *Model) ordersPending() bool {
+	for _, k := range m.fleet.list {
+		if k.orderedAt != 0 || k.ackedAt != 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// orderAnswered handles the answer to an order to a machine.
+func (m *Model) orderAnswered(g DutyDoneMsg) {
+	k := m.fleet.machines[g.Machine]
+	if k == nil || k.orderedAt == 0 {
+		return
+	}
+	m.log("machine ordered", "", "machine", g.Machine, "wave", g.Wave, "pool", k.targetPool, "result", int(g.Result))
+	switch g.Result {
+	case DutyOK:
+		k.ackedAt = m.now
+		if w := m.workers[k.oldWorkerID]; w != nil && !k.maybeRepeated {
+			w.dead, w.machineTaken = true, true
+			m.pool(w.Service).dirty = true
+		}
+	case DutyRejected:
+		if k.wave != nil {
+			m.markMaintained(k.wave, k.Name)
+		}
+		m.releaseMachine(k)
+	case DutyBusy, DutyNotSent:
+		if g.Wave == 0 {
+			m.releaseMachine(k)
+		} else {
+			k.orderedAt = m.now
+		}
+	case DutyUnsure:
+		k.maybeRepeated = true
+	}
+}
+
+// releaseMachine ends the machine's order and lets its worker take tasks again.
+func (m *Model) releaseMachine(k *machine) {
+	if w := m.workers[k.Worker]; w != nil {
+		w.cordoned = false
+		m.pool(w.Service).dirty = true
+	}
+	k.wave, k.targetPool, k.orderedAt, k.ackedAt, k.oldWorkerID, k.maybeRepeated = nil, "", 0, 0, "", false
+}
+
+// workerOf returns the machine's worker, or nil if it is not known.
+func (m *Model) workerOf(k *machine) *worker {
+	if k.Worker == "" {
+		return nil
+	}
+	return m.workers[k.Worker]
+}
+
+// empty reports whether w has no runs and no ended runs that wait to be stored.
+func empty(w *worker) bool { return len(w.runs) == 0 && len(w.unsavedEnds) == 0 }
+
+// mayStopLasting reports whether a lasting task may be stopped: fewer than max(MayMiss, 1) other tasks of its step are
+// not serving.
+func (m *Model) mayStopLasting(r *run) bool {
+	s := r.task.stage
+	away := 0
+	for _, t := range s.tasks {
+		if t != r.task && !t.isServing() {
+			away++
+		}
+	}
+	return away < max(s.MayMiss, 1)
+}
+
+// isServing reports whether a lasting task has started up and its worker answers.
+func (t *task) isServing() bool {
+	return slices.ContainsFunc(t.runs, func(r *run) bool { return r.state == running && r.percent >= 100 && r.worker.silentSince == 0 })
+}
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -8,9 +8,9 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// firstMoves plays a new owner of two idle machines that another pool needs, and returns when it first orders each; tell is what it
-// learns of the former owner's orders at 1100.
-func firstMoves(tell ...batch.Msg) map[string]int64 {
+// firstMoves runs a new owner with two idle machines that another pool needs, and returns when it first orders each
+// one. At 1100 ms the owner receives the given messages about the former owner's orders.
+func firstMoves(messages ...batch.Msg) map[string]int64 {
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
 	m.Update(1000, batch.ServicesMsg{Services: []batch.Service{{Name: "s"}, {Name: "o"}}})
@@ -25,11 +25,11 @@
 	j := plainJob(1)
 	j.AimMs = 60_000
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: j})
-	at := map[string]int64{}
+	firstOrderAt := map[string]int64{}
 	for now := int64(1000); now < 9_000; now += 10 {
 		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
 		if now == 1100 {
-			for _, g := range tell {
+			for _, g := range messages {
 				m.Update(now, g)
 			}
 		}
@@ -42,17 +42,18 @@
 			case batch.ListMachinesCmd:
 				m.Update(now, batch.MachinesMsg{Sent: now, List: list})
 			case batch.MoveCmd:
-				if at[k.Machine] == 0 {
-					at[k.Machine] = now
+				if firstOrderAt[k.Machine] == 0 {
+					firstOrderAt[k.Machine] = now
 				}
 				m.Update(now, batch.DutyDoneMsg{Machine: k.Machine, Result: batch.DutyUnsure})
 			}
 		}
 	}
-	return at
+	return firstOrderAt
 }
 
-// Two owners keep their distance at each machine; what the former one tells of its orders frees all others at once.
+// Two owners must leave the configured gap between their orders to one machine. A successor that knows its former
+// owner's orders may order all other machines at once.
 func TestSuccessorOrdersMachines(t *testing.T) {
 	const claimEnd, gap = 1_200, 3_500
 	t.Run("nothing is known", func(t *testing.T) {
@@ -73,7 +74,7 @@
 	})
 }
 
-// What an owner tells of its orders holds those that it knows of former owners, too, and grows old.
+// Orders includes the former owners' orders that the model knows of, and their ages grow with time.
 func TestOrdersAge(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, DutyGapMs: 3500})
--- /dev/null
+++ b/fleet/batch/poll.go
@@ -0,0 +1,200 @@
+package batch
+
+import (
+	"math"
+	"slices"
+)
+
+// Polls of workers. A poll extends the worker's lease and returns its running and ended runs.
+
+// tailPollWaitMs is the longest long poll of a worker that runs filling tasks beside lasting ones, whose tail latency
+// must be read more often.
+const tailPollWaitMs = 600
+
+// workerClock returns the estimated reading of the worker's clock now.
+func (m *Model) workerClock(w *worker) int64 { return w.clockMs + m.now - w.clockAt }
+
+// expiresBy returns the steady time by which the worker's clock has certainly passed until.
+func (w *worker) expiresBy(until int64) int64 {
+	return w.clockAt + int64(math.Ceil(float64(max(until-w.clockMs, 0))/minClockRate)) + expirySlackMs
+}
+
+func (m *Model) setClock(w *worker, clock int64) {
+	if clock > 0 {
+		w.clockMs, w.clockAt = clock, m.now
+	}
+}
+
+// requestedLeaseMs returns the length of the lease to ask for.
+func (m *Model) requestedLeaseMs() int64 {
+	if m.cfg.LeaseMs > 0 {
+		return min(workerLeaseMs, m.cfg.LeaseMs)
+	}
+	return workerLeaseMs
+}
+
+// Gap in ms between two polls of a worker whose runs end. Busy workers are polled less often, as each poll costs as
+// much as a start.
+const (
+	minPollGapMs    = 10
+	pollGapPerRunMs = 2
+	maxPollGapMs    = 50
+)
+
+// pollWorkers polls the workers that have runs or whose lists have not been read yet.
+func (m *Model) pollWorkers() {
+	m.nextPollAt = m.now + sweepIntervalMs
+	if !m.loaded {
+		return
+	}
+	for _, w := range slices.Clone(m.workerList) {
+		m.timeOutPoll(w)
+		if m.retire(w) || w.polling || w.dead {
+			continue
+		}
+		if dueAt := max(w.nextPollAt, w.noPollBefore); m.now < dueAt {
+			m.nextPollAt = min(m.nextPollAt, dueAt)
+			continue
+		}
+		if w.synced && len(w.runs) == 0 && len(w.unsavedEnds) == 0 && w.silentSince == 0 && w.lastEnd == w.sentAck {
+			continue
+		}
+		if !w.synced && !w.listed && m.now > m.blindUntil {
+			continue
+		}
+		m.poll(w)
+	}
+}
+
+func (m *Model) poll(w *worker) {
+	h := HoldCmd{Worker: w.ID, Addr: w.Addr, LastSeen: w.forgettableEnd(), WaitMs: maxPollWaitMs, Fence: m.cfg.Fence}
+	if w.clockAt > 0 && w.silentSince == 0 && (len(w.runs) > 0 || !w.synced) { // the lease of a worker that does not answer must expire.
+		h.UntilMs = m.workerClock(w) + m.requestedLeaseMs()
+		w.leaseUntil = max(w.leaseUntil, h.UntilMs)
+	}
+	switch {
+	case !w.synced || w.silentSince != 0 || len(w.unsavedEnds) > 0 || w.shortPoll || len(w.runs) == 0:
+		h.WaitMs = 0
+	case w.needsPacing():
+		h.WaitMs = tailPollWaitMs
+	}
+	w.shortPoll = false
+	w.polling, w.pollSentAt, w.sentAck = true, m.now, h.LastSeen
+	if h.LastSeen == w.confirmedAck {
+		h.LastSeen = 0 // if the worker has restarted unnoticed, it must not forget the ended runs of its new lifetime.
+	}
+	m.emit(h)
+}
+
+// timeOutPoll treats a poll whose answer is overdue as unanswered, so that another one extends the worker's lease.
+func (m *Model) timeOutPoll(w *worker) {
+	if !w.polling || m.now-w.pollSentAt < overdueCallMs {
+		return
+	}
+	m.log("look overdue", "", "worker", w.ID, "addr", w.Addr, "runs", len(w.runs), "sinceMs", m.now-w.pollSentAt)
+	w.polling = false
+	m.markUnreachable(w)
+}
+
+// forgettableEnd returns the number up to which the worker may forget its ended runs: their results are stored.
+func (w *worker) forgettableEnd() int64 {
+	for i, k := range w.unsavedEnds {
+		if k.job.storedVersion < k.version {
+			w.unsavedEnds = w.unsavedEnds[i:]
+			return max(w.sentAck, k.number-1)
+		}
+	}
+	w.unsavedEnds = nil
+	return w.lastEnd
+}
+
+// leaseExpired reports whether the worker's lease has expired, and no other owner can have extended it before.
+func (m *Model) leaseExpired(w *worker) bool { return m.soleOwnerUntil >= w.expiresBy(w.leaseUntil) }
+
+// retire drops the runs of a worker whose lease has certainly expired or whose lifetime is over, and forgets workers
+// that are gone.
+func (m *Model) retire(w *worker) bool {
+	if w.silentSince != 0 && m.leaseExpired(w) {
+		for _, r := range w.runsCopy() {
+			m.log("run lapsed", r.task.stage.job.ID, "task", r.task.name().String(), "run", r.number, "worker", w.ID)
+			m.dropRun(r)
+		}
+	}
+	if w.dead && len(w.runs) > 0 {
+		for _, r := range w.runsCopy() {
+			m.dropRun(r)
+		}
+	}
+	if !w.listed && len(w.runs) == 0 && !w.polling && (w.dead || w.silentSince != 0 || w.synced) && (w.synced || m.now > m.blindUntil) {
+		m.forget(w)
+		return true
+	}
+	return false
+}
+
+func (m *Model) pollAnswered(g HeldMsg) {
+	w := m.workers[g.Worker]
+	if w == nil {
+		return
+	}
+	w.polling = false
+	switch g.Result {
+	case OK:
+	case Fenced:
+		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
+		return
+	case Foreign:
+		m.log("worker replaced", "", "worker", w.ID, "addr", w.Addr, "runs", len(w.runs))
+		w.dead, w.listed = true, false
+		m.pool(w.Service).dirty = true
+		return
+	default:
+		m.markUnreachable(w)
+		return
+	}
+	m.markReachable(w)
+	if g.Born != 0 && w.Born != 0 && g.Born != w.Born {
+		if g.Born < w.Born {
+			return // an answer of the former lifetime.
+		}
+		m.restart(w, g.Born)
+	}
+	if g.Born != 0 {
+		w.Born = g.Born
+	}
+	m.setClock(w, g.ClockMs)
+	w.confirmedAck = w.sentAck
+	first := !w.synced
+	m.applyEnded(w, g, first)
+	m.applyRunning(w, g, first)
+	if first {
+		w.synced = true
+		m.pool(w.Service).dirty = true
+	}
+	if len(w.unsavedEnds) > 0 {
+		w.nextPollAt = m.now + unsavedPollMs
+	}
+	if len(g.Ended) > 0 {
+		w.noPollBefore = m.now + min(minPollGapMs+pollGapPerRunMs*int64(len(w.runs)), maxPollGapMs)
+	}
+}
+
+// markReachable records that the worker answered.
+func (m *Model) markReachable(w *worker) {
+	if w.silentSince == 0 {
+		return
+	}
+	m.log("worker regained", "", "worker", w.ID, "silentMs", m.now-w.silentSince)
+	w.silentSince, w.nextPollAt = 0, 0
+	m.pool(w.Service).dirty = true
+}
+
+// markUnreachable records that the worker did not answer.
+func (m *Model) markUnreachable(w *worker) {
+	if w.silentSince == 0 {
+		w.silentSince = m.now
+		m.log("worker lost", "", "worker", w.ID, "addr", w.Addr, "runs", len(w.runs), "leaseMs", w.expiresBy(w.leaseUntil)-m.now)
+	}
+	w.nextPollAt = m.now + pollRetryMs
+	m.pool(w.Service).dirty = true
+}
--- a/fleet/batch/task.go
+++ b/fleet/batch/task.go
@@ -2,67 +2,67 @@
 
 import "slices"
 
-// phase is how far a job has come for its owner.
+// phase is the stage of a job's life at the owner.
 type phase int
 
 const (
-	committing phase = iota // the store has not acknowledged it yet.
+	committing phase = iota // its acceptance is not stored yet.
 	open
-	ended // completed, failed or canceled; the store may not know it yet.
+	ended // completed, failed or canceled; the end may not be stored yet.
 )
 
-// job is a job under way.
+// job is a job that the owner knows.
 type job struct {
 	Job
-	phase        phase
-	final        State // what it ended as, while phase is ended.
-	shown        State // what callers may see of its end: final, once the store has it.
-	started      bool
-	old          bool  // its record is being removed.
-	copied       int   // version of the progress that says that copies may be started; 0 before.
-	copiedBefore bool  // a former owner may have started copies.
-	loaded       bool  // accepted by a former owner.
-	firstAt      int64 // steady time at which its caller first sent it, as far as known.
-	endedAt      int64
-	due          int64 // when it earns in full at the latest.
-	rounds       []*round
-	next         int // the next round to open.
-
-	version, stored int   // of its progress; stored is what the store has.
-	rev             int64 // of its progress in the store.
-	refs            []uint64
-	cancels         []uint64
-	doubt           bool  // its acceptance may have been written.
-	tried           int64 // when its acceptance was first asked for.
+	phase         phase
+	finalState    State // state in which it ended; valid in phase ended.
+	shownState    State // state in which it ended, as callers see it: set once the end is stored.
+	started       bool
+	purging       bool  // its record is being deleted.
+	copiesVersion int   // version of the progress record that first says that there may be copies; 0 if none does.
+	formerCopies  bool  // a former owner may have started copies.
+	loaded        bool  // accepted by a former owner.
+	submittedAt   int64 // steady time at which its caller first sent it, as far as known.
+	endedAt       int64
+	dueAt         int64 // latest end at which it has its full value.
+	rounds        []*round
+	nextRound     int // number of the next round to open.
+
+	version, storedVersion int   // version of the progress in memory, and the version that is stored.
+	rev                    int64 // revision of the progress record in the store.
+	submitRefs             []uint64
+	cancelRefs             []uint64
+	maybeStored            bool  // the acceptance may be in the store.
+	firstTriedAt           int64 // when this owner first took the submission.
 }
 
 // round is one run of all steps.
 type round struct {
-	number int
-	due    int64
-	stages []*stage
-	left   int // stages that are not done.
+	number     int
+	dueAt      int64
+	stages     []*stage
+	stagesLeft int // stages that are not done.
 }
 
 // stage is one step of one round.
 type stage struct {
 	Step
-	job     *job
-	round   *round
-	number  int
-	tasks   []*task
-	left    int     // tasks that are not done.
-	waiting int     // of those, the ones without a run.
-	runMs   float64 // expected run time of one task.
-	rank    rank    // in the last order of service.
-	restMs  float64 // the same for the longest chain from here on.
-
-	ours     bool              // no former owner can have started any of its tasks.
-	tickets  map[string]ticket // by worker.
-	denied   map[string]bool   // workers that may not run the step.
-	asked    []string          // workers that the last request for advice named.
-	asking   bool
-	askAfter int64
+	job          *job
+	round        *round
+	number       int
+	tasks        []*task
+	tasksLeft    int     // tasks that are not done.
+	tasksWaiting int     // tasks that are not done and have no run.
+	runMs        float64 // expected run time of one task.
+	rank         rank    // position when the stages were last ordered.
+	chainMs      float64 // expected run time of the longest chain that begins with this stage.
+
+	noFormerRuns   bool              // no former owner can have started any of its tasks.
+	tickets        map[string]ticket // by worker ID.
+	denied         map[string]bool   // IDs of workers that must not run the step.
+	askedWorkers   []string          // IDs of the workers in the last request for advice.
+	adviceInFlight bool
+	nextAdviceAt   int64
 }
 
 // task is one task of a stage.
@@ -70,53 +70,53 @@
 	stage           *stage
 	index           int
 	done            bool
-	failed          []int // runs that ended failed.
-	last            int   // highest run number.
+	failedRuns      []int // numbers of the failed runs.
+	lastRun         int   // highest run number.
 	runs            []*run
-	saved           string
-	after           int64 // not started before.
-	avoid           []string
-	ours            bool // no former owner can have started it at a worker that has not been read.
+	checkpoint      string
+	notBefore       int64 // steady time before which it must not start.
+	avoidWorkers    []string
+	noFormerRuns    bool // no former owner can have started it at a worker whose lists have not been read.
 	unknownToFormer bool // it is done, and no former owner can know that.
 }
 
-// runState is what the owner believes of a run.
+// runState is the state of a run as far as the owner knows.
 type runState int
 
 const (
 	starting runState = iota
 	running
-	unsure   // the start was not answered.
-	stopping // a stop was sent.
+	unconfirmed // the start was not answered.
+	stopping    // a stop was sent.
 )
 
 // run is one start of a task at a worker.
 type run struct {
-	task    *task
-	number  int
-	worker  *worker
-	state   runState
-	asked   int64 // when the start was sent.
-	known   int64 // when the start was answered or the run was first listed.
-	until   int64 // on the worker's clock: the start is not carried out later.
-	born    int64 // the worker's lifetime on whose clock until is.
-	stopped int64 // when the stop was answered; 0 before.
-	stopAt  int64 // when the last stop was sent.
-	percent int
-	moved   int64 // when percent last changed.
-	listed  int64 // when the worker last listed it.
-	gauge   int64
-	pace    int
-	resumed bool // it began from a checkpoint.
-	evicted bool // it was stopped by our own choice.
-	own     bool // this owner started it.
+	task           *task
+	number         int
+	worker         *worker
+	state          runState
+	startSentAt    int64 // when the start was sent.
+	confirmedAt    int64 // when the start was answered or the run was first listed; 0 before.
+	startExpiresAt int64 // time on the worker's clock after which it does not carry out the start.
+	workerBorn     int64 // start time of the worker's lifetime to whose clock startExpiresAt refers.
+	stopAckedAt    int64 // when the stop was answered; 0 before.
+	stopSentAt     int64 // when the last stop was sent.
+	percent        int
+	advancedAt     int64 // when percent last changed.
+	listedAt       int64 // when the worker last listed it.
+	gauge          int64
+	pace           int
+	resumed        bool // it began from a checkpoint.
+	evicted        bool // this owner stopped it to free the worker or to restart the task elsewhere.
+	ownStart       bool // this owner started it.
 }
 
 func (t *task) name() TaskName {
 	return TaskName{Job: t.stage.job.ID, Round: t.stage.round.number, Step: t.stage.number, Index: t.index}
 }
 
-func (t *task) find(n int) *run {
+func (t *task) findRun(n int) *run {
 	for _, r := range t.runs {
 		if r.number == n {
 			return r
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// size is what the task takes of a worker's room.
+// size returns the resources that a task of s occupies at a worker.
 func (s *stage) size() Size {
 	if s.Fills {
 		return Size{MemMB: s.Step.Size.MemMB, GPU: s.Step.Size.GPU}
@@ -133,8 +133,8 @@
 	return s.Step.Size
 }
 
-// on returns the number of the stage's runs on w.
-func (s *stage) on(w *worker) int {
+// runsOn returns the number of the stage's runs on w.
+func (s *stage) runsOn(w *worker) int {
 	n := 0
 	for _, r := range w.runs {
 		if r.task.stage == s {
@@ -144,15 +144,15 @@
 	return n
 }
 
-// ready reports whether all earlier stages that s waits for are done.
+// ready reports whether all stages that s depends on are done.
 func (s *stage) ready() bool {
-	return !slices.ContainsFunc(s.After, func(a int) bool { return s.round.stages[a].left > 0 })
+	return !slices.ContainsFunc(s.After, func(a int) bool { return s.round.stages[a].tasksLeft > 0 })
 }
 
-func (j *job) open(number int, due int64) *round {
-	r := &round{number: number, due: due, left: len(j.Steps)}
+func (j *job) addRound(number int, due int64) *round {
+	r := &round{number: number, dueAt: due, stagesLeft: len(j.Steps)}
 	for i, p := range j.Steps {
-		s := &stage{Step: p, job: j, round: r, number: i, left: p.Count, waiting: p.Count, tasks: make([]*task, p.Count)}
+		s := &stage{Step: p, job: j, round: r, number: i, tasksLeft: p.Count, tasksWaiting: p.Count, tasks: make([]*task, p.Count)}
 		for k := range s.tasks {
 			s.tasks[k] = &task{stage: s, index: k}
 		}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// task returns the task of that name, nil when there is none.
+// task returns the task with that name, or nil if there is none.
 func (m *Model) task(n TaskName) *task {
 	j := m.jobs[n.Job]
 	if j == nil {
@@ -187,85 +187,85 @@
 // openRounds opens the rounds that are due.
 func (m *Model) openRounds() {
 	for _, p := range m.pools {
-		for _, j := range p.open {
-			for j.phase == open && j.next < max(j.Rounds, 1) && m.roundDue(j) <= m.now {
-				m.forecast(j.open(j.next, m.roundDue(j)))
-				j.next++
+		for _, j := range p.openJobs {
+			for j.phase == open && j.nextRound < max(j.Rounds, 1) && m.roundDue(j) <= m.now {
+				m.setExpectedTimes(j.addRound(j.nextRound, m.roundDue(j)))
+				j.nextRound++
 				p.dirty = true
 			}
 		}
 	}
 }
 
-// forecast sets the expected run times of the stages of a round.
-func (m *Model) forecast(r *round) {
+// setExpectedTimes sets the expected run times of the stages of a round.
+func (m *Model) setExpectedTimes(r *round) {
 	for i := len(r.stages) - 1; i >= 0; i-- {
 		s := r.stages[i]
-		s.runMs = m.queue(s.job.Queue).expect(float64(s.EstimateMs))
+		s.runMs = m.estimator(s.job.Queue).expectedMs(float64(s.EstimateMs))
 		for _, o := range r.stages[i+1:] {
 			if slices.Contains(o.After, i) {
-				s.restMs = max(s.restMs, o.restMs)
+				s.chainMs = max(s.chainMs, o.chainMs)
 			}
 		}
-		s.restMs += s.runMs
+		s.chainMs += s.runMs
 	}
 }
 
 // roundDue returns the steady time at which the next round of j is due.
 func (m *Model) roundDue(j *job) int64 {
 	if j.Rounds == 0 {
-		return j.firstAt
+		return j.submittedAt
 	}
-	return j.FirstMs + int64(j.next)*j.EveryMs - m.wall
+	return j.FirstMs + int64(j.nextRound)*j.EveryMs - m.wallOffset
 }
 
-// change notes that the progress of j must be written.
-func (m *Model) change(j *job) {
+// markChanged records that the progress of j must be written.
+func (m *Model) markChanged(j *job) {
 	j.version++
-	m.commits.add(j)
+	m.commits.addProgress(j)
 	m.pool(j.Service).dirty = true
 }
 
-// drop forgets a run that certainly is not at its worker any more.
-func (m *Model) drop(r *run) {
+// dropRun forgets a run that certainly is not at its worker any more.
+func (m *Model) dropRun(r *run) {
 	w := r.worker
 	i := slices.Index(w.runs, r)
 	if i < 0 {
 		return
 	}
 	w.runs = slices.Delete(w.runs, i, i+1)
-	w.usedAt = m.now
+	w.lastUsedAt = m.now
 	if r.state == starting {
-		w.starting--
+		w.unansweredStarts--
 	}
 	w.used = w.used.minus(r.task.stage.size())
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(o *run) bool { return o == r })
 	if len(r.task.runs) == 0 && !r.task.done {
-		r.task.stage.waiting++
+		r.task.stage.tasksWaiting++
 	}
 	m.pool(w.Service).dirty = true
 	m.pool(r.task.stage.job.Service).dirty = true
-	m.tidy(r.task.stage.job)
+	m.freeEnded(r.task.stage.job)
 }
 
-// attach adds a run to its worker and task.
-func (m *Model) attach(r *run) {
+// attachRun adds a run to its worker and task.
+func (m *Model) attachRun(r *run) {
 	r.worker.runs = append(r.worker.runs, r)
 	if r.state == starting {
-		r.worker.starting++
+		r.worker.unansweredStarts++
 	}
 	r.worker.used = r.worker.used.plus(r.task.stage.size())
 	r.task.runs = append(r.task.runs, r)
 	if len(r.task.runs) == 1 && !r.task.done {
-		r.task.stage.waiting--
+		r.task.stage.tasksWaiting--
 	}
-	r.task.last = max(r.task.last, r.number)
+	r.task.lastRun = max(r.task.lastRun, r.number)
 	r.task.stage.job.started = true
 }
 
-// tidy frees the tasks of a job that has ended and has nothing running.
-func (m *Model) tidy(j *job) {
-	if j.phase != ended || j.stored < j.version {
+// freeEnded frees the tasks of a job that has ended and has no runs left.
+func (m *Model) freeEnded(j *job) {
+	if j.phase != ended || j.storedVersion < j.version {
 		return
 	}
 	for _, r := range j.rounds {
@@ -278,14 +278,15 @@
 	j.rounds, j.Steps, j.Spec = nil, nil, ""
 }
 
-// runEnded takes in how a run ended, and whether a former owner can know of it. It reports whether the job's progress changed.
+// runEnded applies the end of a run. unknownToFormer says that no former owner can know of it. It reports whether the
+// job's progress changed.
 func (m *Model) runEnded(t *task, number int, how How, saved string, unknownToFormer bool) bool {
 	j := t.stage.job
 	if j.phase == ended || t.done {
 		return false
 	}
 	if saved != "" {
-		t.saved = saved
+		t.checkpoint = saved
 	}
 	switch how {
 	case Done:
@@ -294,8 +295,8 @@
 		}
 		t.unknownToFormer = unknownToFormer
 		m.taskDone(t)
-		if t.stage.left == 0 {
-			t.stage.opens()
+		if t.stage.tasksLeft == 0 {
+			t.stage.markNextStages()
 		}
 		return true
 	case Failed:
@@ -315,51 +316,52 @@
 			continue
 		}
 		o.done = true
-		s.left--
+		s.tasksLeft--
 		if len(o.runs) == 0 {
-			s.waiting--
+			s.tasksWaiting--
 		}
 		for _, r := range o.runs {
 			if o != t || !s.Gang {
-				m.stop(r)
+				m.stopRun(r)
 			}
 		}
 	}
-	if s.left == 0 {
-		s.round.left--
+	if s.tasksLeft == 0 {
+		s.round.stagesLeft--
 	}
 	m.checkDone(s.job)
-	m.change(s.job)
+	m.markChanged(s.job)
 }
 
-// opens notes that no former owner has started the steps after s, if for it a task of s has not ended; one that had copies may know
-// of other ends.
-func (s *stage) opens() {
-	if s.job.copiedBefore || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.unknownToFormer }) {
+// markNextStages records that no former owner can have started the steps after s, because none can know that all tasks
+// of s are done. It does nothing if a former owner may have started copies, since that owner may have seen the tasks
+// end by other runs.
+func (s *stage) markNextStages() {
+	if s.job.formerCopies || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.unknownToFormer }) {
 		return
 	}
 	for _, o := range s.round.stages[s.number+1:] {
-		o.ours = o.ours || slices.Contains(o.After, s.number)
+		o.noFormerRuns = o.noFormerRuns || slices.Contains(o.After, s.number)
 	}
 }
 
 func (m *Model) checkDone(j *job) {
-	if j.next < max(j.Rounds, 1) || slices.ContainsFunc(j.rounds, func(r *round) bool { return r.left > 0 }) {
+	if j.nextRound < max(j.Rounds, 1) || slices.ContainsFunc(j.rounds, func(r *round) bool { return r.stagesLeft > 0 }) {
 		return
 	}
-	m.end(j, Completed)
+	m.endJob(j, Completed)
 }
 
-// end ends the job; callers see it once the store has it.
-func (m *Model) end(j *job, s State) {
-	j.phase, j.final, j.endedAt = ended, s, m.now
-	delete(m.pool(j.Service).open, j.ID)
-	m.log("job ended", j.ID, "state", string(s), "ageMs", m.now-j.firstAt, "lateMs", m.now-j.due)
+// endJob ends the job. Callers see the end once it is stored.
+func (m *Model) endJob(j *job, s State) {
+	j.phase, j.finalState, j.endedAt = ended, s, m.now
+	delete(m.pool(j.Service).openJobs, j.ID)
+	m.log("job ended", j.ID, "state", string(s), "ageMs", m.now-j.submittedAt, "lateMs", m.now-j.dueAt)
 	for _, r := range j.rounds {
 		for _, g := range r.stages {
 			for _, t := range g.tasks {
 				for _, u := range t.runs {
-					m.stop(u)
+					m.stopRun(u)
 				}
 			}
 		}
@@ -367,44 +369,45 @@
 }
 
 func (m *Model) taskFailed(t *task, number int) bool {
-	if slices.Contains(t.failed, number) {
+	if slices.Contains(t.failedRuns, number) {
 		return false
 	}
-	t.failed = append(t.failed, number)
+	t.failedRuns = append(t.failedRuns, number)
 	j := t.stage.job
-	if !t.stage.Lasting && j.Attempts > 0 && len(t.failed) >= j.Attempts {
-		m.end(j, Broke)
+	if !t.stage.Lasting && j.Attempts > 0 && len(t.failedRuns) >= j.Attempts {
+		m.endJob(j, Broke)
 	}
-	m.change(j)
+	m.markChanged(j)
 	return true
 }
 
-// unknownToFormer reports whether no former owner can know that the task is done when r ends so: r has begun under this owner, or it is
-// the first run and this owner found it running. Before a later run, an earlier one may have ended unheard.
-func (r *run) unknownToFormer() bool { return r.own || r.number == 1 }
+// unknownToFormer reports whether no former owner can know that the task is done when r ends it: this owner started r,
+// or r is the first run and this owner found it running. Before a later run, an earlier one may have ended without this
+// owner's knowledge.
+func (r *run) unknownToFormer() bool { return r.ownStart || r.number == 1 }
 
-// stop sends a stop for the run, unless one has been sent lately.
-func (m *Model) stop(r *run) {
-	if r.state == stopping && m.now-r.stopAt < stopRetryMs {
+// stopRun sends a stop for the run, unless one was sent recently.
+func (m *Model) stopRun(r *run) {
+	if r.state == stopping && m.now-r.stopSentAt < stopRetryMs {
 		return
 	}
 	if r.state != stopping {
-		r.become(stopping)
-		r.stopped = 0
+		r.setState(stopping)
+		r.stopAckedAt = 0
 	}
-	r.stopAt = m.now
-	m.do(StopCmd{Worker: r.worker.ID, Addr: r.worker.Addr, Task: r.task.name(), Run: r.number, Fence: m.cfg.Fence})
+	r.stopSentAt = m.now
+	m.emit(StopCmd{Worker: r.worker.ID, Addr: r.worker.Addr, Task: r.task.name(), Run: r.number, Fence: m.cfg.Fence})
 }
 
-// become changes the run's state.
-func (r *run) become(s runState) {
+// setState changes the run's state.
+func (r *run) setState(s runState) {
 	if r.state == starting {
-		r.worker.starting--
+		r.worker.unansweredStarts--
 	}
 	r.state = s
 }
 
-// stopUnknown stops a run that no task has.
+// stopUnknown stops a run that belongs to no known task.
 func (m *Model) stopUnknown(w *worker, n TaskName, run int) {
-	m.do(StopCmd{Worker: w.ID, Addr: w.Addr, Task: n, Run: run, Fence: m.cfg.Fence})
+	m.emit(StopCmd{Worker: w.ID, Addr: w.Addr, Task: n, Run: run, Fence: m.cfg.Fence})
 }
