--- a/fakes/floor/floor.go
+++ b/fakes/floor/floor.go
@@ -20,22 +20,22 @@
 	Number int
 	From   int64
 	End    int64
-	How    batch.How
+	How    batch.EndReason
 	Size   batch.Size
 }
 
 // Plan tells how a run goes: how long it takes, how it ends, and what it takes of the worker.
 type Plan struct {
 	RunMs int64 // Never for a run that lasts.
-	How   batch.How
+	How   batch.EndReason
 	Size  batch.Size
 }
 
 // Hooks are told what happens at a worker; each may be nil.
 type Hooks struct {
 	Begun func(w *Worker, r *Run)
-	Ended func(w *Worker, r *Run, how batch.How) // how is empty when the lifetime ended.
-	Noted func(w *Worker, e batch.Ended)         // an end that is forgotten, and was not followed by a lapse.
+	Ended func(w *Worker, r *Run, how batch.EndReason) // how is empty when the lifetime ended.
+	Noted func(w *Worker, e batch.EndedRun)            // an end that is forgotten, and was not followed by a lapse.
 }
 
 // Worker is one worker; it is not safe for concurrent use.
@@ -52,7 +52,7 @@
 	fence   int64
 	until   int64 // of the lease, on the worker's clock.
 	runs    []*Run
-	ended   []batch.Ended
+	ended   []batch.EndedRun
 	counter int64
 	seen    int64
 	lapsed  int64          // ends up to this one were followed by a lapse.
@@ -107,7 +107,7 @@
 	w.highest = map[string]int{}
 }
 
-func (w *Worker) tell(r *Run, how batch.How) {
+func (w *Worker) tell(r *Run, how batch.EndReason) {
 	if w.hooks.Ended != nil {
 		w.hooks.Ended(w, r, how)
 	}
@@ -125,18 +125,18 @@
 	for _, r := range slices.Clone(w.runs) {
 		switch {
 		case w.Clock() > w.until:
-			w.end(r, batch.Lapsed)
+			w.end(r, batch.EndLapsed)
 		case w.now >= r.End:
 			w.end(r, r.How)
 		}
 	}
 }
 
-func (w *Worker) end(r *Run, how batch.How) {
+func (w *Worker) end(r *Run, how batch.EndReason) {
 	w.runs = slices.DeleteFunc(w.runs, func(o *Run) bool { return o == r })
 	w.used = minus(w.used, r.Size)
 	w.counter++
-	w.ended = append(w.ended, batch.Ended{Number: w.counter, Task: r.Task, Run: r.Number, How: how})
+	w.ended = append(w.ended, batch.EndedRun{Number: w.counter, Task: r.Task, Run: r.Number, Reason: how})
 	n := r.Task.String()
 	w.highest[n] = max(w.highest[n], r.Number)
 	w.tell(r, how)
@@ -160,22 +160,22 @@
 func (w *Worker) News(lastSeen int64) bool { return w.counter > max(lastSeen, w.seen) }
 
 // Hold extends the lease, forgets the ends that were seen, and returns both lists.
-func (w *Worker) Hold(c batch.HoldCmd) batch.HeldMsg {
-	g := batch.HeldMsg{Worker: w.id, Born: w.born, ClockMs: w.Clock()}
+func (w *Worker) Hold(c batch.PollCmd) batch.PolledMsg {
+	g := batch.PolledMsg{Worker: w.id, Born: w.born, ClockMs: w.Clock()}
 	if w.fenced(c.Fence) {
 		g.Result = batch.Fenced
 		return g
 	}
 	w.extend(c.UntilMs)
 	for _, e := range w.ended {
-		if e.Number <= c.LastSeen && e.Number > w.lapsed && w.hooks.Noted != nil {
+		if e.Number <= c.ForgetUpTo && e.Number > w.lapsed && w.hooks.Noted != nil {
 			w.hooks.Noted(w, e)
 		}
 	}
-	w.seen = max(w.seen, c.LastSeen)
-	w.ended = slices.DeleteFunc(w.ended, func(e batch.Ended) bool { return e.Number <= w.seen })
+	w.seen = max(w.seen, c.ForgetUpTo)
+	w.ended = slices.DeleteFunc(w.ended, func(e batch.EndedRun) bool { return e.Number <= w.seen })
 	for _, r := range w.runs {
-		g.Running = append(g.Running, batch.Running{Task: r.Task, Run: r.Number, Percent: w.percent(r)})
+		g.Running = append(g.Running, batch.ActiveRun{Task: r.Task, Run: r.Number, Percent: w.percent(r)})
 	}
 	g.Ended = slices.Clone(w.ended)
 	return g
@@ -200,14 +200,14 @@
 		return batch.Fenced
 	}
 	if c.UntilMs < w.Clock() {
-		return batch.TooLate
+		return batch.Expired
 	}
 	w.extend(c.UntilMs)
 	switch {
 	case slices.ContainsFunc(w.runs, there):
 		return batch.OK
 	case c.Run <= w.highest[n]:
-		return batch.OldRun
+		return batch.StaleRun
 	case !p.Size.Fits(minus(w.room, w.used)):
 		return batch.NoRoom
 	}
@@ -232,7 +232,7 @@
 	w.highest[n] = max(w.highest[n], c.Run)
 	for _, r := range slices.Clone(w.runs) {
 		if r.Task == c.Task && r.Number <= c.Run {
-			w.end(r, batch.Stopped)
+			w.end(r, batch.EndStopped)
 		}
 	}
 	return batch.OK
--- a/fakes/floor/judge.go
+++ b/fakes/floor/judge.go
@@ -32,7 +32,7 @@
 	Run      int
 	Worker   string
 	From, To int64
-	How      batch.How
+	How      batch.EndReason
 }
 
 // NewJudge returns a judge with the clock now, in ms.
@@ -107,12 +107,12 @@
 }
 
 func (j *Judge) isDone(task string) bool {
-	return slices.ContainsFunc(j.stints[task], func(s Stint) bool { return s.How == batch.Done })
+	return slices.ContainsFunc(j.stints[task], func(s Stint) bool { return s.How == batch.EndDone })
 }
 
-func (j *Judge) ended(w *Worker, r *Run, how batch.How) {
+func (j *Judge) ended(w *Worker, r *Run, how batch.EndReason) {
 	n := r.Task.String()
-	if how == batch.Failed {
+	if how == batch.EndFailed {
 		j.fails[n]++
 	}
 	for i := range j.stints[n] {
@@ -122,8 +122,8 @@
 	}
 }
 
-func (j *Judge) note(_ *Worker, e batch.Ended) {
-	if n := e.Task.String(); e.How == batch.Done {
+func (j *Judge) note(_ *Worker, e batch.EndedRun) {
+	if n := e.Task.String(); e.Reason == batch.EndDone {
 		j.noted[n] = cmp.Or(j.noted[n], j.now())
 	}
 }
@@ -134,13 +134,13 @@
 		k, s := j.known[id], state(id)
 		lasts := k.Job.Steps[0].Lasting
 		switch {
-		case k.Accepted && s == batch.Absent:
+		case k.Accepted && s == batch.StateAbsent:
 			j.Wrong("LOST: accepted job %s is not known", id)
-		case k.Accepted && !lasts && s != batch.Completed && s != batch.Broke:
+		case k.Accepted && !lasts && s != batch.StateCompleted && s != batch.StateFailed:
 			j.Wrong("LOST: accepted job %s is %q at the end:%s", id, s, describe(id))
-		case s == batch.Completed && !j.allDone(k.Job):
+		case s == batch.StateCompleted && !j.allDone(k.Job):
 			j.Wrong("MIXED: job %s is completed and a task is not", id)
-		case s == batch.Broke && !j.anyBroke(k.Job):
+		case s == batch.StateFailed && !j.anyBroke(k.Job):
 			j.Wrong("LOST: job %s has failed without cause", id)
 		}
 		if lasts && k.Accepted {
--- a/fakes/plant/plant.go
+++ b/fakes/plant/plant.go
@@ -261,7 +261,7 @@
 func (u *unit) beat() {
 	u.p.mu.Lock()
 	dark := u.w.Dark()
-	k, b := platform.EncodeEntry(batch.Entry{
+	k, b := platform.EncodeEntry(batch.WorkerEntry{
 		ID: u.w.ID(), Service: u.service, Addr: u.addr, Zone: "z", Room: u.w.Room(), Labels: []string{"a", "r1"},
 		ClockMs: u.w.Clock(), Born: u.w.Born(),
 	})
@@ -330,16 +330,16 @@
 }
 
 // Hold implements platform.WorkerBackend.
-func (u *unit) Hold(ctx context.Context, c batch.HoldCmd) batch.HeldMsg {
-	var g batch.HeldMsg
+func (u *unit) Hold(ctx context.Context, c batch.PollCmd) batch.PolledMsg {
+	var g batch.PolledMsg
 	if !u.order(func() { g = u.w.Hold(c) }) {
-		return batch.HeldMsg{Result: batch.NoAnswer}
+		return batch.PolledMsg{Result: batch.NoAnswer}
 	}
 	end := time.Now().Add(time.Duration(c.WaitMs) * time.Millisecond)
 	for g.Result == batch.OK && len(g.Ended) == 0 && time.Now().Before(end) && ctx.Err() == nil {
 		time.Sleep(step)
 		u.p.mu.Lock()
-		if u.w.News(c.LastSeen) || u.w.Dark() {
+		if u.w.News(c.ForgetUpTo) || u.w.Dark() {
 			g = u.w.Hold(c)
 		}
 		u.p.mu.Unlock()
@@ -347,7 +347,7 @@
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
 	if len(g.Ended) == 0 && g.Result == batch.OK {
-		g = u.w.Hold(batch.HoldCmd{Fence: c.Fence, LastSeen: c.LastSeen})
+		g = u.w.Hold(batch.PollCmd{Fence: c.Fence, ForgetUpTo: c.ForgetUpTo})
 	}
 	return g
 }
@@ -390,12 +390,12 @@
 	if err := json.Unmarshal([]byte(c.Spec), &x); err != nil {
 		p.judge.Wrong("UNASKED: %s with spec %s", c.Task, strconv.Quote(c.Spec))
 	}
-	f := floor.Plan{RunMs: x.RunMs, How: batch.Done, Size: s.Size}
+	f := floor.Plan{RunMs: x.RunMs, How: batch.EndDone, Size: s.Size}
 	if s.Lasting {
 		f.RunMs = floor.Never
 	}
 	if p.rnd.IntN(1000) < x.Fails {
-		f.How = batch.Failed
+		f.How = batch.EndFailed
 	}
 	return f
 }
@@ -419,13 +419,13 @@
 	defer m.p.mu.Unlock()
 	var l []batch.Machine
 	for _, u := range m.p.units {
-		l = append(l, batch.Machine{Name: "m-" + u.w.ID(), Pool: u.service, Zone: "z", State: batch.Up, Room: u.w.Room(), Worker: u.w.ID()})
+		l = append(l, batch.Machine{Name: "m-" + u.w.ID(), Pool: u.service, Zone: "z", State: batch.MachineUp, Room: u.w.Room(), Worker: u.w.ID()})
 	}
 	return l
 }
 
 // Move implements platform.MachineBackend.
-func (machines) Move(string, batch.MoveCmd) batch.DutyResult { return batch.DutyBusy }
+func (machines) Move(string, batch.MoveCmd) batch.OrderResult { return batch.OrderBusy }
 
 // Upkeep implements platform.MachineBackend.
-func (machines) Upkeep(string, batch.UpkeepCmd) batch.DutyResult { return batch.DutyBusy }
+func (machines) Upkeep(string, batch.UpkeepCmd) batch.OrderResult { return batch.OrderBusy }
--- a/fleet/batch/answers.go
+++ b/fleet/batch/answers.go
@@ -64,11 +64,11 @@
 	switch why {
 	case NoRoom:
 		w.noStartsBefore = m.now + refusalBackoffMs
-	case Unwell:
+	case Unhealthy:
 		w.noStartsBefore = m.now + refusalBackoffMs
 		w.quarantineMs = min(max(2*w.quarantineMs, minQuarantineMs), maxQuarantineMs)
 		w.quarantinedUntil = m.now + w.quarantineMs
-	case Foreign:
+	case WrongWorker:
 		w.dead, w.listed = true, false
 	case NotSent:
 		m.markUnreachable(w)
@@ -86,7 +86,7 @@
 		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
 		return
 	}
-	if g.Result == Foreign {
+	if g.Result == WrongWorker {
 		w.dead, w.listed = true, false
 		return
 	}
--- a/fleet/batch/commit.go
+++ b/fleet/batch/commit.go
@@ -20,8 +20,8 @@
 
 // StoredJob is an accepted job in the store.
 type StoredJob struct {
-	Job  Job   `json:"job"`
-	AtMs int64 `json:"atMs"` // Unix time in ms at which its caller first sent it.
+	Job         Job   `json:"job"`
+	SubmittedMs int64 `json:"atMs"` // Unix time in ms at which its caller first sent it.
 }
 
 // StoredRun is the progress of a job in the store.
@@ -166,7 +166,7 @@
 	}
 	m.log("write failed", "", "outcome", int(g.Outcome), "accepts", len(f.accepts), "progress", len(f.progress))
 	if g.Outcome == Conflict {
-		m.adoptRevs(g.Now)
+		m.adoptRevs(g.Current)
 	} else {
 		c.failing, c.retryAt = true, m.now+commitRetryMs
 	}
@@ -196,7 +196,7 @@
 			delete(m.jobs, j.ID)
 			m.refuse(j, "the store did not take it", acceptTimeoutMs)
 			for _, r := range j.cancelRefs {
-				m.emit(ReplyCmd{Ref: r, Verdict: NotKnown})
+				m.emit(ReplyCmd{Ref: r, Verdict: UnknownJob})
 			}
 			continue
 		}
@@ -250,7 +250,7 @@
 	m.purgedAt = m.now
 	for _, id := range sortedKeys(m.jobs) {
 		j := m.jobs[id]
-		if j.shownState != Absent && !j.purging && j.rounds == nil && m.now-j.endedAt > retentionFactor*m.cfg.StatusMs {
+		if j.shownState != StateAbsent && !j.purging && j.rounds == nil && m.now-j.endedAt > retentionFactor*m.cfg.StatusMs {
 			j.purging = true
 			j.version++
 			m.commits.addProgress(j)
@@ -286,7 +286,7 @@
 }
 
 func (m *Model) encodeJob(j *job) []byte {
-	b, err := json.Marshal(StoredJob{Job: j.Job, AtMs: j.submittedAt + m.wallOffset})
+	b, err := json.Marshal(StoredJob{Job: j.Job, SubmittedMs: j.submittedAt + m.wallOffset})
 	if err != nil {
 		panic(fmt.Sprintf("batch: job %s cannot be encoded: %v", j.ID, err)) // cannot happen: the job holds only numbers and strings.
 	}
@@ -361,7 +361,7 @@
 	runs := make(map[string]StoredRun, len(g.Runs))
 	for _, r := range g.Runs {
 		runs[r.ID] = r
-		if r.State != Absent {
+		if r.State != StateAbsent {
 			m.jobs[r.ID] = &job{Job: Job{ID: r.ID}, phase: ended, finalState: r.State, shownState: r.State, rev: r.Rev, endedAt: m.now, started: true}
 		}
 	}
@@ -384,7 +384,7 @@
 }
 
 func (m *Model) loadJob(s StoredJob, r StoredRun) {
-	j := &job{Job: s.Job, phase: open, loaded: true, submittedAt: s.AtMs - m.wallOffset, rev: r.Rev, formerCopies: r.Copied}
+	j := &job{Job: s.Job, phase: open, loaded: true, submittedAt: s.SubmittedMs - m.wallOffset, rev: r.Rev, formerCopies: r.Copied}
 	if r.Copied {
 		j.copiesVersion = 1
 		j.version, j.storedVersion = 1, 1
--- a/fleet/batch/copies_test.go
+++ b/fleet/batch/copies_test.go
@@ -18,12 +18,12 @@
 }
 
 func newHarness(workers ...string) *harness {
-	b := &harness{Model: batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500}), now: 1000}
-	var set []batch.Entry
+	b := &harness{Model: batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500}), now: 1000}
+	var set []batch.WorkerEntry
 	for _, w := range workers {
-		set = append(set, batch.Entry{ID: w, Service: "s", Addr: w, Room: batch.Size{CPU: 4000, MemMB: 8000}, ClockMs: 5, Born: 1})
+		set = append(set, batch.WorkerEntry{ID: w, Service: "s", Addr: w, Room: batch.Size{CPU: 4000, MemMB: 8000}, ClockMs: 5, Born: 1})
 	}
-	b.Update(b.now, batch.LeaseMsg{Fresh: true, Checked: b.now})
+	b.Update(b.now, batch.ClaimMsg{Fresh: true, RenewedAt: b.now})
 	b.Update(b.now, batch.WorkersMsg{All: true, Set: set})
 	b.Update(b.now, batch.LoadedMsg{})
 	b.advance(100)
@@ -34,8 +34,8 @@
 // until the first start; after that only listRuns answers for a worker.
 func (b *harness) advance(ms int64) {
 	for end := b.now + ms; b.now < end; b.now += 10 {
-		b.Update(b.now, batch.LeaseMsg{Fresh: true, Checked: b.now})
-		for _, c := range b.Round(b.now) {
+		b.Update(b.now, batch.ClaimMsg{Fresh: true, RenewedAt: b.now})
+		for _, c := range b.Commands(b.now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				if b.storeDown {
@@ -49,9 +49,9 @@
 			case batch.StopCmd:
 				b.stops = append(b.stops, k)
 				b.Update(b.now, batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, ClockMs: b.now})
-			case batch.HoldCmd:
+			case batch.PollCmd:
 				if len(b.starts) == 0 {
-					b.Update(b.now, batch.HeldMsg{Worker: k.Worker, Sent: b.now, ClockMs: b.now, Born: 1})
+					b.Update(b.now, batch.PolledMsg{Worker: k.Worker, Sent: b.now, ClockMs: b.now, Born: 1})
 				}
 			}
 		}
@@ -59,8 +59,8 @@
 }
 
 // listRuns delivers a worker's list with the given runs.
-func (b *harness) listRuns(worker string, running []batch.Running, ended ...batch.Ended) {
-	b.Update(b.now, batch.HeldMsg{Worker: worker, Sent: b.now, ClockMs: b.now, Born: 1, Running: running, Ended: ended})
+func (b *harness) listRuns(worker string, running []batch.ActiveRun, ended ...batch.EndedRun) {
+	b.Update(b.now, batch.PolledMsg{Worker: worker, Sent: b.now, ClockMs: b.now, Born: 1, Running: running, Ended: ended})
 }
 
 // A slow task gets a speculative copy on another worker if its job allows it. Once one run is done, the other is
@@ -74,7 +74,7 @@
 		}}})
 		b.advance(900)
 		b.storeDown = !store
-		b.listRuns(b.starts[0].Worker, []batch.Running{{Task: b.starts[0].Task, Run: 1, Percent: percent}})
+		b.listRuns(b.starts[0].Worker, []batch.ActiveRun{{Task: b.starts[0].Task, Run: 1, Percent: percent}})
 		b.advance(400)
 		return b
 	}
@@ -85,9 +85,9 @@
 		first, second := b.starts[0], b.starts[1]
 		is.True(first.Worker != second.Worker)
 		is.Equal(second.Run, 2)
-		b.listRuns(second.Worker, nil, batch.Ended{Number: 1, Task: second.Task, Run: 2, How: batch.Done})
+		b.listRuns(second.Worker, nil, batch.EndedRun{Number: 1, Task: second.Task, Run: 2, Reason: batch.EndDone})
 		b.advance(100)
-		is.Equal(b.State(jobID(1)), batch.Completed)
+		is.Equal(b.State(jobID(1)), batch.StateCompleted)
 		is.Equal(b.stops[0].Worker, first.Worker)
 		is.Equal(len(b.starts), 2)
 	})
@@ -119,14 +119,14 @@
 		is := is.New(t)
 		b := play(true, 0)
 		is.Equal(len(b.stops), 2)
-		var ends []batch.Ended
+		var ends []batch.EndedRun
 		for i, s := range b.stops {
-			ends = append(ends, batch.Ended{Number: int64(i + 1), Task: s.Task, Run: s.Run, How: batch.Stopped, Saved: "c"})
+			ends = append(ends, batch.EndedRun{Number: int64(i + 1), Task: s.Task, Run: s.Run, Reason: batch.EndStopped, Checkpoint: "c"})
 		}
-		var left []batch.Running
+		var left []batch.ActiveRun
 		for _, s := range b.starts {
 			if s.Task != b.stops[0].Task && s.Task != b.stops[1].Task {
-				left = append(left, batch.Running{Task: s.Task, Run: s.Run, Percent: 10})
+				left = append(left, batch.ActiveRun{Task: s.Task, Run: s.Run, Percent: 10})
 			}
 		}
 		b.listRuns("w1", left, ends...)
--- a/fleet/batch/job_kinds_test.go
+++ b/fleet/batch/job_kinds_test.go
@@ -16,7 +16,7 @@
 	w.submit(j)
 	w.run(20_000, nil)
 	w.report()
-	is.Equal(w.owners[0].m.State(j.ID), batch.Completed)
+	is.Equal(w.owners[0].m.State(j.ID), batch.StateCompleted)
 	for k := range j.Rounds {
 		for s, p := range j.Steps {
 			for i := range p.Count {
@@ -40,7 +40,7 @@
 	w.run(30_000, nil)
 	w.checkSettled()
 	w.report()
-	is.Equal(w.owners[len(w.owners)-1].m.State(j.ID), batch.Completed)
+	is.Equal(w.owners[len(w.owners)-1].m.State(j.ID), batch.StateCompleted)
 }
 
 // The tasks of a gang start together under one run number, and only if all of them fit.
@@ -73,10 +73,10 @@
 // Tasks of an advised queue start only at workers for which a ticket was granted, and the start carries the ticket.
 func TestAdvice(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
-	m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000})
+	m.Update(1000, batch.ClaimMsg{Fresh: true, RenewedAt: 1000})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{
 		{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}, {ID: "w2", Service: "s", Addr: "w2", Room: room, ClockMs: 5},
 	}})
 	m.Update(1000, batch.LoadedMsg{})
@@ -86,12 +86,12 @@
 	asked := 0
 	var got []batch.StartCmd
 	for now := int64(1000); now < 2000; now += 10 {
-		for _, c := range m.Round(now) {
+		for _, c := range m.Commands(now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
-			case batch.HoldCmd:
-				m.Update(now, batch.HeldMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1})
+			case batch.PollCmd:
+				m.Update(now, batch.PolledMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1})
 			case batch.AdviseCmd:
 				asked++
 				is.Equal(k.Workers, []string{"w1", "w2"})
@@ -113,9 +113,9 @@
 // afterwards.
 func TestPace(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
-	m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000})
+	m.Update(1000, batch.ClaimMsg{Fresh: true, RenewedAt: 1000})
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{
 		{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 5},
 	}})
 	m.Update(1000, batch.LoadedMsg{})
@@ -132,7 +132,7 @@
 		if now > 5000 {
 			tail = 30
 		}
-		for _, c := range m.Round(now) {
+		for _, c := range m.Commands(now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
@@ -143,13 +143,13 @@
 				is.Equal(k.Task, fill) // the serving task is never slowed down.
 				least, last = min(least, k.Percent), k.Percent
 				m.Update(now, batch.PacedMsg{Worker: "w1", Task: k.Task, Run: k.Run, Percent: k.Percent})
-			case batch.HoldCmd:
-				g := batch.HeldMsg{Worker: "w1", Sent: now, ClockMs: now, Born: 1}
+			case batch.PollCmd:
+				g := batch.PolledMsg{Worker: "w1", Sent: now, ClockMs: now, Born: 1}
 				if run[serve] > 0 {
-					g.Running = append(g.Running, batch.Running{Task: serve, Run: run[serve], Percent: 100, Gauge: tail})
+					g.Running = append(g.Running, batch.ActiveRun{Task: serve, Run: run[serve], Percent: 100, Gauge: tail})
 				}
 				if run[fill] > 0 {
-					g.Running = append(g.Running, batch.Running{Task: fill, Run: run[fill], Percent: 100, Gauge: 500})
+					g.Running = append(g.Running, batch.ActiveRun{Task: fill, Run: run[fill], Percent: 100, Gauge: 500})
 				}
 				m.Update(now, g)
 			}
--- a/fleet/batch/machines.go
+++ b/fleet/batch/machines.go
@@ -19,10 +19,10 @@
 
 // The states of a machine.
 const (
-	Up       MachineState = "up"
-	Moving   MachineState = "moving"
-	InUpkeep MachineState = "upkeep"
-	Down     MachineState = "down"
+	MachineUp       MachineState = "up"
+	MachineMoving   MachineState = "moving"
+	MachineInUpkeep MachineState = "upkeep"
+	MachineDown     MachineState = "down"
 )
 
 // MachinesMsg is the platform's list of machines; the request for it was sent at Sent.
@@ -37,8 +37,8 @@
 	Number     int
 	Machines   []string
 	DurationMs int64
-	Most       int // most machines that may be down for the wave at once.
-	Gone       bool
+	MaxDown    int // most machines that may be down for the wave at once.
+	Withdrawn  bool
 	Completed  bool // the platform already shows the wave as completed.
 }
 
@@ -50,11 +50,11 @@
 	Rev    int64    `json:"-"`
 }
 
-// DutyDoneMsg is the answer to a MoveCmd or an UpkeepCmd.
-type DutyDoneMsg struct {
+// OrderDoneMsg is the answer to a MoveCmd or an UpkeepCmd.
+type OrderDoneMsg struct {
 	Machine string
 	Wave    int // 0 for a move.
-	Result  DutyResult
+	Result  OrderResult
 }
 
 // OrdersMsg holds the last orders that a former owner gave to machines; it gives no more.
@@ -76,16 +76,16 @@
 	return Orders{AgeMs: a, SpanMs: o.SpanMs + ms}
 }
 
-// DutyResult is the result of an order to a machine.
-type DutyResult int
+// OrderResult is the result of an order to a machine.
+type OrderResult int
 
 // The results of an order to a machine.
 const (
-	DutyOK DutyResult = iota
-	DutyBusy
-	DutyRejected
-	DutyUnsure
-	DutyNotSent
+	OrderOK OrderResult = iota
+	OrderBusy
+	OrderRejected
+	OrderUnsure
+	OrderNotSent
 )
 
 // ListMachinesCmd requests the platform's list of machines.
@@ -113,7 +113,7 @@
 func (MachinesMsg) msg()     {}
 func (OrdersMsg) msg()       {}
 func (WaveMsg) msg()         {}
-func (DutyDoneMsg) msg()     {}
+func (OrderDoneMsg) msg()    {}
 func (ListMachinesCmd) cmd() {}
 func (MoveCmd) cmd()         {}
 func (UpkeepCmd) cmd()       {}
@@ -199,7 +199,7 @@
 
 // completeOrder ends the order to a machine that is up again with a new worker.
 func (m *Model) completeOrder(k *machine, sent int64) {
-	if k.ackedAt == 0 || sent <= k.ackedAt || k.State != Up || k.Worker == "" || k.Worker == k.oldWorkerID && !k.maybeRepeated {
+	if k.ackedAt == 0 || sent <= k.ackedAt || k.State != MachineUp || k.Worker == "" || k.Worker == k.oldWorkerID && !k.maybeRepeated {
 		return
 	}
 	m.log("machine back", "", "machine", k.Name, "pool", k.Pool, "worker", k.Worker, "tookMs", m.now-k.ackedAt)
@@ -255,11 +255,11 @@
 	if orderedAt, ok := m.fleet.formerOrderAt[k.Name]; ok {
 		last = max(last, orderedAt)
 	}
-	if m.now >= last+m.cfg.DutyGapMs {
+	if m.now >= last+m.cfg.OrderGapMs {
 		return true
 	}
 	w := m.workerOf(k)
-	return w != nil && w.Born > 0 && w.Born < m.cfg.WallMs-m.cfg.DutyGapMs-maxClockSkewMs
+	return w != nil && w.Born > 0 && w.Born < m.cfg.UnixMs-m.cfg.OrderGapMs-maxClockSkewMs
 }
 
 // takeFormerOrders records the orders of a former owner, which gives no more.
@@ -282,7 +282,7 @@
 	o := Orders{AgeMs: map[string]int64{}, SpanMs: max(now-m.fleet.ordersKnownSince, 0)}
 	for _, l := range []map[string]int64{m.fleet.formerOrderAt, m.fleet.lastOrderAt} {
 		for n, orderedAt := range l {
-			if now-orderedAt < m.cfg.DutyGapMs {
+			if now-orderedAt < m.cfg.OrderGapMs {
 				o.AgeMs[n] = now - orderedAt // overwrites the former owner's entry, which is older.
 			}
 		}
@@ -310,31 +310,31 @@
 }
 
 // orderAnswered handles the answer to an order to a machine.
-func (m *Model) orderAnswered(g DutyDoneMsg) {
+func (m *Model) orderAnswered(g OrderDoneMsg) {
 	k := m.fleet.machines[g.Machine]
 	if k == nil || k.orderedAt == 0 {
 		return
 	}
 	m.log("machine ordered", "", "machine", g.Machine, "wave", g.Wave, "pool", k.targetPool, "result", int(g.Result))
 	switch g.Result {
-	case DutyOK:
+	case OrderOK:
 		k.ackedAt = m.now
 		if w := m.workers[k.oldWorkerID]; w != nil && !k.maybeRepeated {
 			w.dead, w.machineTaken = true, true
 			m.pool(w.Service).dirty = true
 		}
-	case DutyRejected:
+	case OrderRejected:
 		if k.wave != nil {
 			m.markMaintained(k.wave, k.Name)
 		}
 		m.releaseMachine(k)
-	case DutyBusy, DutyNotSent:
+	case OrderBusy, OrderNotSent:
 		if g.Wave == 0 {
 			m.releaseMachine(k)
 		} else {
 			k.orderedAt = m.now
 		}
-	case DutyUnsure:
+	case OrderUnsure:
 		k.maybeRepeated = true
 	}
 }
--- a/fleet/batch/machines_test.go
+++ b/fleet/batch/machines_test.go
@@ -44,7 +44,7 @@
 }
 
 func (p *fakeFleet) add(pool string, room batch.Size) {
-	m := &fakeMachine{name: fmt.Sprintf("m%02d", len(p.machines)), pool: pool, room: room, state: batch.Up, begun: map[int]bool{}}
+	m := &fakeMachine{name: fmt.Sprintf("m%02d", len(p.machines)), pool: pool, room: room, state: batch.MachineUp, begun: map[int]bool{}}
 	p.machines = append(p.machines, m)
 	p.startWorker(m)
 }
@@ -97,7 +97,7 @@
 func (p *fakeFleet) step() {
 	for _, m := range p.machines {
 		if m.backAt != 0 && p.w.now >= m.backAt {
-			m.backAt, m.state, m.wave = 0, batch.Up, 0
+			m.backAt, m.state, m.wave = 0, batch.MachineUp, 0
 			p.startWorker(m)
 		}
 	}
@@ -114,42 +114,42 @@
 	m.lastOrderAt, m.lastFence = p.w.now, max(m.lastFence, a.fence)
 }
 
-func (p *fakeFleet) move(a *fakeOwner, m *fakeMachine, pool string) batch.DutyResult {
+func (p *fakeFleet) move(a *fakeOwner, m *fakeMachine, pool string) batch.OrderResult {
 	p.checkOrder(a, m)
-	if m.state != batch.Up {
-		return batch.DutyBusy
+	if m.state != batch.MachineUp {
+		return batch.OrderBusy
 	}
 	if m.pool != pool {
 		p.moves++
 		m.pool = pool
-		p.takeDown(m, batch.Moving, moveMs)
+		p.takeDown(m, batch.MachineMoving, moveMs)
 	}
-	return batch.DutyOK
+	return batch.OrderOK
 }
 
-func (p *fakeFleet) upkeep(a *fakeOwner, m *fakeMachine, wave int) batch.DutyResult {
+func (p *fakeFleet) upkeep(a *fakeOwner, m *fakeMachine, wave int) batch.OrderResult {
 	p.checkOrder(a, m)
 	switch {
 	case m.begun[wave]:
-		return batch.DutyOK
-	case m.state != batch.Up:
-		return batch.DutyBusy
+		return batch.OrderOK
+	case m.state != batch.MachineUp:
+		return batch.OrderBusy
 	}
 	down := 0
 	for _, o := range p.machines {
-		if o.state == batch.InUpkeep && o.wave == wave {
+		if o.state == batch.MachineInUpkeep && o.wave == wave {
 			down++
 		}
 	}
 	for _, x := range p.waves {
-		if x.Number == wave && down >= x.Most {
-			p.w.judge.Wrong("LIMIT: upkeep of %s begins while %d machines are down, and %d are allowed", m.name, down, x.Most)
+		if x.Number == wave && down >= x.MaxDown {
+			p.w.judge.Wrong("LIMIT: upkeep of %s begins while %d machines are down, and %d are allowed", m.name, down, x.MaxDown)
 		}
 	}
 	p.checkAway(m)
 	m.begun[wave], m.wave = true, wave
-	p.takeDown(m, batch.InUpkeep, upkeepMs)
-	return batch.DutyOK
+	p.takeDown(m, batch.MachineInUpkeep, upkeepMs)
+	return batch.OrderOK
 }
 
 // checkAway checks that no lasting task runs at the machine: the owner must move it away before the upkeep.
@@ -179,10 +179,10 @@
 }
 
 // orderMachine carries out an order to a machine. Its answer may be lost.
-func (a *fakeOwner) orderMachine(name string, wave int, do func(*fakeMachine) batch.DutyResult) {
+func (a *fakeOwner) orderMachine(name string, wave int, do func(*fakeMachine) batch.OrderResult) {
 	w := a.w
 	if w.now-a.renewedAt >= 900 {
-		a.deliver(1, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: batch.DutyNotSent}) // the claim is not fresh.
+		a.deliver(1, batch.OrderDoneMsg{Machine: name, Wave: wave, Result: batch.OrderNotSent}) // the claim is not fresh.
 		return
 	}
 	for _, m := range w.fleet.machines {
@@ -191,9 +191,9 @@
 		}
 		r := do(m)
 		if w.chance(w.faults.lost) {
-			r = batch.DutyUnsure
+			r = batch.OrderUnsure
 		}
-		a.deliver(10, batch.DutyDoneMsg{Machine: name, Wave: wave, Result: r})
+		a.deliver(10, batch.OrderDoneMsg{Machine: name, Wave: wave, Result: r})
 	}
 }
 
@@ -221,7 +221,7 @@
 		w.submit(longJob(900_001))
 		n := 0
 		w.run(9_000, nil)
-		w.fleet.orderWave(batch.WaveMsg{Number: 3, Machines: w.fleet.names(), DurationMs: 30_000, Most: 3})
+		w.fleet.orderWave(batch.WaveMsg{Number: 3, Machines: w.fleet.names(), DurationMs: 30_000, MaxDown: 3})
 		w.run(44_000, func() {
 			if w.now%400 == 0 {
 				n++
@@ -280,7 +280,7 @@
 			w.submit(j)
 		}
 		for id := range jobs {
-			if done[id] == 0 && len(w.owners) > 0 && w.owners[0].m.State(id) == batch.Completed {
+			if done[id] == 0 && len(w.owners) > 0 && w.owners[0].m.State(id) == batch.StateCompleted {
 				done[id] = w.now
 			}
 		}
--- a/fleet/batch/model.go
+++ b/fleet/batch/model.go
@@ -33,12 +33,12 @@
 
 // Config holds the settings of a model.
 type Config struct {
-	Fence     int64 // fencing number of the owner's claim.
-	Now       int64 // steady clock, ms.
-	WallMs    int64 // Unix time in ms at Now.
-	LeaseMs   int64 // longest lease that workers grant.
-	StatusMs  int64 // how long callers can query the state of an ended job.
-	DutyGapMs int64 // wait before an order to a machine that another owner may have ordered.
+	Fence      int64 // fencing number of the owner's claim.
+	Now        int64 // steady clock, ms.
+	UnixMs     int64 // Unix time in ms at Now.
+	LeaseMs    int64 // longest lease that workers grant.
+	StatusMs   int64 // how long callers can query the state of an ended job.
+	OrderGapMs int64 // wait before an order to a machine that another owner may have ordered.
 }
 
 // Model is the owner's view of jobs, workers and machines.
@@ -86,7 +86,7 @@
 // New returns a model without workers or jobs.
 func New(c Config) *Model {
 	m := &Model{
-		cfg: c, now: c.Now, wallOffset: c.WallMs - c.Now,
+		cfg: c, now: c.Now, wallOffset: c.UnixMs - c.Now,
 		services: map[string]Service{}, pools: map[string]*pool{}, workers: map[string]*worker{},
 		jobs: map[string]*job{}, estimators: map[string]*estimator{}, demandCounted: map[string]bool{},
 	}
@@ -95,7 +95,7 @@
 	return m
 }
 
-// Update handles one message at the steady time now. [Model.Round] returns the resulting commands.
+// Update handles one message at the steady time now. [Model.Commands] returns the resulting commands.
 func (m *Model) Update(now int64, msg Msg) {
 	m.now = max(m.now, now)
 	switch g := msg.(type) {
@@ -111,7 +111,7 @@
 		m.submit(g)
 	case CancelMsg:
 		m.cancel(g)
-	case HeldMsg:
+	case PolledMsg:
 		m.pollAnswered(g)
 	case StartedMsg:
 		m.startAnswered(g)
@@ -119,13 +119,13 @@
 		m.stopAnswered(g)
 	case CommittedMsg:
 		m.committed(g)
-	case LeaseMsg:
-		m.claimFresh, m.soleOwnerUntil = g.Fresh, max(m.soleOwnerUntil, g.Checked)
-	case WallMsg:
+	case ClaimMsg:
+		m.claimFresh, m.soleOwnerUntil = g.Fresh, max(m.soleOwnerUntil, g.RenewedAt)
+	case WallClockMsg:
 		m.wallOffset = g.UnixMs - m.now
 	case PacedMsg:
 		m.paceAnswered(g)
-	case LostMsg:
+	case ClaimLostMsg:
 		m.emit(DeposedCmd(g))
 	case AdvisedMsg:
 		m.adviceAnswered(g)
@@ -135,14 +135,14 @@
 		m.setWave(g)
 	case OrdersMsg:
 		m.takeFormerOrders(g)
-	case DutyDoneMsg:
+	case OrderDoneMsg:
 		m.orderAnswered(g)
 	}
 }
 
-// Round returns the commands that follow from the messages so far. The caller must call it again within Wake
+// Commands returns the commands that follow from the messages so far. The caller must call it again within Wake
 // milliseconds.
-func (m *Model) Round(now int64) []Cmd {
+func (m *Model) Commands(now int64) []Cmd {
 	m.now = max(m.now, now)
 	if m.loaded {
 		m.sweep()
@@ -172,7 +172,7 @@
 	}
 }
 
-// Wake returns the number of milliseconds within which [Model.Round] must be called again.
+// Wake returns the number of milliseconds within which [Model.Commands] must be called again.
 func (m *Model) Wake() int64 {
 	if m.commits.waiting() || m.placementPending {
 		return commitWindowMs
@@ -208,12 +208,12 @@
 
 // The states of a job.
 const (
-	Queued    State = "queued"
-	Underway  State = "running"
-	Completed State = "completed"
-	Broke     State = "failed"
-	Canceled  State = "canceled"
-	Absent    State = ""
+	StateQueued    State = "queued"
+	StateRunning   State = "running"
+	StateCompleted State = "completed"
+	StateFailed    State = "failed"
+	StateCanceled  State = "canceled"
+	StateAbsent    State = ""
 )
 
 // Ready reports whether the former owner's records have been loaded.
@@ -230,18 +230,18 @@
 	return n
 }
 
-// State returns the state of a job, or [Absent] if it was never accepted.
+// State returns the state of a job, or [StateAbsent] if it was never accepted.
 func (m *Model) State(id string) State {
 	j := m.jobs[id]
 	switch {
 	case j == nil || j.phase == committing:
-		return Absent
-	case j.shownState != Absent:
+		return StateAbsent
+	case j.shownState != StateAbsent:
 		return j.shownState
 	case j.started:
-		return Underway
+		return StateRunning
 	}
-	return Queued
+	return StateQueued
 }
 
 // Pending returns the number of accepted jobs per queue of which no task has started.
--- a/fleet/batch/moves.go
+++ b/fleet/batch/moves.go
@@ -100,7 +100,7 @@
 	for _, k := range m.fleet.list {
 		cpu += k.Room.CPU
 		t := &m.pool(k.Pool).counts
-		if k.State == Up && k.Worker != "" && m.workerOf(k) == nil {
+		if k.State == MachineUp && k.Worker != "" && m.workerOf(k) == nil {
 			t.unlisted++
 		}
 		t.machines++
@@ -123,7 +123,7 @@
 	}
 	var l []offer
 	for _, k := range m.fleet.list {
-		if k.State != Up || k.wave != nil || k.targetPool != "" || !m.mayOrderTo(k) {
+		if k.State != MachineUp || k.wave != nil || k.targetPool != "" || !m.mayOrderTo(k) {
 			continue
 		}
 		if c, ok := m.giveCost(k); ok {
@@ -194,7 +194,7 @@
 		return
 	}
 	for _, k := range m.fleet.list {
-		if k.State != Up || k.wave != nil || k.targetPool != "" || m.services[k.Pool].Standby || !m.pool(k.Pool).demand.everShort ||
+		if k.State != MachineUp || k.wave != nil || k.targetPool != "" || m.services[k.Pool].Standby || !m.pool(k.Pool).demand.everShort ||
 			!m.mayOrderTo(k) || !m.canSpare(k) {
 			continue // a pool keeps its machines until its first load peak.
 		}
@@ -213,7 +213,7 @@
 			k.maybeRepeated = true
 			m.recordOrder(k)
 			m.emit(MoveCmd{Machine: k.Name, Pool: k.targetPool, Fence: m.cfg.Fence})
-		case k.ackedAt != 0 && m.now-k.ackedAt > arrivalTimeoutMs && k.State == Up && m.fleet.listSentAt > k.ackedAt:
+		case k.ackedAt != 0 && m.now-k.ackedAt > arrivalTimeoutMs && k.State == MachineUp && m.fleet.listSentAt > k.ackedAt:
 			m.releaseMachine(k)
 		}
 	}
--- a/fleet/batch/msg.go
+++ b/fleet/batch/msg.go
@@ -17,12 +17,12 @@
 // All is set, every worker that is not in Set is gone.
 type WorkersMsg struct {
 	All  bool
-	Set  []Entry
+	Set  []WorkerEntry
 	Gone []string
 }
 
-// Entry is a worker's entry in the list, as the worker wrote it.
-type Entry struct {
+// WorkerEntry is a worker's entry in the list, as the worker wrote it.
+type WorkerEntry struct {
 	ID, Service, Addr, Zone string
 	Draining                bool
 	DrainLeftMs             int64
@@ -59,47 +59,47 @@
 // ForgetMsg says that nobody waits for the answer to Ref any more.
 type ForgetMsg struct{ Ref uint64 }
 
-// HeldMsg is the answer to a [HoldCmd]. The worker read its clock between Sent and the arrival of the message.
-type HeldMsg struct {
+// PolledMsg is the answer to a [PollCmd]. The worker read its clock between Sent and the arrival of the message.
+type PolledMsg struct {
 	Worker   string
 	Sent     int64
 	Result   Result
 	Born     int64
 	ClockMs  int64
-	Running  []Running
-	Ended    []Ended
+	Running  []ActiveRun
+	Ended    []EndedRun
 	ListFull bool // the worker lists more ended runs than the answer holds.
 }
 
-// Running is a run that is in progress at a worker.
-type Running struct {
-	Task    TaskName
-	Run     int
-	Saved   string
-	Percent int
-	Gauge   int64 // tail latency in ms for a lasting task, CPU use in thousandths of a core for any other.
+// ActiveRun is a run that is in progress at a worker.
+type ActiveRun struct {
+	Task       TaskName
+	Run        int
+	Checkpoint string
+	Percent    int
+	Gauge      int64 // tail latency in ms for a lasting task, CPU use in thousandths of a core for any other.
 }
 
-// Ended is a run that has ended at a worker.
-type Ended struct {
-	Number int64
-	Task   TaskName
-	Run    int
-	How    How
-	Saved  string
+// EndedRun is a run that has ended at a worker.
+type EndedRun struct {
+	Number     int64
+	Task       TaskName
+	Run        int
+	Reason     EndReason
+	Checkpoint string
 }
 
-// How is the way in which a run ended.
-type How string
+// EndReason is the way in which a run ended.
+type EndReason string
 
 // The ways in which a run ends.
 const (
-	Done    How = "done"
-	Failed  How = "failed"
-	Stopped How = "stopped"
-	Lapsed  How = "lapsed"
-	Broken  How = "broken" // another task of its gang ended.
-	Alone   How = "alone"  // the rest of its gang did not start.
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"
+	EndStopped        EndReason = "stopped"
+	EndLapsed         EndReason = "lapsed"
+	EndGangBroken     EndReason = "broken" // another task of its gang ended.
+	EndGangIncomplete EndReason = "alone"  // the rest of its gang did not start.
 )
 
 // Result is the result of a command to a worker.
@@ -107,17 +107,17 @@
 
 // The results of a command to a worker.
 const (
-	OK       Result = iota
-	NoAnswer        // it may have been carried out, or may still be.
-	NotSent         // the worker was not reached.
-	Unwell          // the worker did nothing because it is unhealthy or overloaded.
-	Foreign         // another worker, or another lifetime of this one, answered at the address.
-	Fenced          // the worker has seen a newer owner.
-	OldRun          // the worker had a run of the task with a higher number.
-	TooLate         // the command arrived after its expiry time.
-	NoRoom          // the task does not fit.
-	NoTicket        // the ticket is missing or has expired.
-	Rejected        // the worker cannot parse the command.
+	OK          Result = iota
+	NoAnswer           // it may have been carried out, or may still be.
+	NotSent            // the worker was not reached.
+	Unhealthy          // the worker did nothing because it is unhealthy or overloaded.
+	WrongWorker        // another worker, or another lifetime of this one, answered at the address.
+	Fenced             // the worker has seen a newer owner.
+	StaleRun           // the worker had a run of the task with a higher number.
+	Expired            // the command arrived after its expiry time.
+	NoRoom             // the task does not fit.
+	NoTicket           // the ticket is missing or has expired.
+	Rejected           // the worker cannot parse the command.
 )
 
 // StartedMsg is the answer to a StartCmd.
@@ -145,7 +145,7 @@
 	ID      uint64
 	Outcome Outcome
 	Rev     int64
-	Now     []Row // after a conflict, the current rows of the guarded keys.
+	Current []Row // after a conflict, the current rows of the guarded keys.
 }
 
 // Outcome is the outcome of a write.
@@ -168,16 +168,16 @@
 	Result  Result
 }
 
-// LostMsg says that this owner has lost the claim.
-type LostMsg struct{ Reason string }
+// ClaimLostMsg says that this owner has lost the claim.
+type ClaimLostMsg struct{ Reason string }
 
-// WallMsg sets the time of day.
-type WallMsg struct{ UnixMs int64 }
+// WallClockMsg sets the time of day.
+type WallClockMsg struct{ UnixMs int64 }
 
-// LeaseMsg says whether this owner certainly holds its claim, and until when it certainly was the only owner.
-type LeaseMsg struct {
-	Fresh   bool
-	Checked int64 // when the last successful renewal was sent.
+// ClaimMsg says whether this owner certainly holds its claim, and until when it certainly was the only owner.
+type ClaimMsg struct {
+	Fresh     bool
+	RenewedAt int64 // when the last successful renewal was sent.
 }
 
 // TickMsg only lets time pass.
@@ -190,25 +190,25 @@
 func (SubmitMsg) msg()    {}
 func (CancelMsg) msg()    {}
 func (ForgetMsg) msg()    {}
-func (HeldMsg) msg()      {}
+func (PolledMsg) msg()    {}
 func (StartedMsg) msg()   {}
 func (StoppedMsg) msg()   {}
 func (CommittedMsg) msg() {}
-func (LeaseMsg) msg()     {}
-func (WallMsg) msg()      {}
+func (ClaimMsg) msg()     {}
+func (WallClockMsg) msg() {}
 func (PacedMsg) msg()     {}
-func (LostMsg) msg()      {}
+func (ClaimLostMsg) msg() {}
 func (TickMsg) msg()      {}
 
 // Cmd is a command that the model wants carried out.
 type Cmd interface{ cmd() }
 
-// HoldCmd polls a worker: it extends the worker's lease and asks for its running and ended runs. The worker may delay
+// PollCmd polls a worker: it extends the worker's lease and asks for its running and ended runs. The worker may delay
 // its answer by up to WaitMs until a run ends.
-type HoldCmd struct {
+type PollCmd struct {
 	Worker, Addr string
 	UntilMs      int64 // new end of the lease on the worker's clock; 0 leaves the lease unchanged.
-	LastSeen     int64 // the worker may forget ended runs up to this number.
+	ForgetUpTo   int64 // the worker may forget ended runs up to this number.
 	WaitMs       int64
 	Fence        int64
 }
@@ -221,7 +221,7 @@
 	Spec         string
 	UntilMs      int64
 	Fence        int64
-	Saved        string
+	Checkpoint   string
 	Ticket       string
 }
 
@@ -270,11 +270,11 @@
 
 // The verdicts.
 const (
-	Accepted  Verdict = iota
-	Refused           // not accepted, and this attempt will never make the job run.
-	Malformed         // a field has a value that is not allowed.
-	NotKnown          // no such job.
-	Unsettled         // the job may have been accepted.
+	Accepted      Verdict = iota
+	Refused               // not accepted, and this attempt will never make the job run.
+	Malformed             // a field has a value that is not allowed.
+	UnknownJob            // no such job.
+	MaybeAccepted         // the job may have been accepted.
 )
 
 // DeposedCmd says that another owner holds the claim. The model must not be used any more.
@@ -287,7 +287,7 @@
 	Fields []any // alternating names and values
 }
 
-func (HoldCmd) cmd()    {}
+func (PollCmd) cmd()    {}
 func (StartCmd) cmd()   {}
 func (StopCmd) cmd()    {}
 func (PaceCmd) cmd()    {}
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -11,14 +11,14 @@
 // firstMoves runs a new owner with two idle machines that another pool needs, and returns when it first orders each
 // one. At 1100 ms the owner receives the given messages about the former owner's orders.
 func firstMoves(messages ...batch.Msg) map[string]int64 {
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
 	m.Update(1000, batch.ServicesMsg{Services: []batch.Service{{Name: "s"}, {Name: "o"}}})
-	var set []batch.Entry
+	var set []batch.WorkerEntry
 	var list []batch.Machine
 	for _, n := range []string{"1", "2"} {
-		set = append(set, batch.Entry{ID: "w" + n, Service: "o", Addr: n, Room: room, ClockMs: 5, Born: 999_000})
-		list = append(list, batch.Machine{Name: "m" + n, Pool: "o", State: batch.Up, Room: room, Worker: "w" + n})
+		set = append(set, batch.WorkerEntry{ID: "w" + n, Service: "o", Addr: n, Room: room, ClockMs: 5, Born: 999_000})
+		list = append(list, batch.Machine{Name: "m" + n, Pool: "o", State: batch.MachineUp, Room: room, Worker: "w" + n})
 	}
 	m.Update(1000, batch.WorkersMsg{All: true, Set: set})
 	m.Update(1000, batch.LoadedMsg{})
@@ -27,25 +27,25 @@
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: j})
 	firstOrderAt := map[string]int64{}
 	for now := int64(1000); now < 9_000; now += 10 {
-		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
+		m.Update(now, batch.ClaimMsg{Fresh: true, RenewedAt: now})
 		if now == 1100 {
 			for _, g := range messages {
 				m.Update(now, g)
 			}
 		}
-		for _, c := range m.Round(now) {
+		for _, c := range m.Commands(now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
-			case batch.HoldCmd:
-				m.Update(now, batch.HeldMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 999_000})
+			case batch.PollCmd:
+				m.Update(now, batch.PolledMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 999_000})
 			case batch.ListMachinesCmd:
 				m.Update(now, batch.MachinesMsg{Sent: now, List: list})
 			case batch.MoveCmd:
 				if firstOrderAt[k.Machine] == 0 {
 					firstOrderAt[k.Machine] = now
 				}
-				m.Update(now, batch.DutyDoneMsg{Machine: k.Machine, Result: batch.DutyUnsure})
+				m.Update(now, batch.OrderDoneMsg{Machine: k.Machine, Result: batch.OrderUnsure})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 // Orders includes the former owners' orders that the model knows of, and their ages grow with time.
 func TestOrdersAge(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, DutyGapMs: 3500})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, OrderGapMs: 3500})
 	m.Update(1100, batch.OrdersMsg{Orders: batch.Orders{AgeMs: map[string]int64{"m1": 500, "m2": 3_400}, SpanMs: 9_000}})
 	o := m.Orders(1300)
 	is.Equal(o.AgeMs, map[string]int64{"m1": 700})
--- a/fleet/batch/place.go
+++ b/fleet/batch/place.go
@@ -286,7 +286,7 @@
 	m.attachRun(r)
 	m.emit(StartCmd{
 		Worker: w.ID, Addr: w.Addr, Task: t.name(), Run: n, Spec: t.stage.job.Spec, UntilMs: r.startExpiresAt,
-		Fence: m.cfg.Fence, Saved: t.checkpoint, Ticket: t.stage.ticket(w, m.now),
+		Fence: m.cfg.Fence, Checkpoint: t.checkpoint, Ticket: t.stage.ticket(w, m.now),
 	})
 }
 
--- a/fleet/batch/poll.go
+++ b/fleet/batch/poll.go
@@ -67,7 +67,7 @@
 }
 
 func (m *Model) poll(w *worker) {
-	h := HoldCmd{Worker: w.ID, Addr: w.Addr, LastSeen: w.forgettableEnd(), WaitMs: maxPollWaitMs, Fence: m.cfg.Fence}
+	h := PollCmd{Worker: w.ID, Addr: w.Addr, ForgetUpTo: w.forgettableEnd(), WaitMs: maxPollWaitMs, Fence: m.cfg.Fence}
 	if w.clockAt > 0 && w.silentSince == 0 && (len(w.runs) > 0 || !w.synced) { // the lease of a worker that does not answer must expire.
 		h.UntilMs = m.workerClock(w) + m.requestedLeaseMs()
 		w.leaseUntil = max(w.leaseUntil, h.UntilMs)
@@ -79,9 +79,9 @@
 		h.WaitMs = tailPollWaitMs
 	}
 	w.shortPoll = false
-	w.polling, w.pollSentAt, w.sentAck = true, m.now, h.LastSeen
-	if h.LastSeen == w.confirmedAck {
-		h.LastSeen = 0 // if the worker has restarted unnoticed, it must not forget the ended runs of its new lifetime.
+	w.polling, w.pollSentAt, w.sentAck = true, m.now, h.ForgetUpTo
+	if h.ForgetUpTo == w.confirmedAck {
+		h.ForgetUpTo = 0 // if the worker has restarted unnoticed, it must not forget the ended runs of its new lifetime.
 	}
 	m.emit(h)
 }
@@ -132,7 +132,7 @@
 	return false
 }
 
-func (m *Model) pollAnswered(g HeldMsg) {
+func (m *Model) pollAnswered(g PolledMsg) {
 	w := m.workers[g.Worker]
 	if w == nil {
 		return
@@ -143,7 +143,7 @@
 	case Fenced:
 		m.emit(DeposedCmd{Reason: "worker " + w.ID + " has seen a newer fence"})
 		return
-	case Foreign:
+	case WrongWorker:
 		m.log("worker replaced", "", "worker", w.ID, "addr", w.Addr, "runs", len(w.runs))
 		w.dead, w.listed = true, false
 		m.pool(w.Service).dirty = true
--- a/fleet/batch/simulation_test.go
+++ b/fleet/batch/simulation_test.go
@@ -101,7 +101,7 @@
 	w.claimCount++
 	a := &fakeOwner{w: w, fence: w.rev, alive: true, unreachable: map[string]bool{}}
 	a.m = batch.New(batch.Config{
-		Fence: a.fence, Now: w.now, WallMs: w.now, LeaseMs: 6000, DutyGapMs: w.dutyGap,
+		Fence: a.fence, Now: w.now, UnixMs: w.now, LeaseMs: 6000, OrderGapMs: w.dutyGap,
 	})
 	w.owners = append(w.owners, a)
 	a.m.Update(w.now, batch.ServicesMsg{Services: w.fleet.services})
@@ -123,7 +123,7 @@
 		if w.fleet.isOff(f.ID()) || w.now < w.unlistedUntil[f.ID()] {
 			continue
 		}
-		m.Set = append(m.Set, batch.Entry{
+		m.Set = append(m.Set, batch.WorkerEntry{
 			ID: f.ID(), Service: w.fleet.pool[f.ID()], Addr: f.ID(), Room: f.Room(), Labels: w.labels(f.ID()), ClockMs: f.Clock(), Born: f.Born(),
 		})
 	}
@@ -263,10 +263,10 @@
 		return
 	}
 	if w.now%400 == 0 {
-		a.m.Update(w.now, batch.LeaseMsg{Fresh: w.now-a.renewedAt < 900, Checked: a.renewedAt})
+		a.m.Update(w.now, batch.ClaimMsg{Fresh: w.now-a.renewedAt < 900, RenewedAt: a.renewedAt})
 		a.m.Update(w.now, w.entries())
 	}
-	for _, c := range a.m.Round(w.now) {
+	for _, c := range a.m.Commands(w.now) {
 		a.perform(c)
 	}
 }
@@ -288,13 +288,13 @@
 		w.recordReply(k)
 	case batch.CommitCmd:
 		a.commit(k)
-	case batch.HoldCmd:
+	case batch.PollCmd:
 		sent := w.now
 		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
 			g := f.Hold(k)
 			g.Sent = sent
 			return g
-		}, func(r batch.Result) batch.Msg { return batch.HeldMsg{Worker: k.Worker, Sent: sent, Result: r} })
+		}, func(r batch.Result) batch.Msg { return batch.PolledMsg{Worker: k.Worker, Sent: sent, Result: r} })
 	case batch.StartCmd:
 		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
 			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Start(k, w.runPlan(k.Task)), ClockMs: f.Clock()}
@@ -310,9 +310,9 @@
 	case batch.ListMachinesCmd:
 		a.deliver(5, batch.MachinesMsg{Sent: w.now, List: w.fleet.list()})
 	case batch.MoveCmd:
-		a.orderMachine(k.Machine, 0, func(m *fakeMachine) batch.DutyResult { return w.fleet.move(a, m, k.Pool) })
+		a.orderMachine(k.Machine, 0, func(m *fakeMachine) batch.OrderResult { return w.fleet.move(a, m, k.Pool) })
 	case batch.UpkeepCmd:
-		a.orderMachine(k.Machine, k.Wave, func(m *fakeMachine) batch.DutyResult { return w.fleet.upkeep(a, m, k.Wave) })
+		a.orderMachine(k.Machine, k.Wave, func(m *fakeMachine) batch.OrderResult { return w.fleet.upkeep(a, m, k.Wave) })
 	case batch.ReportCmd:
 		w.fleet.report(k)
 	}
@@ -366,7 +366,7 @@
 	w := a.w
 	apply := func() batch.CommittedMsg {
 		if w.claimRev != a.fence {
-			return batch.CommittedMsg{ID: k.ID, Outcome: batch.Conflict, Now: nil}
+			return batch.CommittedMsg{ID: k.ID, Outcome: batch.Conflict, Current: nil}
 		}
 		var l []batch.Row
 		ok := true
@@ -379,7 +379,7 @@
 			}
 		}
 		if !ok {
-			return batch.CommittedMsg{ID: k.ID, Outcome: batch.Conflict, Now: l}
+			return batch.CommittedMsg{ID: k.ID, Outcome: batch.Conflict, Current: l}
 		}
 		w.rev++
 		for _, r := range k.Rows {
@@ -401,7 +401,7 @@
 		w.schedule(4, func() {
 			g := apply()
 			if g.Outcome == batch.Conflict && w.claimRev != a.fence {
-				a.deliver(1, batch.LostMsg{Reason: "claim"})
+				a.deliver(1, batch.ClaimLostMsg{Reason: "claim"})
 				return
 			}
 			a.deliver(1, g)
@@ -437,7 +437,7 @@
 // runPlan decides how a run of the task goes.
 func (w *simulation) runPlan(n batch.TaskName) floor.Plan {
 	s := w.judge.Find(n.Job).Job.Steps[n.Step]
-	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), How: batch.Done, Size: s.Size}
+	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), How: batch.EndDone, Size: s.Size}
 	if w.chance(w.faults.slow) {
 		p.RunMs *= 5
 	}
@@ -445,7 +445,7 @@
 		p.RunMs = floor.Never
 	}
 	if w.chance(w.faults.fail) {
-		p.How = batch.Failed
+		p.How = batch.EndFailed
 	}
 	return p
 }
--- a/fleet/batch/submit.go
+++ b/fleet/batch/submit.go
@@ -127,8 +127,8 @@
 	j := m.jobs[g.ID]
 	switch {
 	case j == nil:
-		m.emit(ReplyCmd{Ref: g.Ref, Verdict: NotKnown})
-	case j.shownState != Absent:
+		m.emit(ReplyCmd{Ref: g.Ref, Verdict: UnknownJob})
+	case j.shownState != StateAbsent:
 		m.emit(ReplyCmd{Ref: g.Ref, Verdict: Accepted})
 	case j.phase == committing:
 		j.cancelRefs = append(j.cancelRefs, g.Ref)
@@ -140,7 +140,7 @@
 
 func (m *Model) endCanceled(j *job) {
 	if j.phase == open {
-		m.endJob(j, Canceled)
+		m.endJob(j, StateCanceled)
 	}
 	m.markChanged(j)
 }
--- a/fleet/batch/takeover_test.go
+++ b/fleet/batch/takeover_test.go
@@ -10,15 +10,15 @@
 
 // newSuccessor returns a new owner that has loaded one accepted job and has read the lists of its one worker.
 func newSuccessor() *batch.Model {
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
-	m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
+	m.Update(1000, batch.ClaimMsg{Fresh: true, RenewedAt: 1000})
 	m.Update(1000, batch.ServicesMsg{Services: []batch.Service{{Name: "s", Guards: true}}})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 500, Born: 900_000}}})
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 500, Born: 900_000}}})
 	j := plainJob(1)
-	m.Update(1000, batch.LoadedMsg{Jobs: []batch.StoredJob{{Job: j, AtMs: 999_000}}, BlindMs: 13_000})
-	m.Round(1010)
-	m.Update(1020, batch.HeldMsg{Worker: "w1", Sent: 1010, Born: 900_000, ClockMs: 520})
+	m.Update(1000, batch.LoadedMsg{Jobs: []batch.StoredJob{{Job: j, SubmittedMs: 999_000}}, BlindMs: 13_000})
+	m.Commands(1010)
+	m.Update(1020, batch.PolledMsg{Worker: "w1", Sent: 1010, Born: 900_000, ClockMs: 520})
 	return m
 }
 
@@ -28,7 +28,7 @@
 	m := newSuccessor()
 	var l []batch.Machine
 	for _, w := range machineWorkers {
-		l = append(l, batch.Machine{Name: "m-" + w, Pool: "s", State: batch.Up, Room: batch.Size{CPU: 8000, MemMB: 8000}, Worker: w})
+		l = append(l, batch.Machine{Name: "m-" + w, Pool: "s", State: batch.MachineUp, Room: batch.Size{CPU: 8000, MemMB: 8000}, Worker: w})
 	}
 	m.Update(1030, batch.MachinesMsg{Sent: 1010, List: l})
 	return m
@@ -37,7 +37,7 @@
 // starts returns the number of starts that the model orders at the given time.
 func starts(m *batch.Model, now int64) int {
 	n := 0
-	for _, c := range m.Round(now) {
+	for _, c := range m.Commands(now) {
 		if _, ok := c.(batch.StartCmd); ok {
 			n++
 		}
@@ -61,16 +61,16 @@
 		is := is.New(t)
 		m := newSuccessorWithMachines("w1", "w2")
 		is.Equal(starts(m, 1100), 0)
-		m.Update(1200, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
+		m.Update(1200, batch.WorkersMsg{Set: []batch.WorkerEntry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
 		is.Equal(starts(m, 1210)+starts(m, 1260), 0) // its lists have not been read.
-		m.Update(1270, batch.HeldMsg{Worker: "w2", Sent: 1265, Born: 900_000, ClockMs: 2})
+		m.Update(1270, batch.PolledMsg{Worker: "w2", Sent: 1265, Born: 900_000, ClockMs: 2})
 		is.Equal(starts(m, 1320)+starts(m, 1380), 4)
 	})
 	t.Run("a machine of another pool has none", func(t *testing.T) {
 		is := is.New(t)
 		m := newSuccessorWithMachines("w1")
 		m.Update(1040, batch.MachinesMsg{Sent: 1035, List: []batch.Machine{
-			{Name: "m-w1", Pool: "s", State: batch.Up, Worker: "w1"}, {Name: "m-w2", Pool: "other", State: batch.Up, Worker: "w2"},
+			{Name: "m-w1", Pool: "s", State: batch.MachineUp, Worker: "w1"}, {Name: "m-w2", Pool: "other", State: batch.MachineUp, Worker: "w2"},
 		}})
 		is.Equal(starts(m, 1100)+starts(m, 1200), 4)
 	})
@@ -84,7 +84,7 @@
 	t.Run("a worker has not been read", func(t *testing.T) {
 		is := is.New(t)
 		m := newSuccessorWithMachines("w1")
-		m.Update(1040, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
+		m.Update(1040, batch.WorkersMsg{Set: []batch.WorkerEntry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
 		is.Equal(starts(m, 1100)+starts(m, 5000), 0)
 		m.Update(5010, batch.BlindMsg{ForMs: 500}) // the former owner is gone, so its orders cannot be carried out any more.
 		is.Equal(starts(m, 5600)+starts(m, 5700), 4)
@@ -95,8 +95,8 @@
 // yet.
 func TestWorkersAreReadAfterTheRecords(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000})
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 1}, ClockMs: 5}}})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000})
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 1}, ClockMs: 5}}})
 	is.Equal(polls(m, 1100), 0)
 	m.Update(1110, batch.LoadedMsg{})
 	is.Equal(polls(m, 1200), 1)
@@ -105,8 +105,8 @@
 // polls returns the number of polls that the model orders at the given time.
 func polls(m *batch.Model, now int64) int {
 	n := 0
-	for _, c := range m.Round(now) {
-		if _, ok := c.(batch.HoldCmd); ok {
+	for _, c := range m.Commands(now) {
+		if _, ok := c.(batch.PollCmd); ok {
 			n++
 		}
 	}
@@ -117,9 +117,9 @@
 // time of the lease.
 func TestSilentWorkerLapses(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
-	set := []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}, {ID: "w2", Service: "s", Addr: "w2", Room: room, ClockMs: 5}}
+	set := []batch.WorkerEntry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}, {ID: "w2", Service: "s", Addr: "w2", Room: room, ClockMs: 5}}
 	m.Update(1000, batch.WorkersMsg{All: true, Set: set})
 	m.Update(1000, batch.LoadedMsg{})
 	j := plainJob(1)
@@ -128,15 +128,15 @@
 	first, second := "", ""
 	var again int64
 	for now := int64(1000); now < 12_000 && second == ""; now += 10 {
-		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
-		for _, c := range m.Round(now) {
+		m.Update(now, batch.ClaimMsg{Fresh: true, RenewedAt: now})
+		for _, c := range m.Commands(now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
-			case batch.HoldCmd:
-				g := batch.HeldMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1}
+			case batch.PollCmd:
+				g := batch.PolledMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1}
 				if k.Worker == first {
-					g = batch.HeldMsg{Worker: k.Worker, Sent: now, Result: batch.NoAnswer}
+					g = batch.PolledMsg{Worker: k.Worker, Sent: now, Result: batch.NoAnswer}
 				}
 				m.Update(now, g)
 			case batch.StartCmd:
@@ -157,19 +157,19 @@
 // twice.
 func TestFailuresCountOnce(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
-	m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 5}}})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
+	m.Update(1000, batch.ClaimMsg{Fresh: true, RenewedAt: 1000})
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{{ID: "w1", Service: "s", Addr: "w1", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 5}}})
 	j := plainJob(1)
 	j.Steps = []batch.Step{{Count: 1, Size: batch.Size{CPU: 100}, EstimateMs: 500}}
 	failed := map[string][]int{"0.0.0": {1, 2, 3}}
 	m.Update(1000, batch.LoadedMsg{
-		Jobs: []batch.StoredJob{{Job: j, AtMs: 999_000}}, Runs: []batch.StoredRun{{ID: j.ID, Rev: 7, Failed: failed}},
+		Jobs: []batch.StoredJob{{Job: j, SubmittedMs: 999_000}}, Runs: []batch.StoredRun{{ID: j.ID, Rev: 7, Failed: failed}},
 	})
-	m.Round(1010)
+	m.Commands(1010)
 	n := batch.TaskName{Job: j.ID}
-	m.Update(1020, batch.HeldMsg{Worker: "w1", Sent: 1010, ClockMs: 20, Born: 1, Ended: []batch.Ended{
-		{Number: 1, Task: n, Run: 2, How: batch.Failed}, {Number: 2, Task: n, Run: 3, How: batch.Failed},
+	m.Update(1020, batch.PolledMsg{Worker: "w1", Sent: 1010, ClockMs: 20, Born: 1, Ended: []batch.EndedRun{
+		{Number: 1, Task: n, Run: 2, Reason: batch.EndFailed}, {Number: 2, Task: n, Run: 3, Reason: batch.EndFailed},
 	}})
 	is.Equal(starts(m, 1100)+starts(m, 1200), 1) // the fourth and last attempt.
 }
@@ -178,12 +178,12 @@
 // their state.
 func TestEndedJobsAreForgotten(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, StatusMs: 10_000})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, StatusMs: 10_000})
 	id := jobID(1)
-	m.Update(1000, batch.LoadedMsg{Runs: []batch.StoredRun{{ID: id, Rev: 7, State: batch.Completed}}})
+	m.Update(1000, batch.LoadedMsg{Runs: []batch.StoredRun{{ID: id, Rev: 7, State: batch.StateCompleted}}})
 	removed := func(until int64) (rows []batch.Row) {
 		for now := m.Now(); now < until; now += 50 {
-			for _, c := range m.Round(now) {
+			for _, c := range m.Commands(now) {
 				if k, ok := c.(batch.CommitCmd); ok {
 					rows = append(rows, k.Rows...)
 					m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
@@ -193,31 +193,31 @@
 		return rows
 	}
 	is.Equal(len(removed(20_000)), 0)
-	is.Equal(m.State(id), batch.Completed)
+	is.Equal(m.State(id), batch.StateCompleted)
 	is.Equal(removed(30_000), []batch.Row{{Key: batch.RunPrefix + id, Rev: 7, Guarded: true, Delete: true}})
-	is.Equal(m.State(id), batch.Absent)
+	is.Equal(m.State(id), batch.StateAbsent)
 }
 
 // A poll or a start whose answer is lost must be given up. Otherwise the worker's lease would expire and the task would
 // never run.
 func TestLostAnswersAreGivenUp(t *testing.T) {
 	is := is.New(t)
-	m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
+	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
-	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.Entry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}}})
+	m.Update(1000, batch.WorkersMsg{All: true, Set: []batch.WorkerEntry{{ID: "w1", Service: "s", Addr: "w1", Room: room, ClockMs: 5}}})
 	m.Update(1000, batch.LoadedMsg{})
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: longJob(1)})
 	var until, last int64 // on the worker's clock, which shows the same time as ours.
 	stops, lost := 0, false
 	for now := int64(1000); now < 20_000; now += 10 {
-		m.Update(now, batch.LeaseMsg{Fresh: true, Checked: now})
-		for _, c := range m.Round(now) {
+		m.Update(now, batch.ClaimMsg{Fresh: true, RenewedAt: now})
+		for _, c := range m.Commands(now) {
 			switch k := c.(type) {
 			case batch.CommitCmd:
 				m.Update(now, batch.CommittedMsg{ID: k.ID, Rev: now})
 			case batch.StopCmd:
 				stops++
-			case batch.HoldCmd:
+			case batch.PollCmd:
 				if last > 0 {
 					is.True(now < until) // the lease has not expired.
 				}
@@ -226,7 +226,7 @@
 				}
 				last = now
 				if now < 3_000 || lost { // the answers to one poll and to all starts are lost.
-					m.Update(now, batch.HeldMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1})
+					m.Update(now, batch.PolledMsg{Worker: k.Worker, Sent: now, ClockMs: now, Born: 1})
 				}
 				lost = now >= 3_000
 			}
@@ -240,25 +240,25 @@
 // not start the next steps until it has read the lists of all workers.
 func TestSuccessorOfCopies(t *testing.T) {
 	play := func(copied bool) *batch.Model {
-		m := batch.New(batch.Config{Fence: 9, Now: 1000, WallMs: 1_000_000, LeaseMs: 6000, DutyGapMs: 3500})
-		m.Update(1000, batch.LeaseMsg{Fresh: true, Checked: 1000})
+		m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
+		m.Update(1000, batch.ClaimMsg{Fresh: true, RenewedAt: 1000})
 		room := batch.Size{CPU: 8000, MemMB: 8000}
-		var set []batch.Entry
+		var set []batch.WorkerEntry
 		var list []batch.Machine
 		for _, w := range []string{"w1", "w2"} {
-			set = append(set, batch.Entry{ID: w, Service: "s", Addr: w, Room: room, ClockMs: 5, Born: 1})
-			list = append(list, batch.Machine{Name: "m-" + w, Pool: "s", State: batch.Up, Room: room, Worker: w})
+			set = append(set, batch.WorkerEntry{ID: w, Service: "s", Addr: w, Room: room, ClockMs: 5, Born: 1})
+			list = append(list, batch.Machine{Name: "m-" + w, Pool: "s", State: batch.MachineUp, Room: room, Worker: w})
 		}
 		m.Update(1000, batch.WorkersMsg{All: true, Set: set})
 		j := plainJob(1)
 		j.Steps[0].Count, j.Steps[0].Copies = 1, true
-		m.Update(1000, batch.LoadedMsg{Jobs: []batch.StoredJob{{Job: j, AtMs: 999_000}}, Runs: []batch.StoredRun{{ID: j.ID, Rev: 7, Copied: copied}}, BlindMs: 13_000})
+		m.Update(1000, batch.LoadedMsg{Jobs: []batch.StoredJob{{Job: j, SubmittedMs: 999_000}}, Runs: []batch.StoredRun{{ID: j.ID, Rev: 7, Copied: copied}}, BlindMs: 13_000})
 		m.Update(1000, batch.MachinesMsg{Sent: 1000, List: list})
-		m.Round(1010)
+		m.Commands(1010)
 		n := batch.TaskName{Job: j.ID}
-		m.Update(1020, batch.HeldMsg{Worker: "w1", Sent: 1010, Born: 1, ClockMs: 20, Running: []batch.Running{{Task: n, Run: 1, Percent: 90}}})
-		m.Round(1030)
-		m.Update(1100, batch.HeldMsg{Worker: "w1", Sent: 1030, Born: 1, ClockMs: 100, Ended: []batch.Ended{{Number: 1, Task: n, Run: 1, How: batch.Done}}})
+		m.Update(1020, batch.PolledMsg{Worker: "w1", Sent: 1010, Born: 1, ClockMs: 20, Running: []batch.ActiveRun{{Task: n, Run: 1, Percent: 90}}})
+		m.Commands(1030)
+		m.Update(1100, batch.PolledMsg{Worker: "w1", Sent: 1030, Born: 1, ClockMs: 100, Ended: []batch.EndedRun{{Number: 1, Task: n, Run: 1, Reason: batch.EndDone}}})
 		return m
 	}
 	t.Run("no copies", func(t *testing.T) {
@@ -278,7 +278,7 @@
 func TestSuccessorOfLaterRuns(t *testing.T) {
 	play := func(run int) int {
 		m := newSuccessorWithMachines("w1", "w2")
-		m.Update(1040, batch.WorkersMsg{Set: []batch.Entry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
+		m.Update(1040, batch.WorkersMsg{Set: []batch.WorkerEntry{{ID: "w2", Service: "s", Addr: "w2", Room: batch.Size{CPU: 8000}, ClockMs: 1, Born: 900_000}}})
 		n := batch.TaskName{Job: jobID(1)}
 		return startsAfterAdopting(m, n, run)
 	}
@@ -289,10 +289,10 @@
 // startsAfterAdopting lets the model find the run at a newly listed worker and lets the run fail. It returns how often
 // the model then starts the task.
 func startsAfterAdopting(m *batch.Model, n batch.TaskName, run int) int {
-	m.Update(1050, batch.WorkersMsg{Set: []batch.Entry{{ID: "w3", Service: "s", Addr: "w3", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 1, Born: 900_000}}})
-	m.Round(1100)
-	m.Update(1110, batch.HeldMsg{Worker: "w3", Sent: 1100, Born: 900_000, ClockMs: 50, Running: []batch.Running{{Task: n, Run: run, Percent: 10}}})
-	m.Round(1150)
-	m.Update(1160, batch.HeldMsg{Worker: "w3", Sent: 1150, Born: 900_000, ClockMs: 90, Ended: []batch.Ended{{Number: 1, Task: n, Run: run, How: batch.Failed}}})
+	m.Update(1050, batch.WorkersMsg{Set: []batch.WorkerEntry{{ID: "w3", Service: "s", Addr: "w3", Room: batch.Size{CPU: 8000, MemMB: 8000}, ClockMs: 1, Born: 900_000}}})
+	m.Commands(1100)
+	m.Update(1110, batch.PolledMsg{Worker: "w3", Sent: 1100, Born: 900_000, ClockMs: 50, Running: []batch.ActiveRun{{Task: n, Run: run, Percent: 10}}})
+	m.Commands(1150)
+	m.Update(1160, batch.PolledMsg{Worker: "w3", Sent: 1150, Born: 900_000, ClockMs: 90, Ended: []batch.EndedRun{{Number: 1, Task: n, Run: run, Reason: batch.EndFailed}}})
 	return starts(m, 1200) + starts(m, 1300)
 }
--- a/fleet/batch/task.go
+++ b/fleet/batch/task.go
@@ -280,7 +280,7 @@
 
 // runEnded applies the end of a run. unknownToFormer says that no former owner can know of it. It reports whether the
 // job's progress changed.
-func (m *Model) runEnded(t *task, number int, how How, saved string, unknownToFormer bool) bool {
+func (m *Model) runEnded(t *task, number int, how EndReason, saved string, unknownToFormer bool) bool {
 	j := t.stage.job
 	if j.phase == ended || t.done {
 		return false
@@ -289,7 +289,7 @@
 		t.checkpoint = saved
 	}
 	switch how {
-	case Done:
+	case EndDone:
 		if t.stage.Lasting {
 			return false
 		}
@@ -299,7 +299,7 @@
 			t.stage.markNextStages()
 		}
 		return true
-	case Failed:
+	case EndFailed:
 		return m.taskFailed(t, number)
 	}
 	return false
@@ -349,7 +349,7 @@
 	if j.nextRound < max(j.Rounds, 1) || slices.ContainsFunc(j.rounds, func(r *round) bool { return r.stagesLeft > 0 }) {
 		return
 	}
-	m.endJob(j, Completed)
+	m.endJob(j, StateCompleted)
 }
 
 // endJob ends the job. Callers see the end once it is stored.
@@ -375,7 +375,7 @@
 	t.failedRuns = append(t.failedRuns, number)
 	j := t.stage.job
 	if !t.stage.Lasting && j.Attempts > 0 && len(t.failedRuns) >= j.Attempts {
-		m.endJob(j, Broke)
+		m.endJob(j, StateFailed)
 	}
 	m.markChanged(j)
 	return true
--- a/fleet/batch/wave.go
+++ b/fleet/batch/wave.go
@@ -31,7 +31,7 @@
 func (m *Model) setWave(g WaveMsg) {
 	d := &m.fleet
 	w := d.waves[g.Number]
-	if g.Gone {
+	if g.Withdrawn {
 		if w != nil {
 			m.releaseUnbegun(w)
 			delete(d.waves, g.Number)
@@ -41,7 +41,7 @@
 	if w == nil {
 		w = &wave{beganAt: m.now, begun: map[string]bool{}, finished: map[string]bool{}}
 		d.waves[g.Number] = w
-		m.log("wave ordered", "", "wave", g.Number, "machines", len(g.Machines), "most", g.Most, "durationMs", g.DurationMs)
+		m.log("wave ordered", "", "wave", g.Number, "machines", len(g.Machines), "most", g.MaxDown, "durationMs", g.DurationMs)
 	}
 	w.WaveMsg = g
 	w.done = w.done || g.Completed
@@ -60,7 +60,7 @@
 	for _, s := range l {
 		w := m.fleet.waves[s.Number]
 		if w == nil {
-			w = &wave{beganAt: m.now, finished: map[string]bool{}, begun: map[string]bool{}, WaveMsg: WaveMsg{Number: s.Number, Gone: true}}
+			w = &wave{beganAt: m.now, finished: map[string]bool{}, begun: map[string]bool{}, WaveMsg: WaveMsg{Number: s.Number, Withdrawn: true}}
 			m.fleet.waves[s.Number] = w
 		}
 		w.rev = s.Rev
@@ -84,7 +84,7 @@
 
 // advanceWave takes the next steps of one wave.
 func (m *Model) advanceWave(w *wave) {
-	if w.done || w.Gone {
+	if w.done || w.Withdrawn {
 		return
 	}
 	if !w.reported {
@@ -138,10 +138,10 @@
 	need := int(math.Ceil(float64((len(left)+out)*upkeepDurationMs) / float64(span)))
 	slices.SortStableFunc(left, func(a, b *machine) int { return cmp.Compare(m.shortTaskShare(a), m.shortTaskShare(b)) })
 	for _, k := range left {
-		if out >= w.Most {
+		if out >= w.MaxDown {
 			return
 		}
-		if k.State != Up || !m.belowUpkeepLimit(k) || !m.mayOrderTo(k) {
+		if k.State != MachineUp || !m.belowUpkeepLimit(k) || !m.mayOrderTo(k) {
 			continue
 		}
 		if o := m.workerOf(k); o != nil && !m.knowsRuns(o) || out >= need && !m.canTakeNow(k) {
@@ -192,7 +192,7 @@
 // prepare empties a machine and then orders its upkeep.
 func (m *Model) prepare(w *wave, k *machine) {
 	if k.ackedAt != 0 {
-		if m.now-k.ackedAt > arrivalTimeoutMs && k.State == Up && m.fleet.listSentAt > k.ackedAt {
+		if m.now-k.ackedAt > arrivalTimeoutMs && k.State == MachineUp && m.fleet.listSentAt > k.ackedAt {
 			m.markMaintained(w, k.Name) // the machine is back with the same worker ID.
 			m.releaseMachine(k)
 		}
--- a/fleet/batch/worker.go
+++ b/fleet/batch/worker.go
@@ -15,7 +15,7 @@
 
 // worker is one worker; the fields apply to its current lifetime.
 type worker struct {
-	Entry
+	WorkerEntry
 	rack         string
 	listed       bool // the list has an entry for it.
 	dead         bool // the lifetime has certainly ended.
@@ -81,10 +81,10 @@
 	}
 }
 
-func (m *Model) setWorker(e Entry) {
+func (m *Model) setWorker(e WorkerEntry) {
 	w := m.workers[e.ID]
 	if w == nil {
-		w = &worker{slowdown: 1, Entry: Entry{ID: e.ID}, lastUsedAt: m.now, lifetimeKnownAt: m.now}
+		w = &worker{slowdown: 1, WorkerEntry: WorkerEntry{ID: e.ID}, lastUsedAt: m.now, lifetimeKnownAt: m.now}
 		m.workers[e.ID] = w
 		m.workerList = append(m.workerList, w)
 		slices.SortFunc(m.workerList, byID)
@@ -99,7 +99,7 @@
 		m.restart(w, e.Born)
 	}
 	born := w.Born
-	w.Entry, w.listed, w.dead = e, !w.machineTaken, w.machineTaken
+	w.WorkerEntry, w.listed, w.dead = e, !w.machineTaken, w.machineTaken
 	w.Born = max(born, e.Born)
 	w.rack = ""
 	if len(e.Labels) > rackLabelIndex {
@@ -159,7 +159,7 @@
 func (w *worker) runsCopy() []*run { return slices.Clone(w.runs) }
 
 // applyEnded applies the ended runs of a list that are new.
-func (m *Model) applyEnded(w *worker, g HeldMsg, first bool) {
+func (m *Model) applyEnded(w *worker, g PolledMsg, first bool) {
 	for _, e := range g.Ended {
 		if e.Number <= w.lastEnd {
 			continue
@@ -177,18 +177,18 @@
 			continue // an earlier run that was dropped long ago.
 		}
 		if r != nil {
-			m.learnFromEnd(w, r, e.How)
+			m.learnFromEnd(w, r, e.Reason)
 			m.dropRun(r)
-		} else if len(t.runs) > 0 && e.How != Done && e.How != Failed {
+		} else if len(t.runs) > 0 && e.Reason != EndDone && e.Reason != EndFailed {
 			continue
 		}
-		if r != nil && e.How != Done && !r.evicted {
-			m.log("run ended", e.Task.Job, "task", e.Task.String(), "run", e.Run, "how", string(e.How), "worker", w.ID)
+		if r != nil && e.Reason != EndDone && !r.evicted {
+			m.log("run ended", e.Task.Job, "task", e.Task.String(), "run", e.Run, "how", string(e.Reason), "worker", w.ID)
 		}
 		t.lastRun = max(t.lastRun, e.Run)
 		t.stage.job.started = true
 		t.noFormerRuns = t.noFormerRuns || r != nil && r.unknownToFormer()
-		if m.runEnded(t, e.Run, e.How, e.Saved, r != nil && r.unknownToFormer()) || t.stage.job.version > t.stage.job.storedVersion {
+		if m.runEnded(t, e.Run, e.Reason, e.Checkpoint, r != nil && r.unknownToFormer()) || t.stage.job.version > t.stage.job.storedVersion {
 			w.unsavedEnds = append(w.unsavedEnds, unsavedEnd{number: e.Number, job: t.stage.job, version: t.stage.job.version})
 		}
 		m.pool(t.stage.job.Service).dirty = true
@@ -197,7 +197,7 @@
 
 // applyRunning applies the running runs of a list. It stops runs that should not be there and checks those that are
 // neither running nor ended.
-func (m *Model) applyRunning(w *worker, g HeldMsg, first bool) {
+func (m *Model) applyRunning(w *worker, g PolledMsg, first bool) {
 	listed := make(map[*run]bool, len(g.Running))
 	for _, e := range g.Running {
 		t := m.task(e.Task)
@@ -229,7 +229,7 @@
 }
 
 // adopt takes over a run of a former owner.
-func (m *Model) adopt(w *worker, t *task, e Running) *run {
+func (m *Model) adopt(w *worker, t *task, e ActiveRun) *run {
 	if t == nil || t.done || t.stage.job.phase != open || (len(t.runs) > 0 && !t.stage.Copies) {
 		return nil
 	}
@@ -242,7 +242,7 @@
 const fullPace = 100
 
 // updateRun applies what a worker's list says of a run.
-func (m *Model) updateRun(r *run, e Running) {
+func (m *Model) updateRun(r *run, e ActiveRun) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt, r.advancedAt = m.now, m.now
 	}
@@ -254,8 +254,8 @@
 		r.percent, r.advancedAt = e.Percent, m.now
 	}
 	r.gauge = e.Gauge
-	if e.Saved != "" {
-		r.task.checkpoint = e.Saved
+	if e.Checkpoint != "" {
+		r.task.checkpoint = e.Checkpoint
 	}
 	if r.state == stopping || r.task.done || r.task.stage.job.phase == ended {
 		m.stopRun(r)
@@ -263,7 +263,7 @@
 }
 
 // checkMissing handles a run that a worker's list does not name.
-func (m *Model) checkMissing(r *run, g HeldMsg) {
+func (m *Model) checkMissing(r *run, g PolledMsg) {
 	switch {
 	case r.state == running && r.confirmedAt > 0 && g.Sent > r.confirmedAt,
 		r.state == stopping && r.stopAckedAt > 0 && g.Sent > r.stopAckedAt,
@@ -293,12 +293,12 @@
 }
 
 // learnFromEnd updates the run times that are learned, and counts a worker's failures in a row.
-func (m *Model) learnFromEnd(w *worker, r *run, how How) {
+func (m *Model) learnFromEnd(w *worker, r *run, how EndReason) {
 	switch how {
-	case Done:
+	case EndDone:
 		w.failuresInRow, w.failedJobs, w.quarantineMs = 0, nil, 0
 		m.learnRunTime(w, r)
-	case Failed:
+	case EndFailed:
 		if id := r.task.stage.job.ID; !slices.Contains(w.failedJobs, id) {
 			w.failedJobs = append(w.failedJobs, id)
 			w.failuresInRow++
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -223,7 +223,7 @@
 	}
 	switch batch.Verdict(r.GetVerdict()) {
 	case batch.Accepted:
-		return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.Queued)}
+		return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.StateQueued)}
 	case batch.Malformed:
 		return f.refuse(fasthttp.StatusBadRequest, r.GetReason(), 0)
 	case batch.Refused:
@@ -294,7 +294,7 @@
 	defer cancel()
 	if a := f.claims.Owner(); a != "" {
 		r, err := f.desk.At(a).State(x, &desk.JobRequest{Id: id})
-		if err == nil && r.GetReady() && r.GetState() != string(batch.Absent) {
+		if err == nil && r.GetReady() && r.GetState() != string(batch.StateAbsent) {
 			return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.State(r.GetState()))}
 		}
 		if err != nil && errors.Is(x.Err(), context.DeadlineExceeded) {
@@ -312,7 +312,7 @@
 	switch {
 	case err != nil:
 		return f.refuse(fasthttp.StatusServiceUnavailable, "the store does not answer", defaultRetryAfterMs)
-	case s == batch.Absent:
+	case s == batch.StateAbsent:
 		return f.refuse(fasthttp.StatusGone, "no such job", 0)
 	}
 	return answer{status: fasthttp.StatusOK, body: f.codec.State(s)}
@@ -326,7 +326,7 @@
 		return f.callFailed(err)
 	}
 	if batch.Verdict(r.GetVerdict()) == batch.Accepted {
-		return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.Canceled)}
+		return answer{status: fasthttp.StatusOK, body: f.codec.State(batch.StateCanceled)}
 	}
 	if a := f.storedState(id); a.status != fasthttp.StatusOK {
 		return a
--- a/node/front/front_test.go
+++ b/node/front/front_test.go
@@ -183,7 +183,7 @@
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	is.Equal(newFixture(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.Accepted, 0)}}, true).send("DELETE", "/a/"+id, "", 600).StatusCode(), 200)
-	r := newFixture(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.NotKnown, 0)}}, true)
+	r := newFixture(t, &fakeDesk{answers: []func() (*desk.Reply, error){reply(batch.UnknownJob, 0)}}, true)
 	is.Equal(r.send("DELETE", "/a/"+id, "", 600).StatusCode(), 410)
 	_, err := r.store.Put(context.Background(), batch.JobPrefix+id, []byte("{}"), keyval.Any, 0)
 	is.NoErr(err)
--- a/node/owner/carry.go
+++ b/node/owner/carry.go
@@ -127,8 +127,8 @@
 func (c *Carrier) call(o *desk.Order) *desk.Answer {
 	a, begin := &desk.Answer{Id: o.GetId()}, time.Now()
 	if o.GetTask() == "" {
-		g, err := c.workers.Hold(c.ctx, batch.HoldCmd{
-			Worker: o.GetWorker(), Addr: o.GetAddr(), UntilMs: o.GetUntil(), LastSeen: o.GetSeen(), WaitMs: o.GetWaitMs(), Fence: o.GetFence(),
+		g, err := c.workers.Hold(c.ctx, batch.PollCmd{
+			Worker: o.GetWorker(), Addr: o.GetAddr(), UntilMs: o.GetUntil(), ForgetUpTo: o.GetSeen(), WaitMs: o.GetWaitMs(), Fence: o.GetFence(),
 		})
 		count(c.stats, c.log, "carried_hold", begin, err)
 		encodeHeld(a, g)
@@ -148,7 +148,7 @@
 	} else {
 		r, a.ClockMs, err = c.workers.Start(c.ctx, batch.StartCmd{
 			Worker: o.GetWorker(), Addr: o.GetAddr(), Task: t, Run: int(o.GetRun()), Spec: o.GetSpec(), UntilMs: o.GetUntil(),
-			Fence: o.GetFence(), Saved: o.GetSaved(), Ticket: o.GetTicket(),
+			Fence: o.GetFence(), Checkpoint: o.GetSaved(), Ticket: o.GetTicket(),
 		})
 	}
 	count(c.stats, c.log, "carried_order", begin, err)
@@ -156,34 +156,34 @@
 	return a
 }
 
-func encodeHeld(a *desk.Answer, g batch.HeldMsg) {
+func encodeHeld(a *desk.Answer, g batch.PolledMsg) {
 	a.Result, a.ClockMs, a.Born, a.ListFull = int32(g.Result), g.ClockMs, g.Born, g.ListFull
 	for _, r := range g.Running {
-		a.Running = append(a.Running, &desk.Running{Task: r.Task.String(), Run: int64(r.Run), Saved: r.Saved, Percent: int64(r.Percent), Gauge: r.Gauge})
+		a.Running = append(a.Running, &desk.Running{Task: r.Task.String(), Run: int64(r.Run), Saved: r.Checkpoint, Percent: int64(r.Percent), Gauge: r.Gauge})
 	}
 	for _, e := range g.Ended {
-		a.Ended = append(a.Ended, &desk.Ended{Number: e.Number, Task: e.Task.String(), Run: int64(e.Run), How: string(e.How), Saved: e.Saved})
+		a.Ended = append(a.Ended, &desk.Ended{Number: e.Number, Task: e.Task.String(), Run: int64(e.Run), How: string(e.Reason), Saved: e.Checkpoint})
 	}
 }
 
 // decodeHeld decodes the answer to a hold call. An answer with an invalid task name counts as no answer.
-func decodeHeld(a *desk.Answer, worker string, sent int64) batch.HeldMsg {
-	g := batch.HeldMsg{
+func decodeHeld(a *desk.Answer, worker string, sent int64) batch.PolledMsg {
+	g := batch.PolledMsg{
 		Worker: worker, Sent: sent, Result: batch.Result(a.GetResult()), Born: a.GetBorn(), ClockMs: a.GetClockMs(), ListFull: a.GetListFull(),
 	}
 	for _, r := range a.GetRunning() {
 		t, err := batch.ParseTaskName(r.GetTask())
 		if err != nil {
-			return batch.HeldMsg{Worker: worker, Sent: sent, Result: batch.NoAnswer}
+			return batch.PolledMsg{Worker: worker, Sent: sent, Result: batch.NoAnswer}
 		}
-		g.Running = append(g.Running, batch.Running{Task: t, Run: int(r.GetRun()), Saved: r.GetSaved(), Percent: int(r.GetPercent()), Gauge: r.GetGauge()})
+		g.Running = append(g.Running, batch.ActiveRun{Task: t, Run: int(r.GetRun()), Checkpoint: r.GetSaved(), Percent: int(r.GetPercent()), Gauge: r.GetGauge()})
 	}
 	for _, e := range a.GetEnded() {
 		t, err := batch.ParseTaskName(e.GetTask())
 		if err != nil {
-			return batch.HeldMsg{Worker: worker, Sent: sent, Result: batch.NoAnswer}
+			return batch.PolledMsg{Worker: worker, Sent: sent, Result: batch.NoAnswer}
 		}
-		g.Ended = append(g.Ended, batch.Ended{Number: e.GetNumber(), Task: t, Run: int(e.GetRun()), How: batch.How(e.GetHow()), Saved: e.GetSaved()})
+		g.Ended = append(g.Ended, batch.EndedRun{Number: e.GetNumber(), Task: t, Run: int(e.GetRun()), Reason: batch.EndReason(e.GetHow()), Checkpoint: e.GetSaved()})
 	}
 	return g
 }
--- a/node/owner/helper.go
+++ b/node/owner/helper.go
@@ -143,14 +143,14 @@
 
 func encodeOrder(c batch.Cmd) *desk.Order {
 	switch k := c.(type) {
-	case batch.HoldCmd:
-		return &desk.Order{Worker: k.Worker, Addr: k.Addr, Fence: k.Fence, Until: k.UntilMs, Seen: k.LastSeen, WaitMs: k.WaitMs}
+	case batch.PollCmd:
+		return &desk.Order{Worker: k.Worker, Addr: k.Addr, Fence: k.Fence, Until: k.UntilMs, Seen: k.ForgetUpTo, WaitMs: k.WaitMs}
 	case batch.StopCmd:
 		return &desk.Order{Worker: k.Worker, Addr: k.Addr, Fence: k.Fence, Task: k.Task.String(), Run: int64(k.Run), Stop: true}
 	case batch.StartCmd:
 		return &desk.Order{
 			Worker: k.Worker, Addr: k.Addr, Fence: k.Fence, Task: k.Task.String(), Run: int64(k.Run), Until: k.UntilMs,
-			Spec: k.Spec, Saved: k.Saved, Ticket: k.Ticket,
+			Spec: k.Spec, Saved: k.Checkpoint, Ticket: k.Ticket,
 		}
 	}
 	panic(fmt.Sprintf("owner: %T cannot be sent through a helper", c)) // a bug in perform.
@@ -242,7 +242,7 @@
 func (o pendingOrder) toMsg(a *desk.Answer) batch.Msg {
 	r := batch.Result(a.GetResult())
 	switch k := o.cmd.(type) {
-	case batch.HoldCmd:
+	case batch.PollCmd:
 		return decodeHeld(a, k.Worker, o.sentMs)
 	case batch.StopCmd:
 		return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r, ClockMs: a.GetClockMs(), Sent: o.sentMs}
--- a/node/owner/helper_test.go
+++ b/node/owner/helper_test.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-func (w *slowWorkers) Hold(ctx context.Context, c batch.HoldCmd) (batch.HeldMsg, error) {
-	g := batch.HeldMsg{Worker: c.Worker}
+func (w *slowWorkers) Hold(ctx context.Context, c batch.PollCmd) (batch.PolledMsg, error) {
+	g := batch.PolledMsg{Worker: c.Worker}
 	err := w.pause(ctx)
 	if err != nil {
 		g.Result = batch.NoAnswer
@@ -174,7 +174,7 @@
 		const orders = 400
 		for i := range orders {
 			if i%2 == 0 {
-				h.enqueue(batch.HoldCmd{Worker: string(rune('a' + i%20)), LastSeen: int64(i)})
+				h.enqueue(batch.PollCmd{Worker: string(rune('a' + i%20)), ForgetUpTo: int64(i)})
 			} else {
 				h.enqueue(batch.StopCmd{Worker: "w", Task: batch.TaskName{Job: "0123456789abcdef", Index: i}, Run: 1})
 			}
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -57,20 +57,20 @@
 	Start(ctx context.Context, c batch.StartCmd) (batch.Result, int64, error)
 	Stop(ctx context.Context, c batch.StopCmd) (batch.Result, int64, error)
 	Pace(ctx context.Context, c batch.PaceCmd) (batch.Result, int64, error)
-	Hold(ctx context.Context, c batch.HoldCmd) (batch.HeldMsg, error)
+	Hold(ctx context.Context, c batch.PollCmd) (batch.PolledMsg, error)
 	Advise(ctx context.Context, addr, step string, workers []string, wait time.Duration) (map[string]string, int64, error)
 }
 
 // Machines lists the platform's machines and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]batch.Machine, error)
-	Move(ctx context.Context, c batch.MoveCmd) (batch.DutyResult, error)
-	Upkeep(ctx context.Context, c batch.UpkeepCmd) (batch.DutyResult, error)
+	Move(ctx context.Context, c batch.MoveCmd) (batch.OrderResult, error)
+	Upkeep(ctx context.Context, c batch.UpkeepCmd) (batch.OrderResult, error)
 }
 
 // Format encodes and decodes the platform's documents.
 type Format interface {
-	Entry(i keyval.Item) (batch.Entry, error)
+	Entry(i keyval.Item) (batch.WorkerEntry, error)
 	WorkerID(key string) string
 	WorkersPrefix() string
 	WaveState(number int, completed bool) (string, []byte)
@@ -212,7 +212,7 @@
 // runTerm runs the jobs under the claim with fence f until the claim is lost, the owner yields or ctx ends.
 func (o *Owner) runTerm(ctx context.Context, f keyval.Revision) error {
 	c := o.settings.Model
-	c.Fence, c.Now, c.WallMs = int64(f), o.now(), time.Now().UnixMilli()
+	c.Fence, c.Now, c.UnixMs = int64(f), o.now(), time.Now().UnixMilli()
 	t := &term{
 		o: o, fence: f, model: batch.New(c), msgs: make(chan batch.Msg, maxQueuedMsgs),
 		pending: map[uint64]chan batch.ReplyCmd{}, queries: make(chan modelQuery), calls: make(chan batch.Cmd, callGoroutines),
@@ -364,13 +364,13 @@
 		_, ok := t.o.lease.Held()
 		if checkedMs := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != claimHeld || checkedMs-lastCheckedMs > minCheckedChangeMs {
 			claimHeld, lastCheckedMs = ok, checkedMs
-			t.model.Update(t.o.now(), batch.LeaseMsg{Fresh: ok, Checked: checkedMs})
+			t.model.Update(t.o.now(), batch.ClaimMsg{Fresh: ok, RenewedAt: checkedMs})
 		}
 		if n := time.Now().UnixMilli(); n/1000 != wallSecs {
 			wallSecs = n / 1000
-			t.model.Update(t.o.now(), batch.WallMsg{UnixMs: n})
+			t.model.Update(t.o.now(), batch.WallClockMsg{UnixMs: n})
 		}
-		cmds := t.model.Round(t.o.now())
+		cmds := t.model.Commands(t.o.now())
 		t.workerCount.Store(int64(t.model.Workers()))
 		for _, c := range cmds {
 			if err := t.perform(ctx, c); err != nil {
--- a/node/owner/perform.go
+++ b/node/owner/perform.go
@@ -26,7 +26,7 @@
 		t.sendOrder(ctx, k.Worker, c)
 	case batch.StopCmd:
 		t.sendOrder(ctx, k.Worker, c)
-	case batch.HoldCmd:
+	case batch.PollCmd:
 		if h := t.helperOf(k.Worker); h != nil {
 			h.enqueue(c)
 			return nil
@@ -87,7 +87,7 @@
 	o, sent := t.o, t.o.now()
 	begin := time.Now()
 	switch k := c.(type) {
-	case batch.HoldCmd:
+	case batch.PollCmd:
 		g, err := o.workers.Hold(ctx, k)
 		g.Sent = sent
 		o.count("hold", begin, err)
@@ -122,21 +122,21 @@
 		o.count("machines", begin, err)
 		t.send(ctx, batch.MachinesMsg{Sent: sent, Failed: err != nil, List: l})
 	case batch.MoveCmd:
-		r := batch.DutyNotSent
+		r := batch.OrderNotSent
 		if _, ok := o.lease.Held(); ok {
 			var err error
 			r, err = o.machines.Move(ctx, k)
 			o.count("move", begin, err)
 		}
-		t.send(ctx, batch.DutyDoneMsg{Machine: k.Machine, Result: r})
+		t.send(ctx, batch.OrderDoneMsg{Machine: k.Machine, Result: r})
 	case batch.UpkeepCmd:
-		r := batch.DutyNotSent
+		r := batch.OrderNotSent
 		if _, ok := o.lease.Held(); ok {
 			var err error
 			r, err = o.machines.Upkeep(ctx, k)
 			o.count("upkeep", begin, err)
 		}
-		t.send(ctx, batch.DutyDoneMsg{Machine: k.Machine, Wave: k.Wave, Result: r})
+		t.send(ctx, batch.OrderDoneMsg{Machine: k.Machine, Wave: k.Wave, Result: r})
 	case batch.ReportCmd:
 		t.reportWave(ctx, k)
 	}
@@ -182,7 +182,7 @@
 				t.reportClaimLost(ctx)
 				return
 			}
-			g.Now = append(g.Now, batch.Row{Key: i.Key(), Value: i.Value(), Rev: int64(i.Rev())})
+			g.Current = append(g.Current, batch.Row{Key: i.Key(), Value: i.Value(), Rev: int64(i.Rev())})
 		}
 	case errors.Is(err, keyval.ErrDown):
 		g.Outcome = batch.Unwritten
@@ -195,7 +195,7 @@
 // reportClaimLost ends the term, because another owner has the claim.
 func (t *term) reportClaimLost(ctx context.Context) {
 	t.o.lease.Nudge()
-	t.send(ctx, batch.LostMsg{Reason: "another process holds the claim"})
+	t.send(ctx, batch.ClaimLostMsg{Reason: "another process holds the claim"})
 }
 
 // reportWave writes the state of a wave for the operator, and retries until the store accepts it.
--- a/node/owner/serve.go
+++ b/node/owner/serve.go
@@ -46,7 +46,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for r, c := range t.pending {
-		c <- batch.ReplyCmd{Ref: r, Verdict: batch.Unsettled}
+		c <- batch.ReplyCmd{Ref: r, Verdict: batch.MaybeAccepted}
 		delete(t.pending, r)
 	}
 	t.pending = nil
@@ -84,7 +84,7 @@
 	}
 	select {
 	case k := <-c:
-		if k.Verdict == batch.Unsettled {
+		if k.Verdict == batch.MaybeAccepted {
 			return nil, desk.OutcomeUnknownError()
 		}
 		return &desk.Reply{Verdict: int32(k.Verdict), RetryAfterMs: k.RetryAfterMs, Reason: k.Reason}, nil
@@ -138,26 +138,26 @@
 	return a, nil
 }
 
-// ReadState reads the state of a job from the store. It returns batch.Absent for a job that was never accepted.
+// ReadState reads the state of a job from the store. It returns batch.StateAbsent for a job that was never accepted.
 func ReadState(ctx context.Context, s Getter, id string) (batch.State, error) {
-	if e, err := lookupEnd(ctx, s, id); err != nil || e != batch.Absent {
+	if e, err := lookupEnd(ctx, s, id); err != nil || e != batch.StateAbsent {
 		return e, err
 	}
 	j, err := s.Get(ctx, batch.JobPrefix+id)
 	if err != nil {
-		return batch.Absent, err
+		return batch.StateAbsent, err
 	}
 	if j.Found() {
-		return batch.Queued, nil
+		return batch.StateQueued, nil
 	}
 	return lookupEnd(ctx, s, id) // the job record is deleted when the job ends, maybe between the two reads above.
 }
 
-// lookupEnd reads the final state of a job. It returns batch.Absent for a job that has not ended.
+// lookupEnd reads the final state of a job. It returns batch.StateAbsent for a job that has not ended.
 func lookupEnd(ctx context.Context, s Getter, id string) (batch.State, error) {
 	r, err := s.Get(ctx, batch.RunPrefix+id)
 	if err != nil || !r.Found() {
-		return batch.Absent, err
+		return batch.StateAbsent, err
 	}
 	var d batch.StoredRun
 	err = json.Unmarshal(r.Value(), &d)
--- a/node/owner/watch.go
+++ b/node/owner/watch.go
@@ -86,7 +86,7 @@
 			t.send(ctx, batch.ServicesMsg{Services: c.Services})
 		}
 		for _, w := range t.o.board.Waves() {
-			if !w.Gone {
+			if !w.Withdrawn {
 				w.Completed = t.waveReported(ctx, w.Number)
 			}
 			t.send(ctx, w)
--- a/node/site/status_test.go
+++ b/node/site/status_test.go
@@ -55,11 +55,11 @@
 
 var errWord = errors.New("unknown word")
 
-func (plainFormat) Entry(i keyval.Item) (batch.Entry, error) {
+func (plainFormat) Entry(i keyval.Item) (batch.WorkerEntry, error) {
 	if string(i.Value()) == "garbage" {
-		return batch.Entry{}, errWord
+		return batch.WorkerEntry{}, errWord
 	}
-	return batch.Entry{Service: "s", Draining: string(i.Value()) == "draining", Room: batch.Size{CPU: 4000}}, nil
+	return batch.WorkerEntry{Service: "s", Draining: string(i.Value()) == "draining", Room: batch.Size{CPU: 4000}}, nil
 }
 
 const job1 = `{"job":{"id":"0000000000000001","queue":"q1","service":"s","steps":[{"count":2,"size":{}}]},"atMs":5}`
@@ -100,7 +100,7 @@
 		s, err := read("0000000000000002")
 		is.NoErr(err)
 		is.True(s.Accepted == nil)
-		is.Equal(s.Progress.State, batch.Completed)
+		is.Equal(s.Progress.State, batch.StateCompleted)
 	})
 	t.Run("never accepted", func(t *testing.T) {
 		is := is.New(t)
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -297,7 +297,7 @@
 		}
 		switch {
 		case st == http.StatusGone:
-			return batch.Absent
+			return batch.StateAbsent
 		case st == http.StatusOK && json.Unmarshal(b, &d) == nil:
 			return batch.State(d.State)
 		}
@@ -341,7 +341,7 @@
 	end := time.Now().Add(soakSettle)
 	for _, k := range all {
 		st := s.state(k.Job)
-		for k.Accepted && !k.Job.Steps[0].Lasting && st != batch.Completed && st != batch.Broke && time.Now().Before(end) {
+		for k.Accepted && !k.Job.Steps[0].Lasting && st != batch.StateCompleted && st != batch.StateFailed && time.Now().Before(end) {
 			time.Sleep(100 * time.Millisecond)
 			st = s.state(k.Job)
 		}
