--- a/plat/hosts/client.go
+++ b/plat/hosts/client.go
@@ -83,25 +83,25 @@
 
 // Drain implements Platform.
 func (c *Client) Drain(ctx context.Context, id string) error {
-	return c.act(ctx, PathDrain, Request{ID: id})
+	return c.order(ctx, PathDrain, Request{ID: id})
 }
 
 // Undrain implements Platform.
 func (c *Client) Undrain(ctx context.Context, id string) error {
-	return c.act(ctx, PathUndrain, Request{ID: id})
+	return c.order(ctx, PathUndrain, Request{ID: id})
 }
 
 // Reboot implements Platform; after ErrUnknown it is repeated with the same op.
 func (c *Client) Reboot(ctx context.Context, id, op string) error {
-	return c.act(ctx, PathReboot, Request{ID: id, Op: op})
+	return c.order(ctx, PathReboot, Request{ID: id, Op: op})
 }
 
 // Assign implements Platform.
 func (c *Client) Assign(ctx context.Context, id, pool string) error {
-	return c.act(ctx, PathAssign, Request{ID: id, Pool: pool})
+	return c.order(ctx, PathAssign, Request{ID: id, Pool: pool})
 }
 
-func (c *Client) act(ctx context.Context, path string, q Request) error {
+func (c *Client) order(ctx context.Context, path string, q Request) error {
 	var a Answer
 	if err := c.call(ctx, path, q, &a); err != nil {
 		return err
--- a/plat/keyval/client.go
+++ b/plat/keyval/client.go
@@ -14,9 +14,9 @@
 
 // Client is a Store over the service's HTTP API; each method makes exactly one attempt.
 type Client struct {
-	wire                    *wire.Client
-	reads, writes, watches  atomic.Int64
-	conflicts, downs, blind atomic.Int64
+	wire                       *wire.Client
+	reads, writes, watches     atomic.Int64
+	conflicts, downs, unknowns atomic.Int64
 }
 
 var _ Store = (*Client)(nil)
@@ -54,7 +54,7 @@
 func (c *Client) Downs() int64 { return c.downs.Load() }
 
 // Unknowns returns the number of calls that ended in ErrUnknown.
-func (c *Client) Unknowns() int64 { return c.blind.Load() }
+func (c *Client) Unknowns() int64 { return c.unknowns.Load() }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
@@ -93,7 +93,7 @@
 	if err := c.call(ctx, PathPut, key, PutRequest{Key: key, Value: value, Cond: cond, Lease: lease}, &a, 0); err != nil {
 		return 0, err
 	}
-	return a.Rev, c.settled(a.OK, PathPut, key)
+	return a.Rev, c.checkApplied(a.OK, PathPut, key)
 }
 
 // Delete implements Store.
@@ -103,7 +103,7 @@
 	if err := c.call(ctx, PathDelete, key, DeleteRequest{Key: key, Cond: cond}, &a, 0); err != nil {
 		return err
 	}
-	return c.settled(a.OK, PathDelete, key)
+	return c.checkApplied(a.OK, PathDelete, key)
 }
 
 // Watch implements Store; ErrReset means that the caller must list again.
@@ -148,10 +148,10 @@
 	if err := c.call(ctx, path, "", LeaseRequest{Lease: id}, &a, 0); err != nil {
 		return err
 	}
-	return c.settled(a.OK, path, "")
+	return c.checkApplied(a.OK, path, "")
 }
 
-func (c *Client) settled(ok bool, path, key string) error {
+func (c *Client) checkApplied(ok bool, path, key string) error {
 	if ok {
 		return nil
 	}
@@ -169,7 +169,7 @@
 	var w *wire.Error
 	switch {
 	case !errors.As(err, &w) || w.Sent():
-		c.blind.Add(1)
+		c.unknowns.Add(1)
 	case w.Status() == http.StatusRequestEntityTooLarge:
 		kind = ErrTooLarge
 	default:
--- a/plat/keyval/follow.go
+++ b/plat/keyval/follow.go
@@ -8,8 +8,8 @@
 
 // Follow timing.
 const (
-	followRetry    = 150 * time.Millisecond // between tries while the service does not answer.
-	followSlackFor = time.Second            // a watch is given up so long after its wait.
+	followRetryInterval = 150 * time.Millisecond // between tries while the service does not answer.
+	watchTimeoutMargin  = time.Second            // a watch is given up so long after its wait.
 )
 
 // Lister reads all items under a prefix, and the revision from which a watch goes on.
@@ -31,12 +31,12 @@
 
 // Follow keeps s up to date with the items under prefix until ctx ends; wait is the longest time that one watch waits.
 func Follow(ctx context.Context, l Lister, prefix string, wait time.Duration, s Sink) error {
-	rev, known, lost := Revision(0), false, false
+	rev, synced, disconnected := Revision(0), false, false
 	for ctx.Err() == nil {
 		var err error
-		if rev, known, err = follow(ctx, l, prefix, wait, s, rev, known); err == nil {
-			if lost {
-				lost = false
+		if rev, synced, err = followStep(ctx, l, prefix, wait, s, rev, synced); err == nil {
+			if disconnected {
+				disconnected = false
 				s.Found()
 			}
 			continue
@@ -44,28 +44,28 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if !lost {
-			lost = true
+		if !disconnected {
+			disconnected = true
 			s.Lost(err)
 		}
-		pause(ctx, followRetry)
+		sleep(ctx, followRetryInterval)
 	}
 	return nil
 }
 
-// follow makes one step and returns the revision to go on from.
-func follow(ctx context.Context, l Lister, prefix string, wait time.Duration, s Sink, rev Revision, known bool) (Revision, bool, error) {
-	if !known {
-		items, at, err := l.All(ctx, prefix)
+// followStep makes one step and returns the revision to go on from.
+func followStep(ctx context.Context, l Lister, prefix string, wait time.Duration, s Sink, rev Revision, synced bool) (Revision, bool, error) {
+	if !synced {
+		items, listRev, err := l.All(ctx, prefix)
 		if err != nil {
 			return rev, false, err
 		}
 		s.Reset(items)
-		return at, true, nil
+		return listRev, true, nil
 	}
-	c, cancel := context.WithTimeout(ctx, wait+followSlackFor)
+	c, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 	defer cancel()
-	e, at, err := l.Watch(c, prefix, rev, wait)
+	e, nextRev, err := l.Watch(c, prefix, rev, wait)
 	switch {
 	case errors.Is(err, ErrReset):
 		return rev, false, nil
@@ -75,10 +75,10 @@
 	if len(e) > 0 {
 		s.Apply(e)
 	}
-	return max(at, rev), true, nil
+	return max(nextRev, rev), true, nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/plat/keyval/memory.go
+++ b/plat/keyval/memory.go
@@ -14,8 +14,8 @@
 // defaultHistory is the number of past events that watches can go on from.
 const defaultHistory = 8_192
 
-// maxList is the number of items that one list returns at most.
-const maxList = 1_000
+// maxListItems is the number of items that one list returns at most.
+const maxListItems = 1_000
 
 // Memory is a Store in memory for tests and stand-ins, safe for concurrent use.
 type Memory struct {
@@ -24,27 +24,27 @@
 
 	reads, writes, watches atomic.Int64
 
-	mu     sync.Mutex
-	state  memoryState
-	leases map[LeaseID]*grant
-	next   LeaseID
-	wake   chan struct{} // closed and replaced at each change.
+	mu        sync.Mutex
+	state     memoryState
+	leases    map[LeaseID]*leaseState
+	lastLease LeaseID
+	changed   chan struct{} // closed and replaced at each change.
 }
 
 type memoryState struct {
-	rev    Revision
-	items  map[string]stored
-	keys   []string // sorted
-	events []Event  // by revision
-	forgot Revision // events up to this one are forgotten.
+	rev          Revision
+	items        map[string]storedItem
+	keys         []string // sorted
+	events       []Event  // by revision
+	compactedRev Revision // events up to this one are forgotten.
 }
 
-type stored struct {
+type storedItem struct {
 	item  Item
 	lease LeaseID
 }
 
-type grant struct {
+type leaseState struct {
 	ttl    time.Duration
 	expiry time.Time
 }
@@ -62,8 +62,8 @@
 
 // NewMemory returns an empty store.
 func NewMemory(opts ...MemoryOption) *Memory {
-	m := &Memory{now: time.Now, history: defaultHistory, leases: map[LeaseID]*grant{}, wake: make(chan struct{})}
-	m.state.items = map[string]stored{}
+	m := &Memory{now: time.Now, history: defaultHistory, leases: map[LeaseID]*leaseState{}, changed: make(chan struct{})}
+	m.state.items = map[string]storedItem{}
 	for _, o := range opts {
 		o(m)
 	}
@@ -90,7 +90,7 @@
 // Get implements Store.
 func (m *Memory) Get(ctx context.Context, key string) (Item, error) {
 	m.reads.Add(1)
-	if err := down(ctx, "get", key); err != nil {
+	if err := checkContext(ctx, "get", key); err != nil {
 		return Item{}, err
 	}
 	m.mu.Lock()
@@ -104,16 +104,16 @@
 // List implements Store; it returns at most 1,000 items.
 func (m *Memory) List(ctx context.Context, prefix, after string, limit int) ([]Item, Revision, error) {
 	m.reads.Add(1)
-	if err := down(ctx, "list", prefix); err != nil {
+	if err := checkContext(ctx, "list", prefix); err != nil {
 		return nil, 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
 	var l []Item
-	at, _ := slices.BinarySearch(m.state.keys, max(prefix, after))
-	for _, k := range m.state.keys[at:] {
-		if !strings.HasPrefix(k, prefix) || len(l) >= min(max(limit, 0), maxList) {
+	pos, _ := slices.BinarySearch(m.state.keys, max(prefix, after))
+	for _, k := range m.state.keys[pos:] {
+		if !strings.HasPrefix(k, prefix) || len(l) >= min(max(limit, 0), maxListItems) {
 			break
 		}
 		if k > after {
@@ -126,7 +126,7 @@
 // Put implements Store; ErrConflict also when the lease has lapsed.
 func (m *Memory) Put(ctx context.Context, key string, value []byte, cond Revision, lease LeaseID) (Revision, error) {
 	m.writes.Add(1)
-	if err := down(ctx, "put", key); err != nil {
+	if err := checkContext(ctx, "put", key); err != nil {
 		return 0, err
 	}
 	if len(value) > MaxValue {
@@ -135,28 +135,28 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
-	if !m.holds(key, cond) || (lease != 0 && m.leases[lease] == nil) {
+	if !m.conditionHolds(key, cond) || (lease != 0 && m.leases[lease] == nil) {
 		return 0, eris.Wrapf(ErrConflict, "put %s under %d in memory", key, cond)
 	}
 	i := Item{key: key, value: slices.Clone(value), rev: m.state.rev + 1}
-	if at, ok := slices.BinarySearch(m.state.keys, key); !ok {
-		m.state.keys = slices.Insert(m.state.keys, at, key)
+	if pos, ok := slices.BinarySearch(m.state.keys, key); !ok {
+		m.state.keys = slices.Insert(m.state.keys, pos, key)
 	}
-	m.state.items[key] = stored{item: i, lease: lease}
-	m.record(NewEvent(i, false))
+	m.state.items[key] = storedItem{item: i, lease: lease}
+	m.appendEvent(NewEvent(i, false))
 	return i.rev, nil
 }
 
 // Delete implements Store.
 func (m *Memory) Delete(ctx context.Context, key string, cond Revision) error {
 	m.writes.Add(1)
-	if err := down(ctx, "delete", key); err != nil {
+	if err := checkContext(ctx, "delete", key); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
-	if !m.holds(key, cond) {
+	if !m.conditionHolds(key, cond) {
 		return eris.Wrapf(ErrConflict, "delete %s under %d in memory", key, cond)
 	}
 	m.remove(key)
@@ -166,20 +166,20 @@
 // Grant implements Store.
 func (m *Memory) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	m.writes.Add(1)
-	if err := down(ctx, "grant", ""); err != nil {
+	if err := checkContext(ctx, "grant", ""); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.next++
-	m.leases[m.next] = &grant{ttl: ttl, expiry: m.now().Add(ttl)}
-	return m.next, nil
+	m.lastLease++
+	m.leases[m.lastLease] = &leaseState{ttl: ttl, expiry: m.now().Add(ttl)}
+	return m.lastLease, nil
 }
 
 // Renew implements Store.
 func (m *Memory) Renew(ctx context.Context, id LeaseID) error {
 	m.writes.Add(1)
-	if err := down(ctx, "renew", ""); err != nil {
+	if err := checkContext(ctx, "renew", ""); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -196,7 +196,7 @@
 // Revoke implements Store; ErrConflict when the lease has lapsed already.
 func (m *Memory) Revoke(ctx context.Context, id LeaseID) error {
 	m.writes.Add(1)
-	if err := down(ctx, "revoke", ""); err != nil {
+	if err := checkContext(ctx, "revoke", ""); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -205,11 +205,11 @@
 	if m.leases[id] == nil {
 		return eris.Wrapf(ErrConflict, "revoke lease %d in memory", id)
 	}
-	m.end(id)
+	m.endLease(id)
 	return nil
 }
 
-func (m *Memory) holds(key string, cond Revision) bool {
+func (m *Memory) conditionHolds(key string, cond Revision) bool {
 	return cond == Any || m.state.items[key].item.rev == cond
 }
 
@@ -220,10 +220,10 @@
 		return
 	}
 	delete(m.state.items, key)
-	if at, ok := slices.BinarySearch(m.state.keys, key); ok {
-		m.state.keys = slices.Delete(m.state.keys, at, at+1)
+	if pos, ok := slices.BinarySearch(m.state.keys, key); ok {
+		m.state.keys = slices.Delete(m.state.keys, pos, pos+1)
 	}
-	m.record(NewEvent(Item{key: key, rev: r}, true))
+	m.appendEvent(NewEvent(Item{key: key, rev: r}, true))
 }
 
 // expire ends the leases whose time has come; the lock is held.
@@ -234,12 +234,12 @@
 	now := m.now()
 	for id, g := range m.leases {
 		if !now.Before(g.expiry) {
-			m.end(id)
+			m.endLease(id)
 		}
 	}
 }
 
-func (m *Memory) end(id LeaseID) {
+func (m *Memory) endLease(id LeaseID) {
 	delete(m.leases, id)
 	for _, k := range slices.Clone(m.state.keys) {
 		if m.state.items[k].lease == id {
@@ -248,25 +248,25 @@
 	}
 }
 
-// record appends the event of the next revision and wakes the watches; the lock is held.
-func (m *Memory) record(e Event) {
+// appendEvent appends the event of the next revision and wakes the watches; the lock is held.
+func (m *Memory) appendEvent(e Event) {
 	s := &m.state
 	s.rev = e.item.rev
 	s.events = append(s.events, e)
 	if drop := len(s.events) - m.history; drop >= m.history {
-		s.forgot = s.events[drop-1].item.rev
+		s.compactedRev = s.events[drop-1].item.rev
 		s.events = append([]Event(nil), s.events[drop:]...)
 	}
-	m.wakeAll()
+	m.notifyWatches()
 }
 
-func (m *Memory) wakeAll() {
-	close(m.wake)
-	m.wake = make(chan struct{})
+func (m *Memory) notifyWatches() {
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-// down returns ErrDown when ctx has ended before the call.
-func down(ctx context.Context, step, key string) error {
+// checkContext returns ErrDown when ctx has ended before the call.
+func checkContext(ctx context.Context, step, key string) error {
 	if ctx.Err() == nil {
 		return nil
 	}
--- a/plat/keyval/memory_test.go
+++ b/plat/keyval/memory_test.go
@@ -66,15 +66,15 @@
 	},
 }).ToModel()
 
-// client calls the store count times and notes what it saw; the clock is a counter that all share.
-func client(s keyval.Store, r *rand.Rand, id, count int, lose bool) []porcupine.Operation {
+// runClient calls the store count times and notes what it saw; the clock is a counter that all share.
+func runClient(s keyval.Store, r *rand.Rand, id, count int, loseAnswers bool) []porcupine.Operation {
 	var l []porcupine.Operation
 	last := keyval.Absent
 	for k := range count {
 		time.Sleep(time.Duration(r.Intn(50)) * time.Millisecond)
 		c := call{put: r.Intn(2) == 0, value: id*1000 + k, cond: last}
 		op := porcupine.Operation{ClientId: id, Input: c, Call: time.Now().UnixNano()}
-		o, lost := perform(s, r, c, lose)
+		o, lost := performCall(s, r, c, loseAnswers)
 		op.Output, op.Return = o, time.Now().UnixNano()
 		if lost {
 			op.Return = int64(1) << 62
@@ -87,7 +87,7 @@
 	return l
 }
 
-func perform(s keyval.Store, r *rand.Rand, c call, lose bool) (outcome, bool) {
+func performCall(s keyval.Store, r *rand.Rand, c call, loseAnswers bool) (outcome, bool) {
 	ctx := context.Background()
 	time.Sleep(time.Duration(r.Intn(20)) * time.Millisecond)
 	if !c.put {
@@ -97,7 +97,7 @@
 		return outcome{value: v, rev: i.Rev()}, false
 	}
 	write := func() (keyval.Revision, error) { return s.Put(ctx, "k", []byte(strconv.Itoa(c.value)), c.cond, 0) }
-	if lose && r.Intn(4) == 0 {
+	if loseAnswers && r.Intn(4) == 0 {
 		d := time.Duration(r.Intn(100)) * time.Millisecond
 		if r.Intn(2) == 0 {
 			time.AfterFunc(d, func() { _, _ = write() })
@@ -110,10 +110,10 @@
 }
 
 func TestCompareAndSwapIsLinearizable(t *testing.T) {
-	for _, lose := range []bool{false, true} {
-		t.Run(fmt.Sprint("lose=", lose), func(t *testing.T) {
+	for _, loseAnswers := range []bool{false, true} {
+		t.Run(fmt.Sprint("lose=", loseAnswers), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				h := history(t, keyval.NewMemory(), rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 5).Draw(r, "clients"), lose)
+				h := recordHistory(t, keyval.NewMemory(), rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 5).Draw(r, "clients"), loseAnswers)
 				if got := porcupine.CheckOperationsTimeout(model, h, 20*time.Second); got != porcupine.Ok {
 					r.Fatalf("history of %d calls is %s", len(h), got)
 				}
@@ -122,14 +122,14 @@
 	}
 }
 
-// unsound is a store whose reads now and then show an older value.
-type unsound struct {
+// staleStore is a store whose reads now and then show an older value.
+type staleStore struct {
 	keyval.Store
 	mu    sync.Mutex
 	first keyval.Item
 }
 
-func (u *unsound) Get(ctx context.Context, key string) (keyval.Item, error) {
+func (u *staleStore) Get(ctx context.Context, key string) (keyval.Item, error) {
 	i, err := u.Store.Get(ctx, key)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,19 +140,19 @@
 }
 
 func TestCheckerSeesStaleReads(t *testing.T) {
-	h := history(t, &unsound{Store: keyval.NewMemory()}, 1, 4, false)
+	h := recordHistory(t, &staleStore{Store: keyval.NewMemory()}, 1, 4, false)
 	if porcupine.CheckOperations(model, h) {
 		t.Fatal("stale reads passed")
 	}
 }
 
-func history(t *testing.T, s keyval.Store, seed int64, clients int, lose bool) []porcupine.Operation {
+func recordHistory(t *testing.T, s keyval.Store, seed int64, clients int, loseAnswers bool) []porcupine.Operation {
 	parts := make([][]porcupine.Operation, clients)
 	synctest.Test(t, func(*testing.T) {
 		var g errgroup.Group
 		for i := range clients {
 			g.Go(func() error {
-				parts[i] = client(s, rand.New(rand.NewSource(seed+int64(i))), i, 10, lose)
+				parts[i] = runClient(s, rand.New(rand.NewSource(seed+int64(i))), i, 10, loseAnswers)
 				return nil
 			})
 		}
@@ -178,16 +178,16 @@
 		is.NoErr(err)
 		time.Sleep(2 * time.Second)
 		is.NoErr(m.Renew(ctx, id))
-		at := time.Now()
-		e, to, err := m.Watch(ctx, "a/", 2, time.Minute)
+		begin := time.Now()
+		e, nextRev, err := m.Watch(ctx, "a/", 2, time.Minute)
 		is.NoErr(err)
 		is.Equal(len(e), 1)
 		is.True(e[0].Deleted())
-		is.Equal(time.Since(at), 3*time.Second) // the watch ends when the lease lapses
+		is.Equal(time.Since(begin), 3*time.Second) // the watch ends when the lease lapses
 		is.True(errors.Is(m.Renew(ctx, id), keyval.ErrConflict))
 		_, err = m.Put(ctx, "a/2", nil, keyval.Absent, id)
 		is.True(errors.Is(err, keyval.ErrConflict)) // a late write of a former holder
-		_, _, err = m.Watch(ctx, "a/", to+1, time.Second)
+		_, _, err = m.Watch(ctx, "a/", nextRev+1, time.Second)
 		is.True(errors.Is(err, keyval.ErrReset))
 	})
 }
--- a/plat/keyval/txn.go
+++ b/plat/keyval/txn.go
@@ -8,13 +8,13 @@
 // Txn applies the writes together if every guard holds, and returns the revision of all of them; a ConflictError otherwise.
 func (m *Memory) Txn(ctx context.Context, t Txn) (Revision, error) {
 	m.writes.Add(1)
-	if err := down(ctx, "txn", ""); err != nil {
+	if err := checkContext(ctx, "txn", ""); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
-	if l, ok := m.guarded(t.Guards); !ok {
+	if l, ok := m.checkGuards(t.Guards); !ok {
 		return 0, NewConflictError(l)
 	}
 	for _, w := range t.Writes {
@@ -29,13 +29,13 @@
 	return r, nil
 }
 
-// guarded returns the guarded items and whether every guard holds.
-func (m *Memory) guarded(l []Guard) ([]Item, bool) {
+// checkGuards returns the guarded items and whether every guard holds.
+func (m *Memory) checkGuards(l []Guard) ([]Item, bool) {
 	items, ok := make([]Item, len(l)), true
 	for i, g := range l {
 		items[i] = m.state.items[g.Key].item
 		items[i].key = g.Key
-		ok = ok && m.holds(g.Key, g.Rev)
+		ok = ok && m.conditionHolds(g.Key, g.Rev)
 	}
 	return items, ok
 }
@@ -46,9 +46,9 @@
 		m.removeAt(w.Key, r)
 		return
 	}
-	if at, ok := slices.BinarySearch(m.state.keys, w.Key); !ok {
-		m.state.keys = slices.Insert(m.state.keys, at, w.Key)
+	if pos, ok := slices.BinarySearch(m.state.keys, w.Key); !ok {
+		m.state.keys = slices.Insert(m.state.keys, pos, w.Key)
 	}
-	m.state.items[w.Key] = stored{item: i, lease: w.Lease}
-	m.record(NewEvent(i, false))
+	m.state.items[w.Key] = storedItem{item: i, lease: w.Lease}
+	m.appendEvent(NewEvent(i, false))
 }
--- a/plat/keyval/txn_test.go
+++ b/plat/keyval/txn_test.go
@@ -38,42 +38,42 @@
 	is.True(errors.Is(err, ErrConflict)) // there is no such lease.
 }
 
-// whole reads a whole prefix of a memory.
-type whole struct {
+// flakyLister reads a whole prefix of a memory.
+type flakyLister struct {
 	*Memory
-	mu   sync.Mutex
-	fail int // calls that fail.
+	mu           sync.Mutex
+	failuresLeft int // calls that fail.
 }
 
-func (w *whole) failing() bool {
+func (w *flakyLister) failing() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fail--
-	return w.fail >= 0
+	w.failuresLeft--
+	return w.failuresLeft >= 0
 }
 
-func (w *whole) All(c context.Context, prefix string) ([]Item, Revision, error) {
+func (w *flakyLister) All(c context.Context, prefix string) ([]Item, Revision, error) {
 	if w.failing() {
 		return nil, 0, ErrDown
 	}
-	return w.List(c, prefix, "", maxList)
+	return w.List(c, prefix, "", maxListItems)
 }
 
-func (w *whole) Watch(c context.Context, prefix string, r Revision, d time.Duration) ([]Event, Revision, error) {
+func (w *flakyLister) Watch(c context.Context, prefix string, r Revision, d time.Duration) ([]Event, Revision, error) {
 	if w.failing() {
 		return nil, 0, ErrUnknown
 	}
 	return w.Memory.Watch(c, prefix, r, d)
 }
 
-// seen is a sink that keeps what it is told.
-type seen struct {
+// recordingSink is a sink that keeps what it is told.
+type recordingSink struct {
 	mu                  sync.Mutex
 	items               map[string]string
 	resets, lost, found int
 }
 
-func (s *seen) Reset(l []Item) {
+func (s *recordingSink) Reset(l []Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resets++
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *seen) Apply(l []Event) {
+func (s *recordingSink) Apply(l []Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range l {
@@ -95,18 +95,18 @@
 	}
 }
 
-func (s *seen) Lost(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }
-func (s *seen) Found()     { s.mu.Lock(); s.found++; s.mu.Unlock() }
+func (s *recordingSink) Lost(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }
+func (s *recordingSink) Found()     { s.mu.Lock(); s.found++; s.mu.Unlock() }
 
 func TestFollow(t *testing.T) {
 	is := is.New(t)
 	x, stop := context.WithCancel(context.Background())
-	w, s := &whole{Memory: NewMemory(), fail: 2}, &seen{}
+	w, s := &flakyLister{Memory: NewMemory(), failuresLeft: 2}, &recordingSink{}
 	_, err := w.Put(x, "p/1", []byte("a"), Any, 0)
 	is.NoErr(err)
 	g := errgroup.Group{}
 	g.Go(func() error { return Follow(x, w, "p/", 50*time.Millisecond, s) })
-	until := func(f func() bool) {
+	waitFor := func(f func() bool) {
 		t.Helper()
 		for range 400 {
 			s.mu.Lock()
@@ -119,15 +119,15 @@
 		}
 		t.Error("not reached")
 	}
-	until(func() bool { return s.items["p/1"] == "a" && s.lost == 1 && s.found == 1 })
+	waitFor(func() bool { return s.items["p/1"] == "a" && s.lost == 1 && s.found == 1 })
 	_, err = w.Put(x, "p/2", []byte("b"), Any, 0)
 	is.NoErr(err)
 	is.NoErr(w.Delete(x, "p/1", Any))
-	until(func() bool { return s.items["p/2"] == "b" && len(s.items) == 1 })
+	waitFor(func() bool { return s.items["p/2"] == "b" && len(s.items) == 1 })
 	w.mu.Lock()
-	w.fail = 1
+	w.failuresLeft = 1
 	w.mu.Unlock()
-	until(func() bool { return s.lost == 2 && s.found == 2 })
+	waitFor(func() bool { return s.lost == 2 && s.found == 2 })
 	is.Equal(s.resets, 1) // a failed watch goes on from where it was.
 	stop()
 	is.NoErr(g.Wait())
--- a/plat/keyval/watch.go
+++ b/plat/keyval/watch.go
@@ -18,25 +18,25 @@
 // Watch implements Store; ErrReset when rev is newer than the store or already forgotten.
 func (m *Memory) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	m.watches.Add(1)
-	if err := down(ctx, "watch", prefix); err != nil {
+	if err := checkContext(ctx, "watch", prefix); err != nil {
 		return nil, 0, err
 	}
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
-		l, to, w, err := m.after(prefix, rev)
+		l, nextRev, changed, err := m.eventsAfter(prefix, rev)
 		if err != nil || len(l) > 0 {
-			return l, to, err
+			return l, nextRev, err
 		}
-		rev = to
-		left := time.Until(end)
-		if left <= 0 {
-			return nil, to, nil
+		rev = nextRev
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return nil, nextRev, nil
 		}
-		t.Reset(min(left, m.lapse()))
+		t.Reset(min(remaining, m.untilNextExpiry()))
 		select {
-		case <-w:
+		case <-changed:
 		case <-t.C:
 		case <-ctx.Done():
 			return nil, 0, eris.Wrapf(ErrUnknown, "watch %s in memory: %v", prefix, ctx.Err())
@@ -44,30 +44,30 @@
 	}
 }
 
-// after returns the events after rev, the revision to go on from and the channel that the next change closes.
-func (m *Memory) after(prefix string, rev Revision) ([]Event, Revision, chan struct{}, error) {
+// eventsAfter returns the events after rev, the revision to go on from and the channel that the next change closes.
+func (m *Memory) eventsAfter(prefix string, rev Revision) ([]Event, Revision, chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
 	s := &m.state
-	if rev > s.rev || rev < s.forgot {
+	if rev > s.rev || rev < s.compactedRev {
 		return nil, s.rev, nil, eris.Wrapf(ErrReset, "watch %s from %d in memory at %d", prefix, rev, s.rev)
 	}
 	var l []Event
-	at := sort.Search(len(s.events), func(i int) bool { return s.events[i].item.rev > rev })
-	for _, e := range s.events[at:] {
+	pos := sort.Search(len(s.events), func(i int) bool { return s.events[i].item.rev > rev })
+	for _, e := range s.events[pos:] {
 		if !strings.HasPrefix(e.item.key, prefix) {
 			continue
 		}
 		if l = append(l, e); len(l) == maxEvents {
-			return l, e.item.rev, m.wake, nil
+			return l, e.item.rev, m.changed, nil
 		}
 	}
-	return l, s.rev, m.wake, nil
+	return l, s.rev, m.changed, nil
 }
 
-// lapse returns the time until the next lease may lapse.
-func (m *Memory) lapse() time.Duration {
+// untilNextExpiry returns the time until the next lease may lapse.
+func (m *Memory) untilNextExpiry() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := time.Duration(math.MaxInt64)
@@ -99,11 +99,11 @@
 	m.state = s.state
 	m.state.items, m.state.keys = maps.Clone(s.state.items), slices.Clone(s.state.keys)
 	m.state.events = slices.Clone(s.state.events)
-	m.leases = map[LeaseID]*grant{}
+	m.leases = map[LeaseID]*leaseState{}
 	for _, k := range slices.Clone(m.state.keys) {
 		if m.state.items[k].lease != 0 {
 			m.remove(k)
 		}
 	}
-	m.wakeAll()
+	m.notifyWatches()
 }
--- a/plat/lease/patience_test.go
+++ b/plat/lease/grace_test.go
@@ -14,21 +14,21 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// away is a store that can stop answering renewals.
-type away struct {
+// unreachableStore is a store that can stop answering renewals.
+type unreachableStore struct {
 	*keyval.Memory
-	down atomic.Bool
+	failRenewals atomic.Bool
 }
 
-func (a *away) Renew(c context.Context, id keyval.LeaseID) error {
-	if a.down.Load() {
+func (a *unreachableStore) Renew(c context.Context, id keyval.LeaseID) error {
+	if a.failRenewals.Load() {
 		return keyval.ErrUnknown
 	}
 	return a.Memory.Renew(c, id)
 }
 
-// hold starts the leases and returns a function that ends them.
-func hold(ls ...*lease.Lease) func() {
+// startLeases starts the leases and returns a function that ends them.
+func startLeases(ls ...*lease.Lease) func() {
 	c, stop := context.WithCancel(context.Background())
 	g := errgroup.Group{}
 	for _, l := range ls {
@@ -40,16 +40,16 @@
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestRenewalGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &away{Memory: keyval.NewMemory()}
+		s := &unreachableStore{Memory: keyval.NewMemory()}
 		l := lease.New(s, "k", "a", lease.WithTTL(ttl), lease.WithPatience(10*time.Second))
-		defer hold(l)()
+		defer startLeases(l)()
 		time.Sleep(time.Second)
 		f, held := l.Held()
 		is.True(held)
-		s.down.Store(true)
+		s.failRenewals.Store(true)
 		time.Sleep(ttl)
 		_, held = l.Held()
 		is.True(!held) // another process may have the key by now.
@@ -63,13 +63,13 @@
 	})
 }
 
-func TestDelayAndYield(t *testing.T) {
+func TestClaimDelayAndStepDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := keyval.NewMemory()
 		weak := lease.New(s, "k", "weak", lease.WithTTL(ttl), lease.WithDelay(func() time.Duration { return 3 * time.Second }))
 		strong := lease.New(s, "k", "strong", lease.WithTTL(ttl), lease.WithLook(500*time.Millisecond))
-		defer hold(weak, strong)()
+		defer startLeases(weak, strong)()
 		time.Sleep(time.Second)
 		_, held := strong.Held()
 		is.True(held) // the weak one leaves the free key to it.
--- a/plat/lease/lease_test.go
+++ b/plat/lease/lease_test.go
@@ -27,33 +27,33 @@
 
 const ttl = 6 * time.Second
 
-// rough is a store whose calls are slow, hang for longer than a lease, fail and lose their answers by chance.
-type rough struct {
+// unreliableStore is a store whose calls are slow, hang for longer than a lease, fail and lose their answers by chance.
+type unreliableStore struct {
 	keyval.Store
 	mu *sync.Mutex
 	r  *rand.Rand
 }
 
-func (s *rough) n(n int) int {
+func (s *unreliableStore) intn(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.Intn(n)
 }
 
-// pause sleeps for a short time, or now and then, as a process that was stopped, for up to twice a lease.
-func (s *rough) pause() {
-	d := time.Duration(s.n(100)) * time.Millisecond
-	if s.n(10) == 0 {
-		d = time.Duration(s.n(int(2 * ttl)))
+// sleep sleeps for a short time, or now and then, as a process that was stopped, for up to twice a lease.
+func (s *unreliableStore) sleep() {
+	d := time.Duration(s.intn(100)) * time.Millisecond
+	if s.intn(10) == 0 {
+		d = time.Duration(s.intn(int(2 * ttl)))
 	}
 	time.Sleep(d)
 }
 
-// do performs the write between two pauses, or loses it, or its answer.
-func (s *rough) do(write func() error) error {
-	s.pause()
-	defer s.pause()
-	switch s.n(12) {
+// performWrite performs the write between two pauses, or loses it, or its answer.
+func (s *unreliableStore) performWrite(write func() error) error {
+	s.sleep()
+	defer s.sleep()
+	switch s.intn(12) {
 	case 0:
 		return keyval.ErrUnknown
 	case 1, 2:
@@ -63,30 +63,30 @@
 	return write()
 }
 
-func (s *rough) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (rev keyval.Revision, err error) {
-	err = s.do(func() error {
+func (s *unreliableStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (rev keyval.Revision, err error) {
+	err = s.performWrite(func() error {
 		rev, err = s.Store.Put(context.WithoutCancel(ctx), key, v, cond, l)
 		return err
 	})
 	return rev, err
 }
 
-func (s *rough) Grant(ctx context.Context, d time.Duration) (id keyval.LeaseID, err error) {
-	err = s.do(func() error {
+func (s *unreliableStore) Grant(ctx context.Context, d time.Duration) (id keyval.LeaseID, err error) {
+	err = s.performWrite(func() error {
 		id, err = s.Store.Grant(context.WithoutCancel(ctx), d)
 		return err
 	})
 	return id, err
 }
 
-func (s *rough) Renew(ctx context.Context, l keyval.LeaseID) error {
-	return s.do(func() error { return s.Store.Renew(context.WithoutCancel(ctx), l) })
+func (s *unreliableStore) Renew(ctx context.Context, l keyval.LeaseID) error {
+	return s.performWrite(func() error { return s.Store.Renew(context.WithoutCancel(ctx), l) })
 }
 
-// act is what a holder does: it takes the document over under its fence, then writes under the revision that it read.
-func act(ctx context.Context, s *rough, l *lease.Lease) error {
+// writeAsHolder is what a holder does: it takes the document over under its fence, then writes under the revision that it read.
+func writeAsHolder(ctx context.Context, s *unreliableStore, l *lease.Lease) error {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(1+s.n(500)) * time.Millisecond)
+		time.Sleep(time.Duration(1+s.intn(500)) * time.Millisecond)
 		f, ok := l.Held()
 		if !ok {
 			continue
@@ -95,19 +95,19 @@
 		if err != nil {
 			continue
 		}
-		if at, _ := strconv.ParseInt(string(i.Value()), 10, 64); at > int64(f) {
+		if token, _ := strconv.ParseInt(string(i.Value()), 10, 64); token > int64(f) {
 			continue // a later holder has been here.
 		}
-		if s.n(10) == 0 {
-			time.Sleep(time.Duration(s.n(20)) * time.Second) // paused between the look and the act.
+		if s.intn(10) == 0 {
+			time.Sleep(time.Duration(s.intn(20)) * time.Second) // paused between the look and the act.
 		}
 		_, _ = s.Store.Put(ctx, "doc", []byte(fmt.Sprint(int64(f))), i.Rev(), 0)
 	}
 	return nil
 }
 
-// watch returns an error when two believe at one moment that they hold the key; the number of moments with a holder goes to seen.
-func watch(ctx context.Context, leases []*lease.Lease, seen *int) error {
+// checkSingleHolder returns an error when two believe at one moment that they hold the key; the number of moments with a holder goes to seen.
+func checkSingleHolder(ctx context.Context, leases []*lease.Lease, samples *int) error {
 	for ctx.Err() == nil {
 		time.Sleep(37 * time.Millisecond)
 		held := 0
@@ -119,13 +119,13 @@
 		if held > 1 {
 			return fmt.Errorf("%d holders at once", held)
 		}
-		*seen += held
+		*samples += held
 	}
 	return nil
 }
 
-// fences returns an error when the document was written under an older fence after a newer one.
-func fences(m *keyval.Memory) error {
+// checkFenceOrder returns an error when the document was written under an older fence after a newer one.
+func checkFenceOrder(m *keyval.Memory) error {
 	l, _, err := m.Watch(context.Background(), "doc", 0, 0)
 	if err != nil {
 		return err
@@ -141,38 +141,38 @@
 	return nil
 }
 
-func run(t *testing.T, seed int64, n int) (seen int, err error) {
+func simulate(t *testing.T, seed int64, n int) (samples int, err error) {
 	synctest.Test(t, func(t *testing.T) {
 		m := keyval.NewMemory()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 		defer cancel()
 		var g errgroup.Group
-		s := &rough{Store: m, mu: &sync.Mutex{}, r: rand.New(rand.NewSource(seed))}
+		s := &unreliableStore{Store: m, mu: &sync.Mutex{}, r: rand.New(rand.NewSource(seed))}
 		var leases []*lease.Lease
 		for i := range n {
 			l := lease.New(s, "dc/north/leader", fmt.Sprint("e", i), lease.WithTTL(ttl))
 			leases = append(leases, l)
 			g.Go(func() error { return l.Run(ctx) })
-			g.Go(func() error { return act(ctx, s, l) })
+			g.Go(func() error { return writeAsHolder(ctx, s, l) })
 		}
-		g.Go(func() error { return watch(ctx, leases, &seen) })
+		g.Go(func() error { return checkSingleHolder(ctx, leases, &samples) })
 		if err = g.Wait(); err == nil {
-			err = fences(m)
+			err = checkFenceOrder(m)
 		}
 	})
-	return seen, err
+	return samples, err
 }
 
 func TestNeverTwoHolders(t *testing.T) {
-	total := 0
+	samplesHeld := 0
 	rapid.Check(t, func(r *rapid.T) {
-		seen, err := run(t, rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 4).Draw(r, "holders"))
-		total += seen
+		samples, err := simulate(t, rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 4).Draw(r, "holders"))
+		samplesHeld += samples
 		if err != nil {
 			r.Fatal(err)
 		}
 	})
-	if total == 0 {
+	if samplesHeld == 0 {
 		t.Fatal("nobody ever held the key")
 	}
 }
@@ -204,28 +204,28 @@
 	})
 }
 
-// slow is a store that answers after a delay.
-type slow struct {
+// slowStore is a store that answers after a delay.
+type slowStore struct {
 	keyval.Store
 	delay time.Duration
 }
 
-func (s *slow) Get(ctx context.Context, key string) (keyval.Item, error) {
+func (s *slowStore) Get(ctx context.Context, key string) (keyval.Item, error) {
 	time.Sleep(s.delay)
 	return s.Store.Get(ctx, key)
 }
 
-func (s *slow) Grant(ctx context.Context, d time.Duration) (keyval.LeaseID, error) {
+func (s *slowStore) Grant(ctx context.Context, d time.Duration) (keyval.LeaseID, error) {
 	time.Sleep(s.delay)
 	return s.Store.Grant(ctx, d)
 }
 
-func (s *slow) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
+func (s *slowStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
 	time.Sleep(s.delay)
 	return s.Store.Put(ctx, key, v, cond, l)
 }
 
-func (s *slow) Renew(ctx context.Context, l keyval.LeaseID) error {
+func (s *slowStore) Renew(ctx context.Context, l keyval.LeaseID) error {
 	time.Sleep(s.delay)
 	return s.Store.Renew(ctx, l)
 }
@@ -236,8 +236,8 @@
 		m := keyval.NewMemory()
 		var g errgroup.Group
 		ctx, cancel := context.WithCancel(t.Context())
-		a := lease.New(&slow{Store: m, delay: 2 * time.Second}, "k", "a", lease.WithTTL(ttl))
-		b := lease.New(&slow{Store: m, delay: 2 * time.Second}, "k", "b", lease.WithTTL(ttl))
+		a := lease.New(&slowStore{Store: m, delay: 2 * time.Second}, "k", "a", lease.WithTTL(ttl))
+		b := lease.New(&slowStore{Store: m, delay: 2 * time.Second}, "k", "b", lease.WithTTL(ttl))
 		g.Go(func() error { return a.Run(ctx) })
 		time.Sleep(20 * time.Second)
 		g.Go(func() error { return b.Run(ctx) })
--- a/plat/tasks/client.go
+++ b/plat/tasks/client.go
@@ -82,29 +82,29 @@
 
 // Run implements Platform.
 func (c *Client) Run(ctx context.Context, r RunRequest) error {
-	_, err := c.act(ctx, PathRun, r.ID, r)
+	_, err := c.order(ctx, PathRun, r.ID, r)
 	return err
 }
 
 // Stop implements Platform.
 func (c *Client) Stop(ctx context.Context, id string) (State, error) {
-	a, err := c.act(ctx, PathStop, id, Request{ID: id})
+	a, err := c.order(ctx, PathStop, id, Request{ID: id})
 	return a.State, err
 }
 
 // Checkpoint implements Platform.
 func (c *Client) Checkpoint(ctx context.Context, id string) error {
-	_, err := c.act(ctx, PathCheckpoint, id, Request{ID: id})
+	_, err := c.order(ctx, PathCheckpoint, id, Request{ID: id})
 	return err
 }
 
 // Throttle implements Platform.
 func (c *Client) Throttle(ctx context.Context, id string, on bool) error {
-	_, err := c.act(ctx, PathThrottle, id, Request{ID: id, On: on})
+	_, err := c.order(ctx, PathThrottle, id, Request{ID: id, On: on})
 	return err
 }
 
-func (c *Client) act(ctx context.Context, path, id string, q any) (Answer, error) {
+func (c *Client) order(ctx context.Context, path, id string, q any) (Answer, error) {
 	var a Answer
 	if err := c.call(ctx, path, id, q, &a); err != nil {
 		return a, err
--- a/plat/wire/client.go
+++ b/plat/wire/client.go
@@ -18,11 +18,11 @@
 // DefaultTimeout bounds a call whose context has no deadline.
 const DefaultTimeout = 3 * time.Second
 
-// maxIdleLanes is the number of connections that are kept while unused.
-const maxIdleLanes = 16
+// maxIdleConns is the number of connections that are kept while unused.
+const maxIdleConns = 16
 
-// maxAnswer is the longest answer in bytes; a page of a list holds several values.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the longest answer in bytes; a page of a list holds several values.
+const maxResponseBytes = 64 << 20
 
 // Error reports a failed call.
 type Error struct {
@@ -48,12 +48,12 @@
 
 // Client posts calls to one address; it is safe for concurrent use.
 type Client struct {
-	addr, name string
-	timeout    time.Duration
-	idle       time.Duration
+	addr, name  string
+	timeout     time.Duration
+	idleTimeout time.Duration
 
-	mu    sync.Mutex
-	lanes []*lane // unused, the last used at the end.
+	mu        sync.Mutex
+	idleConns []*callConn // unused, the last used at the end.
 }
 
 // Request is one call of any method.
@@ -75,7 +75,7 @@
 type Option func(*Client)
 
 // WithIdle sets the time after which an unused connection is not trusted any more.
-func WithIdle(d time.Duration) Option { return func(c *Client) { c.idle = d } }
+func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 // WithName sets the name under which the platform knows the caller.
 func WithName(name string) Option { return func(c *Client) { c.name = name } }
@@ -85,7 +85,7 @@
 
 // New returns a client of the server at addr.
 func New(addr string, opts ...Option) *Client {
-	c := &Client{addr: addr, timeout: DefaultTimeout, idle: maxIdle}
+	c := &Client{addr: addr, timeout: DefaultTimeout, idleTimeout: defaultIdleTimeout}
 	for _, o := range opts {
 		o(c)
 	}
@@ -98,8 +98,8 @@
 // Close drops the unused connections; calls under way end with their contexts.
 func (c *Client) Close() {
 	c.mu.Lock()
-	l := c.lanes
-	c.lanes = nil
+	l := c.idleConns
+	c.idleConns = nil
 	c.mu.Unlock()
 	for _, o := range l {
 		o.close()
@@ -110,11 +110,11 @@
 // Each error is an Error: not Sent only when the call certainly took no effect.
 func (c *Client) Call(ctx context.Context, path string, in, out any, extra time.Duration) error {
 	if ctx.Err() != nil {
-		return c.fail(path, false, 0, context.Cause(ctx))
+		return c.newError(path, false, 0, context.Cause(ctx))
 	}
 	b, err := json.Marshal(in)
 	if err != nil {
-		return c.fail(path, false, 0, err)
+		return c.newError(path, false, 0, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+extra)
 	defer cancel()
@@ -123,7 +123,7 @@
 	defer fasthttp.ReleaseResponse(a)
 	c.prepare(q, path, b)
 	if err := c.send(ctx, q, a); err != nil {
-		return c.fail(path, !errors.Is(err, errDial), 0, err)
+		return c.newError(path, !errors.Is(err, errDial), 0, err)
 	}
 	return c.decode(path, a, out)
 }
@@ -131,7 +131,7 @@
 // Do performs the call in one attempt, within the default timeout and extra; each error is an Error.
 func (c *Client) Do(ctx context.Context, r Request, extra time.Duration) (Answer, error) {
 	if ctx.Err() != nil {
-		return Answer{}, c.fail(r.Path, false, 0, context.Cause(ctx))
+		return Answer{}, c.newError(r.Path, false, 0, context.Cause(ctx))
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+extra)
 	defer cancel()
@@ -144,7 +144,7 @@
 		q.Header.Set(k, v)
 	}
 	if err := c.send(ctx, q, a); err != nil {
-		return Answer{}, c.fail(r.Path, !errors.Is(err, errDial), 0, err)
+		return Answer{}, c.newError(r.Path, !errors.Is(err, errDial), 0, err)
 	}
 	h := fasthttp.ResponseHeader{}
 	a.Header.CopyTo(&h)
@@ -175,47 +175,47 @@
 	return nil
 }
 
-func (c *Client) acquire() *lane {
+func (c *Client) acquire() *callConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := len(c.lanes)
+	n := len(c.idleConns)
 	if n == 0 {
-		return newLane(c.addr, maxAnswer, c.idle)
+		return newCallConn(c.addr, maxResponseBytes, c.idleTimeout)
 	}
-	l := c.lanes[n-1]
-	c.lanes = c.lanes[:n-1]
+	l := c.idleConns[n-1]
+	c.idleConns = c.idleConns[:n-1]
 	return l
 }
 
-func (c *Client) release(l *lane) {
+func (c *Client) release(l *callConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.lanes) < maxIdleLanes {
-		c.lanes = append(c.lanes, l)
+	if len(c.idleConns) < maxIdleConns {
+		c.idleConns = append(c.idleConns, l)
 		return
 	}
 	l.close()
 }
 
-type refusal struct {
+type errorBody struct {
 	Error string `json:"error"`
 }
 
 // decode reads the answer; only a status other than 200 with an error in JSON says that the call took no effect.
 func (c *Client) decode(path string, a *fasthttp.Response, out any) error {
 	if s := a.StatusCode(); s != fasthttp.StatusOK {
-		var r refusal
+		var r errorBody
 		if err := json.Unmarshal(a.Body(), &r); err != nil || r.Error == "" {
-			return c.fail(path, true, s, errors.New("answer is not the platform's"))
+			return c.newError(path, true, s, errors.New("answer is not the platform's"))
 		}
-		return c.fail(path, false, s, errors.New(r.Error))
+		return c.newError(path, false, s, errors.New(r.Error))
 	}
 	if err := json.Unmarshal(a.Body(), out); err != nil {
-		return c.fail(path, true, 0, err)
+		return c.newError(path, true, 0, err)
 	}
 	return nil
 }
 
-func (c *Client) fail(path string, sent bool, status int, cause error) error {
+func (c *Client) newError(path string, sent bool, status int, cause error) error {
 	return &Error{path: path, peer: c.addr, sent: sent, status: status, cause: cause}
 }
--- a/plat/wire/lane.go
+++ b/plat/wire/conn.go
@@ -10,25 +10,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxIdle is the time after which an unused connection is not trusted any more.
-const maxIdle = 2 * time.Second
+// defaultIdleTimeout is the time after which an unused connection is not trusted any more.
+const defaultIdleTimeout = 2 * time.Second
 
-// maxDial bounds the opening of a connection.
-const maxDial = time.Second
+// dialTimeout bounds the opening of a connection.
+const dialTimeout = time.Second
 
 var errDial = errors.New("dial")
 
-// lane carries one call at a time on at most one connection, so that a call can be cut off with its connection.
-type lane struct {
+// callConn carries one call at a time on at most one connection, so that a call can be cut off with its connection.
+type callConn struct {
 	host *fasthttp.HostClient
 
-	mu   sync.Mutex
-	conn net.Conn
-	cut  bool
+	mu      sync.Mutex
+	conn    net.Conn
+	aborted bool
 }
 
-func newLane(addr string, maxBody int, idle time.Duration) *lane {
-	l := &lane{}
+func newCallConn(addr string, maxBody int, idle time.Duration) *callConn {
+	l := &callConn{}
 	l.host = &fasthttp.HostClient{
 		Addr:                      addr,
 		MaxConns:                  1,
@@ -43,9 +43,9 @@
 }
 
 // dial opens the lane's connection and remembers it; its error is an errDial.
-func (l *lane) dial(addr string, timeout time.Duration) (net.Conn, error) {
-	if timeout <= 0 || timeout > maxDial {
-		timeout = maxDial
+func (l *callConn) dial(addr string, timeout time.Duration) (net.Conn, error) {
+	if timeout <= 0 || timeout > dialTimeout {
+		timeout = dialTimeout
 	}
 	c, err := net.DialTimeout("tcp", addr, timeout) //nolint:noctx // the lane's owner closes the connection when its context ends
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.aborted {
 		return nil, errors.Join(errDial, c.Close())
 	}
 	l.conn = c
@@ -66,7 +66,7 @@
 }
 
 // do performs the call; when ctx ends first, it closes the connection, so that no late answer is read by another call.
-func (l *lane) do(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response) error {
+func (l *callConn) do(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response) error {
 	stop := context.AfterFunc(ctx, l.abort)
 	var err error
 	if d, ok := ctx.Deadline(); ok {
@@ -80,17 +80,17 @@
 	return err
 }
 
-func (l *lane) abort() {
+func (l *callConn) abort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.aborted = true
 	if l.conn != nil {
 		_ = l.conn.Close()
 	}
 }
 
 // close drops the connection.
-func (l *lane) close() {
+func (l *callConn) close() {
 	l.abort()
 	l.host.CloseIdleConnections()
 }
--- a/plat/wire/lane_test.go
+++ b/plat/wire/conn_test.go
@@ -13,7 +13,7 @@
 )
 
 // A call that is given up resets its connection: a close in order would let bytes that are held up on the way arrive later.
-func TestGivenUpCallIsReset(t *testing.T) {
+func TestCanceledCallResetsConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
