--- a/plat/hosts/client.go
+++ b/plat/hosts/client.go
@@ -11,27 +11,27 @@
 )
 
 var (
-	// ErrDown reports that the call certainly took no effect.
+	// ErrDown reports that the call certainly had no effect.
 	ErrDown = eris.New("hosts: platform cannot be reached")
-	// ErrUnknown reports that the call was sent and its answer was lost.
+	// ErrUnknown reports that the call was sent and its response was lost, so that it may have taken effect.
 	ErrUnknown = eris.New("hosts: outcome unknown")
-	// ErrRefused reports that the platform answered and did not do it.
+	// ErrRefused reports that the platform answered that it did not carry out the call.
 	ErrRefused = eris.New("hosts: platform refused")
 )
 
-// Bodies of the platform's calls, as the client sends them and a stand-in reads them.
+// JSON bodies of requests to the platform and of its responses, shared by the client and the stand-ins.
 type (
 	// ListAnswer holds every VM that the platform knows.
 	ListAnswer struct {
 		VMs []Wire `json:"vms"`
 	}
-	// Request names the VM and, where the call has one, its operation or pool.
+	// Request names the VM, with the operation id of a reboot or the pool of an assignment.
 	Request struct {
 		ID   string `json:"id"`
 		Op   string `json:"op,omitempty"`
 		Pool string `json:"pool,omitempty"`
 	}
-	// Answer tells whether the call took effect.
+	// Answer reports whether the call took effect.
 	Answer struct {
 		OK bool `json:"ok"`
 	}
@@ -46,26 +46,26 @@
 	PathAssign  = "/vm/assign"
 )
 
-// Client is a Platform over its HTTP API; each method makes exactly one attempt, and each may be repeated after ErrUnknown.
+// Client is a Platform that calls the HTTP API. Each method makes exactly one attempt, and may be called again after ErrUnknown.
 type Client struct {
 	wire *wire.Client
 }
 
 var _ Platform = (*Client)(nil)
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option = wire.Option
 
-// WithName sets the name under which the platform knows the calling entry.
+// WithName sets the name by which the calling entry identifies itself to the platform.
 func WithName(name string) Option { return wire.WithName(name) }
 
-// WithTimeout bounds a call whose context has no deadline.
+// WithTimeout sets the longest time of a call. An earlier deadline of the call's context applies instead.
 func WithTimeout(d time.Duration) Option { return wire.WithTimeout(d) }
 
 // New returns a client of the platform at addr.
 func New(addr string, opts ...Option) *Client { return &Client{wire: wire.New(addr, opts...)} }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.wire.Close() }
 
 // List implements Platform.
@@ -91,7 +91,7 @@
 	return c.order(ctx, PathUndrain, Request{ID: id})
 }
 
-// Reboot implements Platform; after ErrUnknown it is repeated with the same op.
+// Reboot implements Platform. After ErrUnknown, repeat it with the same op.
 func (c *Client) Reboot(ctx context.Context, id, op string) error {
 	return c.order(ctx, PathReboot, Request{ID: id, Op: op})
 }
--- a/plat/hosts/doc.go
+++ b/plat/hosts/doc.go
@@ -1,2 +1,2 @@
-// Package hosts is the client of the platform's list of VMs and of its drain, reboot and assign calls.
+// Package hosts is the client of the platform's calls that list, drain, reboot and assign VMs.
 package hosts
--- a/plat/hosts/hosts.go
+++ b/plat/hosts/hosts.go
@@ -2,29 +2,29 @@
 
 import "context"
 
-// State is what the platform's lagging list says of a VM.
+// State is the state of a VM in the platform's list, which lags behind the actual state.
 type State string
 
 const (
-	// Live means that the VM runs as far as the platform knows.
+	// Live means that the VM runs, as far as the platform knows.
 	Live State = "live"
 	// Leaving means that the platform is about to stop the VM or is rebooting it.
 	Leaving State = "leaving"
-	// Gone means that the VM has stopped for good and runs nothing any more.
+	// Gone means that the VM has stopped permanently and runs nothing.
 	Gone State = "gone"
 )
 
-// Kind tells what a VM is for.
+// Kind is the purpose of a VM.
 type Kind string
 
 const (
-	// Worker is a VM that serves targets.
+	// Worker is a VM that runs targets.
 	Worker Kind = "worker"
 	// Entry is a VM that runs an entry process.
 	Entry Kind = "entry"
 )
 
-// VM is one line of the platform's list.
+// VM is an item of the platform's list of VMs.
 type VM struct {
 	id, addr, dataCentre, rack, pool string
 	state                            State
@@ -33,25 +33,25 @@
 	cores, memoryMB, accelerators    int
 }
 
-// ID returns the VM's name, unique in the fleet.
+// ID returns the VM's name, which is unique in the fleet.
 func (v VM) ID() string { return v.id }
 
 // Addr returns the host:port of the target or of the entry's peer listener on the VM.
 func (v VM) Addr() string { return v.addr }
 
-// DataCentre returns the data centre that the VM stands in.
+// DataCentre returns the data centre of the VM.
 func (v VM) DataCentre() string { return v.dataCentre }
 
-// Rack returns the failure domain inside the data centre.
+// Rack returns the VM's failure domain inside the data centre.
 func (v VM) Rack() string { return v.rack }
 
 // Pool returns the pool that the platform last assigned the VM to.
 func (v VM) Pool() string { return v.pool }
 
-// State returns live, leaving or gone.
+// State returns the VM's state.
 func (v VM) State() State { return v.state }
 
-// Kind returns worker or entry.
+// Kind returns the VM's purpose.
 func (v VM) Kind() Kind { return v.kind }
 
 // Boot returns a number that grows with each boot of the VM.
@@ -66,7 +66,7 @@
 // Accelerators returns the number of accelerators.
 func (v VM) Accelerators() int { return v.accelerators }
 
-// Wire is a VM's form in JSON, with the field names of the platform's API.
+// Wire is the JSON form of a VM in the platform's API.
 type Wire struct {
 	ID           string `json:"id"`
 	Addr         string `json:"addr"`
@@ -90,16 +90,16 @@
 	}
 }
 
-// Platform is what the platform does with VMs.
+// Platform is the set of the platform's calls about VMs.
 type Platform interface {
-	// List returns every VM the platform knows; the list lags behind the truth.
+	// List returns every VM that the platform knows. The list lags behind the actual state.
 	List(ctx context.Context) ([]VM, error)
-	// Drain tells the platform that the VM is about to leave; Undrain takes that back.
+	// Drain informs the platform that the VM is about to leave. Undrain reverses it.
 	Drain(ctx context.Context, id string) error
-	// Undrain tells the platform that the VM serves again.
+	// Undrain informs the platform that the VM serves again.
 	Undrain(ctx context.Context, id string) error
-	// Reboot restarts the VM; calls with the same op restart it at most once.
+	// Reboot restarts the VM. All calls with the same op together restart it at most once.
 	Reboot(ctx context.Context, id, op string) error
-	// Assign puts the VM into pool on the platform's side.
+	// Assign records on the platform that the VM belongs to pool.
 	Assign(ctx context.Context, id, pool string) error
 }
--- a/plat/keyval/client.go
+++ b/plat/keyval/client.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/plat/wire"
 )
 
-// Client is a Store over the service's HTTP API; each method makes exactly one attempt.
+// Client is a Store that calls the service's HTTP API. Each method makes exactly one attempt.
 type Client struct {
 	wire                       *wire.Client
 	reads, writes, watches     atomic.Int64
@@ -21,13 +21,14 @@
 
 var _ Store = (*Client)(nil)
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option = wire.Option
 
-// WithName sets the name under which the platform knows the calling entry.
+// WithName sets the name by which the calling entry identifies itself to the platform.
 func WithName(name string) Option { return wire.WithName(name) }
 
-// WithTimeout bounds a call whose context has no deadline; a watch gets its wait on top.
+// WithTimeout sets the longest time of a call, to which a watch adds its wait. An earlier deadline of the call's context applies
+// instead.
 func WithTimeout(d time.Duration) Option { return wire.WithTimeout(d) }
 
 // New returns a client of the service at addr.
@@ -35,7 +36,7 @@
 	return &Client{wire: wire.New(addr, opts...)}
 }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.wire.Close() }
 
 // Reads returns the number of gets and lists so far.
@@ -106,7 +107,7 @@
 	return c.checkApplied(a.OK, PathDelete, key)
 }
 
-// Watch implements Store; ErrReset means that the caller must list again.
+// Watch implements Store. After ErrReset the caller must list again.
 func (c *Client) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	c.watches.Add(1)
 	var a WatchAnswer
@@ -115,7 +116,7 @@
 		return nil, 0, err
 	}
 	if a.Reset {
-		return nil, a.Rev, eris.Wrapf(ErrReset, "watch %s from %d at %s", prefix, rev, c.wire.Addr())
+		return nil, a.Rev, eris.Wrapf(ErrReset, "watch %s from revision %d at %s", prefix, rev, c.wire.Addr())
 	}
 	l := make([]Event, len(a.Events))
 	for i, w := range a.Events {
@@ -159,7 +160,7 @@
 	return eris.Wrapf(ErrConflict, "%s %s at %s", path, key, c.wire.Addr())
 }
 
-// call makes the one attempt and sorts its error into ErrDown, ErrUnknown and ErrTooLarge.
+// call makes one attempt and classifies its error as ErrDown, ErrUnknown or ErrTooLarge.
 func (c *Client) call(ctx context.Context, path, key string, in, out any, extra time.Duration) error {
 	err := c.wire.Call(ctx, path, in, out, extra)
 	if err == nil {
--- a/plat/keyval/doc.go
+++ b/plat/keyval/doc.go
@@ -1,2 +1,2 @@
-// Package keyval is the client of the platform's key-value service: compare-and-swap, leases and watches.
+// Package keyval is the client of the platform's key-value service, which offers compare-and-swap, leases and watches.
 package keyval
--- a/plat/keyval/follow.go
+++ b/plat/keyval/follow.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Follow timing.
+// Timing of Follow.
 const (
-	followRetryInterval = 150 * time.Millisecond // between tries while the service does not answer.
-	watchTimeoutMargin  = time.Second            // a watch is given up so long after its wait.
+	followRetryInterval = 150 * time.Millisecond // between attempts while the service does not answer
+	watchTimeoutMargin  = time.Second            // added to the wait of a watch to get its timeout
 )
 
-// Lister reads all items under a prefix, and the revision from which a watch goes on.
+// Lister reads the items under a prefix: All lists them with the revision to watch from, and Watch returns later changes.
 type Lister interface {
 	All(ctx context.Context, prefix string) ([]Item, Revision, error)
 	Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error)
 }
 
-// Sink takes in what a Follow reads; its methods are called one after the other.
+// Sink receives the items and changes that Follow reads. Its methods are never called concurrently.
 type Sink interface {
-	// Reset replaces everything that is known.
+	// Reset replaces all items.
 	Reset(items []Item)
-	// Apply changes single keys.
+	// Apply applies changes of single keys.
 	Apply(events []Event)
-	// Lost tells that the service did not answer; Found that it does again.
+	// Lost reports the first error of an outage of the service.
 	Lost(err error)
+	// Found reports the end of the outage.
 	Found()
 }
 
-// Follow keeps s up to date with the items under prefix until ctx ends; wait is the longest time that one watch waits.
+// Follow keeps s up to date with the items under prefix until ctx ends. Each watch waits for up to wait. It returns nil.
 func Follow(ctx context.Context, l Lister, prefix string, wait time.Duration, s Sink) error {
 	rev, synced, disconnected := Revision(0), false, false
 	for ctx.Err() == nil {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// followStep makes one step and returns the revision to go on from.
+// followStep lists the items if s is not synced yet, and watches for changes otherwise. It returns the revision to continue from and
+// whether s is synced.
 func followStep(ctx context.Context, l Lister, prefix string, wait time.Duration, s Sink, rev Revision, synced bool) (Revision, bool, error) {
 	if !synced {
 		items, listRev, err := l.All(ctx, prefix)
--- a/plat/keyval/memory.go
+++ b/plat/keyval/memory.go
@@ -11,13 +11,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// defaultHistory is the number of past events that watches can go on from.
+// defaultHistory is the number of past events from which a watch can continue.
 const defaultHistory = 8_192
 
-// maxListItems is the number of items that one list returns at most.
+// maxListItems is the largest number of items that one list returns.
 const maxListItems = 1_000
 
-// Memory is a Store in memory for tests and stand-ins, safe for concurrent use.
+// Memory is an in-memory Store for tests and stand-ins. It is safe for concurrent use.
 type Memory struct {
 	now     func() time.Time
 	history int
@@ -28,15 +28,15 @@
 	state     memoryState
 	leases    map[LeaseID]*leaseState
 	lastLease LeaseID
-	changed   chan struct{} // closed and replaced at each change.
+	changed   chan struct{} // closed and replaced at each change
 }
 
 type memoryState struct {
 	rev          Revision
 	items        map[string]storedItem
-	keys         []string // sorted
+	keys         []string // in ascending order
 	events       []Event  // by revision
-	compactedRev Revision // events up to this one are forgotten.
+	compactedRev Revision // revision of the last event that was dropped from events
 }
 
 type storedItem struct {
@@ -51,13 +51,13 @@
 
 var _ Store = (*Memory)(nil)
 
-// MemoryOption adjusts a memory.
+// MemoryOption configures a Memory.
 type MemoryOption func(*Memory)
 
-// WithClock sets the clock of the leases.
+// WithClock sets the clock by which leases expire.
 func WithClock(now func() time.Time) MemoryOption { return func(m *Memory) { m.now = now } }
 
-// WithHistory sets the number of past events that watches can go on from.
+// WithHistory sets the number of past events from which a watch can continue.
 func WithHistory(n int) MemoryOption { return func(m *Memory) { m.history = max(n, 1) } }
 
 // NewMemory returns an empty store.
@@ -73,7 +73,7 @@
 // Reads returns the number of gets and lists so far.
 func (m *Memory) Reads() int64 { return m.reads.Load() }
 
-// Writes returns the number of puts, deletes and lease calls so far.
+// Writes returns the number of puts, deletes, transactions and lease calls so far.
 func (m *Memory) Writes() int64 { return m.writes.Load() }
 
 // Watches returns the number of watches so far.
@@ -123,7 +123,7 @@
 	return l, m.state.rev, nil
 }
 
-// Put implements Store; ErrConflict also when the lease has lapsed.
+// Put implements Store. It also returns ErrConflict if the lease has expired.
 func (m *Memory) Put(ctx context.Context, key string, value []byte, cond Revision, lease LeaseID) (Revision, error) {
 	m.writes.Add(1)
 	if err := checkContext(ctx, "put", key); err != nil {
@@ -136,7 +136,7 @@
 	defer m.mu.Unlock()
 	m.expire()
 	if !m.conditionHolds(key, cond) || (lease != 0 && m.leases[lease] == nil) {
-		return 0, eris.Wrapf(ErrConflict, "put %s under %d in memory", key, cond)
+		return 0, eris.Wrapf(ErrConflict, "put %s with condition %d in memory store", key, cond)
 	}
 	i := Item{key: key, value: slices.Clone(value), rev: m.state.rev + 1}
 	if pos, ok := slices.BinarySearch(m.state.keys, key); !ok {
@@ -157,7 +157,7 @@
 	defer m.mu.Unlock()
 	m.expire()
 	if !m.conditionHolds(key, cond) {
-		return eris.Wrapf(ErrConflict, "delete %s under %d in memory", key, cond)
+		return eris.Wrapf(ErrConflict, "delete %s with condition %d in memory store", key, cond)
 	}
 	m.remove(key)
 	return nil
@@ -187,13 +187,13 @@
 	m.expire()
 	g := m.leases[id]
 	if g == nil {
-		return eris.Wrapf(ErrConflict, "renew lease %d in memory", id)
+		return eris.Wrapf(ErrConflict, "renew lease %d in memory store", id)
 	}
 	g.expiry = m.now().Add(g.ttl)
 	return nil
 }
 
-// Revoke implements Store; ErrConflict when the lease has lapsed already.
+// Revoke implements Store. It returns ErrConflict if the lease has already expired.
 func (m *Memory) Revoke(ctx context.Context, id LeaseID) error {
 	m.writes.Add(1)
 	if err := checkContext(ctx, "revoke", ""); err != nil {
@@ -203,7 +203,7 @@
 	defer m.mu.Unlock()
 	m.expire()
 	if m.leases[id] == nil {
-		return eris.Wrapf(ErrConflict, "revoke lease %d in memory", id)
+		return eris.Wrapf(ErrConflict, "revoke lease %d in memory store", id)
 	}
 	m.endLease(id)
 	return nil
@@ -226,7 +226,7 @@
 	m.appendEvent(NewEvent(Item{key: key, rev: r}, true))
 }
 
-// expire ends the leases whose time has come; the lock is held.
+// expire ends the leases that have expired and removes their keys. The caller must hold m.mu.
 func (m *Memory) expire() {
 	if len(m.leases) == 0 {
 		return
@@ -248,7 +248,7 @@
 	}
 }
 
-// appendEvent appends the event of the next revision and wakes the watches; the lock is held.
+// appendEvent appends the event of the next revision and wakes the watches. The caller must hold m.mu.
 func (m *Memory) appendEvent(e Event) {
 	s := &m.state
 	s.rev = e.item.rev
@@ -265,10 +265,10 @@
 	m.changed = make(chan struct{})
 }
 
-// checkContext returns ErrDown when ctx has ended before the call.
+// checkContext returns ErrDown if ctx has already ended, since no call is made then.
 func checkContext(ctx context.Context, step, key string) error {
 	if ctx.Err() == nil {
 		return nil
 	}
-	return eris.Wrapf(ErrDown, "%s %s in memory: %v", step, key, ctx.Err())
+	return eris.Wrapf(ErrDown, "%s %s in memory store: %v", step, key, ctx.Err())
 }
--- a/plat/keyval/memory_test.go
+++ b/plat/keyval/memory_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// call is one client's call on one key; an unknown put may take effect at any later time.
+// call is a get or put of the one key. A put whose outcome is unknown may take effect at any later time, or never.
 type call struct {
 	put   bool
 	value int
@@ -45,7 +45,7 @@
 	rev   keyval.Revision
 }
 
-// model is the register that a history must be explained by; only this key is written, so each write has the next revision.
+// model is the register that a history must be linearizable against. Only one key is written, so each write has the next revision.
 var model = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{register{}} },
 	Step: func(s, in, out any) []any {
@@ -66,15 +66,16 @@
 	},
 }).ToModel()
 
-// runClient calls the store count times and notes what it saw; the clock is a counter that all share.
-func runClient(s keyval.Store, r *rand.Rand, id, count int, loseAnswers bool) []porcupine.Operation {
+// runClient calls the store count times and records each call with its outcome and times. All clients share the clock of the
+// synctest bubble.
+func runClient(s keyval.Store, r *rand.Rand, id, count int, loseResponses bool) []porcupine.Operation {
 	var l []porcupine.Operation
 	last := keyval.Absent
 	for k := range count {
 		time.Sleep(time.Duration(r.Intn(50)) * time.Millisecond)
 		c := call{put: r.Intn(2) == 0, value: id*1000 + k, cond: last}
 		op := porcupine.Operation{ClientId: id, Input: c, Call: time.Now().UnixNano()}
-		o, lost := performCall(s, r, c, loseAnswers)
+		o, lost := performCall(s, r, c, loseResponses)
 		op.Output, op.Return = o, time.Now().UnixNano()
 		if lost {
 			op.Return = int64(1) << 62
@@ -87,7 +88,7 @@
 	return l
 }
 
-func performCall(s keyval.Store, r *rand.Rand, c call, loseAnswers bool) (outcome, bool) {
+func performCall(s keyval.Store, r *rand.Rand, c call, loseResponses bool) (outcome, bool) {
 	ctx := context.Background()
 	time.Sleep(time.Duration(r.Intn(20)) * time.Millisecond)
 	if !c.put {
@@ -97,7 +98,7 @@
 		return outcome{value: v, rev: i.Rev()}, false
 	}
 	write := func() (keyval.Revision, error) { return s.Put(ctx, "k", []byte(strconv.Itoa(c.value)), c.cond, 0) }
-	if loseAnswers && r.Intn(4) == 0 {
+	if loseResponses && r.Intn(4) == 0 {
 		d := time.Duration(r.Intn(100)) * time.Millisecond
 		if r.Intn(2) == 0 {
 			time.AfterFunc(d, func() { _, _ = write() })
@@ -110,10 +111,10 @@
 }
 
 func TestCompareAndSwapIsLinearizable(t *testing.T) {
-	for _, loseAnswers := range []bool{false, true} {
-		t.Run(fmt.Sprint("lose=", loseAnswers), func(t *testing.T) {
+	for _, loseResponses := range []bool{false, true} {
+		t.Run(fmt.Sprint("lose=", loseResponses), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				h := recordHistory(t, keyval.NewMemory(), rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 5).Draw(r, "clients"), loseAnswers)
+				h := recordHistory(t, keyval.NewMemory(), rapid.Int64().Draw(r, "seed"), rapid.IntRange(1, 5).Draw(r, "clients"), loseResponses)
 				if got := porcupine.CheckOperationsTimeout(model, h, 20*time.Second); got != porcupine.Ok {
 					r.Fatalf("history of %d calls is %s", len(h), got)
 				}
@@ -122,7 +123,7 @@
 	}
 }
 
-// staleStore is a store whose reads now and then show an older value.
+// staleStore is a store whose reads return the first value that was read, so that the checker must reject its history.
 type staleStore struct {
 	keyval.Store
 	mu    sync.Mutex
@@ -146,18 +147,18 @@
 	}
 }
 
-func recordHistory(t *testing.T, s keyval.Store, seed int64, clients int, loseAnswers bool) []porcupine.Operation {
+func recordHistory(t *testing.T, s keyval.Store, seed int64, clients int, loseResponses bool) []porcupine.Operation {
 	parts := make([][]porcupine.Operation, clients)
 	synctest.Test(t, func(*testing.T) {
 		var g errgroup.Group
 		for i := range clients {
 			g.Go(func() error {
-				parts[i] = runClient(s, rand.New(rand.NewSource(seed+int64(i))), i, 10, loseAnswers)
+				parts[i] = runClient(s, rand.New(rand.NewSource(seed+int64(i))), i, 10, loseResponses)
 				return nil
 			})
 		}
 		_ = g.Wait()
-		time.Sleep(time.Second) // late writes
+		time.Sleep(time.Second) // for writes that take effect after their call returned
 	})
 	var h []porcupine.Operation
 	for _, p := range parts {
@@ -166,7 +167,7 @@
 	return h
 }
 
-func TestLeaseLapsesWithItsKeys(t *testing.T) {
+func TestLeaseExpiryRemovesKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m, ctx := keyval.NewMemory(), t.Context()
@@ -183,7 +184,7 @@
 		is.NoErr(err)
 		is.Equal(len(e), 1)
 		is.True(e[0].Deleted())
-		is.Equal(time.Since(begin), 3*time.Second) // the watch ends when the lease lapses
+		is.Equal(time.Since(begin), 3*time.Second) // the watch returns when the lease expires
 		is.True(errors.Is(m.Renew(ctx, id), keyval.ErrConflict))
 		_, err = m.Put(ctx, "a/2", nil, keyval.Absent, id)
 		is.True(errors.Is(err, keyval.ErrConflict)) // a late write of a former holder
--- a/plat/keyval/store.go
+++ b/plat/keyval/store.go
@@ -7,43 +7,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// Revision is the service's global number of one write; it grows by one with each write.
+// Revision is the number of a write to the service; each write, or transaction, increases it by one.
 type Revision int64
 
 const (
-	// Absent as a condition demands that the key does not exist.
+	// Absent is the condition that the key does not exist.
 	Absent Revision = 0
-	// Any as a condition lets the write pass whatever the key holds.
+	// Any is the condition that always holds, whether or not the key exists.
 	Any Revision = -1
 )
 
 var (
-	// ErrConflict reports that a write's condition did not hold; the write was certainly not applied.
+	// ErrConflict reports that the condition of a write did not hold. The write was certainly not applied.
 	ErrConflict = eris.New("keyval: condition does not hold")
-	// ErrDown reports that the call certainly was not applied, because it never reached the service.
+	// ErrDown reports that the call was certainly not applied: it did not reach the service, or the service refused it.
 	ErrDown = eris.New("keyval: service cannot be reached")
-	// ErrUnknown reports that the call was sent and its answer was lost, so that a write may or may not be applied.
+	// ErrUnknown reports that the call was sent and its response was lost. A write may or may not be applied, possibly later.
 	ErrUnknown = eris.New("keyval: outcome unknown")
-	// ErrTooLarge reports a value over MaxValue bytes; nothing was sent.
+	// ErrTooLarge reports a value of more than MaxValue bytes. Nothing was written.
 	ErrTooLarge = eris.New("keyval: value too large")
-	// ErrReset reports that a watch cannot go on from its revision, because the service is older or has forgotten it: list again.
-	ErrReset = eris.New("keyval: watch must list again")
+	// ErrReset reports that a watch cannot continue from its revision, because the service was restored to an older revision or
+	// no longer has the events after it. The caller must list again.
+	ErrReset = eris.New("keyval: watch cannot continue from its revision; list again")
 )
 
-// MaxValue is the largest value in bytes.
+// MaxValue is the largest size of a value in bytes.
 const MaxValue = 1 << 20
 
-// LeaseID names a lease of the service; zero means no lease.
+// LeaseID identifies a lease of the service; zero means no lease.
 type LeaseID int64
 
-// Item is one key with its value and the revision of its last write.
+// Item is a key with its value and the revision of its last write.
 type Item struct {
 	key   string
 	value []byte
 	rev   Revision
 }
 
-// NewItem returns an item, as a store or a fake hands it out.
+// NewItem returns an item, for implementations of Store.
 func NewItem(key string, value []byte, rev Revision) Item {
 	return Item{key: key, value: value, rev: rev}
 }
@@ -54,19 +55,19 @@
 // Value returns the item's value; the caller must not change it.
 func (i Item) Value() []byte { return i.value }
 
-// Rev returns the revision of the write that made the item.
+// Rev returns the revision of the item's last write, or Absent if the key does not exist.
 func (i Item) Rev() Revision { return i.rev }
 
-// Found reports whether the key existed.
+// Found reports whether the key exists.
 func (i Item) Found() bool { return i.rev > 0 }
 
-// Event is one change that a watch reports.
+// Event is a change of one key that a watch reports.
 type Event struct {
 	item    Item
 	deleted bool
 }
 
-// NewEvent returns an event.
+// NewEvent returns the event that i was written, or deleted if deleted is set.
 func NewEvent(i Item, deleted bool) Event { return Event{item: i, deleted: deleted} }
 
 // Item returns the key, value and revision of the change.
@@ -75,27 +76,28 @@
 // Deleted reports whether the change removed the key.
 func (e Event) Deleted() bool { return e.deleted }
 
-// Store is everything that the platform's key-value service offers.
+// Store is the platform's key-value service.
 type Store interface {
-	// Get returns the item at key; an item that is not Found and no error when the key does not exist.
+	// Get returns the item at key. If the key does not exist, it returns an item that is not Found and no error.
 	Get(ctx context.Context, key string) (Item, error)
-	// List returns up to limit items whose keys begin with prefix and follow after, in key order, and the service's revision.
+	// List returns, in key order, up to limit items whose keys begin with prefix and come after the key after, and the service's revision.
 	List(ctx context.Context, prefix, after string, limit int) ([]Item, Revision, error)
-	// Put writes value under key if the key's revision is cond (Absent, Any or a revision) and returns the new revision.
+	// Put writes value under key if the key's revision is cond (Absent, Any or a revision), and returns the new revision. A lease
+	// other than 0 removes the key when it ends.
 	Put(ctx context.Context, key string, value []byte, cond Revision, lease LeaseID) (Revision, error)
-	// Delete removes key if its revision is cond.
+	// Delete removes key if the key's revision is cond.
 	Delete(ctx context.Context, key string, cond Revision) error
-	// Watch waits up to wait for changes after rev under prefix and returns them with the revision to go on from.
+	// Watch waits for up to wait for changes after rev under prefix, and returns them with the revision to continue from.
 	Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error)
-	// Grant opens a lease that lapses ttl after its last renewal.
+	// Grant creates a lease that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends the lease; ErrConflict means that it has lapsed.
+	// Renew extends the lease. ErrConflict means that it has expired.
 	Renew(ctx context.Context, id LeaseID) error
 	// Revoke ends the lease and removes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// Guard is a condition of a transaction: the key is at the revision, or Absent.
+// Guard is a condition of a transaction: the key's revision is Rev, or the key is Absent.
 type Guard struct {
 	Key string
 	Rev Revision
@@ -109,23 +111,23 @@
 	Delete bool
 }
 
-// Txn is a set of writes that are applied together, if every guard holds.
+// Txn is a transaction: all its writes are applied atomically if every guard holds.
 type Txn struct {
 	Guards []Guard
 	Writes []Write
 }
 
-// ConflictError reports the keys of a transaction's guards as they are; it is an ErrConflict.
+// ConflictError reports that a guard of a transaction did not hold, with the present items of the guarded keys. It matches ErrConflict.
 type ConflictError struct{ items []Item }
 
-// NewConflictError returns an error that reports the items.
+// NewConflictError returns a ConflictError with the present items of the guarded keys.
 func NewConflictError(items []Item) *ConflictError { return &ConflictError{items: items} }
 
-// Items returns the guarded keys as they are; a key that does not exist is not Found.
+// Items returns the present items of the guarded keys. The item of a key that does not exist is not Found.
 func (e *ConflictError) Items() []Item { return e.items }
 
-// Error says that a guard did not hold.
+// Error returns the message of ErrConflict.
 func (e *ConflictError) Error() string { return ErrConflict.Error() }
 
-// Is reports that the error is an ErrConflict.
+// Is reports whether target is ErrConflict.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
--- a/plat/keyval/txn.go
+++ b/plat/keyval/txn.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Txn applies the writes together if every guard holds, and returns the revision of all of them; a ConflictError otherwise.
+// Txn applies all writes atomically and returns their common revision, or a ConflictError if a guard does not hold or a lease has
+// expired.
 func (m *Memory) Txn(ctx context.Context, t Txn) (Revision, error) {
 	m.writes.Add(1)
 	if err := checkContext(ctx, "txn", ""); err != nil {
@@ -29,7 +30,7 @@
 	return r, nil
 }
 
-// checkGuards returns the guarded items and whether every guard holds.
+// checkGuards returns the items of the guarded keys and whether every guard holds.
 func (m *Memory) checkGuards(l []Guard) ([]Item, bool) {
 	items, ok := make([]Item, len(l)), true
 	for i, g := range l {
--- a/plat/keyval/txn_test.go
+++ b/plat/keyval/txn_test.go
@@ -28,21 +28,21 @@
 	is.True(!c.Items()[1].Found())
 	b, err := m.Get(x, "b")
 	is.NoErr(err)
-	is.True(b.Found()) // nothing of it was applied.
+	is.True(b.Found()) // the delete was not applied
 	_, err = m.Txn(x, Txn{Writes: []Write{{Key: "b", Delete: true}, {Key: "d", Value: nil}}})
 	is.NoErr(err)
 	b, err = m.Get(x, "b")
 	is.NoErr(err)
 	is.True(!b.Found())
 	_, err = m.Txn(x, Txn{Writes: []Write{{Key: "e", Lease: 77}}})
-	is.True(errors.Is(err, ErrConflict)) // there is no such lease.
+	is.True(errors.Is(err, ErrConflict)) // the lease does not exist
 }
 
-// flakyLister reads a whole prefix of a memory.
+// flakyLister is a Lister over a Memory whose next calls can be made to fail.
 type flakyLister struct {
 	*Memory
 	mu           sync.Mutex
-	failuresLeft int // calls that fail.
+	failuresLeft int // calls that still fail
 }
 
 func (w *flakyLister) failing() bool {
@@ -66,7 +66,7 @@
 	return w.Memory.Watch(c, prefix, r, d)
 }
 
-// recordingSink is a sink that keeps what it is told.
+// recordingSink is a Sink that keeps the items and counts its calls.
 type recordingSink struct {
 	mu                  sync.Mutex
 	items               map[string]string
@@ -117,7 +117,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Error("not reached")
+		t.Error("condition not reached within 4 s")
 	}
 	waitFor(func() bool { return s.items["p/1"] == "a" && s.lost == 1 && s.found == 1 })
 	_, err = w.Put(x, "p/2", []byte("b"), Any, 0)
@@ -128,7 +128,7 @@
 	w.failuresLeft = 1
 	w.mu.Unlock()
 	waitFor(func() bool { return s.lost == 2 && s.found == 2 })
-	is.Equal(s.resets, 1) // a failed watch goes on from where it was.
+	is.Equal(s.resets, 1) // after a failed watch, the next one continues from the same revision
 	stop()
 	is.NoErr(g.Wait())
 }
--- a/plat/keyval/watch.go
+++ b/plat/keyval/watch.go
@@ -12,10 +12,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxEvents is the number of events that one watch returns at most.
+// maxEvents is the largest number of events that one watch returns.
 const maxEvents = 1_000
 
-// Watch implements Store; ErrReset when rev is newer than the store or already forgotten.
+// Watch implements Store. It returns ErrReset if rev is newer than the store or older than its history.
 func (m *Memory) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	m.watches.Add(1)
 	if err := checkContext(ctx, "watch", prefix); err != nil {
@@ -39,19 +39,19 @@
 		case <-changed:
 		case <-t.C:
 		case <-ctx.Done():
-			return nil, 0, eris.Wrapf(ErrUnknown, "watch %s in memory: %v", prefix, ctx.Err())
+			return nil, 0, eris.Wrapf(ErrUnknown, "watch %s in memory store: %v", prefix, ctx.Err())
 		}
 	}
 }
 
-// eventsAfter returns the events after rev, the revision to go on from and the channel that the next change closes.
+// eventsAfter returns the events after rev, the revision to continue from and the channel that the next change closes.
 func (m *Memory) eventsAfter(prefix string, rev Revision) ([]Event, Revision, chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
 	s := &m.state
 	if rev > s.rev || rev < s.compactedRev {
-		return nil, s.rev, nil, eris.Wrapf(ErrReset, "watch %s from %d in memory at %d", prefix, rev, s.rev)
+		return nil, s.rev, nil, eris.Wrapf(ErrReset, "watch %s from revision %d in memory store at revision %d", prefix, rev, s.rev)
 	}
 	var l []Event
 	pos := sort.Search(len(s.events), func(i int) bool { return s.events[i].item.rev > rev })
@@ -66,7 +66,7 @@
 	return l, s.rev, m.changed, nil
 }
 
-// untilNextExpiry returns the time until the next lease may lapse.
+// untilNextExpiry returns the time until the next lease may expire, at least 1 ms.
 func (m *Memory) untilNextExpiry() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,12 +77,12 @@
 	return d
 }
 
-// Saved is the state of a memory at one moment, without its leases.
+// Saved is a copy of the state of a Memory at one time, without its leases.
 type Saved struct {
 	state memoryState
 }
 
-// Save returns the present state.
+// Save returns a copy of the present state.
 func (m *Memory) Save() Saved {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,7 +92,7 @@
 	return Saved{state: s}
 }
 
-// Restore puts an older state back, as a service that returns from a backup: revisions go back too, and every lease lapses.
+// Restore replaces the state by an older one, like a service restored from a backup: revisions go back too, and every lease expires.
 func (m *Memory) Restore(s Saved) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/plat/keyval/wire.go
+++ b/plat/keyval/wire.go
@@ -1,18 +1,18 @@
 package keyval
 
-// Bodies of the service's calls, as the client sends them and a stand-in reads them.
+// JSON bodies of requests to the service and of its responses, shared by the client and the stand-ins.
 type (
 	// GetRequest asks for one key.
 	GetRequest struct {
 		Key string `json:"key"`
 	}
-	// GetAnswer holds the key's value, if Found.
+	// GetAnswer holds the key's value and revision, if Found.
 	GetAnswer struct {
 		Found bool     `json:"found"`
 		Value []byte   `json:"value"`
 		Rev   Revision `json:"rev"`
 	}
-	// ListRequest asks for up to Limit keys that begin with Prefix and follow After.
+	// ListRequest asks for up to Limit items whose keys begin with Prefix and come after After.
 	ListRequest struct {
 		Prefix string `json:"prefix"`
 		After  string `json:"after"`
@@ -46,7 +46,7 @@
 		Key  string   `json:"key"`
 		Cond Revision `json:"cond"`
 	}
-	// OKAnswer tells whether the call took effect.
+	// OKAnswer reports whether the call took effect.
 	OKAnswer struct {
 		OK bool `json:"ok"`
 	}
@@ -63,21 +63,21 @@
 		Rev     Revision `json:"rev"`
 		Deleted bool     `json:"deleted"`
 	}
-	// WatchAnswer holds the events and the revision to go on from; Reset means that the caller must list again.
+	// WatchAnswer holds the events and the revision to continue from. Reset means that the caller must list again.
 	WatchAnswer struct {
 		Events []EventWire `json:"events"`
 		Rev    Revision    `json:"rev"`
 		Reset  bool        `json:"reset"`
 	}
-	// GrantRequest opens a lease.
+	// GrantRequest creates a lease that expires TTLMillis after its last renewal.
 	GrantRequest struct {
 		TTLMillis int64 `json:"ttlMs"`
 	}
-	// GrantAnswer names the lease.
+	// GrantAnswer holds the id of the new lease.
 	GrantAnswer struct {
 		Lease LeaseID `json:"lease"`
 	}
-	// LeaseRequest names the lease to renew or revoke.
+	// LeaseRequest holds the id of the lease to renew or revoke.
 	LeaseRequest struct {
 		Lease LeaseID `json:"lease"`
 	}
--- a/plat/lease/doc.go
+++ b/plat/lease/doc.go
@@ -1,7 +1,7 @@
-// Package lease keeps a named key of the platform's service in the hands of at most one holder.
+// Package lease elects at most one holder of a key in the platform's key-value service.
 //
-// A holder believes in its lease until a time by its own monotonic clock, well before the service lets the lease lapse. After a
-// pause of the process that clock says little: between a look at Held and the act that follows, any time may pass. So each act of
-// a holder is a write under a condition, and the write of a holder that was paused too long fails. Held saves useless work, it
-// does not make an act safe.
+// A holder trusts its lease until a time on its own monotonic clock that is well before the service lets the lease expire. This
+// check alone is not enough: the process may be paused for any time between a call of Held and the action that follows. Each
+// action of a holder must therefore be a conditional write, which fails if the holder was paused for too long. Held only avoids
+// useless work; it does not make an action safe.
 package lease
--- a/plat/lease/grace_test.go
+++ b/plat/lease/grace_test.go
@@ -14,7 +14,7 @@
 	"burdockreach.dev/plat/lease"
 )
 
-// unreachableStore is a store that can stop answering renewals.
+// unreachableStore is a store whose renewals can be made to fail.
 type unreachableStore struct {
 	*keyval.Memory
 	failRenewals atomic.Bool
@@ -27,7 +27,7 @@
 	return a.Memory.Renew(c, id)
 }
 
-// startLeases starts the leases and returns a function that ends them.
+// startLeases runs the leases and returns a function that stops them.
 func startLeases(ls ...*lease.Lease) func() {
 	c, stop := context.WithCancel(context.Background())
 	g := errgroup.Group{}
@@ -52,14 +52,14 @@
 		s.failRenewals.Store(true)
 		time.Sleep(ttl)
 		_, held = l.Held()
-		is.True(!held) // another process may have the key by now.
+		is.True(!held) // another process may hold the key by now
 		g, kept := l.Kept()
 		is.True(kept)
 		is.Equal(g, f)
 		is.True(l.Checked() >= 4*time.Second)
 		time.Sleep(12 * time.Second)
 		g, kept = l.Kept()
-		is.True(!kept || g != f) // given up; it may have been claimed anew.
+		is.True(!kept || g != f) // released; it may have been acquired again
 	})
 }
 
@@ -72,7 +72,7 @@
 		defer startLeases(weak, strong)()
 		time.Sleep(time.Second)
 		_, held := strong.Held()
-		is.True(held) // the weak one leaves the free key to it.
+		is.True(held) // the weak candidate leaves the free key to it
 		strong.Yield()
 		time.Sleep(100 * time.Millisecond)
 		_, held = strong.Held()
@@ -80,6 +80,6 @@
 		time.Sleep(10 * time.Second)
 		_, s1 := strong.Held()
 		_, s2 := weak.Held()
-		is.True(s1 != s2) // one of them has it again.
+		is.True(s1 != s2) // one of them holds the key again
 	})
 }
--- a/plat/lease/lease.go
+++ b/plat/lease/lease.go
@@ -11,19 +11,20 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// DefaultTTL is the time after which the service lets the lease of a silent holder lapse.
+// DefaultTTL is the default time after which the service expires a lease that is not renewed.
 const DefaultTTL = 6 * time.Second
 
-// revokeTimeout bounds the end of the lease at shutdown.
+// revokeTimeout bounds the call that ends the lease at shutdown.
 const revokeTimeout = time.Second
 
-// callTimeoutDivisor bounds a call to ttl/callTimeoutDivisor, so that a slow service keeps its leaders.
+// callTimeoutDivisor bounds each call to ttl/callTimeoutDivisor. With a shorter timeout, holders would lose their leases while the
+// service is slow.
 const callTimeoutDivisor = 2
 
-// jitterPercent spreads the waits of the candidates.
+// jitterPercent is the random share by which waits are shortened, so that candidates do not act at the same time.
 const jitterPercent = 10
 
-// Lease gets and keeps one key.
+// Lease acquires one key and renews the lease that it is bound to.
 type Lease struct {
 	store    keyval.Store
 	key      string
@@ -36,7 +37,7 @@
 	stepDown atomic.Bool
 }
 
-// status is what Held reports.
+// status is the state that the accessors of Lease report.
 type status struct {
 	fence         keyval.Revision
 	validUntil    time.Time
@@ -44,28 +45,28 @@
 	leader        string
 }
 
-// Option adjusts a lease.
+// Option configures a Lease.
 type Option func(*Lease)
 
-// WithTTL sets the time after which the service lets the lease of a silent holder lapse.
+// WithTTL sets the time after which the service expires a lease that is not renewed.
 func WithTTL(d time.Duration) Option { return func(l *Lease) { l.ttl = d } }
 
-// WithClock sets the clock that the trust in the lease is measured on; it should go on while the machine is suspended.
+// WithClock sets the clock that measures how long a lease is trusted. It should keep running while the machine is suspended.
 func WithClock(now func() time.Time) Option { return func(l *Lease) { l.now = now } }
 
-// WithPatience lets a holder that cannot reach the service go on asking for the renewal for d after the lease's time, in place of
-// giving the key up; Held reports false meanwhile and Kept true.
+// WithPatience sets how long after the TTL a holder that cannot reach the service keeps retrying the renewal instead of releasing
+// the key. Meanwhile Held returns false, but the key is not released.
 func WithPatience(d time.Duration) Option { return func(l *Lease) { l.model.renewalGrace = d } }
 
-// WithLook sets how often a candidate looks at the key while another one holds it.
+// WithLook sets how often a candidate reads the key while another process holds it.
 func WithLook(d time.Duration) Option { return func(l *Lease) { l.model.pollInterval = d } }
 
-// WithDelay has a candidate that finds the key free wait for delay before it claims it, so that better candidates come first.
+// WithDelay sets how long a candidate that finds the key free waits before it claims the key, so that better candidates come first.
 func WithDelay(delay func() time.Duration) Option {
 	return func(l *Lease) { l.model.claimDelay = delay }
 }
 
-// New returns a lease of key for holder, whose name is unique to this run of the process.
+// New returns a lease of key for holder, a name that must be unique to this run of the process.
 func New(store keyval.Store, key, holder string, opts ...Option) *Lease {
 	l := &Lease{
 		store: store, key: key, ttl: DefaultTTL, now: time.Now,
@@ -79,7 +80,8 @@
 	return l
 }
 
-// Held returns the fence, which is the revision of the key's write, and whether this process may believe that it holds the key.
+// Held returns the fencing token, which is the revision of the key's write, and whether this process may assume that it holds the
+// key.
 func (l *Lease) Held() (keyval.Revision, bool) {
 	h := l.status.Load()
 	if h.fence == 0 || !l.now().Before(h.validUntil) {
@@ -88,28 +90,29 @@
 	return h.fence, true
 }
 
-// Kept returns the fence, and whether the key has not been given up; unlike with Held, another process may hold it by now.
+// Kept returns the fencing token and whether this process has not released the key. Unlike with Held, another process may hold the
+// key by now.
 func (l *Lease) Kept() (keyval.Revision, bool) {
 	h := l.status.Load()
 	return h.fence, h.fence != 0
 }
 
-// Checked returns how long ago the last renewal that succeeded was sent: until then no other process had the key.
+// Checked returns how long ago the last successful renewal was sent. No other process held the key until that time.
 func (l *Lease) Checked() time.Duration { return l.now().Sub(l.status.Load().renewalSentAt) }
 
-// Moved tells that Kept may have changed.
+// Moved returns a channel that receives when this process may have acquired or released the key.
 func (l *Lease) Moved() <-chan struct{} { return l.changed }
 
-// Nudge makes a waiting candidate or holder act at once.
+// Nudge ends the present wait of a candidate or holder, so that it acts at once.
 func (l *Lease) Nudge() { notify(l.wakeup) }
 
-// Yield gives the key up; the process becomes a candidate again.
+// Yield releases the key; the process becomes a candidate again.
 func (l *Lease) Yield() {
 	l.stepDown.Store(true)
 	l.Nudge()
 }
 
-// notify wakes the reader of c, unless it is to be woken already.
+// notify sends to c without blocking; it does nothing if a notification is already pending.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -117,10 +120,10 @@
 	}
 }
 
-// Leader returns the holder that the key last named, empty when there was none.
+// Leader returns the holder that the key named when it was last read, empty if there was none.
 func (l *Lease) Leader() string { return l.status.Load().leader }
 
-// Run gets and keeps the key until ctx ends, then gives it up; it returns nil.
+// Run acquires and holds the key until ctx ends, then releases it. It returns nil.
 func (l *Lease) Run(ctx context.Context) error {
 	defer l.release(ctx)
 	cmds := l.model.Start()
@@ -137,7 +140,7 @@
 	return nil
 }
 
-// release ends the open lease without waiting for the service any longer than a farewell.
+// release revokes the lease and waits for the service for up to revokeTimeout.
 func (l *Lease) release(ctx context.Context) {
 	l.status.Store(&status{})
 	notify(l.changed)
@@ -146,10 +149,10 @@
 	}
 	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
-	_ = l.store.Revoke(c, l.model.leaseID) // else it lapses by itself.
+	_ = l.store.Revoke(c, l.model.leaseID) // if this fails, the lease expires by itself
 }
 
-// perform does what c says; each call gets less time than the lease has.
+// perform carries out c and returns its outcome. Each call gets a part of the TTL as its timeout.
 func (l *Lease) perform(ctx context.Context, c Cmd) Msg {
 	if w, ok := c.(WaitCmd); ok {
 		l.sleep(ctx, w.For)
--- a/plat/lease/lease_test.go
+++ b/plat/lease/lease_test.go
@@ -27,7 +27,7 @@
 
 const ttl = 6 * time.Second
 
-// unreliableStore is a store whose calls are slow, hang for longer than a lease, fail and lose their answers by chance.
+// unreliableStore is a store whose calls are at random slow, hang for longer than a TTL, fail, or lose their responses.
 type unreliableStore struct {
 	keyval.Store
 	mu *sync.Mutex
@@ -40,7 +40,7 @@
 	return s.r.Intn(n)
 }
 
-// sleep sleeps for a short time, or now and then, as a process that was stopped, for up to twice a lease.
+// sleep sleeps for less than 100 ms, or in one of ten calls for up to twice the TTL, like a suspended process.
 func (s *unreliableStore) sleep() {
 	d := time.Duration(s.intn(100)) * time.Millisecond
 	if s.intn(10) == 0 {
@@ -49,7 +49,7 @@
 	time.Sleep(d)
 }
 
-// performWrite performs the write between two pauses, or loses it, or its answer.
+// performWrite performs the write between two sleeps, or drops it, or drops its response.
 func (s *unreliableStore) performWrite(write func() error) error {
 	s.sleep()
 	defer s.sleep()
@@ -83,7 +83,8 @@
 	return s.performWrite(func() error { return s.Store.Renew(context.WithoutCancel(ctx), l) })
 }
 
-// writeAsHolder is what a holder does: it takes the document over under its fence, then writes under the revision that it read.
+// writeAsHolder writes the fencing token of l into the document while l is held, unless the document has a newer token. The write is
+// conditional on the revision of the document that it read.
 func writeAsHolder(ctx context.Context, s *unreliableStore, l *lease.Lease) error {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(1+s.intn(500)) * time.Millisecond)
@@ -96,17 +97,17 @@
 			continue
 		}
 		if token, _ := strconv.ParseInt(string(i.Value()), 10, 64); token > int64(f) {
-			continue // a later holder has been here.
+			continue // a later holder has written it
 		}
 		if s.intn(10) == 0 {
-			time.Sleep(time.Duration(s.intn(20)) * time.Second) // paused between the look and the act.
+			time.Sleep(time.Duration(s.intn(20)) * time.Second) // paused between the check and the write
 		}
 		_, _ = s.Store.Put(ctx, "doc", []byte(fmt.Sprint(int64(f))), i.Rev(), 0)
 	}
 	return nil
 }
 
-// checkSingleHolder returns an error when two believe at one moment that they hold the key; the number of moments with a holder goes to seen.
+// checkSingleHolder returns an error if two leases are held at the same time. It counts the samples with a holder.
 func checkSingleHolder(ctx context.Context, leases []*lease.Lease, samples *int) error {
 	for ctx.Err() == nil {
 		time.Sleep(37 * time.Millisecond)
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// checkFenceOrder returns an error when the document was written under an older fence after a newer one.
+// checkFenceOrder returns an error if the document was written with an older fencing token after a newer one.
 func checkFenceOrder(m *keyval.Memory) error {
 	l, _, err := m.Watch(context.Background(), "doc", 0, 0)
 	if err != nil {
@@ -134,7 +135,7 @@
 	for _, e := range l {
 		f, _ := strconv.ParseInt(string(e.Item().Value()), 10, 64)
 		if f < last {
-			return fmt.Errorf("a write under fence %d after %d", f, last)
+			return fmt.Errorf("write with fencing token %d after token %d", f, last)
 		}
 		last = f
 	}
@@ -173,7 +174,7 @@
 		}
 	})
 	if samplesHeld == 0 {
-		t.Fatal("nobody ever held the key")
+		t.Fatal("the key was held in no sample")
 	}
 }
 
@@ -190,14 +191,14 @@
 		g.Go(func() error { return b.Run(ctx) })
 		time.Sleep(10 * lease.DefaultTTL)
 		fa, ok := a.Held()
-		is.True(ok)               // renewed all the time
-		is.Equal(b.Leader(), "a") // the candidate knows who leads
+		is.True(ok)               // renewed throughout
+		is.Equal(b.Leader(), "a") // the candidate knows the holder
 		stop()
 		time.Sleep(lease.DefaultTTL / 2)
 		_, ok = a.Held()
 		is.True(!ok)
 		fb, ok := b.Held()
-		is.True(ok) // sooner than the lease would have lapsed
+		is.True(ok) // earlier than the lease would have expired
 		is.True(fb > fa)
 		cancel()
 		is.NoErr(g.Wait())
--- a/plat/lease/model.go
+++ b/plat/lease/model.go
@@ -8,56 +8,57 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// Parts of the time to live.
+// Divisors of the TTL.
 const (
-	renewDivisor        = 3  // a renewal is begun ttl/3 after the last.
-	retryDivisor        = 12 // after a failure the next try comes ttl/12 later.
-	safetyMarginDivisor = 4  // a holder believes in its lease for 3/4 of ttl.
+	renewDivisor        = 3  // a renewal begins ttl/3 after the last one
+	retryDivisor        = 12 // a failed call is retried after ttl/12
+	safetyMarginDivisor = 4  // a holder trusts its lease for ttl - ttl/4
 )
 
-// Value is what the key holds.
+// Value is the value of the key.
 type Value struct {
 	Holder string         `json:"holder"`
 	Lease  keyval.LeaseID `json:"lease"`
 }
 
-// ParseValue returns the value that the key holds.
+// ParseValue decodes the value of the key.
 func ParseValue(b []byte) (Value, error) {
 	var v Value
 	err := json.Unmarshal(b, &v)
 	return v, err
 }
 
-// Model decides how to get and keep the key; it has one command under way at a time.
+// Model decides how to acquire and hold the key. One command is in progress at a time.
 type Model struct {
 	holder           string
 	ttl              time.Duration
-	claimDelay       func() time.Duration // nil for none.
-	claimDelayPassed bool                 // the delay has passed since the key was found free.
-	renewalGrace     time.Duration        // a lease that may have lapsed is asked to be renewed for so long.
-	pollInterval     time.Duration        // between looks while another holds the key; 0 means a part of ttl.
-	leaseID          keyval.LeaseID       // the lease that is open, 0 for none.
-	renewalSentAt    time.Time            // when its last renewal that succeeded was begun.
-	validUntil       time.Time            // end of the trust in it.
+	claimDelay       func() time.Duration // nil means none
+	claimDelayPassed bool                 // the claim delay has passed since the key was found free
+	renewalGrace     time.Duration        // how long renewals are retried after the TTL
+	pollInterval     time.Duration        // between reads while another process holds the key; 0 means ttl/3
+	leaseID          keyval.LeaseID       // the open lease, 0 if there is none
+	renewalSentAt    time.Time            // when the grant or the last successful renewal of the lease was sent
+	validUntil       time.Time            // when the lease stops being trusted
 	fence            keyval.Revision
 	leader           string
 }
 
-// NewModel returns a model of a holder that has nothing yet.
+// NewModel returns a model for holder, without a lease.
 func NewModel(holder string, ttl time.Duration) *Model {
 	return &Model{holder: holder, ttl: ttl}
 }
 
-// Start returns the first commands.
+// Start returns the first command.
 func (m *Model) Start() []Cmd { return []Cmd{ReadCmd{}} }
 
-// Fence returns the revision of the key's write and the end of the trust in the lease; 0 when it is not held.
+// Fence returns the fencing token, which is the revision of the key's write and 0 if the key is not held, and the time until which
+// the lease is trusted.
 func (m *Model) Fence() (keyval.Revision, time.Time) { return m.fence, m.validUntil }
 
-// Leader returns the holder that the key last named, empty when there was none.
+// Leader returns the holder that the key named when it was last read, empty if there was none.
 func (m *Model) Leader() string { return m.leader }
 
-// Update takes the message in and returns the next command.
+// Update handles the outcome of the last command and returns the next command.
 func (m *Model) Update(msg Msg) []Cmd {
 	switch g := msg.(type) {
 	case WakeMsg:
@@ -77,16 +78,17 @@
 	return nil
 }
 
-func (m *Model) waitFraction(parts int) []Cmd {
-	return []Cmd{WaitCmd{For: m.ttl / time.Duration(parts)}}
+func (m *Model) waitFraction(divisor int) []Cmd {
+	return []Cmd{WaitCmd{For: m.ttl / time.Duration(divisor)}}
 }
 
-// renewWait waits until the next renewal is due, which may be at once when the service is slow.
+// renewWait waits until the next renewal is due. That may be at once if the service is slow.
 func (m *Model) renewWait(now time.Time) []Cmd {
 	return []Cmd{WaitCmd{For: max(0, m.renewalSentAt.Add(m.ttl/renewDivisor).Sub(now))}}
 }
 
-// handleWake goes on after a wait: renew what is held, settle what is open, look at the key else.
+// handleWake acts after a wait. It revokes a lease that is no longer trusted and past its renewal grace, renews a lease whose key
+// is held, and reads the key otherwise.
 func (m *Model) handleWake(now time.Time) []Cmd {
 	switch {
 	case m.leaseID != 0 && !now.Before(m.validUntil) && !m.withinRenewalGrace(now):
@@ -97,18 +99,19 @@
 	return []Cmd{ReadCmd{}}
 }
 
-// withinRenewalGrace reports whether a holder whose trust has ended goes on asking for the renewal.
+// withinRenewalGrace reports whether a holder keeps retrying the renewal of a lease that is no longer trusted.
 func (m *Model) withinRenewalGrace(now time.Time) bool {
 	return m.fence != 0 && now.Before(m.renewalSentAt.Add(m.ttl+m.renewalGrace)) && m.renewalGrace > 0
 }
 
-// revoke ends the lease, so that nobody has to wait for it to lapse.
+// revoke ends the lease, so that other candidates need not wait until it expires.
 func (m *Model) revoke() []Cmd {
 	m.fence = 0
 	return []Cmd{RevokeCmd{Lease: m.leaseID}}
 }
 
-// handleRead looks whose the key is, also after a write whose answer was lost.
+// handleRead acts on the item at the key. The key may be free, held by another process, or written by an earlier put of this
+// process whose response was lost.
 func (m *Model) handleRead(g ReadMsg) []Cmd {
 	if m.leaseID != 0 && !g.Now.Before(m.validUntil) {
 		return m.revoke()
@@ -145,7 +148,7 @@
 	return m.waitFraction(renewDivisor)
 }
 
-// remainingClaimDelay returns how long to leave a free key to others; 0 once that has been done.
+// remainingClaimDelay returns how long to leave a free key to other candidates; 0 once the delay has passed.
 func (m *Model) remainingClaimDelay() time.Duration {
 	if m.claimDelay == nil || m.claimDelayPassed {
 		return 0
@@ -153,7 +156,7 @@
 	return m.claimDelay()
 }
 
-// Yield gives the key up; with nothing to give up it looks at the key.
+// Yield revokes the lease if there is one, and reads the key otherwise.
 func (m *Model) Yield() []Cmd {
 	m.claimDelayPassed = false
 	if m.leaseID == 0 {
@@ -181,7 +184,7 @@
 	return m.claim()
 }
 
-// markRenewed notes that the lease was granted or renewed by a call that was begun at sent.
+// markRenewed records that the lease was granted or renewed by a call that was sent at sent.
 func (m *Model) markRenewed(sent time.Time) {
 	m.renewalSentAt, m.validUntil = sent, sent.Add(m.ttl-m.ttl/safetyMarginDivisor)
 }
@@ -190,7 +193,7 @@
 	switch {
 	case !g.Now.Before(m.validUntil):
 		return m.revoke()
-	case g.Err != nil: // also a conflict, as an earlier write of this lease may have come late.
+	case g.Err != nil: // also after a conflict: an earlier write of this lease may have been applied late
 		return []Cmd{ReadCmd{}}
 	}
 	m.fence, m.leader = g.Rev, m.holder
--- a/plat/lease/msg.go
+++ b/plat/lease/msg.go
@@ -6,10 +6,10 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// Msg is something that happened; each carries the time.
+// Msg is the outcome of a command. Each message carries the time at which it was made.
 type Msg interface{ msg() }
 
-// WakeMsg says that the wait is over.
+// WakeMsg reports the end of a wait.
 type WakeMsg struct{ Now time.Time }
 
 // ReadMsg is the outcome of a ReadCmd.
@@ -19,7 +19,7 @@
 	Err  error
 }
 
-// GrantMsg is the outcome of a GrantCmd that was begun at Sent.
+// GrantMsg is the outcome of a GrantCmd that was sent at Sent.
 type GrantMsg struct {
 	Now, Sent time.Time
 	Lease     keyval.LeaseID
@@ -33,7 +33,7 @@
 	Err error
 }
 
-// RenewMsg is the outcome of a RenewCmd that was begun at Sent.
+// RenewMsg is the outcome of a RenewCmd that was sent at Sent.
 type RenewMsg struct {
 	Now, Sent time.Time
 	Err       error
@@ -52,19 +52,19 @@
 func (RenewMsg) msg()  {}
 func (RevokeMsg) msg() {}
 
-// Cmd is something to do; its outcome comes back as a message before the next command.
+// Cmd is a command to perform. Its outcome comes back as a message before the next command.
 type Cmd interface{ cmd() }
 
-// WaitCmd asks for a WakeMsg after For.
+// WaitCmd asks for a WakeMsg after the time For.
 type WaitCmd struct{ For time.Duration }
 
 // ReadCmd reads the key.
 type ReadCmd struct{}
 
-// GrantCmd opens a lease of the service.
+// GrantCmd asks the service for a lease.
 type GrantCmd struct{ TTL time.Duration }
 
-// PutCmd writes Value under the key, if it does not exist, bound to Lease.
+// PutCmd writes Value under the key if the key does not exist. The key is removed when Lease ends.
 type PutCmd struct {
 	Value []byte
 	Lease keyval.LeaseID
@@ -73,7 +73,7 @@
 // RenewCmd extends the lease.
 type RenewCmd struct{ Lease keyval.LeaseID }
 
-// RevokeCmd ends the lease, and its key with it.
+// RevokeCmd ends the lease and so removes its key.
 type RevokeCmd struct{ Lease keyval.LeaseID }
 
 func (WaitCmd) cmd()   {}
--- a/plat/steady/steady.go
+++ b/plat/steady/steady.go
@@ -1,4 +1,4 @@
-// Package steady reads a clock that never steps and goes on while the machine is suspended.
+// Package steady reads a monotonic clock that keeps running while the machine is suspended.
 package steady
 
 import (
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since some fixed moment; it has no meaning to other machines.
+// Now returns the time on the boot-time clock. It is meaningful only in comparison with other times of the same boot of this machine.
 func Now() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Now() // the clock exists on every supported kernel.
+		return time.Now() // not reached: every supported kernel has this clock
 	}
 	return time.Unix(t.Unix())
 }
--- a/plat/tasks/client.go
+++ b/plat/tasks/client.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	// ErrDown reports that the call certainly took no effect.
+	// ErrDown reports that the call certainly had no effect.
 	ErrDown = eris.New("tasks: platform cannot be reached")
-	// ErrUnknown reports that the call was sent and its answer was lost.
+	// ErrUnknown reports that the call was sent and its response was lost, so that it may have taken effect.
 	ErrUnknown = eris.New("tasks: outcome unknown")
-	// ErrRefused reports that the platform answered and did not do it.
+	// ErrRefused reports that the platform answered that it did not carry out the call.
 	ErrRefused = eris.New("tasks: platform refused")
 )
 
-// Bodies of the platform's calls, as the client sends them and a stand-in reads them.
+// JSON bodies of requests to the platform and of its responses, shared by the client and the stand-ins.
 type (
 	// ListRequest asks for the tasks whose ids begin with Prefix.
 	ListRequest struct {
@@ -32,9 +32,9 @@
 	// Request names the task.
 	Request struct {
 		ID string `json:"id"`
-		On bool   `json:"on,omitempty"` // for a throttle.
+		On bool   `json:"on,omitempty"` // of a throttle: whether to throttle the task
 	}
-	// Answer tells whether the call took effect and, for a stop, how the task ended.
+	// Answer reports whether the call took effect and, for a stop, how the task ended.
 	Answer struct {
 		OK     bool   `json:"ok"`
 		State  State  `json:"state,omitempty"`
@@ -51,26 +51,26 @@
 	PathThrottle   = "/task/throttle"
 )
 
-// Client is a Platform over its HTTP API; each method makes exactly one attempt.
+// Client is a Platform that calls the HTTP API. Each method makes exactly one attempt.
 type Client struct {
 	wire *wire.Client
 }
 
 var _ Platform = (*Client)(nil)
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option = wire.Option
 
-// WithName sets the name under which the platform knows the calling entry.
+// WithName sets the name by which the calling entry identifies itself to the platform.
 func WithName(name string) Option { return wire.WithName(name) }
 
-// WithTimeout bounds a call whose context has no deadline.
+// WithTimeout sets the longest time of a call. An earlier deadline of the call's context applies instead.
 func WithTimeout(d time.Duration) Option { return wire.WithTimeout(d) }
 
 // New returns a client of the platform at addr.
 func New(addr string, opts ...Option) *Client { return &Client{wire: wire.New(addr, opts...)} }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.wire.Close() }
 
 // List implements Platform.
--- a/plat/tasks/doc.go
+++ b/plat/tasks/doc.go
@@ -1,2 +1,2 @@
-// Package tasks is the client of the platform's calls that run, stop, checkpoint, throttle and list tasks on workers.
+// Package tasks is the client of the platform's calls that list, run, stop, checkpoint and throttle tasks on workers.
 package tasks
--- a/plat/wire/client.go
+++ b/plat/wire/client.go
@@ -12,16 +12,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// EntryHeader names the calling entry to the platform.
+// EntryHeader is the header with which the calling entry identifies itself to the platform.
 const EntryHeader = "Burdock-Entry"
 
-// DefaultTimeout bounds a call whose context has no deadline.
+// DefaultTimeout is the default for the longest time of a call. An earlier deadline of the call's context applies instead.
 const DefaultTimeout = 3 * time.Second
 
-// maxIdleConns is the number of connections that are kept while unused.
+// maxIdleConns is the largest number of idle connections that a Client keeps.
 const maxIdleConns = 16
 
-// maxResponseBytes is the longest answer in bytes; a page of a list holds several values.
+// maxResponseBytes is the largest response body in bytes. It is larger than one value, because a page of a list holds several.
 const maxResponseBytes = 64 << 20
 
 // Error reports a failed call.
@@ -32,13 +32,13 @@
 	cause      error
 }
 
-// Sent reports whether the call may have taken effect.
+// Sent reports whether the call may have taken effect. If it returns false, the call certainly did not.
 func (e *Error) Sent() bool { return e.sent }
 
-// Status returns the HTTP status of an answer that was not 200, or 0.
+// Status returns the HTTP status of the response if it was not 200, and 0 otherwise.
 func (e *Error) Status() int { return e.status }
 
-// Error names the call, the peer and the cause.
+// Error returns a message with the path, the peer and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s at %s (sent %t, status %d): %v", e.path, e.peer, e.sent, e.status, e.cause)
 }
@@ -46,41 +46,41 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Client posts calls to one address; it is safe for concurrent use.
+// Client makes calls to one address. It is safe for concurrent use.
 type Client struct {
 	addr, name  string
 	timeout     time.Duration
 	idleTimeout time.Duration
 
 	mu        sync.Mutex
-	idleConns []*callConn // unused, the last used at the end.
+	idleConns []*callConn // the most recently used one is last
 }
 
-// Request is one call of any method.
+// Request is a call with any HTTP method.
 type Request struct {
 	Method string
-	Path   string // with its query.
+	Path   string // including the query
 	Header map[string]string
-	Body   []byte // JSON, or empty.
+	Body   []byte // JSON, or empty
 }
 
-// Answer is the answer to a Request, whatever its status.
+// Answer is the response to a Request, with any status.
 type Answer struct {
 	Status int
 	Header func(name string) string
 	Body   []byte
 }
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithIdle sets the time after which an unused connection is not trusted any more.
+// WithIdle sets the time after which an idle connection is no longer used, because the server may have closed it.
 func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
-// WithName sets the name under which the platform knows the caller.
+// WithName sets the name by which the caller identifies itself to the platform.
 func WithName(name string) Option { return func(c *Client) { c.name = name } }
 
-// WithTimeout bounds a call whose context has no deadline.
+// WithTimeout sets the longest time of a call. An earlier deadline of the call's context applies instead.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // New returns a client of the server at addr.
@@ -95,7 +95,7 @@
 // Addr returns the server's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Close drops the unused connections; calls under way end with their contexts.
+// Close closes the idle connections. Calls in progress end with their contexts.
 func (c *Client) Close() {
 	c.mu.Lock()
 	l := c.idleConns
@@ -106,8 +106,8 @@
 	}
 }
 
-// Call posts in as JSON to path and decodes the answer into out, in one attempt; extra is added to the default timeout.
-// Each error is an Error: not Sent only when the call certainly took no effect.
+// Call posts in as JSON to path and decodes the response into out, in one attempt. extra is added to the client's timeout.
+// Each error is an *Error, and is not Sent only if the call certainly had no effect.
 func (c *Client) Call(ctx context.Context, path string, in, out any, extra time.Duration) error {
 	if ctx.Err() != nil {
 		return c.newError(path, false, 0, context.Cause(ctx))
@@ -128,7 +128,8 @@
 	return c.decode(path, a, out)
 }
 
-// Do performs the call in one attempt, within the default timeout and extra; each error is an Error.
+// Do makes the call in one attempt and returns the response, whatever its status. extra is added to the client's timeout.
+// Each error is an *Error.
 func (c *Client) Do(ctx context.Context, r Request, extra time.Duration) (Answer, error) {
 	if ctx.Err() != nil {
 		return Answer{}, c.newError(r.Path, false, 0, context.Cause(ctx))
@@ -201,12 +202,12 @@
 	Error string `json:"error"`
 }
 
-// decode reads the answer; only a status other than 200 with an error in JSON says that the call took no effect.
+// decode decodes the response. The call certainly had no effect only if the status is not 200 and the body is a JSON error.
 func (c *Client) decode(path string, a *fasthttp.Response, out any) error {
 	if s := a.StatusCode(); s != fasthttp.StatusOK {
 		var r errorBody
 		if err := json.Unmarshal(a.Body(), &r); err != nil || r.Error == "" {
-			return c.newError(path, true, s, errors.New("answer is not the platform's"))
+			return c.newError(path, true, s, errors.New("response body is not a JSON error of the platform"))
 		}
 		return c.newError(path, false, s, errors.New(r.Error))
 	}
--- a/plat/wire/conn.go
+++ b/plat/wire/conn.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// defaultIdleTimeout is the time after which an unused connection is not trusted any more.
+// defaultIdleTimeout is the time after which an idle connection is no longer used, because the server may have closed it.
 const defaultIdleTimeout = 2 * time.Second
 
 // dialTimeout bounds the opening of a connection.
@@ -18,7 +18,7 @@
 
 var errDial = errors.New("dial")
 
-// callConn carries one call at a time on at most one connection, so that a call can be cut off with its connection.
+// callConn makes one call at a time on at most one connection, so that closing the connection aborts exactly that call.
 type callConn struct {
 	host *fasthttp.HostClient
 
@@ -42,17 +42,17 @@
 	return l
 }
 
-// dial opens the lane's connection and remembers it; its error is an errDial.
+// dial opens the connection and records it for abort. Each error matches errDial.
 func (l *callConn) dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > dialTimeout {
 		timeout = dialTimeout
 	}
-	c, err := net.DialTimeout("tcp", addr, timeout) //nolint:noctx // the lane's owner closes the connection when its context ends
+	c, err := net.DialTimeout("tcp", addr, timeout) //nolint:noctx // do closes the connection when the context ends
 	if err != nil {
 		return nil, errors.Join(errDial, err)
 	}
 	if t, ok := c.(*net.TCPConn); ok {
-		if err := t.SetLinger(0); err != nil { // a call that is given up must not arrive later, when a cut on its way heals.
+		if err := t.SetLinger(0); err != nil { // reset on close: a canceled call must not arrive later, after a network partition heals
 			return nil, errors.Join(errDial, err, c.Close())
 		}
 	}
@@ -65,7 +65,7 @@
 	return c, nil
 }
 
-// do performs the call; when ctx ends first, it closes the connection, so that no late answer is read by another call.
+// do makes the call. If ctx ends first, it closes the connection, so that a late response is not read by another call.
 func (l *callConn) do(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response) error {
 	stop := context.AfterFunc(ctx, l.abort)
 	var err error
@@ -89,7 +89,7 @@
 	}
 }
 
-// close drops the connection.
+// close closes the connection.
 func (l *callConn) close() {
 	l.abort()
 	l.host.CloseIdleConnections()
--- a/plat/wire/conn_test.go
+++ b/plat/wire/conn_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// A call that is given up resets its connection: a close in order would let bytes that are held up on the way arrive later.
+// A canceled call must reset its connection. After an orderly close, bytes delayed in the network could still arrive and take
+// effect later.
 func TestCanceledCallResetsConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +28,7 @@
 		}
 		defer c.Close()
 		b := make([]byte, 4096)
-		for got == nil { // reads the request, and then how the connection ends.
+		for got == nil { // reads the request, then the error that ends the connection
 			_, got = c.Read(b)
 		}
 		return nil
--- a/plat/wire/doc.go
+++ b/plat/wire/doc.go
@@ -1,2 +1,2 @@
-// Package wire posts JSON to the platform with exactly one attempt per call.
+// Package wire makes HTTP calls with JSON bodies to the platform, each with exactly one attempt.
 package wire
