--- a/plat/keyval/memory.go
+++ b/plat/keyval/memory.go
@@ -20,7 +20,7 @@
 // Memory is an in-memory Store for tests and stand-ins. It is safe for concurrent use.
 type Memory struct {
 	now     func() time.Time
-	history int
+	history int // least number of past events that are kept
 
 	reads, writes, watches atomic.Int64
 
--- a/plat/wire/conn.go
+++ b/plat/wire/conn.go
@@ -27,15 +27,15 @@
 	aborted bool
 }
 
-func newCallConn(addr string, maxBody int, idle time.Duration) *callConn {
+func newCallConn(addr string, maxBodyBytes int, idleTimeout time.Duration) *callConn {
 	l := &callConn{}
 	l.host = &fasthttp.HostClient{
 		Addr:                      addr,
 		MaxConns:                  1,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxIdleConnDuration:       idle,
-		MaxResponseBodySize:       maxBody,
+		MaxIdleConnDuration:       idleTimeout,
+		MaxResponseBodySize:       maxBodyBytes,
 		NoDefaultUserAgentHeader:  true,
 		DialTimeout:               l.dial,
 	}
