--- a/plat/keyval/client.go
+++ b/plat/keyval/client.go
@@ -12,22 +12,23 @@
 	"burdockreach.dev/plat/wire"
 )
 
-// Client is a Store over the service's HTTP API; each method makes exactly one attempt.
+// Client is a Store that calls the service's HTTP API. Each method makes exactly one attempt.
 type Client struct {
-	wire                    *wire.Client
-	reads, writes, watches  atomic.Int64
-	conflicts, downs, blind atomic.Int64
+	wire                       *wire.Client
+	reads, writes, watches     atomic.Int64
+	conflicts, downs, unknowns atomic.Int64
 }
 
 var _ Store = (*Client)(nil)
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option = wire.Option
 
-// WithName sets the name under which the platform knows the calling entry.
+// WithName sets the name by which the calling entry identifies itself to the platform.
 func WithName(name string) Option { return wire.WithName(name) }
 
-// WithTimeout bounds a call whose context has no deadline; a watch gets its wait on top.
+// WithTimeout sets the longest time of a call, to which a watch adds its wait. An earlier deadline of the call's context applies
+// instead.
 func WithTimeout(d time.Duration) Option { return wire.WithTimeout(d) }
 
 // New returns a client of the service at addr.
@@ -35,7 +36,7 @@
 	return &Client{wire: wire.New(addr, opts...)}
 }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.wire.Close() }
 
 // Reads returns the number of gets and lists so far.
@@ -54,7 +55,7 @@
 func (c *Client) Downs() int64 { return c.downs.Load() }
 
 // Unknowns returns the number of calls that ended in ErrUnknown.
-func (c *Client) Unknowns() int64 { return c.blind.Load() }
+func (c *Client) Unknowns() int64 { return c.unknowns.Load() }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
@@ -93,7 +94,7 @@
 	if err := c.call(ctx, PathPut, key, PutRequest{Key: key, Value: value, Cond: cond, Lease: lease}, &a, 0); err != nil {
 		return 0, err
 	}
-	return a.Rev, c.settled(a.OK, PathPut, key)
+	return a.Rev, c.checkApplied(a.OK, PathPut, key)
 }
 
 // Delete implements Store.
@@ -103,10 +104,10 @@
 	if err := c.call(ctx, PathDelete, key, DeleteRequest{Key: key, Cond: cond}, &a, 0); err != nil {
 		return err
 	}
-	return c.settled(a.OK, PathDelete, key)
+	return c.checkApplied(a.OK, PathDelete, key)
 }
 
-// Watch implements Store; ErrReset means that the caller must list again.
+// Watch implements Store. After ErrReset the caller must list again.
 func (c *Client) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	c.watches.Add(1)
 	var a WatchAnswer
@@ -115,7 +116,7 @@
 		return nil, 0, err
 	}
 	if a.Reset {
-		return nil, a.Rev, eris.Wrapf(ErrReset, "watch %s from %d at %s", prefix, rev, c.wire.Addr())
+		return nil, a.Rev, eris.Wrapf(ErrReset, "watch %s from revision %d at %s", prefix, rev, c.wire.Addr())
 	}
 	l := make([]Event, len(a.Events))
 	for i, w := range a.Events {
@@ -148,10 +149,10 @@
 	if err := c.call(ctx, path, "", LeaseRequest{Lease: id}, &a, 0); err != nil {
 		return err
 	}
-	return c.settled(a.OK, path, "")
+	return c.checkApplied(a.OK, path, "")
 }
 
-func (c *Client) settled(ok bool, path, key string) error {
+func (c *Client) checkApplied(ok bool, path, key string) error {
 	if ok {
 		return nil
 	}
@@ -159,7 +160,7 @@
 	return eris.Wrapf(ErrConflict, "%s %s at %s", path, key, c.wire.Addr())
 }
 
-// call makes the one attempt and sorts its error into ErrDown, ErrUnknown and ErrTooLarge.
+// call makes one attempt and classifies its error as ErrDown, ErrUnknown or ErrTooLarge.
 func (c *Client) call(ctx context.Context, path, key string, in, out any, extra time.Duration) error {
 	err := c.wire.Call(ctx, path, in, out, extra)
 	if err == nil {
@@ -169,7 +170,7 @@
 	var w *wire.Error
 	switch {
 	case !errors.As(err, &w) || w.Sent():
-		c.blind.Add(1)
+		c.unknowns.Add(1)
 	case w.Status() == http.StatusRequestEntityTooLarge:
 		kind = ErrTooLarge
 	default:
--- a/plat/keyval/watch.go
+++ b/plat/keyval/watch.go
@@ -12,62 +12,62 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxEvents is the number of events that one watch returns at most.
+// maxEvents is the largest number of events that one watch returns.
 const maxEvents = 1_000
 
-// Watch implements Store; ErrReset when rev is newer than the store or already forgotten.
+// Watch implements Store. It returns ErrReset if rev is newer than the store or older than its history.
 func (m *Memory) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	m.watches.Add(1)
-	if err := down(ctx, "watch", prefix); err != nil {
+	if err := checkContext(ctx, "watch", prefix); err != nil {
 		return nil, 0, err
 	}
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
-		l, to, w, err := m.after(prefix, rev)
+		l, nextRev, changed, err := m.eventsAfter(prefix, rev)
 		if err != nil || len(l) > 0 {
-			return l, to, err
+			return l, nextRev, err
 		}
-		rev = to
-		left := time.Until(end)
-		if left <= 0 {
-			return nil, to, nil
+		rev = nextRev
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return nil, nextRev, nil
 		}
-		t.Reset(min(left, m.lapse()))
+		t.Reset(min(remaining, m.untilNextExpiry()))
 		select {
-		case <-w:
+		case <-changed:
 		case <-t.C:
 		case <-ctx.Done():
-			return nil, 0, eris.Wrapf(ErrUnknown, "watch %s in memory: %v", prefix, ctx.Err())
+			return nil, 0, eris.Wrapf(ErrUnknown, "watch %s in memory store: %v", prefix, ctx.Err())
 		}
 	}
 }
 
-// after returns the events after rev, the revision to go on from and the channel that the next change closes.
-func (m *Memory) after(prefix string, rev Revision) ([]Event, Revision, chan struct{}, error) {
+// eventsAfter returns the events after rev, the revision to continue from and the channel that the next change closes.
+func (m *Memory) eventsAfter(prefix string, rev Revision) ([]Event, Revision, chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
 	s := &m.state
-	if rev > s.rev || rev < s.forgot {
-		return nil, s.rev, nil, eris.Wrapf(ErrReset, "watch %s from %d in memory at %d", prefix, rev, s.rev)
+	if rev > s.rev || rev < s.compactedRev {
+		return nil, s.rev, nil, eris.Wrapf(ErrReset, "watch %s from revision %d in memory store at revision %d", prefix, rev, s.rev)
 	}
 	var l []Event
-	at := sort.Search(len(s.events), func(i int) bool { return s.events[i].item.rev > rev })
-	for _, e := range s.events[at:] {
+	pos := sort.Search(len(s.events), func(i int) bool { return s.events[i].item.rev > rev })
+	for _, e := range s.events[pos:] {
 		if !strings.HasPrefix(e.item.key, prefix) {
 			continue
 		}
 		if l = append(l, e); len(l) == maxEvents {
-			return l, e.item.rev, m.wake, nil
+			return l, e.item.rev, m.changed, nil
 		}
 	}
-	return l, s.rev, m.wake, nil
+	return l, s.rev, m.changed, nil
 }
 
-// lapse returns the time until the next lease may lapse.
-func (m *Memory) lapse() time.Duration {
+// untilNextExpiry returns the time until the next lease may expire, at least 1 ms.
+func (m *Memory) untilNextExpiry() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := time.Duration(math.MaxInt64)
@@ -77,12 +77,12 @@
 	return d
 }
 
-// Saved is the state of a memory at one moment, without its leases.
+// Saved is a copy of the state of a Memory at one time, without its leases.
 type Saved struct {
 	state memoryState
 }
 
-// Save returns the present state.
+// Save returns a copy of the present state.
 func (m *Memory) Save() Saved {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,18 +92,18 @@
 	return Saved{state: s}
 }
 
-// Restore puts an older state back, as a service that returns from a backup: revisions go back too, and every lease lapses.
+// Restore replaces the state by an older one, like a service restored from a backup: revisions go back too, and every lease expires.
 func (m *Memory) Restore(s Saved) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s.state
 	m.state.items, m.state.keys = maps.Clone(s.state.items), slices.Clone(s.state.keys)
 	m.state.events = slices.Clone(s.state.events)
-	m.leases = map[LeaseID]*grant{}
+	m.leases = map[LeaseID]*leaseState{}
 	for _, k := range slices.Clone(m.state.keys) {
 		if m.state.items[k].lease != 0 {
 			m.remove(k)
 		}
 	}
-	m.wakeAll()
+	m.notifyWatches()
 }
--- a/plat/tasks/client.go
+++ b/plat/tasks/client.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	// ErrDown reports that the call certainly took no effect.
+	// ErrDown reports that the call certainly had no effect.
 	ErrDown = eris.New("tasks: platform cannot be reached")
-	// ErrUnknown reports that the call was sent and its answer was lost.
+	// ErrUnknown reports that the call was sent and its response was lost, so that it may have taken effect.
 	ErrUnknown = eris.New("tasks: outcome unknown")
-	// ErrRefused reports that the platform answered and did not do it.
+	// ErrRefused reports that the platform answered that it did not carry out the call.
 	ErrRefused = eris.New("tasks: platform refused")
 )
 
-// Bodies of the platform's calls, as the client sends them and a stand-in reads them.
+// JSON bodies of requests to the platform and of its responses, shared by the client and the stand-ins.
 type (
 	// ListRequest asks for the tasks whose ids begin with Prefix.
 	ListRequest struct {
@@ -32,9 +32,9 @@
 	// Request names the task.
 	Request struct {
 		ID string `json:"id"`
-		On bool   `json:"on,omitempty"` // for a throttle.
+		On bool   `json:"on,omitempty"` // of a throttle: whether to throttle the task
 	}
-	// Answer tells whether the call took effect and, for a stop, how the task ended.
+	// Answer reports whether the call took effect and, for a stop, how the task ended.
 	Answer struct {
 		OK     bool   `json:"ok"`
 		State  State  `json:"state,omitempty"`
@@ -51,26 +51,26 @@
 	PathThrottle   = "/task/throttle"
 )
 
-// Client is a Platform over its HTTP API; each method makes exactly one attempt.
+// Client is a Platform that calls the HTTP API. Each method makes exactly one attempt.
 type Client struct {
 	wire *wire.Client
 }
 
 var _ Platform = (*Client)(nil)
 
-// Option adjusts a client.
+// Option configures a Client.
 type Option = wire.Option
 
-// WithName sets the name under which the platform knows the calling entry.
+// WithName sets the name by which the calling entry identifies itself to the platform.
 func WithName(name string) Option { return wire.WithName(name) }
 
-// WithTimeout bounds a call whose context has no deadline.
+// WithTimeout sets the longest time of a call. An earlier deadline of the call's context applies instead.
 func WithTimeout(d time.Duration) Option { return wire.WithTimeout(d) }
 
 // New returns a client of the platform at addr.
 func New(addr string, opts ...Option) *Client { return &Client{wire: wire.New(addr, opts...)} }
 
-// Close drops the unused connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.wire.Close() }
 
 // List implements Platform.
@@ -82,29 +82,29 @@
 
 // Run implements Platform.
 func (c *Client) Run(ctx context.Context, r RunRequest) error {
-	_, err := c.act(ctx, PathRun, r.ID, r)
+	_, err := c.order(ctx, PathRun, r.ID, r)
 	return err
 }
 
 // Stop implements Platform.
 func (c *Client) Stop(ctx context.Context, id string) (State, error) {
-	a, err := c.act(ctx, PathStop, id, Request{ID: id})
+	a, err := c.order(ctx, PathStop, id, Request{ID: id})
 	return a.State, err
 }
 
 // Checkpoint implements Platform.
 func (c *Client) Checkpoint(ctx context.Context, id string) error {
-	_, err := c.act(ctx, PathCheckpoint, id, Request{ID: id})
+	_, err := c.order(ctx, PathCheckpoint, id, Request{ID: id})
 	return err
 }
 
 // Throttle implements Platform.
 func (c *Client) Throttle(ctx context.Context, id string, on bool) error {
-	_, err := c.act(ctx, PathThrottle, id, Request{ID: id, On: on})
+	_, err := c.order(ctx, PathThrottle, id, Request{ID: id, On: on})
 	return err
 }
 
-func (c *Client) act(ctx context.Context, path, id string, q any) (Answer, error) {
+func (c *Client) order(ctx context.Context, path, id string, q any) (Answer, error) {
 	var a Answer
 	if err := c.call(ctx, path, id, q, &a); err != nil {
 		return a, err
