--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -66,7 +66,7 @@
 	if s.target, err = free(ctx); err != nil {
 		return err
 	}
-	s.cloud = cloud.New(cloud.WithVMs(hosts.Wire{
+	s.cloud = cloud.New(cloud.WithVMs(hosts.VMWire{
 		ID: "w1", Addr: s.target, DataCentre: dataCentre, Rack: "r1", Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1,
 	}))
 	addr, err := free(ctx)
--- a/bench/slopes/confs.go
+++ b/bench/slopes/confs.go
@@ -99,8 +99,8 @@
 	return l
 }
 
-func listAnswer(n int) keyval.ListAnswer {
-	var a keyval.ListAnswer
+func listAnswer(n int) keyval.ListResponse {
+	var a keyval.ListResponse
 	for _, c := range tail(n) {
 		b, err := json.Marshal(c)
 		if err != nil {
@@ -117,7 +117,7 @@
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
 	return cpuOf(func() {
-		var a keyval.ListAnswer
+		var a keyval.ListResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			panic(fmt.Sprint("bench: parse: ", err))
 		}
--- a/bench/slopes/fleet.go
+++ b/bench/slopes/fleet.go
@@ -25,7 +25,7 @@
 		series("shardBytes", "membership of a data centre, 16 shards in JSON", "B", "VM of the data centre", vmSizes, shardBytes),
 		series("budgetBytes", "availability budget of a service in JSON", "B", "VM that is out", absenceSizes, budgetBytes),
 		series("listBytes", "platform's list in JSON", "B", "VM of the fleet", fleetSizes,
-			func(n int) float64 { return encoded(hosts.ListAnswer{VMs: platformVMs(n, true)}) }),
+			func(n int) float64 { return encoded(hosts.ListResponse{VMs: platformVMs(n, true)}) }),
 		series("listZipped", "platform's list in JSON, compressed by gzip", "B", "VM of the fleet", fleetSizes, zipped),
 		series("listRead", "read of the platform's list", "ns", "VM of the fleet", fleetSizes, listCPU),
 		series("leaderTick", "one tick of the leader's loop, the platform's calls not counted", "ns", "VM of the data centre", vmSizes,
@@ -83,7 +83,7 @@
 func zipped(n int) float64 {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	if err := json.NewEncoder(z).Encode(hosts.ListAnswer{VMs: platformVMs(n, true)}); err != nil {
+	if err := json.NewEncoder(z).Encode(hosts.ListResponse{VMs: platformVMs(n, true)}); err != nil {
 		panic(fmt.Sprint("bench: compress: ", err))
 	}
 	if err := z.Close(); err != nil {
@@ -93,12 +93,12 @@
 }
 
 func listCPU(n int) float64 {
-	b, err := json.Marshal(hosts.ListAnswer{VMs: platformVMs(n, true)})
+	b, err := json.Marshal(hosts.ListResponse{VMs: platformVMs(n, true)})
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
 	return cpuOf(func() {
-		var a hosts.ListAnswer
+		var a hosts.ListResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			panic(fmt.Sprint("bench: parse: ", err))
 		}
--- a/bench/slopes/world.go
+++ b/bench/slopes/world.go
@@ -39,14 +39,14 @@
 }
 
 // platformVMs returns the platform's list of n VMs, spread over the data centres or all in the own one.
-func platformVMs(n int, spread bool) []hosts.Wire {
-	l := make([]hosts.Wire, n)
+func platformVMs(n int, spread bool) []hosts.VMWire {
+	l := make([]hosts.VMWire, n)
 	for i := range l {
 		d := home
 		if spread {
 			d = dataCentres[i%len(dataCentres)]
 		}
-		l[i] = hosts.Wire{
+		l[i] = hosts.VMWire{
 			ID: vmName(d, i), Addr: fmt.Sprintf("10.%d.%d.%d:7100", 20+i/65536, i/256%256, i%256), DataCentre: d,
 			Rack: fmt.Sprintf("rack-%s-%03d", d, i/rackSize), Pool: poolName(i % pools), State: hosts.Live, Kind: hosts.Worker,
 			Boot: began, Cores: 32, MemoryMB: 65536, Accelerators: 1,
--- a/fakes/cloud/cloud_test.go
+++ b/fakes/cloud/cloud_test.go
@@ -101,7 +101,7 @@
 	} {
 		t.Run(string(f.fault.Mode), func(t *testing.T) {
 			is := is.New(t)
-			s := start(t, cloud.WithVMs(hosts.Wire{ID: "a", Kind: hosts.Entry, DataCentre: "north"}))
+			s := start(t, cloud.WithVMs(hosts.VMWire{ID: "a", Kind: hosts.Entry, DataCentre: "north"}))
 			c, ctx := client(t, s, "a"), t.Context()
 			_, err := c.Get(ctx, "warm") // opens the connection
 			is.NoErr(err)
@@ -194,7 +194,7 @@
 
 func TestRebootOncePerOp(t *testing.T) {
 	is := is.New(t)
-	s := start(t, cloud.WithVMs(hosts.Wire{ID: "w", Addr: "127.0.0.1:1"}),
+	s := start(t, cloud.WithVMs(hosts.VMWire{ID: "w", Addr: "127.0.0.1:1"}),
 		cloud.WithLag(time.Millisecond), cloud.WithReboot(20*time.Millisecond))
 	h := hosts.New(s.Addr(), hosts.WithTimeout(time.Second))
 	t.Cleanup(h.Close)
--- a/fakes/cloud/fleet.go
+++ b/fakes/cloud/fleet.go
@@ -11,7 +11,7 @@
 // version is the list of VMs as it was from a moment on.
 type version struct {
 	at  time.Time
-	vms []hosts.Wire
+	vms []hosts.VMWire
 }
 
 // rebootRun is a reboot under way.
@@ -22,7 +22,7 @@
 
 // fleet holds the true VMs and what the lagging list still shows.
 type fleet struct {
-	start  []hosts.Wire
+	start  []hosts.VMWire
 	lag    time.Duration
 	reboot time.Duration
 
@@ -43,7 +43,7 @@
 	f.versions = []version{{at: now, vms: f.start}}
 }
 
-func fillVM(w *hosts.Wire) {
+func fillVM(w *hosts.VMWire) {
 	if w.State == "" {
 		w.State = hosts.Live
 	}
@@ -56,7 +56,7 @@
 }
 
 // list returns what the list showed a lag ago.
-func (f *fleet) list(now time.Time) []hosts.Wire {
+func (f *fleet) list(now time.Time) []hosts.VMWire {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
@@ -81,10 +81,10 @@
 	return l
 }
 
-func (f *fleet) truth() []hosts.Wire { return f.versions[len(f.versions)-1].vms }
+func (f *fleet) truth() []hosts.VMWire { return f.versions[len(f.versions)-1].vms }
 
 // change replaces the true list from at on by a copy that edit has changed.
-func (f *fleet) change(at time.Time, edit func([]hosts.Wire) []hosts.Wire) {
+func (f *fleet) change(at time.Time, edit func([]hosts.VMWire) []hosts.VMWire) {
 	f.versions = append(f.versions, version{at: at, vms: edit(slices.Clone(f.truth()))})
 }
 
@@ -93,7 +93,7 @@
 	for len(f.running) > 0 && !now.Before(f.running[0].end) {
 		r := f.running[0]
 		f.running = f.running[1:]
-		f.edit(r.end, r.id, func(w *hosts.Wire) {
+		f.edit(r.end, r.id, func(w *hosts.VMWire) {
 			w.State = hosts.Live
 			w.Boot++
 		})
@@ -101,41 +101,41 @@
 }
 
 // edit changes one VM from at on and returns it as it is then; a VM that is gone or unknown stays as it is.
-func (f *fleet) edit(at time.Time, id string, with func(*hosts.Wire)) (hosts.Wire, bool) {
-	i := slices.IndexFunc(f.truth(), func(w hosts.Wire) bool { return w.ID == id })
+func (f *fleet) edit(at time.Time, id string, with func(*hosts.VMWire)) (hosts.VMWire, bool) {
+	i := slices.IndexFunc(f.truth(), func(w hosts.VMWire) bool { return w.ID == id })
 	if i < 0 || f.truth()[i].State == hosts.Gone {
-		return hosts.Wire{}, false
+		return hosts.VMWire{}, false
 	}
-	f.change(at, func(l []hosts.Wire) []hosts.Wire {
+	f.change(at, func(l []hosts.VMWire) []hosts.VMWire {
 		with(&l[i])
 		return l
 	})
 	return f.truth()[i], true
 }
 
-func (f *fleet) setState(now time.Time, id string, s hosts.State) (hosts.Wire, bool) {
+func (f *fleet) setState(now time.Time, id string, s hosts.State) (hosts.VMWire, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	return f.edit(now, id, func(w *hosts.Wire) { w.State = s })
+	return f.edit(now, id, func(w *hosts.VMWire) { w.State = s })
 }
 
-func (f *fleet) assign(now time.Time, id, pool string) (hosts.Wire, bool) {
+func (f *fleet) assign(now time.Time, id, pool string) (hosts.VMWire, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	return f.edit(now, id, func(w *hosts.Wire) { w.Pool = pool })
+	return f.edit(now, id, func(w *hosts.VMWire) { w.Pool = pool })
 }
 
 // startReboot begins the reboot of op, once; first is false for a repeat.
-func (f *fleet) startReboot(now time.Time, id, op string) (w hosts.Wire, first, ok bool) {
+func (f *fleet) startReboot(now time.Time, id, op string) (w hosts.VMWire, first, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
 	if f.ops[id+"\x00"+op] {
-		return hosts.Wire{}, false, true
+		return hosts.VMWire{}, false, true
 	}
-	w, ok = f.edit(now, id, func(w *hosts.Wire) { w.State = hosts.Leaving })
+	w, ok = f.edit(now, id, func(w *hosts.VMWire) { w.State = hosts.Leaving })
 	if ok {
 		f.ops[id+"\x00"+op] = true
 		f.running = append(f.running, rebootRun{id: id, end: now.Add(f.reboot)})
@@ -144,13 +144,13 @@
 }
 
 // add puts a VM into the list, in place of one of the same name.
-func (f *fleet) add(now time.Time, w hosts.Wire) {
+func (f *fleet) add(now time.Time, w hosts.VMWire) {
 	fillVM(&w)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	f.change(now, func(l []hosts.Wire) []hosts.Wire {
-		return append(slices.DeleteFunc(l, func(o hosts.Wire) bool { return o.ID == w.ID }), w)
+	f.change(now, func(l []hosts.VMWire) []hosts.VMWire {
+		return append(slices.DeleteFunc(l, func(o hosts.VMWire) bool { return o.ID == w.ID }), w)
 	})
 }
 
@@ -158,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	f.change(now, func(l []hosts.Wire) []hosts.Wire {
-		return slices.DeleteFunc(l, func(o hosts.Wire) bool { return o.ID == id })
+	f.change(now, func(l []hosts.VMWire) []hosts.VMWire {
+		return slices.DeleteFunc(l, func(o hosts.VMWire) bool { return o.ID == id })
 	})
 }
--- a/fakes/cloud/kv.go
+++ b/fakes/cloud/kv.go
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	i, err := s.store.Get(context.Background(), q.Key)
-	return keyval.GetAnswer{Found: i.Found(), Value: i.Value(), Rev: i.Rev()}, err
+	return keyval.GetResponse{Found: i.Found(), Value: i.Value(), Rev: i.Rev()}, err
 }
 
 func list(_ context.Context, s *Server, b []byte) (any, error) {
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	l, rev, err := s.store.List(context.Background(), q.Prefix, q.After, q.Limit)
-	a := keyval.ListAnswer{Rev: rev, Items: make([]keyval.ItemWire, len(l))}
+	a := keyval.ListResponse{Rev: rev, Items: make([]keyval.ItemWire, len(l))}
 	for j, i := range l {
 		a.Items[j] = keyval.ItemWire{Key: i.Key(), Value: i.Value(), Rev: i.Rev()}
 	}
@@ -40,7 +40,7 @@
 	}
 	rev, err := s.store.Put(context.Background(), q.Key, q.Value, q.Cond, q.Lease)
 	ok, err := held(err)
-	return keyval.PutAnswer{OK: ok, Rev: rev}, err
+	return keyval.PutResponse{OK: ok, Rev: rev}, err
 }
 
 func remove(_ context.Context, s *Server, b []byte) (any, error) {
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	ok, err := held(s.store.Delete(context.Background(), q.Key, q.Cond))
-	return keyval.OKAnswer{OK: ok}, err
+	return keyval.OKResponse{OK: ok}, err
 }
 
 func watch(ctx context.Context, s *Server, b []byte) (any, error) {
@@ -61,11 +61,11 @@
 	l, rev, err := s.store.Watch(ctx, q.Prefix, q.Rev, wait)
 	switch {
 	case errors.Is(err, keyval.ErrReset):
-		return keyval.WatchAnswer{Rev: rev, Reset: true}, nil
+		return keyval.WatchResponse{Rev: rev, Reset: true}, nil
 	case err != nil:
-		return keyval.WatchAnswer{Rev: q.Rev}, nil
+		return keyval.WatchResponse{Rev: q.Rev}, nil
 	}
-	a := keyval.WatchAnswer{Rev: rev, Events: make([]keyval.EventWire, len(l))}
+	a := keyval.WatchResponse{Rev: rev, Events: make([]keyval.EventWire, len(l))}
 	for j, e := range l {
 		i := e.Item()
 		a.Events[j] = keyval.EventWire{Key: i.Key(), Value: i.Value(), Rev: i.Rev(), Deleted: e.Deleted()}
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	id, err := s.store.Grant(context.Background(), time.Duration(q.TTLMillis)*time.Millisecond)
-	return keyval.GrantAnswer{Lease: id}, err
+	return keyval.GrantResponse{Lease: id}, err
 }
 
 func renew(_ context.Context, s *Server, b []byte) (any, error) {
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	ok, err := held(s.store.Renew(context.Background(), q.Lease))
-	return keyval.OKAnswer{OK: ok}, err
+	return keyval.OKResponse{OK: ok}, err
 }
 
 func revoke(_ context.Context, s *Server, b []byte) (any, error) {
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	ok, err := held(s.store.Revoke(context.Background(), q.Lease))
-	return keyval.OKAnswer{OK: ok}, err
+	return keyval.OKResponse{OK: ok}, err
 }
 
 // held turns ErrConflict into an answer.
--- a/fakes/cloud/option.go
+++ b/fakes/cloud/option.go
@@ -18,7 +18,7 @@
 type Option func(*Server)
 
 // WithVMs sets the VMs that the platform has at the start.
-func WithVMs(l ...hosts.Wire) Option { return func(s *Server) { s.fleet.start = l } }
+func WithVMs(l ...hosts.VMWire) Option { return func(s *Server) { s.fleet.start = l } }
 
 // WithLag sets the age of the VM list.
 func WithLag(d time.Duration) Option { return func(s *Server) { s.fleet.lag = d } }
--- a/fakes/cloud/server.go
+++ b/fakes/cloud/server.go
@@ -31,7 +31,7 @@
 	reads, writes, vmCalls meter
 
 	mu          sync.Mutex
-	saved       keyval.Saved
+	saved       keyval.Snapshot
 	hasSaved    bool
 	addr        string
 	controlAddr string
--- a/fakes/cloud/task_test.go
+++ b/fakes/cloud/task_test.go
@@ -16,7 +16,7 @@
 // taskSite is a platform with one VM, a client of its tasks and a lease of its store.
 func taskSite(t *testing.T, ttl time.Duration, truth cloud.Truth) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
 	t.Helper()
-	s := start(t, cloud.WithVMs(hosts.Wire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(truth)))
+	s := start(t, cloud.WithVMs(hosts.VMWire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(truth)))
 	c := tasks.New(s.Addr(), tasks.WithName("entry"), tasks.WithTimeout(time.Second))
 	t.Cleanup(c.Close)
 	l, err := client(t, s, "entry").Grant(t.Context(), ttl)
--- a/fakes/cloud/taskcalls.go
+++ b/fakes/cloud/taskcalls.go
@@ -19,7 +19,7 @@
 func (f *fleet) runs(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.truth(), func(w hosts.Wire) bool { return w.ID == id && w.State != hosts.Gone })
+	return slices.ContainsFunc(f.truth(), func(w hosts.VMWire) bool { return w.ID == id && w.State != hosts.Gone })
 }
 
 func taskList(ctx context.Context, s *Server, b []byte) (any, error) {
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	l, err := s.tasks.List(context.WithoutCancel(ctx), q.Prefix)
-	return tasks.ListAnswer{Tasks: l}, err
+	return tasks.ListResponse{Tasks: l}, err
 }
 
 func taskRunCall(ctx context.Context, s *Server, b []byte) (any, error) {
@@ -66,9 +66,9 @@
 // taskAnswer turns a refusal into an answer.
 func taskAnswer(t tasks.State, err error) (any, error) {
 	if errors.Is(err, tasks.ErrRefused) {
-		return tasks.Answer{Reason: err.Error()}, nil
+		return tasks.Response{Reason: err.Error()}, nil
 	}
-	return tasks.Answer{OK: err == nil, State: t}, err
+	return tasks.Response{OK: err == nil, State: t}, err
 }
 
 // Behavior is the body of the control call that sets how tasks behave.
@@ -83,5 +83,5 @@
 		return nil, err
 	}
 	s.tasks.Behave(q.Truths, q.Broken)
-	return tasks.Answer{OK: true}, nil
+	return tasks.Response{OK: true}, nil
 }
--- a/fakes/cloud/vm.go
+++ b/fakes/cloud/vm.go
@@ -28,7 +28,7 @@
 }
 
 func vmList(_ context.Context, s *Server, _ []byte) (any, error) {
-	return hosts.ListAnswer{VMs: s.fleet.list(time.Now())}, nil
+	return hosts.ListResponse{VMs: s.fleet.list(time.Now())}, nil
 }
 
 func vmDrain(_ context.Context, s *Server, b []byte) (any, error) {
@@ -48,7 +48,7 @@
 	if ok {
 		s.tell(w, word, Control{ID: q.ID})
 	}
-	return hosts.Answer{OK: ok}, nil
+	return hosts.Response{OK: ok}, nil
 }
 
 func vmReboot(_ context.Context, s *Server, b []byte) (any, error) {
@@ -60,7 +60,7 @@
 	if ok && first {
 		s.tell(w, "reboot", Control{ID: q.ID, Op: q.Op, DownMillis: s.fleet.reboot.Milliseconds()})
 	}
-	return hosts.Answer{OK: ok}, nil
+	return hosts.Response{OK: ok}, nil
 }
 
 func vmAssign(_ context.Context, s *Server, b []byte) (any, error) {
@@ -72,7 +72,7 @@
 	if ok {
 		s.tell(w, "assign", Control{ID: q.ID, Pool: q.Pool})
 	}
-	return hosts.Answer{OK: ok}, nil
+	return hosts.Response{OK: ok}, nil
 }
 
 func vmFail(_ context.Context, s *Server, b []byte) (any, error) {
@@ -81,16 +81,16 @@
 		return nil, err
 	}
 	_, ok := s.fleet.setState(time.Now(), q.ID, hosts.Gone)
-	return hosts.Answer{OK: ok}, nil
+	return hosts.Response{OK: ok}, nil
 }
 
 func vmAdd(_ context.Context, s *Server, b []byte) (any, error) {
-	w, err := parse[hosts.Wire](b)
+	w, err := parse[hosts.VMWire](b)
 	if err != nil {
 		return nil, err
 	}
 	s.fleet.add(time.Now(), w)
-	return hosts.Answer{OK: true}, nil
+	return hosts.Response{OK: true}, nil
 }
 
 func vmRemove(_ context.Context, s *Server, b []byte) (any, error) {
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	s.fleet.remove(time.Now(), q.ID)
-	return hosts.Answer{OK: true}, nil
+	return hosts.Response{OK: true}, nil
 }
 
 func fault(_ context.Context, s *Server, b []byte) (any, error) {
@@ -111,16 +111,16 @@
 		return nil, eris.Errorf("cloud: fault mode %q is not known", f.Mode)
 	}
 	s.Fault(f)
-	return hosts.Answer{OK: true}, nil
+	return hosts.Response{OK: true}, nil
 }
 
 func save(_ context.Context, s *Server, _ []byte) (any, error) {
 	s.Save()
-	return hosts.Answer{OK: true}, nil
+	return hosts.Response{OK: true}, nil
 }
 
 func restore(_ context.Context, s *Server, _ []byte) (any, error) {
-	return hosts.Answer{OK: s.Restore()}, nil
+	return hosts.Response{OK: s.Restore()}, nil
 }
 
 func stats(_ context.Context, s *Server, _ []byte) (any, error) { return s.Stats(), nil }
@@ -143,7 +143,7 @@
 }
 
 // tell sends a word to the worker's control address; a worker that is not there is passed over.
-func (s *Server) tell(w hosts.Wire, word string, body Control) {
+func (s *Server) tell(w hosts.VMWire, word string, body Control) {
 	addr, ok := controlAddr(w)
 	if !ok {
 		return
@@ -163,7 +163,7 @@
 	s.log.Debug().Str("event", "word").Str("vm", w.ID).Str("word", word).Err(err).Send()
 }
 
-func controlAddr(w hosts.Wire) (string, bool) {
+func controlAddr(w hosts.VMWire) (string, bool) {
 	if w.Kind != hosts.Worker {
 		return "", false
 	}
--- a/fakes/demo/site.go
+++ b/fakes/demo/site.go
@@ -59,7 +59,7 @@
 	began    time.Time
 	nodes    []node
 	targets  []vm
-	wires    []hosts.Wire
+	wires    []hosts.VMWire
 	procs    *procs
 }
 
@@ -85,14 +85,14 @@
 	i := len(s.nodes)
 	n := node{name: name, dataCentre: dc, callers: s.addr(callerPort + i), peers: s.addr(peerPort + i), operators: s.addr(operatorPort + i)}
 	s.nodes = append(s.nodes, n)
-	s.wires = append(s.wires, hosts.Wire{ID: name, Addr: n.peers, DataCentre: dc, Rack: fmt.Sprintf("rack-%d", i+1), State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 4, MemoryMB: 8192})
+	s.wires = append(s.wires, hosts.VMWire{ID: name, Addr: n.peers, DataCentre: dc, Rack: fmt.Sprintf("rack-%d", i+1), State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 4, MemoryMB: 8192})
 }
 
 func (s *site) addTarget(name, dc, rack, pool string) {
 	o := targetPort + len(s.targets)
 	t := vm{name: name, addr: s.addr(o), control: s.addr(o + 1000)}
 	s.targets = append(s.targets, t)
-	s.wires = append(s.wires, hosts.Wire{ID: name, Addr: t.addr, DataCentre: dc, Rack: dc + "-" + rack, Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 65536})
+	s.wires = append(s.wires, hosts.VMWire{ID: name, Addr: t.addr, DataCentre: dc, Rack: dc + "-" + rack, Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 65536})
 }
 
 // start starts every process and waits until the entries serve operators.
--- a/fakes/standin/platform.go
+++ b/fakes/standin/platform.go
@@ -16,13 +16,13 @@
 
 // PlatformSettings is the settings file of the platform's stand-in.
 type PlatformSettings struct {
-	Addr           string       `json:"addr"`
-	ControlAddr    string       `json:"controlAddr,omitempty"`
-	LagMs          int64        `json:"lagMs,omitempty"`          // age of the VM list; 0 means the stand-in's own.
-	RebootMs       int64        `json:"rebootMs,omitempty"`       // time of a reboot; 0 means the stand-in's own.
-	ReadsPerSecond int          `json:"readsPerSecond,omitempty"` // 0, with writesPerSecond 0, means no limit.
-	WritesPerSec   int          `json:"writesPerSecond,omitempty"`
-	VMs            []hosts.Wire `json:"vms"`
+	Addr           string         `json:"addr"`
+	ControlAddr    string         `json:"controlAddr,omitempty"`
+	LagMs          int64          `json:"lagMs,omitempty"`          // age of the VM list; 0 means the stand-in's own.
+	RebootMs       int64          `json:"rebootMs,omitempty"`       // time of a reboot; 0 means the stand-in's own.
+	ReadsPerSecond int            `json:"readsPerSecond,omitempty"` // 0, with writesPerSecond 0, means no limit.
+	WritesPerSec   int            `json:"writesPerSecond,omitempty"`
+	VMs            []hosts.VMWire `json:"vms"`
 }
 
 // platform parses the command of the platform's stand-in.
--- a/node/jobs/jobs_test.go
+++ b/node/jobs/jobs_test.go
@@ -65,7 +65,7 @@
 	s := &site{t: t, is: is.New(t), ctx: ctx, store: keyval.NewMemory(), vms: &vms{}}
 	s.tasks, s.queue = cloud.NewTasks(s.store, opts...), jobs.NewQueue(s.store)
 	for i := range workers {
-		s.vms.l = append(s.vms.l, hosts.FromWire(hosts.Wire{
+		s.vms.l = append(s.vms.l, hosts.FromWire(hosts.VMWire{
 			ID: fmt.Sprintf("w%02d", i), DataCentre: "east", Rack: fmt.Sprint("r", i/4), Pool: "nightly",
 			State: hosts.Live, Kind: hosts.Worker, Cores: cores, MemoryMB: memory,
 		}))
@@ -225,7 +225,7 @@
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(30 * time.Second)
 		s.is.Equal(s.wantState("night", jobs.Running).Worker, "w00")
-		v := hosts.FromWire(hosts.Wire{ID: "w00", DataCentre: "east", Pool: "nightly", State: hosts.Leaving, Kind: hosts.Worker, Cores: cores, MemoryMB: memory})
+		v := hosts.FromWire(hosts.VMWire{ID: "w00", DataCentre: "east", Pool: "nightly", State: hosts.Leaving, Kind: hosts.Worker, Cores: cores, MemoryMB: memory})
 		s.vms.leaving.Store(&v)
 		wait(2 * time.Second)
 		s.is.Equal(s.wantState("night", jobs.Running).Worker, "w01")
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -147,10 +147,10 @@
 // Run runs the jobs each time this process gets the claim, until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f, ok := o.lease.Kept()
+		f, ok := o.lease.Retained()
 		if !ok {
 			select {
-			case <-o.lease.Moved():
+			case <-o.lease.Changed():
 			case <-ctx.Done():
 			}
 			continue
@@ -159,7 +159,7 @@
 			o.log.Warn().Int64("fence", int64(f)).Str("reason", err.Error()).Msg("ownership ended")
 		}
 		if o.yielding.Swap(false) {
-			o.lease.Yield()
+			o.lease.StepDown()
 		}
 		o.waitClaimLost(ctx, f)
 	}
@@ -169,12 +169,12 @@
 // waitClaimLost returns once the claim with fence f has been given up.
 func (o *Owner) waitClaimLost(ctx context.Context, f keyval.Revision) {
 	for ctx.Err() == nil {
-		if g, ok := o.lease.Kept(); !ok || g != f {
+		if g, ok := o.lease.Retained(); !ok || g != f {
 			return
 		}
-		o.lease.Nudge()
+		o.lease.Wake()
 		select {
-		case <-o.lease.Moved():
+		case <-o.lease.Changed():
 		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
@@ -250,7 +250,7 @@
 	k := time.NewTicker(ClaimTTL / 10)
 	defer k.Stop()
 	for {
-		if f, ok := t.o.lease.Kept(); !ok || f != t.fence {
+		if f, ok := t.o.lease.Retained(); !ok || f != t.fence {
 			return errClaimLost
 		}
 		select {
@@ -362,7 +362,7 @@
 		case <-timer.C:
 		}
 		_, ok := t.o.lease.Held()
-		if checkedMs := t.o.now() - t.o.lease.Checked().Milliseconds(); ok != claimHeld || checkedMs-lastCheckedMs > minCheckedChangeMs {
+		if checkedMs := t.o.now() - t.o.lease.SinceRenewal().Milliseconds(); ok != claimHeld || checkedMs-lastCheckedMs > minCheckedChangeMs {
 			claimHeld, lastCheckedMs = ok, checkedMs
 			t.model.Update(t.o.now(), batch.ClaimMsg{Fresh: ok, RenewedAt: checkedMs})
 		}
--- a/node/owner/perform.go
+++ b/node/owner/perform.go
@@ -194,7 +194,7 @@
 
 // reportClaimLost ends the term, because another owner has the claim.
 func (t *term) reportClaimLost(ctx context.Context) {
-	t.o.lease.Nudge()
+	t.o.lease.Wake()
 	t.send(ctx, batch.ClaimLostMsg{Reason: "another process holds the claim"})
 }
 
--- a/node/owner/watch.go
+++ b/node/owner/watch.go
@@ -62,13 +62,13 @@
 	return k
 }
 
-// Lost implements keyval.Sink.
-func (r *workerSink) Lost(err error) {
+// Disconnected implements keyval.Sink.
+func (r *workerSink) Disconnected(err error) {
 	r.t.o.log.Warn().Str("dependency", "store").Str("step", "watch workers").Err(err).Msg("dependency lost")
 }
 
-// Found implements keyval.Sink.
-func (r *workerSink) Found() {
+// Reconnected implements keyval.Sink.
+func (r *workerSink) Reconnected() {
 	r.t.o.log.Info().Str("dependency", "store").Str("step", "watch workers").Msg("dependency regained")
 }
 
--- a/node/site/claims.go
+++ b/node/site/claims.go
@@ -169,11 +169,11 @@
 	}
 }
 
-// Lost implements keyval.Sink. The watch of the operator's documents already logs that the store is lost.
-func (*claims) Lost(error) {}
+// Disconnected implements keyval.Sink. The watch of the operator's documents already logs that the store is lost.
+func (*claims) Disconnected(error) {}
 
-// Found implements keyval.Sink.
-func (*claims) Found() {}
+// Reconnected implements keyval.Sink.
+func (*claims) Reconnected() {}
 
 // register keeps this entry in the list of live entries until ctx ends.
 func (e *Site) register(ctx context.Context) error {
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -96,9 +96,9 @@
 	e.log = zerolog.New(e.logWriter).Level(l).With().Timestamp().Str("entry", s.Name).Logger()
 	holder := fmt.Sprintf("%s/%d/%d", s.PeerAddr, os.Getpid(), time.Now().UnixNano())
 	e.lease = lease.New(p.Store, owner.ClaimKey, holder, lease.WithTTL(owner.ClaimTTL), lease.WithClock(steady.Now),
-		lease.WithPatience(owner.ClaimGracePeriod), lease.WithLook(claimCheckInterval),
-		lease.WithDelay(e.claims.delay))
-	e.claims.wakeLease = e.lease.Nudge
+		lease.WithRenewalGrace(owner.ClaimGracePeriod), lease.WithPollInterval(claimCheckInterval),
+		lease.WithClaimDelay(e.claims.delay))
+	e.claims.wakeLease = e.lease.Wake
 	e.owner = owner.New(owner.Dependencies{
 		Store: p.Store, Workers: p.Workers, Machines: p.Machines, Format: p.Format, Board: e.board, Lease: e.lease, Log: e.log, Stats: e.stats,
 		Peers: e.desk, Holder: holder, Entries: e.claims, Carrier: owner.NewCarrier(e.carryCtx, &e.carryGroup, p.Workers, e.stats, e.log),
@@ -305,13 +305,13 @@
 	}
 }
 
-// Lost implements keyval.Sink.
-func (o *operatorSink) Lost(err error) {
+// Disconnected implements keyval.Sink.
+func (o *operatorSink) Disconnected(err error) {
 	o.e.stats.Add("store_lost", 1)
 	o.e.log.Warn().Str("dependency", "store").Str("step", "watch configuration").Err(err).Msg("dependency lost")
 }
 
-// Found implements keyval.Sink.
-func (o *operatorSink) Found() {
+// Reconnected implements keyval.Sink.
+func (o *operatorSink) Reconnected() {
 	o.e.log.Info().Str("dependency", "store").Str("step", "watch configuration").Msg("dependency regained")
 }
--- a/plat/hosts/client.go
+++ b/plat/hosts/client.go
@@ -21,9 +21,9 @@
 
 // JSON bodies of requests to the platform and of its responses, shared by the client and the stand-ins.
 type (
-	// ListAnswer holds every VM that the platform knows.
-	ListAnswer struct {
-		VMs []Wire `json:"vms"`
+	// ListResponse holds every VM that the platform knows.
+	ListResponse struct {
+		VMs []VMWire `json:"vms"`
 	}
 	// Request names the VM, with the operation id of a reboot or the pool of an assignment.
 	Request struct {
@@ -31,8 +31,8 @@
 		Op   string `json:"op,omitempty"`
 		Pool string `json:"pool,omitempty"`
 	}
-	// Answer reports whether the call took effect.
-	Answer struct {
+	// Response reports whether the call took effect.
+	Response struct {
 		OK bool `json:"ok"`
 	}
 )
@@ -70,7 +70,7 @@
 
 // List implements Platform.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
-	var a ListAnswer
+	var a ListResponse
 	if err := c.call(ctx, PathList, Request{}, &a); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 }
 
 func (c *Client) order(ctx context.Context, path string, q Request) error {
-	var a Answer
+	var a Response
 	if err := c.call(ctx, path, q, &a); err != nil {
 		return err
 	}
--- a/plat/hosts/hosts.go
+++ b/plat/hosts/hosts.go
@@ -66,8 +66,8 @@
 // Accelerators returns the number of accelerators.
 func (v VM) Accelerators() int { return v.accelerators }
 
-// Wire is the JSON form of a VM in the platform's API.
-type Wire struct {
+// VMWire is the JSON form of a VM in the platform's API.
+type VMWire struct {
 	ID           string `json:"id"`
 	Addr         string `json:"addr"`
 	DataCentre   string `json:"dataCentre"`
@@ -82,7 +82,7 @@
 }
 
 // FromWire returns the VM that w describes.
-func FromWire(w Wire) VM {
+func FromWire(w VMWire) VM {
 	return VM{
 		id: w.ID, addr: w.Addr, dataCentre: w.DataCentre, rack: w.Rack, pool: w.Pool,
 		state: w.State, kind: w.Kind, boot: w.Boot,
--- a/plat/keyval/client.go
+++ b/plat/keyval/client.go
@@ -60,7 +60,7 @@
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
 	c.reads.Add(1)
-	var a GetAnswer
+	var a GetResponse
 	if err := c.call(ctx, PathGet, key, GetRequest{Key: key}, &a, 0); err != nil {
 		return Item{}, err
 	}
@@ -73,7 +73,7 @@
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]Item, Revision, error) {
 	c.reads.Add(1)
-	var a ListAnswer
+	var a ListResponse
 	if err := c.call(ctx, PathList, prefix, ListRequest{Prefix: prefix, After: after, Limit: limit}, &a, 0); err != nil {
 		return nil, 0, err
 	}
@@ -90,7 +90,7 @@
 		return 0, eris.Wrapf(ErrTooLarge, "put %s: %d bytes", key, len(value))
 	}
 	c.writes.Add(1)
-	var a PutAnswer
+	var a PutResponse
 	if err := c.call(ctx, PathPut, key, PutRequest{Key: key, Value: value, Cond: cond, Lease: lease}, &a, 0); err != nil {
 		return 0, err
 	}
@@ -100,7 +100,7 @@
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, cond Revision) error {
 	c.writes.Add(1)
-	var a OKAnswer
+	var a OKResponse
 	if err := c.call(ctx, PathDelete, key, DeleteRequest{Key: key, Cond: cond}, &a, 0); err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 // Watch implements Store. After ErrReset the caller must list again.
 func (c *Client) Watch(ctx context.Context, prefix string, rev Revision, wait time.Duration) ([]Event, Revision, error) {
 	c.watches.Add(1)
-	var a WatchAnswer
+	var a WatchResponse
 	q := WatchRequest{Prefix: prefix, Rev: rev, WaitMillis: wait.Milliseconds()}
 	if err := c.call(ctx, PathWatch, prefix, q, &a, wait); err != nil {
 		return nil, 0, err
@@ -128,7 +128,7 @@
 // Grant implements Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	c.writes.Add(1)
-	var a GrantAnswer
+	var a GrantResponse
 	err := c.call(ctx, PathGrant, "", GrantRequest{TTLMillis: ttl.Milliseconds()}, &a, 0)
 	return a.Lease, err
 }
@@ -145,7 +145,7 @@
 
 func (c *Client) lease(ctx context.Context, path string, id LeaseID) error {
 	c.writes.Add(1)
-	var a OKAnswer
+	var a OKResponse
 	if err := c.call(ctx, path, "", LeaseRequest{Lease: id}, &a, 0); err != nil {
 		return err
 	}
--- a/plat/keyval/follow.go
+++ b/plat/keyval/follow.go
@@ -24,10 +24,10 @@
 	Reset(items []Item)
 	// Apply applies changes of single keys.
 	Apply(events []Event)
-	// Lost reports the first error of an outage of the service.
-	Lost(err error)
-	// Found reports the end of the outage.
-	Found()
+	// Disconnected reports the first error of an outage of the service.
+	Disconnected(err error)
+	// Reconnected reports the end of the outage.
+	Reconnected()
 }
 
 // Follow keeps s up to date with the items under prefix until ctx ends. Each watch waits for up to wait. It returns nil.
@@ -38,7 +38,7 @@
 		if rev, synced, err = followStep(ctx, l, prefix, wait, s, rev, synced); err == nil {
 			if disconnected {
 				disconnected = false
-				s.Found()
+				s.Reconnected()
 			}
 			continue
 		}
@@ -47,7 +47,7 @@
 		}
 		if !disconnected {
 			disconnected = true
-			s.Lost(err)
+			s.Disconnected(err)
 		}
 		sleep(ctx, followRetryInterval)
 	}
--- a/plat/keyval/txn_test.go
+++ b/plat/keyval/txn_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-func (s *recordingSink) Lost(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }
-func (s *recordingSink) Found()     { s.mu.Lock(); s.found++; s.mu.Unlock() }
+func (s *recordingSink) Disconnected(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }
+func (s *recordingSink) Reconnected()       { s.mu.Lock(); s.found++; s.mu.Unlock() }
 
 func TestFollow(t *testing.T) {
 	is := is.New(t)
--- a/plat/keyval/watch.go
+++ b/plat/keyval/watch.go
@@ -77,23 +77,23 @@
 	return d
 }
 
-// Saved is a copy of the state of a Memory at one time, without its leases.
-type Saved struct {
+// Snapshot is a copy of the state of a Memory at one time, without its leases.
+type Snapshot struct {
 	state memoryState
 }
 
 // Save returns a copy of the present state.
-func (m *Memory) Save() Saved {
+func (m *Memory) Save() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
 	s := m.state
 	s.items, s.keys, s.events = maps.Clone(s.items), slices.Clone(s.keys), slices.Clone(s.events)
-	return Saved{state: s}
+	return Snapshot{state: s}
 }
 
 // Restore replaces the state by an older one, like a service restored from a backup: revisions go back too, and every lease expires.
-func (m *Memory) Restore(s Saved) {
+func (m *Memory) Restore(s Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s.state
--- a/plat/keyval/wire.go
+++ b/plat/keyval/wire.go
@@ -6,8 +6,8 @@
 	GetRequest struct {
 		Key string `json:"key"`
 	}
-	// GetAnswer holds the key's value and revision, if Found.
-	GetAnswer struct {
+	// GetResponse holds the key's value and revision, if Found.
+	GetResponse struct {
 		Found bool     `json:"found"`
 		Value []byte   `json:"value"`
 		Rev   Revision `json:"rev"`
@@ -24,8 +24,8 @@
 		Value []byte   `json:"value"`
 		Rev   Revision `json:"rev"`
 	}
-	// ListAnswer holds the items in key order and the service's revision.
-	ListAnswer struct {
+	// ListResponse holds the items in key order and the service's revision.
+	ListResponse struct {
 		Items []ItemWire `json:"items"`
 		Rev   Revision   `json:"rev"`
 	}
@@ -36,8 +36,8 @@
 		Cond  Revision `json:"cond"`
 		Lease LeaseID  `json:"lease"`
 	}
-	// PutAnswer holds the new revision, if OK.
-	PutAnswer struct {
+	// PutResponse holds the new revision, if OK.
+	PutResponse struct {
 		OK  bool     `json:"ok"`
 		Rev Revision `json:"rev"`
 	}
@@ -46,8 +46,8 @@
 		Key  string   `json:"key"`
 		Cond Revision `json:"cond"`
 	}
-	// OKAnswer reports whether the call took effect.
-	OKAnswer struct {
+	// OKResponse reports whether the call took effect.
+	OKResponse struct {
 		OK bool `json:"ok"`
 	}
 	// WatchRequest waits up to WaitMillis for changes after Rev under Prefix.
@@ -63,8 +63,8 @@
 		Rev     Revision `json:"rev"`
 		Deleted bool     `json:"deleted"`
 	}
-	// WatchAnswer holds the events and the revision to continue from. Reset means that the caller must list again.
-	WatchAnswer struct {
+	// WatchResponse holds the events and the revision to continue from. Reset means that the caller must list again.
+	WatchResponse struct {
 		Events []EventWire `json:"events"`
 		Rev    Revision    `json:"rev"`
 		Reset  bool        `json:"reset"`
@@ -73,8 +73,8 @@
 	GrantRequest struct {
 		TTLMillis int64 `json:"ttlMs"`
 	}
-	// GrantAnswer holds the id of the new lease.
-	GrantAnswer struct {
+	// GrantResponse holds the id of the new lease.
+	GrantResponse struct {
 		Lease LeaseID `json:"lease"`
 	}
 	// LeaseRequest holds the id of the lease to renew or revoke.
--- a/plat/lease/grace_test.go
+++ b/plat/lease/grace_test.go
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &unreachableStore{Memory: keyval.NewMemory()}
-		l := lease.New(s, "k", "a", lease.WithTTL(ttl), lease.WithPatience(10*time.Second))
+		l := lease.New(s, "k", "a", lease.WithTTL(ttl), lease.WithRenewalGrace(10*time.Second))
 		defer startLeases(l)()
 		time.Sleep(time.Second)
 		f, held := l.Held()
@@ -53,12 +53,12 @@
 		time.Sleep(ttl)
 		_, held = l.Held()
 		is.True(!held) // another process may hold the key by now
-		g, kept := l.Kept()
+		g, kept := l.Retained()
 		is.True(kept)
 		is.Equal(g, f)
-		is.True(l.Checked() >= 4*time.Second)
+		is.True(l.SinceRenewal() >= 4*time.Second)
 		time.Sleep(12 * time.Second)
-		g, kept = l.Kept()
+		g, kept = l.Retained()
 		is.True(!kept || g != f) // released; it may have been acquired again
 	})
 }
@@ -67,13 +67,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := keyval.NewMemory()
-		weak := lease.New(s, "k", "weak", lease.WithTTL(ttl), lease.WithDelay(func() time.Duration { return 3 * time.Second }))
-		strong := lease.New(s, "k", "strong", lease.WithTTL(ttl), lease.WithLook(500*time.Millisecond))
+		weak := lease.New(s, "k", "weak", lease.WithTTL(ttl), lease.WithClaimDelay(func() time.Duration { return 3 * time.Second }))
+		strong := lease.New(s, "k", "strong", lease.WithTTL(ttl), lease.WithPollInterval(500*time.Millisecond))
 		defer startLeases(weak, strong)()
 		time.Sleep(time.Second)
 		_, held := strong.Held()
 		is.True(held) // the weak candidate leaves the free key to it
-		strong.Yield()
+		strong.StepDown()
 		time.Sleep(100 * time.Millisecond)
 		_, held = strong.Held()
 		is.True(!held)
--- a/plat/lease/lease.go
+++ b/plat/lease/lease.go
@@ -54,15 +54,15 @@
 // WithClock sets the clock that measures how long a lease is trusted. It should keep running while the machine is suspended.
 func WithClock(now func() time.Time) Option { return func(l *Lease) { l.now = now } }
 
-// WithPatience sets how long after the TTL a holder that cannot reach the service keeps retrying the renewal instead of releasing
+// WithRenewalGrace sets how long after the TTL a holder that cannot reach the service keeps retrying the renewal instead of releasing
 // the key. Meanwhile Held returns false, but the key is not released.
-func WithPatience(d time.Duration) Option { return func(l *Lease) { l.model.renewalGrace = d } }
+func WithRenewalGrace(d time.Duration) Option { return func(l *Lease) { l.model.renewalGrace = d } }
 
-// WithLook sets how often a candidate reads the key while another process holds it.
-func WithLook(d time.Duration) Option { return func(l *Lease) { l.model.pollInterval = d } }
+// WithPollInterval sets how often a candidate reads the key while another process holds it.
+func WithPollInterval(d time.Duration) Option { return func(l *Lease) { l.model.pollInterval = d } }
 
-// WithDelay sets how long a candidate that finds the key free waits before it claims the key, so that better candidates come first.
-func WithDelay(delay func() time.Duration) Option {
+// WithClaimDelay sets how long a candidate that finds the key free waits before it claims the key, so that better candidates come first.
+func WithClaimDelay(delay func() time.Duration) Option {
 	return func(l *Lease) { l.model.claimDelay = delay }
 }
 
@@ -90,26 +90,26 @@
 	return h.fence, true
 }
 
-// Kept returns the fencing token and whether this process has not released the key. Unlike with Held, another process may hold the
+// Retained returns the fencing token and whether this process has not released the key. Unlike with Held, another process may hold the
 // key by now.
-func (l *Lease) Kept() (keyval.Revision, bool) {
+func (l *Lease) Retained() (keyval.Revision, bool) {
 	h := l.status.Load()
 	return h.fence, h.fence != 0
 }
 
-// Checked returns how long ago the last successful renewal was sent. No other process held the key until that time.
-func (l *Lease) Checked() time.Duration { return l.now().Sub(l.status.Load().renewalSentAt) }
+// SinceRenewal returns how long ago the last successful renewal was sent. No other process held the key until that time.
+func (l *Lease) SinceRenewal() time.Duration { return l.now().Sub(l.status.Load().renewalSentAt) }
 
-// Moved returns a channel that receives when this process may have acquired or released the key.
-func (l *Lease) Moved() <-chan struct{} { return l.changed }
+// Changed returns a channel that receives when this process may have acquired or released the key.
+func (l *Lease) Changed() <-chan struct{} { return l.changed }
 
-// Nudge ends the present wait of a candidate or holder, so that it acts at once.
-func (l *Lease) Nudge() { notify(l.wakeup) }
+// Wake ends the present wait of a candidate or holder, so that it acts at once.
+func (l *Lease) Wake() { notify(l.wakeup) }
 
-// Yield releases the key; the process becomes a candidate again.
-func (l *Lease) Yield() {
+// StepDown releases the key; the process becomes a candidate again.
+func (l *Lease) StepDown() {
 	l.stepDown.Store(true)
-	l.Nudge()
+	l.Wake()
 }
 
 // notify sends to c without blocking; it does nothing if a notification is already pending.
@@ -130,7 +130,7 @@
 	for len(cmds) > 0 && ctx.Err() == nil {
 		cmds = l.model.Update(l.perform(ctx, cmds[0]))
 		if l.stepDown.Swap(false) {
-			cmds = l.model.Yield()
+			cmds = l.model.StepDown()
 		}
 		f, u := l.model.Fence()
 		if l.status.Swap(&status{fence: f, validUntil: u, renewalSentAt: l.model.renewalSentAt, leader: l.model.Leader()}).fence != f {
--- a/plat/lease/model.go
+++ b/plat/lease/model.go
@@ -156,8 +156,8 @@
 	return m.claimDelay()
 }
 
-// Yield revokes the lease if there is one, and reads the key otherwise.
-func (m *Model) Yield() []Cmd {
+// StepDown revokes the lease if there is one, and reads the key otherwise.
+func (m *Model) StepDown() []Cmd {
 	m.claimDelayPassed = false
 	if m.leaseID == 0 {
 		return []Cmd{ReadCmd{}}
--- a/plat/tasks/client.go
+++ b/plat/tasks/client.go
@@ -25,8 +25,8 @@
 	ListRequest struct {
 		Prefix string `json:"prefix"`
 	}
-	// ListAnswer holds the tasks.
-	ListAnswer struct {
+	// ListResponse holds the tasks.
+	ListResponse struct {
 		Tasks []Task `json:"tasks"`
 	}
 	// Request names the task.
@@ -34,8 +34,8 @@
 		ID string `json:"id"`
 		On bool   `json:"on,omitempty"` // of a throttle: whether to throttle the task
 	}
-	// Answer reports whether the call took effect and, for a stop, how the task ended.
-	Answer struct {
+	// Response reports whether the call took effect and, for a stop, how the task ended.
+	Response struct {
 		OK     bool   `json:"ok"`
 		State  State  `json:"state,omitempty"`
 		Reason string `json:"reason,omitempty"`
@@ -75,7 +75,7 @@
 
 // List implements Platform.
 func (c *Client) List(ctx context.Context, prefix string) ([]Task, error) {
-	var a ListAnswer
+	var a ListResponse
 	err := c.call(ctx, PathList, prefix, ListRequest{Prefix: prefix}, &a)
 	return a.Tasks, err
 }
@@ -104,8 +104,8 @@
 	return err
 }
 
-func (c *Client) order(ctx context.Context, path, id string, q any) (Answer, error) {
-	var a Answer
+func (c *Client) order(ctx context.Context, path, id string, q any) (Response, error) {
+	var a Response
 	if err := c.call(ctx, path, id, q, &a); err != nil {
 		return a, err
 	}
--- a/plat/wire/client.go
+++ b/plat/wire/client.go
@@ -64,8 +64,8 @@
 	Body   []byte // JSON, or empty
 }
 
-// Answer is the response to a Request, with any status.
-type Answer struct {
+// Response is the response to a Request, with any status.
+type Response struct {
 	Status int
 	Header func(name string) string
 	Body   []byte
@@ -74,8 +74,8 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithIdle sets the time after which an idle connection is no longer used, because the server may have closed it.
-func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
+// WithIdleTimeout sets the time after which an idle connection is no longer used, because the server may have closed it.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 // WithName sets the name by which the caller identifies itself to the platform.
 func WithName(name string) Option { return func(c *Client) { c.name = name } }
@@ -130,9 +130,9 @@
 
 // Do makes the call in one attempt and returns the response, whatever its status. extra is added to the client's timeout.
 // Each error is an *Error.
-func (c *Client) Do(ctx context.Context, r Request, extra time.Duration) (Answer, error) {
+func (c *Client) Do(ctx context.Context, r Request, extra time.Duration) (Response, error) {
 	if ctx.Err() != nil {
-		return Answer{}, c.newError(r.Path, false, 0, context.Cause(ctx))
+		return Response{}, c.newError(r.Path, false, 0, context.Cause(ctx))
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+extra)
 	defer cancel()
@@ -145,11 +145,11 @@
 		q.Header.Set(k, v)
 	}
 	if err := c.send(ctx, q, a); err != nil {
-		return Answer{}, c.newError(r.Path, !errors.Is(err, errDial), 0, err)
+		return Response{}, c.newError(r.Path, !errors.Is(err, errDial), 0, err)
 	}
 	h := fasthttp.ResponseHeader{}
 	a.Header.CopyTo(&h)
-	return Answer{
+	return Response{
 		Status: a.StatusCode(), Body: slices.Clone(a.Body()),
 		Header: func(n string) string { return string(h.Peek(n)) },
 	}, nil
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -153,11 +153,11 @@
 }
 
 // startTargets starts the targets and returns the platform's list of them.
-func (r *Rig) startTargets() []hosts.Wire {
-	var l []hosts.Wire
+func (r *Rig) startTargets() []hosts.VMWire {
+	var l []hosts.VMWire
 	for d := range r.plan.DataCentres {
 		for k := range r.plan.Targets + r.plan.Spares {
-			w := hosts.Wire{
+			w := hosts.VMWire{
 				ID: fmt.Sprintf("%s-w%d", DataCentre(d), k+1), DataCentre: DataCentre(d), Rack: fmt.Sprintf("%s-r%d", DataCentre(d), k/2+1),
 				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freePair(r.T),
 			}
@@ -172,13 +172,13 @@
 	return l
 }
 
-func (r *Rig) startTarget(w hosts.Wire) {
+func (r *Rig) startTarget(w hosts.VMWire) {
 	t := target.New(target.WithName(w.ID), target.WithRunTime(r.plan.RunTime), target.WithRebootTime(r.plan.Reboot))
 	r.Targets[w.ID] = t
 	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, control(w.Addr)) })
 }
 
-func (r *Rig) startCloud(vms []hosts.Wire) {
+func (r *Rig) startCloud(vms []hosts.VMWire) {
 	r.Cloud = cloud.New(cloud.WithVMs(vms...), cloud.WithReboot(r.plan.Reboot), cloud.WithLag(r.plan.Lag), cloud.WithControl("127.0.0.1:0"))
 	addr := Free(r.T)
 	r.group.Go(func() error { return r.Cloud.Serve(r.ctx, addr) })
@@ -217,7 +217,7 @@
 }
 
 // plant makes one more entry of the data centre, which is not started, and returns its line in the platform's list.
-func (r *Rig) plant(dataCentre string) hosts.Wire {
+func (r *Rig) plant(dataCentre string) hosts.VMWire {
 	n := 1
 	for _, e := range r.Entries {
 		if e.DataCentre == dataCentre {
@@ -229,7 +229,7 @@
 		Caller: Free(r.T), Peer: Free(r.T), Operator: Free(r.T), rig: r,
 	}
 	r.Entries = append(r.Entries, e)
-	return hosts.Wire{
+	return hosts.VMWire{
 		ID: e.Name, Addr: e.Peer, DataCentre: dataCentre, Rack: e.Name + "-rack", State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 2, MemoryMB: 2048,
 	}
 }
