--- a/node/daemon/burn.go
+++ b/node/daemon/burn.go
@@ -8,14 +8,14 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// flush passes the request path's counts and the leader's figures on once a second, and logs alerts.
-func (d *Daemon) flush(ctx context.Context) error {
+// flushBurnRates passes the request path's counts and the leader's figures on once a second, and logs alerts.
+func (d *Daemon) flushBurnRates(ctx context.Context) error {
 	known := make(map[string]bool)
-	return every(ctx, flushEvery, func(now time.Time) {
+	return every(ctx, flushInterval, func(now time.Time) {
 		doc := d.conf.Document()
-		d.objectives(doc, known)
+		d.updateObjectives(doc, known)
 		if fence, ok := d.lease.Held(); ok {
-			d.burn.Update(d.led(now, int64(fence), doc))
+			d.burn.Update(d.leaderMsg(now, int64(fence), doc))
 		}
 		for _, c := range d.burn.Flush(now) {
 			if a, ok := c.(burn.AlertCmd); ok {
@@ -26,8 +26,8 @@
 	})
 }
 
-// objectives tells the burn of each service's objective and of services that are no more.
-func (d *Daemon) objectives(doc *conf.Document, known map[string]bool) {
+// updateObjectives tells the burn of each service's objective and of services that are no more.
+func (d *Daemon) updateObjectives(doc *conf.Document, known map[string]bool) {
 	for n := range known {
 		if _, ok := doc.Service(n); !ok {
 			d.burn.Update(burn.ForgetMsg{Service: n})
@@ -42,8 +42,8 @@
 	}
 }
 
-// led returns what the leader knows of its VMs.
-func (d *Daemon) led(now time.Time, fence int64, doc *conf.Document) burn.LeadMsg {
+// leaderMsg returns what the leader knows of its VMs.
+func (d *Daemon) leaderMsg(now time.Time, fence int64, doc *conf.Document) burn.LeadMsg {
 	m := burn.LeadMsg{Now: now, Term: fence}
 	for _, v := range d.loop.Stats().Members() {
 		m.Members = append(m.Members, burn.Member{VM: v.VM, Pool: v.Pool, Wave: v.Wave})
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -25,76 +25,76 @@
 )
 
 const (
-	leaveWithin   = 5 * time.Second // for handing the records over at the end
-	compactEvery  = 5 * time.Second
-	flushEvery    = time.Second
-	addressEvery  = 2 * time.Second
-	electionEvery = time.Second
+	leaveTimeout   = 5 * time.Second // for handing the records over at the end
+	compactInterval  = 5 * time.Second
+	flushInterval    = time.Second
+	addressInterval  = 2 * time.Second
+	electionInterval = time.Second
 )
 
 // Daemon is one entry process.
 type Daemon struct {
-	set      setup.Settings
+	settings      setup.Settings
 	log      zerolog.Logger
 	store    *keyval.Client
 	platform *hosts.Client
 	conf     *conf.Holder
-	commit   *conf.Committer
+	committer   *conf.Committer
 	lease    *lease.Lease
 	client   *relay.Client
 	keeper   *relay.Keeper
 	beater   *relay.Beater
-	shelf    *view.Shelf
-	news     *news
+	views    *view.Shelf
+	gossip     *gossip
 	entry    *entry.Entry
 	loop     *steer.Loop
 	burn     *burn.Meter
-	jobs     *runner
-	shares   *shares
+	jobs     *jobRunner
+	slotLoans   *slotLoans
 	self     ledger.Member
 }
 
 // New returns the process that the settings describe; nothing is started.
 func New(s setup.Settings, l zerolog.Logger) *Daemon {
-	d := &Daemon{set: s, log: l, shelf: view.NewShelf(), conf: conf.NewHolder()}
+	d := &Daemon{settings: s, log: l, views: view.NewShelf(), conf: conf.NewHolder()}
 	d.store = keyval.New(s.PlatformAddr(), keyval.WithName(s.Name()), keyval.WithTimeout(s.PlatformTimeout()))
 	d.platform = hosts.New(s.PlatformAddr(), hosts.WithName(s.Name()), hosts.WithTimeout(s.PlatformTimeout()))
-	d.commit = conf.NewCommitter(d.store, d.conf, conf.WithCatchUp(d.catchUp))
+	d.committer = conf.NewCommitter(d.store, d.conf, conf.WithCatchUp(d.catchUp))
 	d.self = ledger.Member{Entry: s.Name(), Addr: s.PeerAddr(), Incarnation: time.Now().UnixNano()}
 	d.burn = burn.NewMeter(s.Name(), s.DataCentre(), time.Now())
-	d.lease = lease.New(d.store, steer.LeaderKey(s.DataCentre()), life(d.self), lease.WithTTL(s.LeaderLease()))
-	d.relay()
-	d.serving()
+	d.lease = lease.New(d.store, steer.LeaderKey(s.DataCentre()), instanceName(d.self), lease.WithTTL(s.LeaderLease()))
+	d.initRelay()
+	d.initEntry()
 	return d
 }
 
-// relay makes what talks with the other entries.
-func (d *Daemon) relay() {
-	s := d.set
+// initRelay makes what talks with the other entries.
+func (d *Daemon) initRelay() {
+	s := d.settings
 	d.client = relay.NewClient(relay.WithCallWithin(s.PeerTimeout()))
 	d.keeper = relay.NewKeeper(d.self, s.DataCentre(), s.DataCentres(), d.store, d.client, relay.WithLog(d.log),
-		relay.WithBook(ledger.WithRecords(s.MaxKeys()), ledger.WithAnswerBytes(answerBytes)))
-	d.news = newNews(d)
-	d.beater = relay.NewBeater(d.keeper, d.client, d.news, relay.WithEvery(s.Beat()), relay.WithLeader(d.news.leader), relay.OnBeat(d.news.heard))
+		relay.WithBook(ledger.WithRecords(s.MaxKeys()), ledger.WithAnswerBytes(maxKeptAnswerBytes)))
+	d.gossip = newGossip(d)
+	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithEvery(s.Beat()), relay.WithLeader(d.gossip.leader), relay.OnBeat(d.gossip.receive))
 }
 
-// answerBytes bounds the answers that are kept with their keys; the oldest are given up first.
-const answerBytes = 8 << 20
-
-// serving makes what serves callers and leads.
-func (d *Daemon) serving() {
-	s := d.set
-	d.shares = &shares{d: d}
-	d.entry = entry.New(s, d.log, d.conf, d.shelf,
-		entry.WithKeys(keys{d.keeper}), entry.WithSelf(life(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.placed),
-		entry.WithLeader(d.news.led), entry.WithOnLeaving(d.beater.Kick))
-	d.loop = steer.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.news, d.shelf,
-		steer.WithTick(s.Tick()), steer.WithLogger(d.log), steer.WithOthers(without(s.DataCentres(), s.DataCentre())),
+// maxKeptAnswerBytes bounds the answers that are kept with their keys; the oldest are given up first.
+const maxKeptAnswerBytes = 8 << 20
+
+// initEntry makes what serves callers and leads.
+func (d *Daemon) initEntry() {
+	s := d.settings
+	d.slotLoans = &slotLoans{d: d}
+	d.entry = entry.New(s, d.log, d.conf, d.views,
+		entry.WithKeys(keyClaimer{d.keeper}), entry.WithSelf(instanceName(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.hasPlace),
+		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.Kick))
+	d.loop = steer.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
+		steer.WithTick(s.Tick()), steer.WithLogger(d.log), steer.WithOthers(exclude(s.DataCentres(), s.DataCentre())),
 		steer.WithGone(d.keeper.Gone))
 	d.jobs = newRunner(d)
 }
 
-func without(l []string, x string) []string {
+func exclude(l []string, x string) []string {
 	var r []string
 	for _, v := range l {
 		if v != x {
@@ -104,12 +104,12 @@
 	return r
 }
 
-// placed reports whether the entry has a place among its peers: in the roster, or for a silent member of it.
-func (d *Daemon) placed() bool { return d.joined() || d.shares.stands.Load() }
+// hasPlace reports whether the entry has a place among its peers: in the roster, or for a silent member of it.
+func (d *Daemon) hasPlace() bool { return d.inRoster() || d.slotLoans.standingIn.Load() }
 
-// joined reports whether the entry is in its data centre's roster.
-func (d *Daemon) joined() bool {
-	m, ok := d.keeper.Roster(d.set.DataCentre()).Member(d.set.Name())
+// inRoster reports whether the entry is in its data centre's roster.
+func (d *Daemon) inRoster() bool {
+	m, ok := d.keeper.Roster(d.settings.DataCentre()).Member(d.settings.Name())
 	return ok && m.Is(d.self)
 }
 
@@ -144,7 +144,7 @@
 
 // leave hands the records over and gives the lease up.
 func (d *Daemon) leave(ctx context.Context) error {
-	x, cancel := context.WithTimeout(ctx, leaveWithin)
+	x, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := d.keeper.Leave(x); err != nil {
 		d.log.Warn().Str("step", "leave").Err(err).Msg("recordsNotHandedOver")
@@ -159,7 +159,7 @@
 	for _, o := range []struct {
 		at  *net.Listener
 		set string
-	}{{&l.callers, d.set.CallerAddr()}, {&l.peers, d.set.PeerAddr()}, {&l.operators, d.set.OperatorAddr()}} {
+	}{{&l.callers, d.settings.CallerAddr()}, {&l.peers, d.settings.PeerAddr()}, {&l.operators, d.settings.OperatorAddr()}} {
 		var c net.ListenConfig
 		if *o.at, err = c.Listen(ctx, "tcp", o.set); err != nil {
 			return l, eris.Wrapf(err, "step=listen peer=%s", o.set)
@@ -170,11 +170,11 @@
 
 // background starts all that is not the callers' requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group, l listeners) {
-	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWait(d.set.WatchWait()))
-	server := relay.NewServer(relay.Service{Keeper: d.keeper, Beater: d.beater, Lender: d.shares})
-	api := oper.New(d.set.Name(), d.set.OperatorTokenDigests(), configAPI{d}, fleetAPI{d}, d.burn, oper.WithLogger(d.log), d.jobs.operated())
+	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWait(d.settings.WatchWait()))
+	server := relay.NewServer(relay.Service{Keeper: d.keeper, Beater: d.beater, Lender: d.slotLoans})
+	api := oper.New(d.settings.Name(), d.settings.OperatorTokenDigests(), configAPI{d}, fleetAPI{d}, d.burn, oper.WithLogger(d.log), d.jobs.operOption())
 	for _, f := range []func(context.Context) error{
-		follower.Run, d.lease.Run, d.keeper.Run, d.beater.Run, d.loop.Run, d.jobs.run, d.addresses, d.compact, d.flush, d.kick, d.shares.run,
+		follower.Run, d.lease.Run, d.keeper.Run, d.beater.Run, d.loop.Run, d.jobs.run, d.refreshAddresses, d.compact, d.flushBurnRates, d.kick, d.slotLoans.run,
 		func(x context.Context) error { return server.Serve(x, l.peers) },
 		func(x context.Context) error { return api.ServeListener(x, l.operators) },
 	} {
@@ -196,21 +196,21 @@
 	}
 }
 
-// addresses keeps the beater's list of entries: the rosters' members and the settings' seeds.
-func (d *Daemon) addresses(ctx context.Context) error {
-	d.know()
-	return every(ctx, addressEvery, func(time.Time) { d.know() })
+// refreshAddresses keeps the beater's list of entries: the rosters' members and the settings' seeds.
+func (d *Daemon) refreshAddresses(ctx context.Context) error {
+	d.updateAddresses()
+	return every(ctx, addressInterval, func(time.Time) { d.updateAddresses() })
 }
 
-func (d *Daemon) know() {
+func (d *Daemon) updateAddresses() {
 	var l []relay.Address
-	for _, n := range d.set.DataCentres() {
+	for _, n := range d.settings.DataCentres() {
 		for _, m := range d.keeper.Roster(n).Members() {
 			l = append(l, relay.NewAddress(m.Entry, m.Addr, n))
 		}
 	}
-	for _, a := range d.set.PeerAddrs() {
-		l = append(l, relay.NewAddress(a, a, d.set.DataCentre()))
+	for _, a := range d.settings.PeerAddrs() {
+		l = append(l, relay.NewAddress(a, a, d.settings.DataCentre()))
 	}
 	d.beater.Know(l)
 }
@@ -218,8 +218,8 @@
 // compact writes snapshots while this entry leads the first data centre.
 func (d *Daemon) compact(ctx context.Context) error {
 	c := conf.NewCompactor(d.store, d.conf)
-	return every(ctx, compactEvery, func(time.Time) {
-		if _, ok := d.lease.Held(); !ok || d.set.DataCentre() != d.set.DataCentres()[0] {
+	return every(ctx, compactInterval, func(time.Time) {
+		if _, ok := d.lease.Held(); !ok || d.settings.DataCentre() != d.settings.DataCentres()[0] {
 			return
 		}
 		if err := c.Step(ctx); err != nil {
@@ -244,8 +244,8 @@
 	})
 	g.Go(func() error {
 		for {
-			v := d.shelf.View().Version()
-			if d.shelf.Wait(x, v) != nil {
+			v := d.views.View().Version()
+			if d.views.Wait(x, v) != nil {
 				return nil
 			}
 			d.beater.Kick()
--- a/node/daemon/news.go
+++ b/node/daemon/news.go
@@ -17,14 +17,14 @@
 
 const (
 	changesPerBeat = 200
-	// quietFor is how long an entry that does not lead waits for the leader to bring others up to date.
-	quietFor = time.Second
-	// newsFor is how long word of another entry counts.
-	newsFor = 3 * time.Second
+	// followerDeltaDelay is how long an entry that does not lead waits for the leader to bring others up to date.
+	followerDeltaDelay = time.Second
+	// reportMaxAge is how long word of another entry counts.
+	reportMaxAge = 3 * time.Second
 )
 
-// bulletin is what an entry tells the others of its data centre about targets.
-type bulletin struct {
+// peerReport is what an entry tells the others of its data centre about targets.
+type peerReport struct {
 	Version view.Version    `json:"v"`
 	Leading bool            `json:"lead,omitempty"`
 	Quits   []entry.Quit    `json:"quits,omitempty"`
@@ -34,28 +34,28 @@
 	Numbers []int64         `json:"numbers,omitempty"` // versions of the membership's shards in the entry's view
 }
 
-// news carries what entries tell each other; mu guards what the others said.
-type news struct {
+// gossip carries what entries tell each other; mu guards what the others said.
+type gossip struct {
 	d *Daemon
 
 	mu     sync.Mutex
-	others map[string]heardNews
-	risen  time.Time // when the own view last changed
-	own    view.Version
+	received map[string]receivedReport
+	viewChangedAt  time.Time // when the own view last changed
+	viewVersion    view.Version
 }
 
-type heardNews struct {
-	bulletin
-	at time.Time
+type receivedReport struct {
+	peerReport
+	receivedAt time.Time
 }
 
-func newNews(d *Daemon) *news { return &news{d: d, others: make(map[string]heardNews)} }
+func newGossip(d *Daemon) *gossip { return &gossip{d: d, received: make(map[string]receivedReport)} }
 
 // Applied implements relay.Carrier.
-func (n *news) Applied() int64 { return int64(n.d.conf.Document().Number()) }
+func (n *gossip) Applied() int64 { return int64(n.d.conf.Document().Number()) }
 
 // Since implements relay.Carrier.
-func (n *news) Since(after int64) (changes [][]byte, snapshot []byte) {
+func (n *gossip) Since(after int64) (changes [][]byte, snapshot []byte) {
 	l, doc := n.d.conf.Since(conf.Number(after), changesPerBeat)
 	if doc != nil {
 		b, err := doc.Marshal()
@@ -73,7 +73,7 @@
 }
 
 // Offer implements relay.Carrier.
-func (n *news) Offer(changes [][]byte, snapshot []byte) {
+func (n *gossip) Offer(changes [][]byte, snapshot []byte) {
 	if len(snapshot) > 0 {
 		doc, err := conf.ParseDocument(snapshot)
 		if err != nil {
@@ -97,8 +97,8 @@
 }
 
 // Report implements relay.Carrier.
-func (n *news) Report() relay.Report {
-	b, err := json.Marshal(n.bulletin())
+func (n *gossip) Report() relay.Report {
+	b, err := json.Marshal(n.peerReport())
 	if err != nil {
 		n.d.log.Error().Str("step", "relay").Err(err).Msg("cannotEncode")
 	}
@@ -116,35 +116,35 @@
 }
 
 // failing returns the VMs that fail everything.
-func (n *news) failing() []string { return n.d.entry.Failing() }
+func (n *gossip) failing() []string { return n.d.entry.Failing() }
 
-// bulletin returns the own word, with a delta for whoever is behind.
-func (n *news) bulletin() bulletin {
+// peerReport returns the own word, with a delta for whoever is behind.
+func (n *gossip) peerReport() peerReport {
 	now := time.Now()
 	_, lead := n.d.lease.Held()
-	b := bulletin{Version: n.d.shelf.View().Version(), Leading: lead, Quits: n.d.entry.Quits(), Leaving: n.d.entry.Leavings(), Shares: n.d.entry.Settled(), Numbers: numbers(n.d.shelf.View())}
+	b := peerReport{Version: n.d.views.View().Version(), Leading: lead, Quits: n.d.entry.Quits(), Leaving: n.d.entry.Leavings(), Shares: n.d.entry.Settled(), Numbers: shardVersions(n.d.views.View())}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own != b.Version {
-		n.own, n.risen = b.Version, now
+	if n.viewVersion != b.Version {
+		n.viewVersion, n.viewChangedAt = b.Version, now
 	}
-	if !lead && now.Sub(n.risen) < quietFor {
+	if !lead && now.Sub(n.viewChangedAt) < followerDeltaDelay {
 		return b
 	}
-	if oldest, ok := n.oldest(now, b.Version); ok {
-		if d, ok := n.d.shelf.Since(oldest); ok {
+	if oldest, ok := n.oldestVersion(now, b.Version); ok {
+		if d, ok := n.d.views.Since(oldest); ok {
 			b.Delta = &d
 		}
 	}
 	return b
 }
 
-// oldest returns the oldest version of an entry that is behind; n.mu is held.
-func (n *news) oldest(now time.Time, own view.Version) (v view.Version, ok bool) {
+// oldestVersion returns the oldestVersion version of an entry that is behind; n.mu is held.
+func (n *gossip) oldestVersion(now time.Time, own view.Version) (v view.Version, ok bool) {
 	v = own
-	for e, h := range n.others {
-		if now.Sub(h.at) > newsFor {
-			delete(n.others, e)
+	for e, h := range n.received {
+		if now.Sub(h.receivedAt) > reportMaxAge {
+			delete(n.received, e)
 			continue
 		}
 		if v.After(h.Version) {
@@ -154,64 +154,64 @@
 	return v, ok
 }
 
-// heard takes in what another entry of the data centre said.
-func (n *news) heard(p relay.Peer, raw []byte) {
-	if len(raw) == 0 || p.Address().DataCentre() != n.d.set.DataCentre() {
+// receive takes in what another entry of the data centre said.
+func (n *gossip) receive(p relay.Peer, raw []byte) {
+	if len(raw) == 0 || p.Address().DataCentre() != n.d.settings.DataCentre() {
 		return
 	}
-	var b bulletin
+	var b peerReport
 	if err := json.Unmarshal(raw, &b); err != nil {
 		n.d.log.Warn().Str("step", "relay").Str("peer", p.Address().Entry()).Err(err).Msg("malformed")
 		return
 	}
 	n.mu.Lock()
-	n.others[p.Address().Entry()] = heardNews{bulletin: b, at: time.Now()}
+	n.received[p.Address().Entry()] = receivedReport{peerReport: b, receivedAt: time.Now()}
 	n.mu.Unlock()
 	if b.Delta != nil {
-		n.take(*b.Delta)
+		n.applyDelta(*b.Delta)
 	}
 	n.d.entry.Learn(b.Leaving)
-	n.d.shares.settled(p, b.Shares)
+	n.d.slotLoans.rosterSettled(p, b.Shares)
 	n.d.loop.Wake()
 }
 
-func (n *news) take(d view.Delta) {
-	if err := n.d.shelf.Offer(d); err == nil {
+func (n *gossip) applyDelta(d view.Delta) {
+	if err := n.d.views.Offer(d); err == nil {
 		n.d.log.Debug().Str("step", "view").Int64("fence", d.To.Fence).Int64("count", d.To.Count).Msg("viewTaken")
 	}
 }
 
 // leader returns the entry that leads the data centre as far as is heard, or nothing.
-func (n *news) leader() string {
+func (n *gossip) leader() string {
 	if _, ok := n.d.lease.Held(); ok {
-		return n.d.set.Name()
+		return n.d.settings.Name()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for e, h := range n.others {
-		if h.Leading && time.Since(h.at) < newsFor {
+	for e, h := range n.received {
+		if h.Leading && time.Since(h.receivedAt) < reportMaxAge {
 			return e
 		}
 	}
 	return ""
 }
 
-// led reports whether a leader of the data centre is heard.
-func (n *news) led() bool { return n.leader() != "" }
+// hasLeader reports whether a leader of the data centre is heard.
+func (n *gossip) hasLeader() bool { return n.leader() != "" }
 
 // Words implements steer.Peers.
-func (n *news) Words() []steer.Word {
+func (n *gossip) Words() []steer.Word {
 	now := time.Now()
-	l := []steer.Word{{Entry: n.d.set.Name(), At: now, Quits: quits(n.d.entry.Quits()), Failing: n.failing(), Loads: n.loads(), Numbers: numbers(n.d.shelf.View())}}
+	l := []steer.Word{{Entry: n.d.settings.Name(), At: now, Quits: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), Numbers: shardVersions(n.d.views.View())}}
 	for _, p := range n.d.beater.Heard() {
 		e := p.Address().Entry()
 		n.mu.Lock()
-		h, ok := n.others[e]
+		h, ok := n.received[e]
 		n.mu.Unlock()
-		if !ok || now.Sub(h.at) > newsFor {
+		if !ok || now.Sub(h.receivedAt) > reportMaxAge {
 			continue
 		}
-		w := steer.Word{Entry: e, At: h.at, Quits: quits(h.Quits), Failing: p.Failing(), Numbers: h.Numbers}
+		w := steer.Word{Entry: e, At: h.receivedAt, Quits: drainedVMs(h.Quits), Failing: p.Failing(), Numbers: h.Numbers}
 		for _, s := range p.Loads() {
 			w.Loads = append(w.Loads, steer.Load{
 				Service: s.GetService(), Busy: float64(s.GetBusy()), Queued: float64(s.GetQueued()), Arrivals: s.GetArrivals(), Done: s.GetDone(),
@@ -222,7 +222,7 @@
 	return l
 }
 
-func (n *news) loads() []steer.Load {
+func (n *gossip) ownLoads() []steer.Load {
 	var l []steer.Load
 	for s, o := range n.d.entry.Loads() {
 		l = append(l, steer.Load{Service: s, Busy: float64(o.Busy()), Queued: float64(queued(o)), Arrivals: o.Arrivals(), Done: o.Goodput()})
@@ -230,7 +230,7 @@
 	return l
 }
 
-func quits(l []entry.Quit) []steer.Quit {
+func drainedVMs(l []entry.Quit) []steer.Quit {
 	r := make([]steer.Quit, 0, len(l))
 	for _, q := range l {
 		r = append(r, steer.Quit{VM: q.VM, Number: q.Number})
@@ -238,8 +238,8 @@
 	return slices.Clip(r)
 }
 
-// numbers returns the version of each shard of the membership that the view shows.
-func numbers(v *view.View) []int64 {
+// shardVersions returns the version of each shard of the membership that the view shows.
+func shardVersions(v *view.View) []int64 {
 	l := make([]int64, pool.Count)
 	for _, t := range v.Targets() {
 		i := pool.Index(t.VM, pool.Count)
--- a/node/daemon/opers.go
+++ b/node/daemon/opers.go
@@ -23,12 +23,12 @@
 
 // Commit implements oper.Config.
 func (c configAPI) Commit(ctx context.Context, h conf.Change) (conf.Number, error) {
-	return c.d.commit.Commit(ctx, h)
+	return c.d.committer.Commit(ctx, h)
 }
 
 // Settle implements oper.Config; an operation that is not in the log may still come there.
 func (c configAPI) Settle(ctx context.Context, op string) (conf.Number, error) {
-	n, err := c.d.commit.Find(ctx, op)
+	n, err := c.d.committer.Find(ctx, op)
 	if err == nil && n == 0 {
 		err = eris.New("not in the log now; a write that is under way may bring it there")
 	}
@@ -39,20 +39,20 @@
 }
 
 const (
-	catchUpWithin = 2 * time.Second
-	catchUpPoll   = 20 * time.Millisecond
+	catchUpTimeout = 2 * time.Second
+	catchUpInterval   = 20 * time.Millisecond
 )
 
 // catchUp waits until an entry that its roster does not leave alone has heard another one and has its newest change, so that a
 // new entry does not build on a service that came back older.
 func (d *Daemon) catchUp(ctx context.Context) error {
-	x, cancel := context.WithTimeout(ctx, catchUpWithin)
+	x, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	for !d.caughtUp() {
 		select {
 		case <-x.Done():
 			return eris.Wrap(x.Err(), "step=catchUp")
-		case <-time.After(catchUpPoll):
+		case <-time.After(catchUpInterval):
 		}
 	}
 	return nil
@@ -61,7 +61,7 @@
 func (d *Daemon) caughtUp() bool {
 	peers := d.beater.Heard()
 	if len(peers) == 0 {
-		return len(d.keeper.Roster(d.set.DataCentre()).Members()) < 2
+		return len(d.keeper.Roster(d.settings.DataCentre()).Members()) < 2
 	}
 	for _, p := range peers {
 		if conf.Number(p.Applied()) > d.conf.Document().Number() {
@@ -82,8 +82,8 @@
 		members[m.VM] = m
 	}
 	var l []oper.VM
-	for _, t := range d.shelf.View().Targets() {
-		v := oper.VM{ID: t.VM, Addr: t.Addr, DataCentre: d.set.DataCentre(), Rack: t.Rack, Pool: t.Pool, State: "out"}
+	for _, t := range d.views.View().Targets() {
+		v := oper.VM{ID: t.VM, Addr: t.Addr, DataCentre: d.settings.DataCentre(), Rack: t.Rack, Pool: t.Pool, State: "out"}
 		if t.Serving {
 			v.State = pool.Serving.String()
 		}
@@ -103,15 +103,15 @@
 	d := f.d
 	_, lead := d.lease.Held()
 	l := []oper.Entry{{
-		Entry: d.set.Name(), DataCentre: d.set.DataCentre(), PeerAddr: d.set.PeerAddr(), Self: true, Heard: true,
-		Applied: d.conf.Document().Number(), Roster: d.keeper.Roster(d.set.DataCentre()).Number(), Leader: lead,
+		Entry: d.settings.Name(), DataCentre: d.settings.DataCentre(), PeerAddr: d.settings.PeerAddr(), Self: true, Heard: true,
+		Applied: d.conf.Document().Number(), Roster: d.keeper.Roster(d.settings.DataCentre()).Number(), Leader: lead,
 	}}
 	now := time.Now()
 	for _, p := range d.beater.Heard() {
 		since := now.Sub(p.At())
 		l = append(l, oper.Entry{
 			Entry: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
-			Heard: since < d.set.EntryUnheard(), UnheardMs: since.Milliseconds(), Applied: conf.Number(p.Applied()),
+			Heard: since < d.settings.EntryUnheard(), UnheardMs: since.Milliseconds(), Applied: conf.Number(p.Applied()),
 			Roster: p.Roster(), Leaving: p.Stopping(),
 		})
 	}
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -17,47 +17,47 @@
 )
 
 const (
-	rosterEvery = 100 * time.Millisecond // between looks at the roster
-	probeEvery  = 2 * time.Second
-	borrowers   = 4 // requests for slots that are under way at once
+	rosterInterval = 100 * time.Millisecond // between looks at the roster
+	probeInterval  = 2 * time.Second
+	maxConcurrentBorrows   = 4 // requests for slots that are under way at once
 )
 
-// shares carries slot loans between the entries of the data centre.
-type shares struct {
+// slotLoans carries slot loans between the entries of the data centre.
+type slotLoans struct {
 	d      *Daemon
-	cutOff atomic.Bool // the platform cannot be reached
-	stands atomic.Bool // this entry has the place of a silent one
+	platformDown atomic.Bool // the platform cannot be reached
+	standingIn atomic.Bool // this entry has the place of a silent one
 }
 
-// life names one life of an entry; a restarted one has lost its loans and is another.
-func life(m ledger.Member) string { return m.Entry + "@" + strconv.FormatInt(m.Incarnation, 36) }
+// instanceName names one instanceName of an entry; a restarted one has lost its loans and is another.
+func instanceName(m ledger.Member) string { return m.Entry + "@" + strconv.FormatInt(m.Incarnation, 36) }
 
 // run follows the roster and sends this entry's requests for slots.
-func (s *shares) run(ctx context.Context) error {
+func (s *slotLoans) run(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		var last int64
-		var q quotaBase
-		return every(x, rosterEvery, func(now time.Time) {
-			last = s.follow(now, last)
-			q = s.quotas(now, q)
+		var q quotaInputs
+		return every(x, rosterInterval, func(now time.Time) {
+			last = s.followRoster(now, last)
+			q = s.updateQuotas(now, q)
 		})
 	})
 	g.Go(func() error { return s.probe(x) })
-	for range borrowers {
-		g.Go(func() error { return s.borrow(x) })
+	for range maxConcurrentBorrows {
+		g.Go(func() error { return s.borrowLoop(x) })
 	}
 	return g.Wait()
 }
 
-// follow passes a new roster on and returns its number.
-func (s *shares) follow(now time.Time, last int64) int64 {
-	r := s.d.keeper.Roster(s.d.set.DataCentre())
+// followRoster passes a new roster on and returns its number.
+func (s *slotLoans) followRoster(now time.Time, last int64) int64 {
+	r := s.d.keeper.Roster(s.d.settings.DataCentre())
 	if r.Number() <= last {
 		return last
 	}
-	names := lives(r)
-	if !s.d.joined() {
+	names := instanceNames(r)
+	if !s.d.inRoster() {
 		if names = s.standIn(now, r); names == nil {
 			return last
 		}
@@ -67,42 +67,42 @@
 	return r.Number()
 }
 
-func lives(r ledger.Roster) []string {
+func instanceNames(r ledger.Roster) []string {
 	var l []string
 	for _, m := range r.Members() {
-		l = append(l, life(m))
+		l = append(l, instanceName(m))
 	}
 	return l
 }
 
 // standIn returns the roster's lives with this entry in the place of a member that nobody hears, while the platform cannot
 // be reached to write a new roster; nil if there is no place. Each newcomer takes another place, in order of their names.
-func (s *shares) standIn(now time.Time, r ledger.Roster) []string {
-	if !s.cutOff.Load() {
+func (s *slotLoans) standIn(now time.Time, r ledger.Roster) []string {
+	if !s.platformDown.Load() {
 		return nil
 	}
 	heard := make(map[string]bool)
 	place := 0
 	for _, p := range s.d.beater.Heard() {
 		e := p.Address().Entry()
-		if now.Sub(p.At()) > ledger.UnheardAfter || p.Address().DataCentre() != s.d.set.DataCentre() {
+		if now.Sub(p.At()) > ledger.UnheardAfter || p.Address().DataCentre() != s.d.settings.DataCentre() {
 			continue
 		}
 		_, in := r.Member(e)
 		if in && p.Incarnation() == incarnation(r, e) {
 			heard[e] = true
-		} else if e < s.d.set.Name() {
+		} else if e < s.d.settings.Name() {
 			place++
 		}
 	}
-	names := lives(r)
+	names := instanceNames(r)
 	for k, m := range r.Members() {
 		if heard[m.Entry] {
 			continue
 		}
 		if place == 0 {
-			names[k] = life(s.d.self)
-			s.stands.Store(true)
+			names[k] = instanceName(s.d.self)
+			s.standingIn.Store(true)
 			s.d.log.Warn().Str("step", "share").Str("peer", m.Entry).Msg("standsInForSilentEntry")
 			return names
 		}
@@ -117,29 +117,29 @@
 }
 
 // probe finds out whether the platform can be reached while this entry is in no roster.
-func (s *shares) probe(ctx context.Context) error {
-	return every(ctx, probeEvery, func(time.Time) {
-		if s.d.joined() {
-			s.cutOff.Store(false)
+func (s *slotLoans) probe(ctx context.Context) error {
+	return every(ctx, probeInterval, func(time.Time) {
+		if s.d.inRoster() {
+			s.platformDown.Store(false)
 			return
 		}
-		x, cancel := context.WithTimeout(ctx, probeEvery)
+		x, cancel := context.WithTimeout(ctx, probeInterval)
 		defer cancel()
-		_, err := s.d.store.Get(x, steer.LeaderKey(s.d.set.DataCentre()))
-		s.cutOff.Store(err != nil)
+		_, err := s.d.store.Get(x, steer.LeaderKey(s.d.settings.DataCentre()))
+		s.platformDown.Store(err != nil)
 	})
 }
 
-// quotaBase is what the teams' rates at this entry follow from.
-type quotaBase struct {
+// quotaInputs is what the teams' rates at this entry follow from.
+type quotaInputs struct {
 	doc     *conf.Document
 	entries int
 }
 
-// quotas gives this entry an equal part of each team's rate when the configuration or the number of entries has changed.
-func (s *shares) quotas(now time.Time, old quotaBase) quotaBase {
-	b := quotaBase{doc: s.d.conf.Document()}
-	for _, n := range s.d.set.DataCentres() {
+// updateQuotas gives this entry an equal part of each team's rate when the configuration or the number of entries has changed.
+func (s *slotLoans) updateQuotas(now time.Time, old quotaInputs) quotaInputs {
+	b := quotaInputs{doc: s.d.conf.Document()}
+	for _, n := range s.d.settings.DataCentres() {
 		b.entries += len(s.d.keeper.Roster(n).Members())
 	}
 	if b == old || b.entries == 0 {
@@ -159,29 +159,29 @@
 	return b
 }
 
-// settled passes on that another entry keeps to a roster.
-func (s *shares) settled(p relay.Peer, number int64) {
+// rosterSettled passes on that another entry keeps to a roster.
+func (s *slotLoans) rosterSettled(p relay.Peer, number int64) {
 	if number > 0 {
-		s.d.entry.SetSettled(time.Now(), life(ledger.Member{Entry: p.Address().Entry(), Incarnation: p.Incarnation()}), number)
+		s.d.entry.SetSettled(time.Now(), instanceName(ledger.Member{Entry: p.Address().Entry(), Incarnation: p.Incarnation()}), number)
 	}
 }
 
-// borrow sends requests for slots one after the other.
-func (s *shares) borrow(ctx context.Context) error {
+// borrowLoop sends requests for slots one after the other.
+func (s *slotLoans) borrowLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case a := <-s.d.entry.Asks():
-			s.ask(ctx, a)
+			s.requestSlots(ctx, a)
 		}
 	}
 }
 
-func (s *shares) ask(ctx context.Context, a entry.Ask) {
+func (s *slotLoans) requestSlots(ctx context.Context, a entry.Ask) {
 	var to ledger.Member
-	for _, m := range s.d.keeper.Roster(s.d.set.DataCentre()).Members() {
-		if life(m) == a.To {
+	for _, m := range s.d.keeper.Roster(s.d.settings.DataCentre()).Members() {
+		if instanceName(m) == a.To {
 			to = m
 		}
 	}
@@ -202,9 +202,9 @@
 }
 
 // Borrow implements relay.Lender.
-func (s *shares) Borrow(_ context.Context, r *relay.BorrowRequest) (*relay.BorrowReply, error) {
+func (s *slotLoans) Borrow(_ context.Context, r *relay.BorrowRequest) (*relay.BorrowReply, error) {
 	c, ok := s.d.entry.Lend(r.GetService(), share.BorrowMsg{
-		Now: time.Now(), From: life(ledger.Member{Entry: r.GetEntry(), Incarnation: r.GetIncarnation()}),
+		Now: time.Now(), From: instanceName(ledger.Member{Entry: r.GetEntry(), Incarnation: r.GetIncarnation()}),
 		Number: r.GetNumber(), Want: int(r.GetSlots()), Holding: r.GetHolding(),
 	})
 	o := &relay.BorrowReply{Number: c.Number, Recalled: c.Recalled, Busy: c.Busy}
@@ -218,6 +218,6 @@
 }
 
 // Return implements relay.Lender; slots are given back by the next request's list of what is held.
-func (s *shares) Return(context.Context, *relay.ReturnRequest) (*relay.ReturnReply, error) {
+func (s *slotLoans) Return(context.Context, *relay.ReturnRequest) (*relay.ReturnReply, error) {
 	return &relay.ReturnReply{}, nil
 }
--- a/node/daemon/vars.go
+++ b/node/daemon/vars.go
@@ -86,10 +86,10 @@
 	for n, s := range d.entry.Loads() {
 		v.Services[n] = serviceVars(s)
 	}
-	w := d.shelf.View()
+	w := d.views.View()
 	v.View = ViewVars{Fence: w.Version().Fence, Count: w.Version().Count, Targets: w.Len()}
 	v.Keys.Records, v.Keys.AnswerBytes = d.keeper.Len()
-	v.Keys.Roster, v.Keys.Holding = d.keeper.Roster(d.set.DataCentre()).Number(), d.keeper.Holding()
+	v.Keys.Roster, v.Keys.Holding = d.keeper.Roster(d.settings.DataCentre()).Number(), d.keeper.Holding()
 	return v
 }
 
--- a/node/jobs/act.go
+++ b/node/jobs/act.go
@@ -15,8 +15,8 @@
 // result is applied to the term once its command was performed.
 type result func()
 
-// perform performs the commands, those that make room before the starts.
-func (t *term) perform(ctx context.Context) {
+// executePending performs the commands, those that make room before the starts.
+func (t *term) executePending(ctx context.Context) {
 	l := t.pending
 	t.pending = nil
 	var starts, rest []command
@@ -27,19 +27,19 @@
 			rest = append(rest, c)
 		}
 	}
-	t.performAll(ctx, rest)
-	n := min(len(starts), maxWrites)
-	t.performAll(ctx, starts[:n])
+	t.executeAll(ctx, rest)
+	n := min(len(starts), maxWritesPerStep)
+	t.executeAll(ctx, starts[:n])
 	for _, c := range starts[n:] { // placed again in the next step.
-		t.feed(c.pool, place.EndedMsg{At: now(), Task: taskOf(c.Cmd), How: place.Stopped})
+		t.feed(c.pool, place.EndedMsg{At: nowMillis(), Task: taskOf(c.Cmd), How: place.Stopped})
 	}
 }
 
-// performAll performs the commands, some at once, and then applies their results in order.
-func (t *term) performAll(ctx context.Context, l []command) {
+// executeAll performs the commands, some at once, and then applies their results in order.
+func (t *term) executeAll(ctx context.Context, l []command) {
 	results := make([]result, len(l))
 	var g errgroup.Group
-	g.SetLimit(maxActs)
+	g.SetLimit(maxConcurrentCommands)
 	for n, c := range l {
 		j := t.jobs[taskOf(c.Cmd).Job]
 		if j == nil {
@@ -48,7 +48,7 @@
 		g.Go(func() error {
 			x, cancel := context.WithTimeout(ctx, stepTimeout)
 			defer cancel()
-			results[n] = t.act(x, j, c.Cmd)
+			results[n] = t.execute(x, j, c.Cmd)
 			return nil
 		})
 	}
@@ -74,41 +74,41 @@
 	return place.Task{}
 }
 
-// act performs one command without a change to the term and returns what is to be changed.
-func (t *term) act(ctx context.Context, j *job, c place.Cmd) result {
+// execute performs one command without a change to the term and returns what is to be changed.
+func (t *term) execute(ctx context.Context, j *job, c place.Cmd) result {
 	if !t.held() {
 		return nil
 	}
 	if c, ok := c.(place.StartCmd); ok {
 		return t.start(ctx, j, c)
 	}
-	if j.live == "" || taskOf(c) != j.task() {
+	if j.liveTaskID == "" || taskOf(c) != j.task() {
 		return nil
 	}
 	switch c := c.(type) {
 	case place.StopCmd:
-		s, err := t.platform.Stop(ctx, j.live)
-		t.report("stopTask", j, err)
-		return t.after(j, c, s, err)
+		s, err := t.platform.Stop(ctx, j.liveTaskID)
+		t.logPlatformCall("stopTask", j, err)
+		return t.stopResult(j, c, s, err)
 	case place.CheckpointCmd:
-		err := t.platform.Checkpoint(ctx, j.live)
-		t.report("checkpointTask", j, err)
-		return t.after(j, c, tasks.Stopped, err)
+		err := t.platform.Checkpoint(ctx, j.liveTaskID)
+		t.logPlatformCall("checkpointTask", j, err)
+		return t.stopResult(j, c, tasks.Stopped, err)
 	case place.ThrottleCmd:
-		t.report("throttleTask", j, t.platform.Throttle(ctx, j.live, c.On))
-		return func() { j.calm = c.On && j.live != "" }
+		t.logPlatformCall("throttleTask", j, t.platform.Throttle(ctx, j.liveTaskID, c.On))
+		return func() { j.throttled = c.On && j.liveTaskID != "" }
 	}
 	return nil
 }
 
-// after ends the task, or keeps the command to be repeated.
-func (t *term) after(j *job, c place.Cmd, s tasks.State, err error) result {
+// stopResult ends the task, or keeps the command to be repeated.
+func (t *term) stopResult(j *job, c place.Cmd, s tasks.State, err error) result {
 	return func() {
-		if j.live == "" {
+		if j.liveTaskID == "" {
 			return
 		}
 		if err != nil {
-			j.again = c
+			j.retry = c
 			return
 		}
 		t.finish(j, s)
@@ -117,12 +117,12 @@
 
 // start records the attempt and only then has the platform run it; an attempt that is not recorded does not run.
 func (t *term) start(ctx context.Context, j *job, c place.StartCmd) result {
-	r := j.rec
-	r.State, r.Attempt, r.Worker, r.Size = Running, j.base+c.Task.Attempt, c.Worker, c.Size
-	r.Lease, r.Fence, r.Started = int64(t.lease), int64(t.fence), now()
-	rev, err := t.write(ctx, j, r)
+	r := j.record
+	r.State, r.Attempt, r.Worker, r.Size = Running, j.attemptOffset+c.Task.Attempt, c.Worker, c.Size
+	r.Lease, r.Fence, r.Started = int64(t.taskLease), int64(t.fence), nowMillis()
+	rev, err := t.writeRecord(ctx, j, r)
 	if err != nil {
-		return func() { t.feed(r.Spec.Pool, place.EndedMsg{At: now(), Task: c.Task, How: place.Stopped}) }
+		return func() { t.feed(r.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: c.Task, How: place.Stopped}) }
 	}
 	if t.held() {
 		err = t.platform.Run(ctx, tasks.RunRequest{
@@ -131,11 +131,11 @@
 		})
 	}
 	return func() {
-		j.rec, j.rev, j.live, j.dirty = r, rev, r.taskID(), false
-		t.report("runTask", j, err)
+		j.record, j.recordRevision, j.liveTaskID, j.dirty = r, rev, r.taskID(), false
+		t.logPlatformCall("runTask", j, err)
 		switch {
 		case errors.Is(err, tasks.ErrRefused): // the lease may have lapsed; neither job nor worker is to blame.
-			t.renewed = time.Time{}
+			t.renewedAt = time.Time{}
 			t.finish(j, tasks.Stopped)
 		case errors.Is(err, tasks.ErrDown):
 			t.finish(j, tasks.Stopped)
@@ -143,68 +143,68 @@
 	}
 }
 
-func (t *term) report(step string, j *job, err error) {
+func (t *term) logPlatformCall(step string, j *job, err error) {
 	e := t.log.Info()
 	if err != nil {
 		e = t.log.Warn().Err(err)
 	}
-	e.Str("step", step).Str("job", j.rec.Spec.ID).Int("attempt", j.rec.Attempt).Str("peer", j.rec.Worker).Msg("platformCall")
+	e.Str("step", step).Str("job", j.record.Spec.ID).Int("attempt", j.record.Attempt).Str("peer", j.record.Worker).Msg("platformCall")
 }
 
-// write writes the job's record on condition that it is as this term knows it.
-func (t *term) write(ctx context.Context, j *job, r Record) (keyval.Revision, error) {
+// writeRecord writes the job's record on condition that it is as this term knows it.
+func (t *term) writeRecord(ctx context.Context, j *job, r Record) (keyval.Revision, error) {
 	b, err := r.marshal()
 	if err != nil {
 		return 0, err
 	}
-	rev, err := t.store.Put(ctx, key(t.dataCentre, r.Spec.ID), b, j.rev, 0)
+	rev, err := t.store.Put(ctx, key(t.dataCentre, r.Spec.ID), b, j.recordRevision, 0)
 	if err != nil {
 		t.log.Info().Str("step", "writeJob").Str("job", r.Spec.ID).Err(err).Msg("notWritten")
 	}
-	j.lost++
+	j.conflicts++
 	if !errors.Is(err, keyval.ErrConflict) {
-		j.lost = 0
+		j.conflicts = 0
 	}
 	return rev, err
 }
 
-// flush writes the records that have changed; one that cannot be written is tried again in the next step.
-func (t *term) flush(ctx context.Context) {
+// writeDirtyRecords writes the records that have changed; one that cannot be written is tried again in the next step.
+func (t *term) writeDirtyRecords(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(maxActs)
-	l := t.sorted()
+	g.SetLimit(maxConcurrentCommands)
+	l := t.sortedJobs()
 	n := 0
 	for _, j := range l {
-		if !j.dirty || !t.held() || n == maxWrites {
+		if !j.dirty || !t.held() || n == maxWritesPerStep {
 			continue
 		}
 		n++
 		g.Go(func() error {
 			x, cancel := context.WithTimeout(ctx, stepTimeout)
 			defer cancel()
-			if rev, err := t.write(x, j, j.rec); err == nil {
-				j.rev, j.dirty = rev, false
+			if rev, err := t.writeRecord(x, j, j.record); err == nil {
+				j.recordRevision, j.dirty = rev, false
 			}
 			return nil
 		})
 	}
 	_ = g.Wait()
 	for _, j := range l {
-		if !j.dirty && j.rec.State.Ended() {
-			delete(t.jobs, j.rec.Spec.ID)
-			t.ended[j.rec.Spec.ID] = ended{rev: j.rev, at: j.rec.Ended}
+		if !j.dirty && j.record.State.Ended() {
+			delete(t.jobs, j.record.Spec.ID)
+			t.ended[j.record.Spec.ID] = endedJob{rev: j.recordRevision, endedAtMillis: j.record.Ended}
 		}
 	}
 }
 
-// prune removes the records of jobs that ended long ago.
-func (t *term) prune(ctx context.Context) {
-	if time.Since(t.pruned) < renewEvery {
+// pruneEndedRecords removes the records of jobs that ended long ago.
+func (t *term) pruneEndedRecords(ctx context.Context) {
+	if time.Since(t.prunedAt) < renewInterval {
 		return
 	}
-	t.pruned = time.Now()
+	t.prunedAt = time.Now()
 	for id, e := range t.ended {
-		if now()-e.at < keepEnded.Milliseconds() {
+		if nowMillis()-e.endedAtMillis < endedRetention.Milliseconds() {
 			continue
 		}
 		err := t.store.Delete(ctx, key(t.dataCentre, id), e.rev)
--- a/node/jobs/begin.go
+++ b/node/jobs/begin.go
@@ -10,117 +10,117 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// begin reads all records and takes the running tasks over.
-func (t *term) begin(ctx context.Context) error {
+// takeOver reads all records and takes the running tasks over.
+func (t *term) takeOver(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	rev, err := eachItem(x, t.store, prefix(t.dataCentre), func(i keyval.Item) error {
-		t.read(i)
+		t.addRecord(i)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	t.rev = rev
+	t.watchRevision = rev
 	list, err := t.platform.List(x, taskPrefix(t.dataCentre))
 	if err != nil {
 		return err
 	}
-	t.correct(list)
-	t.adopt()
-	if err := t.workers(x); err != nil {
+	t.advanceAttempts(list)
+	t.adoptRunning()
+	if err := t.updateWorkers(x); err != nil {
 		return err
 	}
-	if t.lease, err = t.store.Grant(x, leaseFor); err != nil {
+	if t.taskLease, err = t.store.Grant(x, taskLeaseTTL); err != nil {
 		return err
 	}
-	for _, j := range t.sorted() {
-		if !j.rec.State.Ended() {
-			t.admit(j)
+	for _, j := range t.sortedJobs() {
+		if !j.record.State.Ended() {
+			t.submit(j)
 		}
 	}
 	t.log.Info().Str("step", "runJobs").Int64("fence", int64(t.fence)).Int("jobs", len(t.jobs)).Msg("jobTermBegan")
 	return nil
 }
 
-// read takes one record in that this term does not know yet.
-func (t *term) read(i keyval.Item) *job {
+// addRecord takes one record in that this term does not know yet.
+func (t *term) addRecord(i keyval.Item) *job {
 	r, err := parseRecord(i.Value())
 	if err != nil || key(t.dataCentre, r.Spec.ID) != i.Key() || r.Spec.Check() != nil {
 		t.log.Error().Str("step", "readJob").Str("key", i.Key()).Err(err).Msg("malformed")
 		return nil
 	}
 	if r.State.Ended() {
-		t.ended[r.Spec.ID] = ended{rev: i.Rev(), at: r.Ended}
+		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.Ended}
 		return nil
 	}
-	j := &job{rec: r, rev: i.Rev(), base: r.Attempt}
+	j := &job{record: r, recordRevision: i.Rev(), attemptOffset: r.Attempt}
 	t.jobs[r.Spec.ID] = j
 	return j
 }
 
-// correct brings records up to the platform's tasks where the service has come back older than they are.
-func (t *term) correct(list []tasks.Task) {
+// advanceAttempts brings records up to the platform's tasks where the service has come back older than they are.
+func (t *term) advanceAttempts(list []tasks.Task) {
 	for _, k := range list {
 		id, n, ok := parseTask(t.dataCentre, k.ID)
 		j := t.jobs[id]
-		if !ok || j == nil || n <= j.rec.Attempt {
+		if !ok || j == nil || n <= j.record.Attempt {
 			continue
 		}
-		j.rec.Attempt, j.base = n, n
+		j.record.Attempt, j.attemptOffset = n, n
 		switch {
 		case k.State == tasks.Done:
-			j.rec.State, j.rec.Ended, j.dirty = Done, now(), true
+			j.record.State, j.record.Ended, j.dirty = Done, nowMillis(), true
 		case !k.State.Ended():
-			j.rec.State, j.rec.Worker, j.dirty = Running, k.VM, true
-			j.rec.Size = j.rec.Spec.job().Declared
+			j.record.State, j.record.Worker, j.dirty = Running, k.VM, true
+			j.record.Size = j.record.Spec.job().Declared
 		}
 	}
 }
 
-// adopt makes the placers know the recorded attempts: each worker is shown alone, with room for just its tasks, so that the
+// adoptRunning makes the placers know the recorded attempts: each worker is shown alone, with room for just its tasks, so that the
 // placer puts them there; the real list of workers follows.
-func (t *term) adopt() {
+func (t *term) adoptRunning() {
 	type spot struct{ pool, worker string }
 	at := map[spot][]place.Job{}
 	size := map[spot]place.Size{}
-	for _, j := range t.sorted() {
-		if j.rec.State != Running {
+	for _, j := range t.sortedJobs() {
+		if j.record.State != Running {
 			continue
 		}
-		s := spot{j.rec.Spec.Pool, j.rec.Worker}
-		p := j.rec.Spec.job()
-		p.Declared = j.rec.Size
+		s := spot{j.record.Spec.Pool, j.record.Worker}
+		p := j.record.Spec.job()
+		p.Declared = j.record.Size
 		at[s] = append(at[s], p)
 		size[s] = place.Size{
 			Cores: size[s].Cores + p.Declared.Cores, MemoryMB: size[s].MemoryMB + p.Declared.MemoryMB,
 			Accelerators: size[s].Accelerators + p.Declared.Accelerators,
 		}
-		j.base, j.live = j.rec.Attempt-1, j.rec.taskID()
+		j.attemptOffset, j.liveTaskID = j.record.Attempt-1, j.record.taskID()
 	}
 	for s, l := range at {
 		p := t.placer(s.pool)
 		p.Update(place.WorkersMsg{Workers: []place.Worker{{Name: s.worker, Size: size[s]}}})
-		p.Update(place.SubmitMsg{At: now(), Jobs: l})
-		p.Update(place.TickMsg{At: now()})
+		p.Update(place.SubmitMsg{At: nowMillis(), Jobs: l})
+		p.Update(place.TickMsg{At: nowMillis()})
 	}
 }
 
-// admit hands the job, and its cancellation, to the placer; one that was adopted is known there.
-func (t *term) admit(j *job) {
-	pool := j.rec.Spec.Pool
-	t.feed(pool, place.SubmitMsg{At: now(), Jobs: []place.Job{j.rec.Spec.job()}})
-	if j.rec.Cancel {
-		t.feed(pool, place.CancelMsg{Jobs: []string{j.rec.Spec.ID}})
+// submit hands the job, and its cancellation, to the placer; one that was adopted is known there.
+func (t *term) submit(j *job) {
+	pool := j.record.Spec.Pool
+	t.feed(pool, place.SubmitMsg{At: nowMillis(), Jobs: []place.Job{j.record.Spec.job()}})
+	if j.record.Cancel {
+		t.feed(pool, place.CancelMsg{Jobs: []string{j.record.Spec.ID}})
 	}
 }
 
-// sorted returns the jobs in the order of their ids.
-func (t *term) sorted() []*job {
+// sortedJobs returns the jobs in the order of their ids.
+func (t *term) sortedJobs() []*job {
 	l := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
 		l = append(l, j)
 	}
-	slices.SortFunc(l, func(a, b *job) int { return strings.Compare(a.rec.Spec.ID, b.rec.Spec.ID) })
+	slices.SortFunc(l, func(a, b *job) int { return strings.Compare(a.record.Spec.ID, b.record.Spec.ID) })
 	return l
 }
--- a/node/jobs/queue.go
+++ b/node/jobs/queue.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	pageItems   = 200
-	cancelTries = 5 // conditional writes for one cancellation.
+	pageSize   = 200
+	maxCancelAttempts = 5 // conditional writes for one cancellation.
 )
 
 // Queue is operators' access to the jobs of the data centres.
@@ -70,7 +70,7 @@
 // Cancel takes the job back; one that waits never starts, one that runs is stopped, one that has ended stays as it is.
 func (q *Queue) Cancel(ctx context.Context, dataCentre, id string) (Record, error) {
 	var last error
-	for range cancelTries {
+	for range maxCancelAttempts {
 		r, rev, err := q.get(ctx, dataCentre, id)
 		if err != nil || r.State.Ended() || r.Cancel {
 			return r, err
@@ -112,7 +112,7 @@
 	var first keyval.Revision
 	after := ""
 	for {
-		l, rev, err := s.List(ctx, prefix, after, pageItems)
+		l, rev, err := s.List(ctx, prefix, after, pageSize)
 		if err != nil {
 			return 0, err
 		}
@@ -125,7 +125,7 @@
 			}
 			after = i.Key()
 		}
-		if len(l) < pageItems {
+		if len(l) < pageSize {
 			return first, nil
 		}
 	}
--- a/node/jobs/record.go
+++ b/node/jobs/record.go
@@ -67,14 +67,14 @@
 
 const maxNameBytes = 64
 
-var nameForm = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]*$`)
+var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]*$`)
 
 // Check returns an error that matches ErrMalformed and names the first field that cannot be accepted.
 func (s Spec) Check() error {
 	for _, f := range []struct{ field, value string }{
 		{"id", s.ID}, {"dataCentre", s.DataCentre}, {"pool", s.Pool}, {"team", s.Team}, {"kind", s.Kind},
 	} {
-		if len(f.value) > maxNameBytes || !nameForm.MatchString(f.value) {
+		if len(f.value) > maxNameBytes || !namePattern.MatchString(f.value) {
 			return eris.Wrapf(ErrMalformed, "%s %q: up to %d letters, digits, dots, dashes and underscores", f.field, f.value, maxNameBytes)
 		}
 	}
--- a/node/jobs/runner.go
+++ b/node/jobs/runner.go
@@ -17,13 +17,13 @@
 const (
 	defaultTick = 500 * time.Millisecond
 	stepTimeout = 3 * time.Second  // of one call to the platform.
-	maxActs     = 16               // commands that are performed at once.
-	maxWrites   = 50               // starts, and further records, that are written in one step.
-	maxLost     = 5                // conflicts in succession, after which the records are read anew.
-	leaseFor    = time.Minute      // tasks run on without a leader for so long.
-	renewEvery  = 10 * time.Second // renewals of the tasks' leases.
-	auditEvery  = 20 * time.Second // listings of all records.
-	keepEnded   = time.Hour        // for which the record of a job that has ended is kept.
+	maxConcurrentCommands     = 16               // commands that are performed at once.
+	maxWritesPerStep   = 50               // starts, and further records, that are written in one step.
+	maxConflicts     = 5                // conflicts in succession, after which the records are read anew.
+	taskLeaseTTL    = time.Minute      // tasks run on without a leader for so long.
+	renewInterval  = 10 * time.Second // renewals of the tasks' leases.
+	auditInterval  = 20 * time.Second // listings of all records.
+	endedRetention   = time.Hour        // for which the record of a job that has ended is kept.
 )
 
 // Leadership tells whether this entry leads its data centre, and the fence of its term.
@@ -42,7 +42,7 @@
 	store      keyval.Store
 	platform   tasks.Platform
 	hosts      Hosts
-	lead       Leadership
+	leadership       Leadership
 	log        zerolog.Logger
 	tick       time.Duration
 }
@@ -58,7 +58,7 @@
 
 // New returns the runner of the data centre's jobs.
 func New(dataCentre string, s keyval.Store, p tasks.Platform, h Hosts, l Leadership, opts ...Option) *Runner {
-	r := &Runner{dataCentre: dataCentre, store: s, platform: p, hosts: h, lead: l, log: zerolog.Nop(), tick: defaultTick}
+	r := &Runner{dataCentre: dataCentre, store: s, platform: p, hosts: h, leadership: l, log: zerolog.Nop(), tick: defaultTick}
 	for _, o := range opts {
 		o(r)
 	}
@@ -70,7 +70,7 @@
 	k := time.NewTicker(r.tick)
 	defer k.Stop()
 	for {
-		if f, ok := r.lead.Held(); ok {
+		if f, ok := r.leadership.Held(); ok {
 			if err := r.term(ctx, f, k.C); err != nil && ctx.Err() == nil {
 				r.log.Warn().Str("step", "runJobs").Err(err).Msg("jobTermEnded")
 			}
@@ -88,8 +88,8 @@
 
 // term leads until the lease is lost, the records have to be read anew, or the context ends.
 func (r *Runner) term(ctx context.Context, fence keyval.Revision, tick <-chan time.Time) error {
-	t := &term{Runner: r, fence: fence, audited: time.Now(), jobs: map[string]*job{}, ended: map[string]ended{}, placers: map[string]*place.Placer{}}
-	if err := t.begin(ctx); err != nil {
+	t := &term{Runner: r, fence: fence, auditedAt: time.Now(), jobs: map[string]*job{}, ended: map[string]endedJob{}, placers: map[string]*place.Placer{}}
+	if err := t.takeOver(ctx); err != nil {
 		return err
 	}
 	for {
@@ -111,35 +111,35 @@
 type term struct {
 	*Runner
 	fence   keyval.Revision
-	rev     keyval.Revision // from which changes of records are followed.
-	lease   keyval.LeaseID  // under which new tasks run.
-	renewed time.Time
-	pruned  time.Time
-	audited time.Time
+	watchRevision     keyval.Revision // from which changes of records are followed.
+	taskLease   keyval.LeaseID  // under which new tasks run.
+	renewedAt time.Time
+	prunedAt  time.Time
+	auditedAt time.Time
 	jobs    map[string]*job
-	ended   map[string]ended
+	ended   map[string]endedJob
 	placers map[string]*place.Placer // by pool.
-	pools   map[string][]place.Worker
-	leaving map[string]bool // workers that are about to stop.
+	workersByPool   map[string][]place.Worker
+	leavingWorkers map[string]bool // workers that are about to stop.
 	pending []command
 }
 
 // job is a job that has not ended, as this term knows it.
 type job struct {
-	rec   Record
-	rev   keyval.Revision // of the record that was last read or written.
-	base  int             // attempts before those of the placer.
-	live  string          // id of the recorded task; empty when none can be running.
-	again place.Cmd       // stop or checkpoint that has not succeeded yet.
+	record   Record
+	recordRevision   keyval.Revision // of the record that was last read or written.
+	attemptOffset  int             // attempts before those of the placer.
+	liveTaskID  string          // id of the recorded task; empty when none can be running.
+	retry place.Cmd       // stop or checkpoint that has not succeeded yet.
 	dirty bool            // the record is to be written.
-	calm  bool            // the task is to be throttled.
-	lost  int             // conflicts of its writes in succession.
+	throttled  bool            // the task is to be throttled.
+	conflicts  int             // conflicts of its writes in succession.
 }
 
-// ended is a record that is kept for some time.
-type ended struct {
+// endedJob is a record that is kept for some time.
+type endedJob struct {
 	rev keyval.Revision
-	at  int64
+	endedAtMillis  int64
 }
 
 // command is one of a pool's placer.
@@ -148,10 +148,10 @@
 	place.Cmd
 }
 
-func now() int64 { return time.Now().UnixMilli() }
+func nowMillis() int64 { return time.Now().UnixMilli() }
 
 func (t *term) held() bool {
-	f, ok := t.lead.Held()
+	f, ok := t.leadership.Held()
 	return ok && f == t.fence
 }
 
@@ -159,7 +159,7 @@
 	p := t.placers[pool]
 	if p == nil {
 		p = place.New()
-		p.Update(place.WorkersMsg{Workers: t.pools[pool]})
+		p.Update(place.WorkersMsg{Workers: t.workersByPool[pool]})
 		t.placers[pool] = p
 	}
 	return p
@@ -181,6 +181,6 @@
 	if j == nil {
 		return
 	}
-	j.rec.State, j.rec.Reason, j.rec.Ended, j.dirty = GivenUp, string(c.Reason), now(), true
+	j.record.State, j.record.Reason, j.record.Ended, j.dirty = GivenUp, string(c.Reason), nowMillis(), true
 	t.log.Info().Str("step", "runJobs").Str("job", c.Job).Str("reason", string(c.Reason)).Msg("jobGivenUp")
 }
--- a/node/jobs/step.go
+++ b/node/jobs/step.go
@@ -13,49 +13,49 @@
 
 // step reads what has changed, places jobs, performs the commands and writes the records.
 func (t *term) step(ctx context.Context) error {
-	if !t.held() || t.behind() {
+	if !t.held() || t.recordsOutdated() {
 		return errTermOver
 	}
 	x, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	if err := t.renew(x); err != nil {
+	if err := t.renewLeases(x); err != nil {
 		return err
 	}
-	if err := t.follow(x); err != nil {
+	if err := t.followRecords(x); err != nil {
 		return err
 	}
-	if err := t.audit(x); err != nil {
+	if err := t.auditRecords(x); err != nil {
 		return err
 	}
-	if err := t.look(x); err != nil {
+	if err := t.checkTasks(x); err != nil {
 		return err
 	}
-	if err := t.workers(x); err != nil {
+	if err := t.updateWorkers(x); err != nil {
 		return err
 	}
-	t.sweep()
+	t.checkpointAndGiveUp()
 	for pool := range t.placers {
-		t.feed(pool, place.TickMsg{At: now()})
+		t.feed(pool, place.TickMsg{At: nowMillis()})
 	}
-	t.perform(ctx)
-	t.flush(ctx)
-	t.prune(x)
+	t.executePending(ctx)
+	t.writeDirtyRecords(ctx)
+	t.pruneEndedRecords(x)
 	return nil
 }
 
-// behind reports whether the records cannot be as this term knows them, as when the service has come back older.
-func (t *term) behind() bool {
+// recordsOutdated reports whether the records cannot be as this term knows them, as when the service has come back older.
+func (t *term) recordsOutdated() bool {
 	for _, j := range t.jobs {
-		if j.lost >= maxLost {
+		if j.conflicts >= maxConflicts {
 			return true
 		}
 	}
 	return false
 }
 
-// audit lists the records now and then, since a service that came back older and was written to since tells no watch of it.
-func (t *term) audit(ctx context.Context) error {
-	if time.Since(t.audited) < auditEvery {
+// auditRecords lists the records now and then, since a service that came back older and was written to since tells no watch of it.
+func (t *term) auditRecords(ctx context.Context) error {
+	if time.Since(t.auditedAt) < auditInterval {
 		return nil
 	}
 	_, err := eachItem(ctx, t.store, prefix(t.dataCentre), func(i keyval.Item) error {
@@ -66,59 +66,59 @@
 		if _, ok := t.ended[r.Spec.ID]; ok && !r.State.Ended() {
 			return errTermOver
 		}
-		return t.take(keyval.NewEvent(i, false))
+		return t.applyChange(keyval.NewEvent(i, false))
 	})
 	if err == nil {
-		t.audited = time.Now()
+		t.auditedAt = time.Now()
 	}
 	return err
 }
 
-// renew keeps the leases of this term's tasks and of those that it took over; a lapsed one is replaced for new tasks.
-func (t *term) renew(ctx context.Context) error {
-	if time.Since(t.renewed) < renewEvery {
+// renewLeases keeps the leases of this term's tasks and of those that it took over; a lapsed one is replaced for new tasks.
+func (t *term) renewLeases(ctx context.Context) error {
+	if time.Since(t.renewedAt) < renewInterval {
 		return nil
 	}
-	leases := map[keyval.LeaseID]bool{t.lease: true}
+	leases := map[keyval.LeaseID]bool{t.taskLease: true}
 	for _, j := range t.jobs {
-		if j.live != "" {
-			leases[keyval.LeaseID(j.rec.Lease)] = true
+		if j.liveTaskID != "" {
+			leases[keyval.LeaseID(j.record.Lease)] = true
 		}
 	}
 	for l := range leases {
 		err := t.store.Renew(ctx, l)
-		if errors.Is(err, keyval.ErrConflict) && l == t.lease {
-			t.lease, err = t.store.Grant(ctx, leaseFor)
+		if errors.Is(err, keyval.ErrConflict) && l == t.taskLease {
+			t.taskLease, err = t.store.Grant(ctx, taskLeaseTTL)
 		}
 		if err != nil && !errors.Is(err, keyval.ErrConflict) {
 			return err
 		}
 	}
-	t.renewed = time.Now()
+	t.renewedAt = time.Now()
 	return nil
 }
 
-// follow takes in the records that have changed.
-func (t *term) follow(ctx context.Context) error {
+// followRecords takes in the records that have changed.
+func (t *term) followRecords(ctx context.Context) error {
 	for {
-		events, rev, err := t.store.Watch(ctx, prefix(t.dataCentre), t.rev, 0)
+		events, rev, err := t.store.Watch(ctx, prefix(t.dataCentre), t.watchRevision, 0)
 		if err != nil {
 			return err
 		}
 		for _, e := range events {
-			if err := t.take(e); err != nil {
+			if err := t.applyChange(e); err != nil {
 				return err
 			}
 		}
-		t.rev = rev
+		t.watchRevision = rev
 		if len(events) == 0 {
 			return nil
 		}
 	}
 }
 
-// take takes one change in; what this term has decided stays, an operator's cancellation is added.
-func (t *term) take(e keyval.Event) error {
+// applyChange takes one change in; what this term has decided stays, an operator's cancellation is added.
+func (t *term) applyChange(e keyval.Event) error {
 	i := e.Item()
 	if e.Deleted() {
 		return nil
@@ -129,42 +129,42 @@
 		return nil
 	}
 	j := t.jobs[r.Spec.ID]
-	if r.Fence > int64(t.fence) || t.isStranger(j, r) {
+	if r.Fence > int64(t.fence) || t.isUnknownAttempt(j, r) {
 		return errTermOver
 	}
 	if j == nil {
 		if _, ok := t.ended[r.Spec.ID]; ok {
 			return nil
 		}
-		if j = t.read(i); j != nil {
-			t.admit(j)
+		if j = t.addRecord(i); j != nil {
+			t.submit(j)
 		}
 		return nil
 	}
-	if i.Rev() <= j.rev {
+	if i.Rev() <= j.recordRevision {
 		return nil
 	}
-	j.rev = i.Rev()
-	if r.Cancel && !j.rec.Cancel {
-		j.rec.Cancel = true
-		t.feed(j.rec.Spec.Pool, place.CancelMsg{Jobs: []string{r.Spec.ID}})
+	j.recordRevision = i.Rev()
+	if r.Cancel && !j.record.Cancel {
+		j.record.Cancel = true
+		t.feed(j.record.Spec.Pool, place.CancelMsg{Jobs: []string{r.Spec.ID}})
 	}
-	if r.State == Canceled && j.live == "" {
+	if r.State == Canceled && j.liveTaskID == "" {
 		delete(t.jobs, r.Spec.ID)
-		t.ended[r.Spec.ID] = ended{rev: i.Rev(), at: r.Ended}
+		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.Ended}
 		return nil
 	}
-	j.dirty = j.dirty || r.State != j.rec.State
+	j.dirty = j.dirty || r.State != j.record.State
 	return nil
 }
 
-// isStranger reports whether another leader has recorded an attempt that this term does not know, which has to be taken over.
-func (t *term) isStranger(j *job, r Record) bool {
-	return r.State == Running && r.Fence != int64(t.fence) && (j == nil || j.live == "" || r.Attempt != j.rec.Attempt)
+// isUnknownAttempt reports whether another leader has recorded an attempt that this term does not know, which has to be taken over.
+func (t *term) isUnknownAttempt(j *job, r Record) bool {
+	return r.State == Running && r.Fence != int64(t.fence) && (j == nil || j.liveTaskID == "" || r.Attempt != j.record.Attempt)
 }
 
-// look asks the platform for the tasks; a recorded one that it does not list is stopped for good before it is made again.
-func (t *term) look(ctx context.Context) error {
+// checkTasks asks the platform for the tasks; a recorded one that it does not list is stopped for good before it is made again.
+func (t *term) checkTasks(ctx context.Context) error {
 	list, err := t.platform.List(ctx, taskPrefix(t.dataCentre))
 	if err != nil {
 		return err
@@ -173,104 +173,104 @@
 	for _, k := range list {
 		seen[k.ID] = k
 	}
-	for _, j := range t.sorted() {
-		if j.live == "" {
+	for _, j := range t.sortedJobs() {
+		if j.liveTaskID == "" {
 			continue
 		}
-		k, ok := seen[j.live]
+		k, ok := seen[j.liveTaskID]
 		switch {
 		case !ok:
-			t.pending = append(t.pending, command{pool: j.rec.Spec.Pool, Cmd: place.StopCmd{Task: j.task(), Worker: j.rec.Worker}})
+			t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: place.StopCmd{Task: j.task(), Worker: j.record.Worker}})
 		case k.State.Ended():
 			t.finish(j, k.State)
 		default:
-			t.usage(j, k)
+			t.reconcileTask(j, k)
 		}
 	}
 	return nil
 }
 
-func (t *term) usage(j *job, k tasks.Task) {
+func (t *term) reconcileTask(j *job, k tasks.Task) {
 	if k.UsedCores > 0 || k.UsedMemoryMB > 0 {
-		t.feed(j.rec.Spec.Pool, place.UsageMsg{Task: j.task(), Used: place.Size{Cores: k.UsedCores, MemoryMB: k.UsedMemoryMB}})
+		t.feed(j.record.Spec.Pool, place.UsageMsg{Task: j.task(), Used: place.Size{Cores: k.UsedCores, MemoryMB: k.UsedMemoryMB}})
 	}
 	switch {
-	case j.again != nil:
-		t.pending = append(t.pending, command{pool: j.rec.Spec.Pool, Cmd: j.again})
-	case k.Throttled != j.calm: // a call was lost, or a former leader made it.
-		t.pending = append(t.pending, command{pool: j.rec.Spec.Pool, Cmd: place.ThrottleCmd{Task: j.task(), Worker: k.VM, On: j.calm}})
+	case j.retry != nil:
+		t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: j.retry})
+	case k.Throttled != j.throttled: // a call was lost, or a former leader made it.
+		t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: place.ThrottleCmd{Task: j.task(), Worker: k.VM, On: j.throttled}})
 	}
 }
 
 // task returns the recorded attempt as the placer numbers it.
 func (j *job) task() place.Task {
-	return place.Task{Job: j.rec.Spec.ID, Attempt: j.rec.Attempt - j.base}
+	return place.Task{Job: j.record.Spec.ID, Attempt: j.record.Attempt - j.attemptOffset}
 }
 
-var ends = map[tasks.State]place.End{
+var endByState = map[tasks.State]place.End{
 	tasks.Done: place.Done, tasks.Failed: place.Failed, tasks.TooBig: place.TooBig, tasks.Stopped: place.Stopped,
 }
 
 // finish notes how the recorded attempt has ended.
 func (t *term) finish(j *job, s tasks.State) {
-	j.live, j.again, j.calm, j.dirty = "", nil, false, true
+	j.liveTaskID, j.retry, j.throttled, j.dirty = "", nil, false, true
 	switch {
 	case s == tasks.Done:
-		j.rec.State, j.rec.Ended = Done, now()
-	case j.rec.Cancel:
-		j.rec.State, j.rec.Ended = Canceled, now()
+		j.record.State, j.record.Ended = Done, nowMillis()
+	case j.record.Cancel:
+		j.record.State, j.record.Ended = Canceled, nowMillis()
 	default:
-		j.rec.State = Waiting
+		j.record.State = Waiting
 	}
-	t.log.Info().Str("step", "runJobs").Str("job", j.rec.Spec.ID).Int("attempt", j.rec.Attempt).
-		Str("peer", j.rec.Worker).Str("how", string(s)).Msg("taskEnded")
-	t.feed(j.rec.Spec.Pool, place.EndedMsg{At: now(), Task: j.task(), How: ends[s]})
+	t.log.Info().Str("step", "runJobs").Str("job", j.record.Spec.ID).Int("attempt", j.record.Attempt).
+		Str("peer", j.record.Worker).Str("how", string(s)).Msg("taskEnded")
+	t.feed(j.record.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: j.task(), How: endByState[s]})
 }
 
-// workers hands each pool's workers to its placer.
-func (t *term) workers(ctx context.Context) error {
+// updateWorkers hands each pool's updateWorkers to its placer.
+func (t *term) updateWorkers(ctx context.Context) error {
 	vms, err := t.hosts.List(ctx)
 	if err != nil {
 		return err
 	}
-	t.pools = make(map[string][]place.Worker)
-	t.leaving = make(map[string]bool)
+	t.workersByPool = make(map[string][]place.Worker)
+	t.leavingWorkers = make(map[string]bool)
 	for _, v := range vms {
 		if v.DataCentre() != t.dataCentre || v.Kind() != hosts.Worker || v.State() == hosts.Gone {
 			continue
 		}
-		t.leaving[v.ID()] = v.State() == hosts.Leaving
-		t.pools[v.Pool()] = append(t.pools[v.Pool()], place.Worker{
+		t.leavingWorkers[v.ID()] = v.State() == hosts.Leaving
+		t.workersByPool[v.Pool()] = append(t.workersByPool[v.Pool()], place.Worker{
 			Name: v.ID(), Rack: v.Rack(), Out: v.State() != hosts.Live,
 			Size: place.Size{Cores: float64(v.Cores()), MemoryMB: float64(v.MemoryMB()), Accelerators: v.Accelerators()},
 		})
 	}
 	for pool := range t.placers {
-		t.feed(pool, place.WorkersMsg{Workers: t.pools[pool]})
+		t.feed(pool, place.WorkersMsg{Workers: t.workersByPool[pool]})
 	}
 	return nil
 }
 
-// sweep saves the tasks of workers that leave, and gives up jobs that no worker of their pool can run.
-func (t *term) sweep() {
-	for _, j := range t.sorted() {
-		s := j.rec.Spec
+// checkpointAndGiveUp saves the tasks of workers that leave, and gives up jobs that no worker of their pool can run.
+func (t *term) checkpointAndGiveUp() {
+	for _, j := range t.sortedJobs() {
+		s := j.record.Spec
 		switch {
-		case j.live != "" && j.again == nil && t.leaving[j.rec.Worker]:
-			t.pending = append(t.pending, command{pool: s.Pool, Cmd: place.CheckpointCmd{Task: j.task(), Worker: j.rec.Worker}})
-		case j.live == "" && !j.rec.State.Ended() && t.lacks(s):
+		case j.liveTaskID != "" && j.retry == nil && t.leavingWorkers[j.record.Worker]:
+			t.pending = append(t.pending, command{pool: s.Pool, Cmd: place.CheckpointCmd{Task: j.task(), Worker: j.record.Worker}})
+		case j.liveTaskID == "" && !j.record.State.Ended() && t.lacksAccelerators(s):
 			t.feed(s.Pool, place.CancelMsg{Jobs: []string{s.ID}})
 			t.giveUp(place.GiveUpCmd{Job: s.ID, Reason: place.NoWorker})
 		}
 	}
 }
 
-// lacks reports whether the pool has workers, none of which has the accelerators that the job asks for.
-func (t *term) lacks(s Spec) bool {
-	for _, w := range t.pools[s.Pool] {
+// lacksAccelerators reports whether the pool has workers, none of which has the accelerators that the job asks for.
+func (t *term) lacksAccelerators(s Spec) bool {
+	for _, w := range t.workersByPool[s.Pool] {
 		if w.Size.Accelerators >= s.Accelerators {
 			return false
 		}
 	}
-	return len(t.pools[s.Pool]) > 0
+	return len(t.workersByPool[s.Pool]) > 0
 }
--- a/node/steer/act.go
+++ b/node/steer/act.go
@@ -20,31 +20,31 @@
 func (t *term) shardPrefix() string     { return "dc/" + t.dataCentre + "/vms/" }
 func (t *term) shardKey(i int) string   { return fmt.Sprintf("%s%02d", t.shardPrefix(), i) }
 func budgetKey(service string) string   { return budgetPrefix + service + budgetSuffix }
-func now() int64                        { return time.Now().UnixMilli() }
-func condition(r int64) keyval.Revision { return keyval.Revision(r) }
-func (t *term) held() bool              { f, ok := t.lead.Held(); return ok && f == t.fence }
-func trim(key, head, tail string) string {
+func nowMillis() int64                        { return time.Now().UnixMilli() }
+func expectedRevision(r int64) keyval.Revision { return keyval.Revision(r) }
+func (t *term) held() bool              { f, ok := t.leadership.Held(); return ok && f == t.fence }
+func trimAffixes(key, head, tail string) string {
 	return strings.TrimSuffix(strings.TrimPrefix(key, head), tail)
 }
 
-// actor performs commands one after the other.
-func (t *term) actor(ctx context.Context) error {
+// executor performs commands one after the other.
+func (t *term) executor(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case c := <-t.acts:
-			t.act(ctx, c)
+		case c := <-t.commands:
+			t.execute(ctx, c)
 		}
 	}
 }
 
-// act performs one command and puts its result into the inbox.
-func (t *term) act(ctx context.Context, c wave.Cmd) {
+// execute performs one command and puts its result into the inbox.
+func (t *term) execute(ctx context.Context, c wave.Cmd) {
 	if !t.held() {
 		return
 	}
-	x, cancel := context.WithTimeout(ctx, actTimeout)
+	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	switch c := c.(type) {
 	case wave.WriteShardCmd:
@@ -52,13 +52,13 @@
 	case wave.WriteBudgetCmd:
 		t.writeBudget(ctx, x, c)
 	case wave.ReadShardCmd:
-		t.fetch(ctx, x, t.shardKey(c.Index), t.readShard)
+		t.readKey(ctx, x, t.shardKey(c.Index), t.readShard)
 	case wave.ReadBudgetCmd:
-		t.fetch(ctx, x, budgetKey(c.Service), t.readBudget)
+		t.readKey(ctx, x, budgetKey(c.Service), t.readBudget)
 	case wave.DrainCmd:
-		t.report("drain", c.VM, t.platform.Drain(x, c.VM))
+		t.logPlatformCall("drain", c.VM, t.platform.Drain(x, c.VM))
 	case wave.UndrainCmd:
-		t.report("undrain", c.VM, t.platform.Undrain(x, c.VM))
+		t.logPlatformCall("undrain", c.VM, t.platform.Undrain(x, c.VM))
 	case wave.RebootCmd:
 		t.reboot(ctx, x, c)
 	case wave.AssignCmd:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (t *term) report(step, vm string, err error) {
+func (t *term) logPlatformCall(step, vm string, err error) {
 	e := t.log.Info()
 	if err != nil {
 		e = t.log.Warn().Err(err)
@@ -76,17 +76,17 @@
 
 func (t *term) reboot(ctx, x context.Context, c wave.RebootCmd) {
 	err := t.platform.Reboot(x, c.VM, c.Op)
-	t.report("reboot", c.VM, err)
+	t.logPlatformCall("reboot", c.VM, err)
 	if err == nil {
-		t.send(ctx, wave.RebootedMsg{At: now(), VM: c.VM, Op: c.Op})
+		t.send(ctx, wave.RebootedMsg{At: nowMillis(), VM: c.VM, Op: c.Op})
 	}
 }
 
 func (t *term) assign(ctx, x context.Context, c wave.AssignCmd) {
 	err := t.platform.Assign(x, c.VM, c.Pool)
-	t.report("assign", c.VM, err)
+	t.logPlatformCall("assign", c.VM, err)
 	if err == nil {
-		t.send(ctx, wave.AssignedMsg{At: now(), VM: c.VM, Pool: c.Pool})
+		t.send(ctx, wave.AssignedMsg{At: nowMillis(), VM: c.VM, Pool: c.Pool})
 	}
 }
 
@@ -96,8 +96,8 @@
 		t.log.Error().Str("step", "writeShard").Err(err).Msg("cannotEncode")
 		return
 	}
-	r, err := t.store.Put(x, t.shardKey(c.Shard.Index()), b, condition(c.Revision), 0)
-	t.send(ctx, wave.WroteShardMsg{At: now(), Index: c.Shard.Index(), Outcome: t.outcome("writeShard", err), Revision: int64(r)})
+	r, err := t.store.Put(x, t.shardKey(c.Shard.Index()), b, expectedRevision(c.Revision), 0)
+	t.send(ctx, wave.WroteShardMsg{At: nowMillis(), Index: c.Shard.Index(), Outcome: t.outcome("writeShard", err), Revision: int64(r)})
 }
 
 func (t *term) writeBudget(ctx, x context.Context, c wave.WriteBudgetCmd) {
@@ -106,8 +106,8 @@
 		t.log.Error().Str("step", "writeBudget").Err(err).Msg("cannotEncode")
 		return
 	}
-	r, err := t.store.Put(x, budgetKey(c.Service), b, condition(c.Revision), 0)
-	t.send(ctx, wave.WroteBudgetMsg{At: now(), Service: c.Service, Outcome: t.outcome("writeBudget", err), Revision: int64(r)})
+	r, err := t.store.Put(x, budgetKey(c.Service), b, expectedRevision(c.Revision), 0)
+	t.send(ctx, wave.WroteBudgetMsg{At: nowMillis(), Service: c.Service, Outcome: t.outcome("writeBudget", err), Revision: int64(r)})
 }
 
 // outcome tells what a write's error means; what was certainly not applied counts as a conflict, so that it is read again.
@@ -123,9 +123,9 @@
 	return wave.Unknown
 }
 
-// fetch reads one key and hands it on.
-func (t *term) fetch(ctx, x context.Context, key string, use func(context.Context, int64, keyval.Item)) {
-	at := now()
+// readKey reads one key and hands it on.
+func (t *term) readKey(ctx, x context.Context, key string, use func(context.Context, int64, keyval.Item)) {
+	at := nowMillis()
 	i, err := t.store.Get(x, key)
 	if err != nil {
 		t.log.Warn().Str("step", "read").Str("key", key).Err(err).Msg("readFailed")
@@ -165,5 +165,5 @@
 			return
 		}
 	}
-	t.send(ctx, wave.BudgetMsg{At: at, Service: trim(i.Key(), budgetPrefix, budgetSuffix), Budget: b, Revision: int64(i.Rev())})
+	t.send(ctx, wave.BudgetMsg{At: at, Service: trimAffixes(i.Key(), budgetPrefix, budgetSuffix), Budget: b, Revision: int64(i.Rev())})
 }
--- a/node/steer/publish.go
+++ b/node/steer/publish.go
@@ -15,7 +15,7 @@
 // publish puts a new view on the shelf when the targets have changed.
 func (t *term) publish() {
 	table := t.planner.Table()
-	list := t.hostList()
+	list := t.vmsByID()
 	if table.Len() == 0 || len(list) == 0 {
 		return
 	}
@@ -25,45 +25,45 @@
 		if !ok {
 			continue
 		}
-		targets = append(targets, t.target(m, h, table.Shard(table.Index(m.VM)).Number()))
+		targets = append(targets, t.newTarget(m, h, table.Shard(table.Index(m.VM)).Number()))
 	}
 	t.version.Count++
 	v := view.New(t.version, targets)
-	if v.Same(t.shelf.View()) && t.shelf.View().Version().Fence == t.version.Fence {
+	if v.Same(t.views.View()) && t.views.View().Version().Fence == t.version.Fence {
 		t.version.Count--
 		return
 	}
 	for _, o := range targets {
-		t.known[o.VM] = o
+		t.published[o.VM] = o
 	}
-	if err := t.shelf.Put(v); err != nil {
+	if err := t.views.Put(v); err != nil {
 		t.log.Warn().Str("step", "publish").Err(err).Msg("viewRefused")
 	}
 }
 
-// target returns the line of one VM; its number stays while nothing else of the line changes.
-func (t *term) target(m pool.Member, h hosts.VM, number int64) view.Target {
+// newTarget returns the line of one VM; its number stays while nothing else of the line changes.
+func (t *term) newTarget(m pool.Member, h hosts.VM, number int64) view.Target {
 	n := view.Target{
 		VM: m.VM, Addr: h.Addr(), Rack: m.Rack, Pool: m.Pool, Number: number,
 		Serving: m.State == pool.Serving && h.State() == hosts.Live,
 	}
-	o := t.known[m.VM]
+	o := t.published[m.VM]
 	o.Number = n.Number
 	if o == n {
-		n.Number = t.known[m.VM].Number
+		n.Number = t.published[m.VM].Number
 	}
 	return n
 }
 
-func (t *term) hostList() map[string]hosts.VM {
-	if l := t.hostsNow.Load(); l != nil {
+func (t *term) vmsByID() map[string]hosts.VM {
+	if l := t.listedVMs.Load(); l != nil {
 		return *l
 	}
 	return nil
 }
 
-// hear passes on the newest word of each entry.
-func (t *term) hear() {
+// readPeerReports passes on the newest word of each entry.
+func (t *term) readPeerReports() {
 	failing := make(map[string]int)
 	words := t.peers.Words()
 	for _, w := range words {
@@ -76,48 +76,48 @@
 		}
 		t.feed(m)
 	}
-	t.judge(failing, len(words))
+	t.updateFailedVMs(failing, len(words))
 }
 
-// judge holds a VM for dead when more than half of the entries that are heard find it failing everything.
-func (t *term) judge(failing map[string]int, heard int) {
-	at := now()
+// updateFailedVMs holds a VM for dead when more than half of the entries that are heard find it failing everything.
+func (t *term) updateFailedVMs(failing map[string]int, heard int) {
+	at := nowMillis()
 	for vm, n := range failing {
-		if 2*n > heard && !t.dead[vm] {
-			t.dead[vm] = true
+		if 2*n > heard && !t.failed[vm] {
+			t.failed[vm] = true
 			t.log.Warn().Str("step", "judge").Str("peer", vm).Int("entries", n).Msg("targetFailed")
 			t.feed(wave.FailedMsg{At: at, VM: vm})
 		}
 	}
-	for vm := range t.dead {
+	for vm := range t.failed {
 		if 2*failing[vm] <= heard {
-			delete(t.dead, vm)
+			delete(t.failed, vm)
 			t.log.Info().Str("step", "judge").Str("peer", vm).Msg("targetRecovered")
 			t.feed(wave.RecoveredMsg{At: at, VM: vm})
 		}
 	}
 }
 
-// size hands demand and fleet to the sizer and its moves to the planner.
-func (t *term) size(at time.Time) {
+// planMoves hands demand and fleet to the sizer and its moves to the planner.
+func (t *term) planMoves(at time.Time) {
 	if t.doc == nil {
 		return
 	}
-	t.sizer.Update(t.fleet())
+	t.sizer.Update(t.fleetMsg())
 	m := wave.MoveMsg{At: at.UnixMilli()}
-	for _, c := range t.sizer.Update(spare.TickMsg{At: at.UnixMilli(), Demand: t.demand()}) {
+	for _, c := range t.sizer.Update(spare.TickMsg{At: at.UnixMilli(), Demand: t.demandByPool()}) {
 		if c, ok := c.(spare.MoveCmd); ok {
 			t.log.Info().Str("step", "size").Str("peer", c.VM).Str("from", c.From).Str("to", c.To).Str("why", string(c.Why)).Msg("move")
 			m.Moves = append(m.Moves, wave.Move{VM: c.VM, From: c.From, To: c.To})
 		}
 	}
-	t.count(len(m.Moves))
+	t.updateStats(len(m.Moves))
 	if len(m.Moves) > 0 {
 		t.feed(m)
 	}
 }
 
-func (t *term) fleet() spare.FleetMsg {
+func (t *term) fleetMsg() spare.FleetMsg {
 	var m spare.FleetMsg
 	for v := range t.planner.Table().All() {
 		m.VMs = append(m.VMs, spare.VM{
@@ -128,8 +128,8 @@
 	return m
 }
 
-// demand sums the entries' words by pool.
-func (t *term) demand() map[string]spare.Demand {
+// demandByPool sums the entries' words by pool.
+func (t *term) demandByPool() map[string]spare.Demand {
 	pools := make(map[string]string)
 	for _, s := range t.doc.Services() {
 		pools[s.Name] = s.Pool
@@ -149,8 +149,8 @@
 	return sum
 }
 
-// spareRules returns the pools' rules; counts of the whole fleet are shared out over its data centres.
-func spareRules(d *conf.Document, dataCentres int) spare.RulesMsg {
+// sizingRules returns the pools' rules; counts of the whole fleet are shared out over its data centres.
+func sizingRules(d *conf.Document, dataCentres int) spare.RulesMsg {
 	var m spare.RulesMsg
 	used := make(map[string]conf.ServiceSpec)
 	for _, s := range d.Services() {
--- a/node/steer/read.go
+++ b/node/steer/read.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	pageItems  = 100
-	retryAfter = time.Second
+	pageSize  = 100
+	watchRetryDelay = time.Second
 )
 
-// use takes one item in that was read at the given Unix milliseconds.
-type use func(ctx context.Context, at int64, i keyval.Item)
+// itemFunc takes one item in that was read at the given Unix milliseconds.
+type itemFunc func(ctx context.Context, at int64, i keyval.Item)
 
 // watch lists all keys under prefix, then follows their changes, until the context ends.
-func (t *term) watch(ctx context.Context, prefix string, u use) error {
+func (t *term) watch(ctx context.Context, prefix string, u itemFunc) error {
 	for ctx.Err() == nil {
 		rev, err := t.listAll(ctx, prefix, u)
 		if err == nil {
-			err = t.followFrom(ctx, prefix, rev, u)
+			err = t.followChanges(ctx, prefix, rev, u)
 		}
 		if err != nil && !errors.Is(err, keyval.ErrReset) && ctx.Err() == nil {
 			t.log.Warn().Str("step", "watch").Str("key", prefix).Err(err).Msg("watchFailed")
-			pause(ctx, retryAfter)
+			sleep(ctx, watchRetryDelay)
 		}
 	}
 	return nil
 }
 
 // listAll reads every key under prefix and returns the revision from which the first page was read.
-func (t *term) listAll(ctx context.Context, prefix string, u use) (keyval.Revision, error) {
+func (t *term) listAll(ctx context.Context, prefix string, u itemFunc) (keyval.Revision, error) {
 	var first keyval.Revision
 	after := ""
 	for {
-		at := now()
-		x, cancel := context.WithTimeout(ctx, actTimeout)
-		items, rev, err := t.store.List(x, prefix, after, pageItems)
+		at := nowMillis()
+		x, cancel := context.WithTimeout(ctx, callTimeout)
+		items, rev, err := t.store.List(x, prefix, after, pageSize)
 		cancel()
 		if err != nil {
 			return 0, err
@@ -54,16 +54,16 @@
 			u(ctx, at, i)
 			after = i.Key()
 		}
-		if len(items) < pageItems {
-			t.fresh(ctx, prefix, at)
+		if len(items) < pageSize {
+			t.reportFresh(ctx, prefix, at)
 			return first, nil
 		}
 	}
 }
 
-func (t *term) followFrom(ctx context.Context, prefix string, rev keyval.Revision, u use) error {
+func (t *term) followChanges(ctx context.Context, prefix string, rev keyval.Revision, u itemFunc) error {
 	for ctx.Err() == nil {
-		at := now()
+		at := nowMillis()
 		events, next, err := t.store.Watch(ctx, prefix, rev, t.watchWait())
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 			u(ctx, at, i)
 		}
 		rev = next
-		t.fresh(ctx, prefix, at)
+		t.reportFresh(ctx, prefix, at)
 	}
 	return nil
 }
@@ -85,29 +85,29 @@
 func (t *term) watchWait() time.Duration { return 2 * t.tick }
 
 // freshMsg is the loop's own note that all keys under a prefix were up to date at a time.
-func (t *term) fresh(ctx context.Context, prefix string, at int64) {
-	t.freshMu.Lock()
-	t.freshAt[prefix] = at
-	both := len(t.freshAt) == watches
-	for _, o := range t.freshAt {
+func (t *term) reportFresh(ctx context.Context, prefix string, at int64) {
+	t.freshnessMu.Lock()
+	t.freshAtMillis[prefix] = at
+	both := len(t.freshAtMillis) == watchedPrefixes
+	for _, o := range t.freshAtMillis {
 		at = min(at, o)
 	}
-	t.freshMu.Unlock()
+	t.freshnessMu.Unlock()
 	if both {
 		t.send(ctx, wave.FreshMsg{At: at})
 	}
 }
 
-// watches is the number of prefixes that a term follows.
-const watches = 2
+// watchedPrefixes is the number of prefixes that a term follows.
+const watchedPrefixes = 2
 
 // list asks for the platform's list once a tick.
 func (t *term) list(ctx context.Context) error {
 	k := time.NewTicker(t.tick)
 	defer k.Stop()
 	for {
-		at := now()
-		x, cancel := context.WithTimeout(ctx, actTimeout)
+		at := nowMillis()
+		x, cancel := context.WithTimeout(ctx, callTimeout)
 		vms, err := t.platform.List(x)
 		cancel()
 		if err != nil {
@@ -140,8 +140,8 @@
 			Name: v.ID(), Pool: v.Pool(), Rack: v.Rack(), State: hostState(v.State()), Entry: v.Kind() == hosts.Entry, Boot: v.Boot(),
 		})
 	}
-	t.hostsNow.Store(&own)
-	t.gone(gone)
+	t.listedVMs.Store(&own)
+	t.onGone(gone)
 	return m
 }
 
@@ -155,13 +155,13 @@
 	return wave.Live
 }
 
-// listen tells which other data centres have a leader, as their keys under a lease show.
-func (t *term) listen(ctx context.Context) error {
+// pollLeaders tells which other data centres have a leader, as their keys under a lease show.
+func (t *term) pollLeaders(ctx context.Context) error {
 	k := time.NewTicker(2 * t.tick)
 	defer k.Stop()
 	for {
-		at := now()
-		t.send(ctx, wave.UnheardMsg{At: at, DataCentres: t.unheard(ctx)})
+		at := nowMillis()
+		t.send(ctx, wave.UnheardMsg{At: at, DataCentres: t.dataCentresWithoutLeader(ctx)})
 		select {
 		case <-ctx.Done():
 			return nil
@@ -170,10 +170,10 @@
 	}
 }
 
-func (t *term) unheard(ctx context.Context) []string {
+func (t *term) dataCentresWithoutLeader(ctx context.Context) []string {
 	var silent []string
-	for _, n := range t.others {
-		x, cancel := context.WithTimeout(ctx, actTimeout)
+	for _, n := range t.otherDataCentres {
+		x, cancel := context.WithTimeout(ctx, callTimeout)
 		i, err := t.store.Get(x, LeaderKey(n))
 		cancel()
 		if err != nil || !i.Found() {
@@ -186,9 +186,9 @@
 // LeaderKey returns the key under which the data centre's leader holds its lease.
 func LeaderKey(dataCentre string) string { return "dc/" + dataCentre + "/leader" }
 
-// policy hands the configuration to the planner and the sizer.
-func (t *term) policy(at time.Time) {
-	d := t.docs.Document()
+// updatePolicy hands the configuration to the planner and the sizer.
+func (t *term) updatePolicy(at time.Time) {
+	d := t.config.Document()
 	if d == t.doc {
 		return
 	}
@@ -204,27 +204,27 @@
 	for _, w := range d.Waves() {
 		m.Waves = append(m.Waves, wave.Wave{ID: w.ID, Pools: w.Pools, Paused: w.Paused})
 	}
-	t.sizer.Update(spareRules(d, len(t.others)+1))
+	t.sizer.Update(sizingRules(d, len(t.otherDataCentres)+1))
 	t.feed(m)
-	t.absent(d)
+	t.readMissing(d)
 }
 
-// absent asks once for each document that may not exist yet, since a list shows only those that do.
-func (t *term) absent(d *conf.Document) {
+// readMissing asks once for each document that may not exist yet, since a list shows only those that do.
+func (t *term) readMissing(d *conf.Document) {
 	for i := range pool.Count {
 		if t.planner.Table().Revision(i) == 0 {
 			t.pending = append(t.pending, wave.ReadShardCmd{Index: i})
 		}
 	}
 	for _, s := range d.Services() {
-		if !t.asked[s.Name] {
-			t.asked[s.Name] = true
+		if !t.budgetsRequested[s.Name] {
+			t.budgetsRequested[s.Name] = true
 			t.pending = append(t.pending, wave.ReadBudgetCmd{Service: s.Name})
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	k := time.NewTimer(d)
 	defer k.Stop()
 	select {
--- a/node/steer/stats.go
+++ b/node/steer/stats.go
@@ -36,9 +36,9 @@
 	return h, ok
 }
 
-// count renews the figures.
-func (t *term) count(moves int) {
-	s := Stats{leading: true, moves: t.Stats().moves + int64(moves), states: make(map[pool.State]int), hosts: t.hostList()}
+// updateStats renews the figures.
+func (t *term) updateStats(moves int) {
+	s := Stats{leading: true, moves: t.Stats().moves + int64(moves), states: make(map[pool.State]int), hosts: t.vmsByID()}
 	for m := range t.planner.Table().All() {
 		s.states[m.State]++
 		s.members = append(s.members, m)
--- a/node/steer/steer.go
+++ b/node/steer/steer.go
@@ -22,9 +22,9 @@
 
 const (
 	defaultTick = time.Second
-	maxActs     = 8   // commands that are performed at once
-	inboxSize   = 256 // messages that wait for the loop
-	actTimeout  = 3 * time.Second
+	maxConcurrentCommands     = 8   // commands that are performed at once
+	inboxCapacity   = 256 // messages that wait for the loop
+	callTimeout  = 3 * time.Second
 )
 
 // Leadership tells whether this entry leads its data centre, and the fence of its term.
@@ -70,18 +70,18 @@
 // Loop is the leader's loop of one entry.
 type Loop struct {
 	dataCentre string
-	others     []string
+	otherDataCentres     []string
 	store      keyval.Store
 	platform   hosts.Platform
-	lead       Leadership
-	docs       Documents
+	leadership       Leadership
+	config       Documents
 	peers      Peers
-	shelf      *view.Shelf
+	views      *view.Shelf
 	log        zerolog.Logger
 	tick       time.Duration
 	entry      string
 
-	gone func(entries []string)
+	onGone func(entries []string)
 
 	wake  chan struct{}
 	stats atomic.Pointer[Stats]
@@ -97,16 +97,16 @@
 func WithLogger(z zerolog.Logger) Option { return func(l *Loop) { l.log = z } }
 
 // WithGone sets what is told of the entries whose VMs are gone, at each look at the platform's list.
-func WithGone(f func(entries []string)) Option { return func(l *Loop) { l.gone = f } }
+func WithGone(f func(entries []string)) Option { return func(l *Loop) { l.onGone = f } }
 
 // WithOthers names the other data centres, whose leaders' keys tell whether they are heard.
-func WithOthers(names []string) Option { return func(l *Loop) { l.others = names } }
+func WithOthers(names []string) Option { return func(l *Loop) { l.otherDataCentres = names } }
 
 // New returns the loop of the entry in the data centre.
 func New(dataCentre, entry string, s keyval.Store, p hosts.Platform, a Leadership, d Documents, w Peers, v *view.Shelf, opts ...Option) *Loop {
 	l := &Loop{
-		dataCentre: dataCentre, entry: entry, store: s, platform: p, lead: a, docs: d, peers: w, shelf: v,
-		log: zerolog.Nop(), tick: defaultTick, gone: func([]string) {}, wake: make(chan struct{}, 1),
+		dataCentre: dataCentre, entry: entry, store: s, platform: p, leadership: a, config: d, peers: w, views: v,
+		log: zerolog.Nop(), tick: defaultTick, onGone: func([]string) {}, wake: make(chan struct{}, 1),
 	}
 	l.stats.Store(&Stats{})
 	for _, o := range opts {
@@ -128,7 +128,7 @@
 	t := time.NewTicker(l.tick)
 	defer t.Stop()
 	for {
-		if f, ok := l.lead.Held(); ok {
+		if f, ok := l.leadership.Held(); ok {
 			if err := l.term(ctx, f); err != nil && ctx.Err() == nil {
 				l.log.Warn().Str("step", "lead").Err(err).Msg("termEnded")
 			}
@@ -148,39 +148,39 @@
 	planner *wave.Planner
 	sizer   *spare.Sizer
 	inbox   chan wave.Msg
-	acts    chan wave.Cmd
+	commands    chan wave.Cmd
 	pending []wave.Cmd             // commands that wait for an actor
-	known   map[string]view.Target // the last published line of each VM
-	dead    map[string]bool        // VMs that most entries find failing
-	asked   map[string]bool        // services whose budget was asked for, since a list shows only those that exist
+	published   map[string]view.Target // the last published line of each VM
+	failed    map[string]bool        // VMs that most entries find failing
+	budgetsRequested   map[string]bool        // services whose budget was asked for, since a list shows only those that exist
 	version view.Version
 	doc     *conf.Document
 
-	hostsNow atomic.Pointer[map[string]hosts.VM]
+	listedVMs atomic.Pointer[map[string]hosts.VM]
 
-	freshMu sync.Mutex
-	freshAt map[string]int64 // Unix milliseconds, by prefix
+	freshnessMu sync.Mutex
+	freshAtMillis map[string]int64 // Unix milliseconds, by prefix
 }
 
 func (l *Loop) term(ctx context.Context, fence keyval.Revision) error {
 	t := &term{
 		Loop: l, fence: fence, planner: wave.New(l.dataCentre, pool.Count), sizer: spare.New(),
-		inbox: make(chan wave.Msg, inboxSize), acts: make(chan wave.Cmd, inboxSize),
-		known: make(map[string]view.Target), dead: make(map[string]bool), asked: make(map[string]bool), freshAt: make(map[string]int64),
+		inbox: make(chan wave.Msg, inboxCapacity), commands: make(chan wave.Cmd, inboxCapacity),
+		published: make(map[string]view.Target), failed: make(map[string]bool), budgetsRequested: make(map[string]bool), freshAtMillis: make(map[string]int64),
 	}
-	t.version = view.Version{Fence: max(int64(fence), l.shelf.View().Version().Fence+1)}
-	for _, o := range l.shelf.View().Targets() {
-		t.known[o.VM] = o
+	t.version = view.Version{Fence: max(int64(fence), l.views.View().Version().Fence+1)}
+	for _, o := range l.views.View().Targets() {
+		t.published[o.VM] = o
 	}
 	l.log.Info().Str("step", "lead").Int64("fence", int64(fence)).Msg("termBegan")
 	g, x := errgroup.WithContext(ctx)
-	for range maxActs {
-		g.Go(func() error { return t.actor(x) })
+	for range maxConcurrentCommands {
+		g.Go(func() error { return t.executor(x) })
 	}
 	g.Go(func() error { return t.watch(x, t.shardPrefix(), t.readShard) })
 	g.Go(func() error { return t.watch(x, budgetPrefix, t.readBudget) })
 	g.Go(func() error { return t.list(x) })
-	g.Go(func() error { return t.listen(x) })
+	g.Go(func() error { return t.pollLeaders(x) })
 	g.Go(func() error { return t.decide(x) })
 	defer l.stats.Store(&Stats{})
 	return g.Wait()
@@ -199,17 +199,17 @@
 			return nil
 		case m := <-t.inbox:
 			t.feed(m)
-		case t.out() <- t.first():
+		case t.commandsIfPending() <- t.nextCommand():
 			t.pending = t.pending[1:]
 		case <-t.wake:
-			t.hear()
+			t.readPeerReports()
 		case now := <-k.C:
-			if f, ok := t.lead.Held(); !ok || f != t.fence {
+			if f, ok := t.leadership.Held(); !ok || f != t.fence {
 				return errTermOver
 			}
-			t.policy(now)
-			t.hear()
-			t.size(now)
+			t.updatePolicy(now)
+			t.readPeerReports()
+			t.planMoves(now)
 			t.feed(wave.TickMsg{At: now.UnixMilli()})
 		}
 	}
@@ -223,28 +223,28 @@
 		t.pending = append(t.pending, c)
 	}
 	_, list := m.(wave.HostsMsg)
-	if list || changed(before, t.planner.Table()) {
+	if list || shardsChanged(before, t.planner.Table()) {
 		t.publish()
 	}
 }
 
-// out returns the actors' channel while a command waits for them; the loop never blocks on it.
-func (t *term) out() chan<- wave.Cmd {
+// commandsIfPending returns the actors' channel while a command waits for them; the loop never blocks on it.
+func (t *term) commandsIfPending() chan<- wave.Cmd {
 	if len(t.pending) == 0 {
 		return nil
 	}
-	return t.acts
+	return t.commands
 }
 
-// first returns the command that waits longest.
-func (t *term) first() wave.Cmd {
+// nextCommand returns the command that waits longest.
+func (t *term) nextCommand() wave.Cmd {
 	if len(t.pending) == 0 {
 		return nil
 	}
 	return t.pending[0]
 }
 
-func changed(a, b pool.Table) bool {
+func shardsChanged(a, b pool.Table) bool {
 	for i, n := range a.Numbers() {
 		if b.Shard(i).Number() != n {
 			return true
--- a/node/view/shelf.go
+++ b/node/view/shelf.go
@@ -13,27 +13,27 @@
 
 // Shelf holds the newest view and enough of the past to bring others up to it; it is safe for concurrent use.
 type Shelf struct {
-	now  atomic.Pointer[View]
+	current  atomic.Pointer[View]
 	mu   sync.Mutex
 	past []*View
-	wake chan struct{}
+	changed chan struct{}
 }
 
 // NewShelf returns a shelf with an empty view.
 func NewShelf() *Shelf {
-	s := &Shelf{wake: make(chan struct{})}
-	s.now.Store(New(Version{}, nil))
+	s := &Shelf{changed: make(chan struct{})}
+	s.current.Store(New(Version{}, nil))
 	return s
 }
 
 // View returns the newest view.
-func (s *Shelf) View() *View { return s.now.Load() }
+func (s *Shelf) View() *View { return s.current.Load() }
 
 // Offer takes a delta in; ErrOld and ErrGap change nothing.
 func (s *Shelf) Offer(d Delta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, err := s.now.Load().Apply(d)
+	n, err := s.current.Load().Apply(d)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 func (s *Shelf) Put(v *View) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !v.version.After(s.now.Load().version) {
+	if !v.version.After(s.current.Load().version) {
 		return ErrOld
 	}
 	s.push(v)
@@ -54,20 +54,20 @@
 
 // push makes v the newest; s.mu is held.
 func (s *Shelf) push(v *View) {
-	s.past = append(s.past, s.now.Load())
+	s.past = append(s.past, s.current.Load())
 	if n := len(s.past) - keptDeltas; n > 0 {
 		s.past = append(s.past[:0], s.past[n:]...)
 	}
-	s.now.Store(v)
-	close(s.wake)
-	s.wake = make(chan struct{})
+	s.current.Store(v)
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Since returns what leads from base to the newest view; ok is false when there is nothing newer.
 func (s *Shelf) Since(base Version) (d Delta, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.now.Load()
+	v := s.current.Load()
 	if !v.version.After(base) {
 		return Delta{}, false
 	}
@@ -83,7 +83,7 @@
 func (s *Shelf) Wait(ctx context.Context, base Version) error {
 	for {
 		s.mu.Lock()
-		w := s.wake
+		w := s.changed
 		s.mu.Unlock()
 		if s.View().version.After(base) {
 			return nil
