--- a/node/steer/act.go
+++ b/node/steer/act.go
@@ -17,17 +17,17 @@
 	budgetSuffix = "/out"
 )
 
-func (t *term) shardPrefix() string     { return "dc/" + t.dataCentre + "/vms/" }
-func (t *term) shardKey(i int) string   { return fmt.Sprintf("%s%02d", t.shardPrefix(), i) }
-func budgetKey(service string) string   { return budgetPrefix + service + budgetSuffix }
-func nowMillis() int64                        { return time.Now().UnixMilli() }
+func (t *term) shardPrefix() string            { return "dc/" + t.dataCentre + "/vms/" }
+func (t *term) shardKey(i int) string          { return fmt.Sprintf("%s%02d", t.shardPrefix(), i) }
+func budgetKey(service string) string          { return budgetPrefix + service + budgetSuffix }
+func nowMillis() int64                         { return time.Now().UnixMilli() }
 func expectedRevision(r int64) keyval.Revision { return keyval.Revision(r) }
-func (t *term) held() bool              { f, ok := t.leadership.Held(); return ok && f == t.fence }
+func (t *term) held() bool                     { f, ok := t.leadership.Held(); return ok && f == t.fence }
 func trimAffixes(key, head, tail string) string {
 	return strings.TrimSuffix(strings.TrimPrefix(key, head), tail)
 }
 
-// executor performs commands one after the other.
+// executor executes queued commands one at a time.
 func (t *term) executor(ctx context.Context) error {
 	for {
 		select {
@@ -39,7 +39,7 @@
 	}
 }
 
-// execute performs one command and puts its result into the inbox.
+// execute executes one command and puts its result into the inbox. It skips the command if the term has lost the lease.
 func (t *term) execute(ctx context.Context, c wave.Cmd) {
 	if !t.held() {
 		return
@@ -110,7 +110,8 @@
 	t.send(ctx, wave.WroteBudgetMsg{At: nowMillis(), Service: c.Service, Outcome: t.outcome("writeBudget", err), Revision: int64(r)})
 }
 
-// outcome tells what a write's error means; what was certainly not applied counts as a conflict, so that it is read again.
+// outcome returns the outcome of a write that ended with err. A write that was certainly not applied counts as a conflict, so that
+// the planner reads the key again.
 func (t *term) outcome(step string, err error) wave.Outcome {
 	switch {
 	case err == nil:
@@ -123,7 +124,7 @@
 	return wave.Unknown
 }
 
-// readKey reads one key and hands it on.
+// readKey reads one key and passes the item to use. A key that is not found becomes an item without a value.
 func (t *term) readKey(ctx, x context.Context, key string, use func(context.Context, int64, keyval.Item)) {
 	at := nowMillis()
 	i, err := t.store.Get(x, key)
@@ -137,6 +138,7 @@
 	use(ctx, at, i)
 }
 
+// readShard parses a membership shard and sends it to the planner.
 func (t *term) readShard(ctx context.Context, at int64, i keyval.Item) {
 	var n int
 	if _, err := fmt.Sscanf(i.Key(), t.shardPrefix()+"%d", &n); err != nil || n < 0 || n >= pool.Count {
@@ -153,6 +155,7 @@
 	t.send(ctx, wave.ShardMsg{At: at, Shard: s, Revision: int64(i.Rev())})
 }
 
+// readBudget parses a service's budget and sends it to the planner.
 func (t *term) readBudget(ctx context.Context, at int64, i keyval.Item) {
 	if !strings.HasSuffix(i.Key(), budgetSuffix) {
 		return
--- a/node/steer/doc.go
+++ b/node/steer/doc.go
@@ -1,5 +1,6 @@
-// Package steer runs the decisions of a data centre's leader: it reads documents, the platform's list and the entries' word,
-// feeds them to fleet/wave and fleet/spare, performs their commands and publishes the view of the targets.
+// Package steer runs the control loop of a data centre's leader. The loop reads the stored documents, the platform's list of VMs
+// and the entries' reports, feeds them to fleet/wave and fleet/spare, executes the commands that these return, and publishes the
+// view of the targets.
 //
-// Every act begins with a conditional write, so that a leader that was paused past its lease does no harm.
+// Every action begins with a conditional write, so a leader that was paused until after its lease expired does no harm.
 package steer
--- a/node/steer/publish.go
+++ b/node/steer/publish.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// publish puts a new view on the shelf when the targets have changed.
+// publish publishes a new view if the targets have changed, or if the current view is of another term.
 func (t *term) publish() {
 	table := t.planner.Table()
 	list := t.vmsByID()
@@ -41,7 +41,7 @@
 	}
 }
 
-// newTarget returns the line of one VM; its number stays while nothing else of the line changes.
+// newTarget returns the target for one VM. It keeps the number of the published target while nothing else in it changes.
 func (t *term) newTarget(m pool.Member, h hosts.VM, number int64) view.Target {
 	n := view.Target{
 		VM: m.VM, Addr: h.Addr(), Rack: m.Rack, Pool: m.Pool, Number: number,
@@ -55,6 +55,7 @@
 	return n
 }
 
+// vmsByID returns the data centre's VMs as the platform last listed them.
 func (t *term) vmsByID() map[string]hosts.VM {
 	if l := t.listedVMs.Load(); l != nil {
 		return *l
@@ -62,11 +63,11 @@
 	return nil
 }
 
-// readPeerReports passes on the newest word of each entry.
+// readPeerReports passes the newest report of each entry to the planner and updates the failed VMs.
 func (t *term) readPeerReports() {
 	failing := make(map[string]int)
-	words := t.peers.Words()
-	for _, w := range words {
+	reports := t.peers.Words()
+	for _, w := range reports {
 		m := wave.HeardMsg{At: w.At.UnixMilli(), Entry: w.Entry, Numbers: w.Numbers}
 		for _, q := range w.Quits {
 			m.Drained = append(m.Drained, wave.Drained{VM: q.VM, Number: q.Number})
@@ -76,21 +77,21 @@
 		}
 		t.feed(m)
 	}
-	t.updateFailedVMs(failing, len(words))
+	t.updateFailedVMs(failing, len(reports))
 }
 
-// updateFailedVMs holds a VM for dead when more than half of the entries that are heard find it failing everything.
-func (t *term) updateFailedVMs(failing map[string]int, heard int) {
+// updateFailedVMs marks a VM as failed while more than half of the reporting entries find that it fails every request.
+func (t *term) updateFailedVMs(failing map[string]int, reports int) {
 	at := nowMillis()
 	for vm, n := range failing {
-		if 2*n > heard && !t.failed[vm] {
+		if 2*n > reports && !t.failed[vm] {
 			t.failed[vm] = true
 			t.log.Warn().Str("step", "judge").Str("peer", vm).Int("entries", n).Msg("targetFailed")
 			t.feed(wave.FailedMsg{At: at, VM: vm})
 		}
 	}
 	for vm := range t.failed {
-		if 2*failing[vm] <= heard {
+		if 2*failing[vm] <= reports {
 			delete(t.failed, vm)
 			t.log.Info().Str("step", "judge").Str("peer", vm).Msg("targetRecovered")
 			t.feed(wave.RecoveredMsg{At: at, VM: vm})
@@ -98,7 +99,7 @@
 	}
 }
 
-// planMoves hands demand and fleet to the sizer and its moves to the planner.
+// planMoves passes the fleet and the demand to the sizer, and the moves that it returns to the planner.
 func (t *term) planMoves(at time.Time) {
 	if t.doc == nil {
 		return
@@ -117,6 +118,7 @@
 	}
 }
 
+// fleetMsg returns the data centre's VMs in the sizer's form.
 func (t *term) fleetMsg() spare.FleetMsg {
 	var m spare.FleetMsg
 	for v := range t.planner.Table().All() {
@@ -128,7 +130,7 @@
 	return m
 }
 
-// demandByPool sums the entries' words by pool.
+// demandByPool sums the loads in the entries' reports by pool, with arrivals and answers counted per tick.
 func (t *term) demandByPool() map[string]spare.Demand {
 	pools := make(map[string]string)
 	for _, s := range t.doc.Services() {
@@ -149,7 +151,7 @@
 	return sum
 }
 
-// sizingRules returns the pools' rules; counts of the whole fleet are shared out over its data centres.
+// sizingRules returns the sizer's rules for the pools. Limits for the whole fleet are divided evenly among the data centres.
 func sizingRules(d *conf.Document, dataCentres int) spare.RulesMsg {
 	var m spare.RulesMsg
 	used := make(map[string]conf.ServiceSpec)
--- a/node/steer/read.go
+++ b/node/steer/read.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	pageSize  = 100
+	pageSize        = 100
 	watchRetryDelay = time.Second
 )
 
-// itemFunc takes one item in that was read at the given Unix milliseconds.
-type itemFunc func(ctx context.Context, at int64, i keyval.Item)
+// itemFunc handles one item. readAt is the time before the read, in Unix milliseconds.
+type itemFunc func(ctx context.Context, readAt int64, i keyval.Item)
 
-// watch lists all keys under prefix, then follows their changes, until the context ends.
+// watch lists all keys under prefix and then follows their changes, until ctx is cancelled.
 func (t *term) watch(ctx context.Context, prefix string, u itemFunc) error {
 	for ctx.Err() == nil {
 		rev, err := t.listAll(ctx, prefix, u)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// listAll reads every key under prefix and returns the revision from which the first page was read.
+// listAll reads every key under prefix and returns the revision of the first page, from which to watch for changes.
 func (t *term) listAll(ctx context.Context, prefix string, u itemFunc) (keyval.Revision, error) {
 	var first keyval.Revision
 	after := ""
@@ -61,6 +61,7 @@
 	}
 }
 
+// followChanges passes each change under prefix after rev to u. A deleted key becomes an item without a value.
 func (t *term) followChanges(ctx context.Context, prefix string, rev keyval.Revision, u itemFunc) error {
 	for ctx.Err() == nil {
 		at := nowMillis()
@@ -81,27 +82,28 @@
 	return nil
 }
 
-// watchWait keeps the documents fresher than the planner's bound.
+// watchWait returns the longest wait of one watch. It is short enough to keep the documents fresher than the planner's maximum age.
 func (t *term) watchWait() time.Duration { return 2 * t.tick }
 
-// freshMsg is the loop's own note that all keys under a prefix were up to date at a time.
+// reportFresh records that all keys under prefix were up to date at the given Unix milliseconds. Once every prefix has such a time,
+// it sends the earliest to the planner.
 func (t *term) reportFresh(ctx context.Context, prefix string, at int64) {
 	t.freshnessMu.Lock()
 	t.freshAtMillis[prefix] = at
-	both := len(t.freshAtMillis) == watchedPrefixes
+	all := len(t.freshAtMillis) == watchedPrefixes
 	for _, o := range t.freshAtMillis {
 		at = min(at, o)
 	}
 	t.freshnessMu.Unlock()
-	if both {
+	if all {
 		t.send(ctx, wave.FreshMsg{At: at})
 	}
 }
 
-// watchedPrefixes is the number of prefixes that a term follows.
+// watchedPrefixes is the number of prefixes that a term watches: shards and budgets.
 const watchedPrefixes = 2
 
-// list asks for the platform's list once a tick.
+// list reads the platform's list of VMs once per tick.
 func (t *term) list(ctx context.Context) error {
 	k := time.NewTicker(t.tick)
 	defer k.Stop()
@@ -123,7 +125,7 @@
 	}
 }
 
-// hostsMsg keeps the own data centre's lines.
+// hostsMsg returns the planner's message with the VMs of this data centre, stores them for publish and reports the entries that are gone.
 func (t *term) hostsMsg(at int64, vms []hosts.VM) wave.Msg {
 	m := wave.HostsMsg{At: at}
 	var gone []string
@@ -155,7 +157,7 @@
 	return wave.Live
 }
 
-// pollLeaders tells which other data centres have a leader, as their keys under a lease show.
+// pollLeaders reports to the planner, every two ticks, which other data centres have no leader key. The key is bound to the leader's lease.
 func (t *term) pollLeaders(ctx context.Context) error {
 	k := time.NewTicker(2 * t.tick)
 	defer k.Stop()
@@ -170,23 +172,24 @@
 	}
 }
 
+// dataCentresWithoutLeader returns the other data centres whose leader key is absent or cannot be read.
 func (t *term) dataCentresWithoutLeader(ctx context.Context) []string {
-	var silent []string
+	var missing []string
 	for _, n := range t.otherDataCentres {
 		x, cancel := context.WithTimeout(ctx, callTimeout)
 		i, err := t.store.Get(x, LeaderKey(n))
 		cancel()
 		if err != nil || !i.Found() {
-			silent = append(silent, n)
+			missing = append(missing, n)
 		}
 	}
-	return silent
+	return missing
 }
 
 // LeaderKey returns the key under which the data centre's leader holds its lease.
 func LeaderKey(dataCentre string) string { return "dc/" + dataCentre + "/leader" }
 
-// updatePolicy hands the configuration to the planner and the sizer.
+// updatePolicy passes a changed configuration to the planner and the sizer.
 func (t *term) updatePolicy(at time.Time) {
 	d := t.config.Document()
 	if d == t.doc {
@@ -209,7 +212,8 @@
 	t.readMissing(d)
 }
 
-// readMissing asks once for each document that may not exist yet, since a list shows only those that do.
+// readMissing requests each document that may not exist yet, because a listing omits absent keys. It requests each budget once per term,
+// and each shard without a revision after each change of the configuration.
 func (t *term) readMissing(d *conf.Document) {
 	for i := range pool.Count {
 		if t.planner.Table().Revision(i) == 0 {
--- a/node/steer/steer.go
+++ b/node/steer/steer.go
@@ -21,65 +21,65 @@
 )
 
 const (
-	defaultTick = time.Second
-	maxConcurrentCommands     = 8   // commands that are performed at once
-	inboxCapacity   = 256 // messages that wait for the loop
-	callTimeout  = 3 * time.Second
+	defaultTick           = time.Second
+	maxConcurrentCommands = 8   // commands executed concurrently
+	inboxCapacity         = 256 // messages queued for the loop
+	callTimeout           = 3 * time.Second
 )
 
-// Leadership tells whether this entry leads its data centre, and the fence of its term.
+// Leadership reports whether this entry leads its data centre, and the fencing token of its term.
 type Leadership interface {
 	Held() (keyval.Revision, bool)
 }
 
-// Documents gives the operators' configuration in force.
+// Documents returns the operators' configuration that is in force.
 type Documents interface {
 	Document() *conf.Document
 }
 
-// Peers gives the newest word of each entry of the data centre, the own one included.
+// Peers returns the newest report of each entry of the data centre, including this one.
 type Peers interface {
 	Words() []Word
 }
 
-// Word is what one entry last said.
+// Word is the last report of one entry.
 type Word struct {
 	Entry   string
-	At      time.Time
+	At      time.Time // when the report was received
 	Quits   []Quit
-	Failing []string
+	Failing []string // VMs that fail every request of the entry
 	Loads   []Load
-	Numbers []int64 // versions of the membership's shards in the entry's view
+	Numbers []int64 // version of each membership shard in the entry's view
 }
 
-// Quit is a VM that the entry sends nothing to and has nothing in flight at.
+// Quit is a VM to which the entry sends no requests and has none in flight.
 type Quit struct {
 	VM     string
-	Number int64
+	Number int64 // version of the membership shard that made the entry stop sending
 }
 
-// Load is the use of one service's slots at the entry.
+// Load is the use of one service's slots at one entry.
 type Load struct {
 	Service  string
 	Busy     float64
 	Queued   float64
-	Arrivals float64 // requests a second
-	Done     float64 // answers a second
+	Arrivals float64 // requests per second
+	Done     float64 // answers per second
 }
 
-// Loop is the leader's loop of one entry.
+// Loop is the control loop that an entry runs while it leads its data centre.
 type Loop struct {
-	dataCentre string
-	otherDataCentres     []string
-	store      keyval.Store
-	platform   hosts.Platform
+	dataCentre       string
+	otherDataCentres []string
+	store            keyval.Store
+	platform         hosts.Platform
 	leadership       Leadership
-	config       Documents
-	peers      Peers
-	views      *view.Shelf
-	log        zerolog.Logger
-	tick       time.Duration
-	entry      string
+	config           Documents
+	peers            Peers
+	views            *view.Shelf
+	log              zerolog.Logger
+	tick             time.Duration
+	entry            string
 
 	onGone func(entries []string)
 
@@ -87,22 +87,22 @@
 	stats atomic.Pointer[Stats]
 }
 
-// Option changes a Loop when it is made.
+// Option configures a Loop.
 type Option func(*Loop)
 
 // WithTick sets the interval of the loop.
 func WithTick(d time.Duration) Option { return func(l *Loop) { l.tick = d } }
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(z zerolog.Logger) Option { return func(l *Loop) { l.log = z } }
 
-// WithGone sets what is told of the entries whose VMs are gone, at each look at the platform's list.
+// WithGone sets the function that receives the entries whose VMs are gone, after each read of the platform's list.
 func WithGone(f func(entries []string)) Option { return func(l *Loop) { l.onGone = f } }
 
-// WithOthers names the other data centres, whose leaders' keys tell whether they are heard.
+// WithOthers names the other data centres. The loop reads their leader keys to find out whether they have a leader.
 func WithOthers(names []string) Option { return func(l *Loop) { l.otherDataCentres = names } }
 
-// New returns the loop of the entry in the data centre.
+// New returns the control loop of the entry in the data centre.
 func New(dataCentre, entry string, s keyval.Store, p hosts.Platform, a Leadership, d Documents, w Peers, v *view.Shelf, opts ...Option) *Loop {
 	l := &Loop{
 		dataCentre: dataCentre, entry: entry, store: s, platform: p, leadership: a, config: d, peers: w, views: v,
@@ -115,7 +115,7 @@
 	return l
 }
 
-// Wake makes the loop look at its peers' words at once.
+// Wake makes the loop read the entries' reports without waiting for the next tick.
 func (l *Loop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -123,7 +123,7 @@
 	}
 }
 
-// Run leads whenever the entry holds the lease, until the context ends.
+// Run runs a term whenever the entry holds the leader's lease, until ctx is cancelled.
 func (l *Loop) Run(ctx context.Context) error {
 	t := time.NewTicker(l.tick)
 	defer t.Stop()
@@ -141,25 +141,25 @@
 	}
 }
 
-// term is one term of leadership; its goroutines end with it.
+// term is one term of leadership. Its goroutines end with it.
 type term struct {
 	*Loop
-	fence   keyval.Revision
-	planner *wave.Planner
-	sizer   *spare.Sizer
-	inbox   chan wave.Msg
-	commands    chan wave.Cmd
-	pending []wave.Cmd             // commands that wait for an actor
-	published   map[string]view.Target // the last published line of each VM
-	failed    map[string]bool        // VMs that most entries find failing
-	budgetsRequested   map[string]bool        // services whose budget was asked for, since a list shows only those that exist
-	version view.Version
-	doc     *conf.Document
+	fence            keyval.Revision
+	planner          *wave.Planner
+	sizer            *spare.Sizer
+	inbox            chan wave.Msg
+	commands         chan wave.Cmd
+	pending          []wave.Cmd             // commands waiting for a free executor
+	published        map[string]view.Target // the last published target of each VM
+	failed           map[string]bool        // VMs reported as failing by more than half of the entries
+	budgetsRequested map[string]bool        // services whose budget was requested by key, because a listing omits absent keys
+	version          view.Version
+	doc              *conf.Document
 
 	listedVMs atomic.Pointer[map[string]hosts.VM]
 
-	freshnessMu sync.Mutex
-	freshAtMillis map[string]int64 // Unix milliseconds, by prefix
+	freshnessMu   sync.Mutex
+	freshAtMillis map[string]int64 // by prefix: Unix milliseconds at which all its keys were last up to date
 }
 
 func (l *Loop) term(ctx context.Context, fence keyval.Revision) error {
@@ -186,10 +186,10 @@
 	return g.Wait()
 }
 
-// errTermOver ends a term whose lease is lost.
-var errTermOver = eris.New("steer: lease lost")
+// errTermOver ends the term after the leader's lease is lost.
+var errTermOver = eris.New("steer: leader lease lost")
 
-// decide is the only goroutine that touches the planner and the sizer.
+// decide runs the term's main loop. Only its goroutine uses the planner and the sizer.
 func (t *term) decide(ctx context.Context) error {
 	k := time.NewTicker(t.tick)
 	defer k.Stop()
@@ -215,7 +215,8 @@
 	}
 }
 
-// feed hands one message to the planner, its commands to the actors, and publishes what has changed.
+// feed passes a message to the planner and queues the commands that it returns.
+// It publishes a new view if a shard has changed or the message is a list of hosts.
 func (t *term) feed(m wave.Msg) {
 	before := t.planner.Table()
 	for _, c := range t.planner.Update(m) {
@@ -228,7 +229,8 @@
 	}
 }
 
-// commandsIfPending returns the actors' channel while a command waits for them; the loop never blocks on it.
+// commandsIfPending returns the executors' channel if a command is pending, and otherwise nil, which disables that case of the select.
+// The loop therefore never blocks on a send.
 func (t *term) commandsIfPending() chan<- wave.Cmd {
 	if len(t.pending) == 0 {
 		return nil
@@ -236,7 +238,7 @@
 	return t.commands
 }
 
-// nextCommand returns the command that waits longest.
+// nextCommand returns the oldest pending command, or nil.
 func (t *term) nextCommand() wave.Cmd {
 	if len(t.pending) == 0 {
 		return nil
@@ -244,6 +246,7 @@
 	return t.pending[0]
 }
 
+// shardsChanged reports whether any shard of the two tables has a different number.
 func shardsChanged(a, b pool.Table) bool {
 	for i, n := range a.Numbers() {
 		if b.Shard(i).Number() != n {
@@ -253,7 +256,7 @@
 	return false
 }
 
-// send puts a message into the inbox.
+// send puts a message into the inbox, unless ctx is cancelled first.
 func (t *term) send(ctx context.Context, m wave.Msg) {
 	select {
 	case t.inbox <- m:
--- a/node/view/doc.go
+++ b/node/view/doc.go
@@ -1,4 +1,5 @@
-// Package view is what an entry knows of the targets of its data centre: which VM stands where, in which pool and state.
+// Package view holds what an entry knows about the targets of its data centre: the address, rack and pool of each VM, and whether
+// it serves.
 //
-// A leader makes versions, entries pass them on as deltas, and nobody goes back to an older one.
+// The leader creates new versions and the entries replicate them as deltas. No entry returns to an older version.
 package view
--- a/node/view/shelf.go
+++ b/node/view/holder.go
@@ -8,18 +8,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// keptDeltas is the number of past versions from which a delta can be made.
+// keptDeltas is the number of past versions from which a delta can be computed.
 const keptDeltas = 16
 
-// Shelf holds the newest view and enough of the past to bring others up to it; it is safe for concurrent use.
+// Shelf holds the newest view and the past versions that deltas are computed from. It is safe for concurrent use.
 type Shelf struct {
-	current  atomic.Pointer[View]
-	mu   sync.Mutex
-	past []*View
+	current atomic.Pointer[View]
+	mu      sync.Mutex
+	past    []*View
 	changed chan struct{}
 }
 
-// NewShelf returns a shelf with an empty view.
+// NewShelf returns a Shelf with an empty view.
 func NewShelf() *Shelf {
 	s := &Shelf{changed: make(chan struct{})}
 	s.current.Store(New(Version{}, nil))
@@ -29,7 +29,7 @@
 // View returns the newest view.
 func (s *Shelf) View() *View { return s.current.Load() }
 
-// Offer takes a delta in; ErrOld and ErrGap change nothing.
+// Offer applies a delta to the newest view. If it returns ErrOld or ErrGap, nothing has changed.
 func (s *Shelf) Offer(d Delta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Put takes a whole view in; ErrOld changes nothing.
+// Put replaces the newest view. If it returns ErrOld, nothing has changed.
 func (s *Shelf) Put(v *View) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// push makes v the newest; s.mu is held.
+// push makes v the newest view and wakes the callers of Wait. The caller holds s.mu.
 func (s *Shelf) push(v *View) {
 	s.past = append(s.past, s.current.Load())
 	if n := len(s.past) - keptDeltas; n > 0 {
@@ -63,7 +63,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Since returns what leads from base to the newest view; ok is false when there is nothing newer.
+// Since returns the delta from base to the newest view, or a delta with the whole view if base is no longer kept.
+// ok is false if base is not older than the newest view.
 func (s *Shelf) Since(base Version) (d Delta, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	return Whole(v), true
 }
 
-// Wait returns when the newest view is newer than base or the context ends.
+// Wait blocks until the newest view is newer than base, or until ctx is done, and then returns the context's error.
 func (s *Shelf) Wait(ctx context.Context, base Version) error {
 	for {
 		s.mu.Lock()
--- a/node/view/view.go
+++ b/node/view/view.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	// ErrGap reports a delta whose base is not the view at hand; a whole view is needed.
-	ErrGap = eris.New("view: delta does not follow")
-	// ErrOld reports a delta that leads to a version that is not newer.
-	ErrOld = eris.New("view: not newer")
+	// ErrGap reports a delta whose base is not the current version. A delta with the whole view is needed.
+	ErrGap = eris.New("view: base of the delta is not the current version")
+	// ErrOld reports a view or delta whose version is not newer than the current one.
+	ErrOld = eris.New("view: version is not newer than the current one")
 )
 
-// Version orders views: first by the leader's fence, then by the leader's count.
+// Version orders views, first by the fencing token of the leader's term, then by the leader's count of versions.
 type Version struct {
 	Fence int64 `json:"f"`
 	Count int64 `json:"c"`
@@ -30,23 +30,23 @@
 	return v.Count > o.Count
 }
 
-// Target is one worker VM as an entry sees it.
+// Target is one worker VM that requests can be sent to.
 type Target struct {
 	VM      string `json:"vm"`
 	Addr    string `json:"a"`
 	Rack    string `json:"r"`
 	Pool    string `json:"p"`
 	Serving bool   `json:"s"`
-	Number  int64  `json:"n"` // version of the membership shard in which the target came to this state.
+	Number  int64  `json:"n"` // version of the membership shard that brought the target to this state.
 }
 
-// View is one version of the targets of a data centre; it never changes.
+// View is one version of the targets of a data centre. It is immutable.
 type View struct {
 	version Version
 	targets map[string]Target
 }
 
-// New returns a view of the targets.
+// New returns a view of the given version that holds the targets.
 func New(v Version, targets []Target) *View {
 	m := make(map[string]Target, len(targets))
 	for _, t := range targets {
@@ -61,21 +61,21 @@
 // Len returns the number of targets.
 func (v *View) Len() int { return len(v.targets) }
 
-// Target returns the target on the VM.
+// Target returns the target for the VM.
 func (v *View) Target(vm string) (Target, bool) {
 	t, ok := v.targets[vm]
 	return t, ok
 }
 
-// Targets returns the targets in the order of their VMs' names.
+// Targets returns the targets sorted by VM.
 func (v *View) Targets() []Target {
 	return slices.SortedFunc(maps.Values(v.targets), func(a, b Target) int { return strings.Compare(a.VM, b.VM) })
 }
 
-// Same reports whether both views hold the same targets.
+// Same reports whether both views hold the same targets. It ignores their versions.
 func (v *View) Same(o *View) bool { return maps.Equal(v.targets, o.targets) }
 
-// Delta leads from one version to a newer one; a whole one needs no base.
+// Delta changes a view from one version to a newer one. A whole delta carries all targets and needs no base.
 type Delta struct {
 	Whole bool     `json:"w,omitempty"`
 	Base  Version  `json:"b"`
@@ -84,7 +84,7 @@
 	Drop  []string `json:"drop,omitempty"`
 }
 
-// Whole returns the delta that carries the whole view.
+// Whole returns a delta that carries all targets of the view.
 func Whole(v *View) Delta {
 	return Delta{Whole: true, To: v.version, Put: v.Targets()}
 }
@@ -105,7 +105,7 @@
 	return d
 }
 
-// Apply returns the view that d leads to; ErrOld and ErrGap leave v in force.
+// Apply returns the view that results from applying d to v. With ErrOld and ErrGap it returns v.
 func (v *View) Apply(d Delta) (*View, error) {
 	if !d.To.After(v.version) {
 		return v, ErrOld
@@ -132,7 +132,7 @@
 	return b, eris.Wrap(err, "step=encode")
 }
 
-// Decode reads a delta.
+// Decode parses a delta encoded as JSON.
 func Decode(b []byte) (Delta, error) {
 	var d Delta
 	err := json.Unmarshal(b, &d)
--- a/node/view/view_test.go
+++ b/node/view/view_test.go
@@ -21,40 +21,41 @@
 	return New(v, ts)
 }
 
-// TestShelvesConverge passes deltas between shelves in any order, with losses and repeats.
+// TestShelvesConverge delivers deltas in any order, with losses and repeats. No copy may return to an older version, and all must hold
+// the same targets once they have received the newest delta.
 func TestShelvesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shelves := []*Shelf{NewShelf(), NewShelf(), NewShelf()}
-		var late []Delta
+		copies := []*Shelf{NewShelf(), NewShelf(), NewShelf()}
+		var sent []Delta
 		var c int64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			k := rapid.IntRange(0, 2).Draw(t, "to")
-			before := shelves[k].View().Version()
+			before := copies[k].View().Version()
 			switch rapid.IntRange(0, 3).Draw(t, "act") {
 			case 0:
 				c++
-				_ = shelves[0].Put(draw(t, Version{Fence: 1 + c/7, Count: c}))
+				_ = copies[0].Put(draw(t, Version{Fence: 1 + c/7, Count: c}))
 			case 1:
-				if d, ok := shelves[0].Since(before); ok {
-					late = append(late, d)
+				if d, ok := copies[0].Since(before); ok {
+					sent = append(sent, d)
 				}
 			default:
-				if len(late) > 0 {
-					_ = shelves[k].Offer(late[rapid.IntRange(0, len(late)-1).Draw(t, "d")])
+				if len(sent) > 0 {
+					_ = copies[k].Offer(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "d")])
 				}
 			}
-			if before.After(shelves[k].View().Version()) {
-				t.Fatalf("shelf %d went back from %v to %v", k, before, shelves[k].View().Version())
+			if before.After(copies[k].View().Version()) {
+				t.Fatalf("copy %d went back from version %v to %v", k, before, copies[k].View().Version())
 			}
 		}
-		for k, s := range shelves[1:] {
-			if d, ok := shelves[0].Since(s.View().Version()); ok {
+		for k, s := range copies[1:] {
+			if d, ok := copies[0].Since(s.View().Version()); ok {
 				if err := s.Offer(d); err != nil {
-					t.Fatalf("shelf %d: %v", k+1, err)
+					t.Fatalf("copy %d refused the newest delta: %v", k+1, err)
 				}
 			}
-			if !s.View().Same(shelves[0].View()) {
-				t.Fatalf("shelf %d differs after it was brought up to date", k+1)
+			if !s.View().Same(copies[0].View()) {
+				t.Fatalf("copy %d differs from the leader's after the newest delta", k+1)
 			}
 		}
 	})
