--- a/node/daemon/burn.go
+++ b/node/daemon/burn.go
@@ -8,7 +8,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// flushBurnRates passes the request path's counts and the leader's figures on once a second, and logs alerts.
+// flushBurnRates updates the burn rates once per second with the request counts and the leader's figures, and logs alerts.
 func (d *Daemon) flushBurnRates(ctx context.Context) error {
 	known := make(map[string]bool)
 	return every(ctx, flushInterval, func(now time.Time) {
@@ -26,7 +26,8 @@
 	})
 }
 
-// updateObjectives tells the burn of each service's objective and of services that are no more.
+// updateObjectives passes the objective of each service to the burn meter and has it forget services that no longer exist.
+// known holds the services passed so far.
 func (d *Daemon) updateObjectives(doc *conf.Document, known map[string]bool) {
 	for n := range known {
 		if _, ok := doc.Service(n); !ok {
@@ -42,7 +43,7 @@
 	}
 }
 
-// leaderMsg returns what the leader knows of its VMs.
+// leaderMsg returns the members, spare pools and waves that the leader knows, for the burn meter.
 func (d *Daemon) leaderMsg(now time.Time, fence int64, doc *conf.Document) burn.LeadMsg {
 	m := burn.LeadMsg{Now: now, Term: fence}
 	for _, v := range d.loop.Stats().Members() {
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	leaveTimeout   = 5 * time.Second // for handing the records over at the end
+	leaveTimeout     = 5 * time.Second // for handing over the records at shutdown
 	compactInterval  = 5 * time.Second
 	flushInterval    = time.Second
 	addressInterval  = 2 * time.Second
@@ -34,27 +34,27 @@
 
 // Daemon is one entry process.
 type Daemon struct {
-	settings      setup.Settings
-	log      zerolog.Logger
-	store    *keyval.Client
-	platform *hosts.Client
-	conf     *conf.Holder
-	committer   *conf.Committer
-	lease    *lease.Lease
-	client   *relay.Client
-	keeper   *relay.Keeper
-	beater   *relay.Beater
-	views    *view.Shelf
-	gossip     *gossip
-	entry    *entry.Entry
-	loop     *steer.Loop
-	burn     *burn.Meter
-	jobs     *jobRunner
-	slotLoans   *slotLoans
-	self     ledger.Member
+	settings  setup.Settings
+	log       zerolog.Logger
+	store     *keyval.Client
+	platform  *hosts.Client
+	conf      *conf.Holder
+	committer *conf.Committer
+	lease     *lease.Lease
+	client    *relay.Client
+	keeper    *relay.Keeper
+	beater    *relay.Beater
+	views     *view.Shelf
+	gossip    *gossip
+	entry     *entry.Entry
+	loop      *steer.Loop
+	burn      *burn.Meter
+	jobs      *jobRunner
+	slotLoans *slotLoans
+	self      ledger.Member
 }
 
-// New returns the process that the settings describe; nothing is started.
+// New returns the process that the settings describe. It starts nothing.
 func New(s setup.Settings, l zerolog.Logger) *Daemon {
 	d := &Daemon{settings: s, log: l, views: view.NewShelf(), conf: conf.NewHolder()}
 	d.store = keyval.New(s.PlatformAddr(), keyval.WithName(s.Name()), keyval.WithTimeout(s.PlatformTimeout()))
@@ -68,7 +68,7 @@
 	return d
 }
 
-// initRelay makes what talks with the other entries.
+// initRelay creates the parts that communicate with the other entries.
 func (d *Daemon) initRelay() {
 	s := d.settings
 	d.client = relay.NewClient(relay.WithCallWithin(s.PeerTimeout()))
@@ -78,10 +78,10 @@
 	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithEvery(s.Beat()), relay.WithLeader(d.gossip.leader), relay.OnBeat(d.gossip.receive))
 }
 
-// maxKeptAnswerBytes bounds the answers that are kept with their keys; the oldest are given up first.
+// maxKeptAnswerBytes limits the answers kept with their idempotency keys. The oldest are evicted first.
 const maxKeptAnswerBytes = 8 << 20
 
-// initEntry makes what serves callers and leads.
+// initEntry creates the parts that serve callers, run the leader's loop and run jobs.
 func (d *Daemon) initEntry() {
 	s := d.settings
 	d.slotLoans = &slotLoans{d: d}
@@ -94,6 +94,7 @@
 	d.jobs = newRunner(d)
 }
 
+// exclude returns l without x.
 func exclude(l []string, x string) []string {
 	var r []string
 	for _, v := range l {
@@ -104,16 +105,16 @@
 	return r
 }
 
-// hasPlace reports whether the entry has a place among its peers: in the roster, or for a silent member of it.
+// hasPlace reports whether the entry is in the roster of its data centre or stands in for a silent member of it.
 func (d *Daemon) hasPlace() bool { return d.inRoster() || d.slotLoans.standingIn.Load() }
 
-// inRoster reports whether the entry is in its data centre's roster.
+// inRoster reports whether this incarnation of the entry is in its data centre's roster.
 func (d *Daemon) inRoster() bool {
 	m, ok := d.keeper.Roster(d.settings.DataCentre()).Member(d.settings.Name())
 	return ok && m.Is(d.self)
 }
 
-// Run serves until ctx ends, then finishes accepted work, hands its records over and gives the lease up.
+// Run serves until ctx is cancelled, then finishes accepted requests, hands over its records and releases the leader's lease.
 func (d *Daemon) Run(ctx context.Context) error {
 	ls, err := d.listen(ctx)
 	if err != nil {
@@ -125,10 +126,10 @@
 	d.background(x, g, ls)
 	g.Go(func() error {
 		defer cancel()
-		stop, end := context.WithCancel(ctx)
-		defer end()
-		defer context.AfterFunc(x, end)()
-		err := d.entry.Run(stop, ls.callers)
+		serveCtx, stopServing := context.WithCancel(ctx)
+		defer stopServing()
+		defer context.AfterFunc(x, stopServing)()
+		err := d.entry.Run(serveCtx, ls.callers)
 		return errors.Join(err, d.leave(inner))
 	})
 	err = g.Wait()
@@ -142,7 +143,7 @@
 	return err
 }
 
-// leave hands the records over and gives the lease up.
+// leave hands over the records within leaveTimeout. It logs a failure and returns nil.
 func (d *Daemon) leave(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -154,21 +155,21 @@
 
 type listeners struct{ callers, peers, operators net.Listener }
 
-// listen opens all addresses before anything starts.
+// listen opens all listeners before anything starts.
 func (d *Daemon) listen(ctx context.Context) (l listeners, err error) {
 	for _, o := range []struct {
-		at  *net.Listener
-		set string
+		listener *net.Listener
+		addr     string
 	}{{&l.callers, d.settings.CallerAddr()}, {&l.peers, d.settings.PeerAddr()}, {&l.operators, d.settings.OperatorAddr()}} {
 		var c net.ListenConfig
-		if *o.at, err = c.Listen(ctx, "tcp", o.set); err != nil {
-			return l, eris.Wrapf(err, "step=listen peer=%s", o.set)
+		if *o.listener, err = c.Listen(ctx, "tcp", o.addr); err != nil {
+			return l, eris.Wrapf(err, "step=listen peer=%s", o.addr)
 		}
 	}
 	return l, nil
 }
 
-// background starts all that is not the callers' requests.
+// background starts everything except the handling of callers' requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group, l listeners) {
 	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWait(d.settings.WatchWait()))
 	server := relay.NewServer(relay.Service{Keeper: d.keeper, Beater: d.beater, Lender: d.slotLoans})
@@ -182,7 +183,7 @@
 	}
 }
 
-// every calls f at each interval until ctx ends.
+// every calls f once per interval until ctx is cancelled.
 func every(ctx context.Context, d time.Duration, f func(now time.Time)) error {
 	t := time.NewTicker(d)
 	defer t.Stop()
@@ -196,12 +197,13 @@
 	}
 }
 
-// refreshAddresses keeps the beater's list of entries: the rosters' members and the settings' seeds.
+// refreshAddresses periodically updates the list of entries that beats are sent to.
 func (d *Daemon) refreshAddresses(ctx context.Context) error {
 	d.updateAddresses()
 	return every(ctx, addressInterval, func(time.Time) { d.updateAddresses() })
 }
 
+// updateAddresses sets the list of entries that beats are sent to: the members of all rosters, and the peer addresses in the settings.
 func (d *Daemon) updateAddresses() {
 	var l []relay.Address
 	for _, n := range d.settings.DataCentres() {
@@ -215,7 +217,7 @@
 	d.beater.Know(l)
 }
 
-// compact writes snapshots while this entry leads the first data centre.
+// compact periodically writes configuration snapshots while this entry leads the first data centre in the settings.
 func (d *Daemon) compact(ctx context.Context) error {
 	c := conf.NewCompactor(d.store, d.conf)
 	return every(ctx, compactInterval, func(time.Time) {
@@ -228,7 +230,7 @@
 	})
 }
 
-// kick tells the other entries at once of a new change or view.
+// kick sends a beat at once after each change of the configuration or the view.
 func (d *Daemon) kick(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error {
--- a/node/daemon/doc.go
+++ b/node/daemon/doc.go
@@ -1,2 +1,3 @@
-// Package daemon joins the parts of one entry VM into a process: configuration, lease, relay, leader's loop, callers and operators.
+// Package daemon assembles the process of one entry VM: configuration, lease, relay, leader's loop, jobs, and the servers for callers,
+// peers and operators.
 package daemon
--- a/node/daemon/news.go
+++ b/node/daemon/gossip.go
@@ -17,31 +17,32 @@
 
 const (
 	changesPerBeat = 200
-	// followerDeltaDelay is how long an entry that does not lead waits for the leader to bring others up to date.
+	// followerDeltaDelay is how long an entry that does not lead leaves it to the leader to send deltas of a new view.
 	followerDeltaDelay = time.Second
-	// reportMaxAge is how long word of another entry counts.
+	// reportMaxAge is the age after which a report of another entry is ignored.
 	reportMaxAge = 3 * time.Second
 )
 
-// peerReport is what an entry tells the others of its data centre about targets.
+// peerReport is an entry's report about targets to the other entries of its data centre.
 type peerReport struct {
 	Version view.Version    `json:"v"`
 	Leading bool            `json:"lead,omitempty"`
 	Quits   []entry.Quit    `json:"quits,omitempty"`
 	Leaving []entry.Leaving `json:"leaving,omitempty"`
 	Delta   *view.Delta     `json:"delta,omitempty"`
-	Shares  int64           `json:"shares,omitempty"`  // number of the roster whose shares the entry keeps to
-	Numbers []int64         `json:"numbers,omitempty"` // versions of the membership's shards in the entry's view
+	Shares  int64           `json:"shares,omitempty"`  // number of the roster that all services of the entry follow in sharing slots
+	Numbers []int64         `json:"numbers,omitempty"` // version of each membership shard in the entry's view
 }
 
-// gossip carries what entries tell each other; mu guards what the others said.
+// gossip exchanges configuration changes, view deltas and reports with the other entries.
+// Changes go to all data centres, the rest to this one alone. mu guards the fields below it.
 type gossip struct {
 	d *Daemon
 
-	mu     sync.Mutex
-	received map[string]receivedReport
-	viewChangedAt  time.Time // when the own view last changed
-	viewVersion    view.Version
+	mu            sync.Mutex
+	received      map[string]receivedReport
+	viewChangedAt time.Time // when this entry's view last changed
+	viewVersion   view.Version
 }
 
 type receivedReport struct {
@@ -115,10 +116,11 @@
 	return s.Queued(sched.Urgent) + s.Queued(sched.Normal) + s.Queued(sched.Background)
 }
 
-// failing returns the VMs that fail everything.
+// failing returns the VMs that fail every request of this entry.
 func (n *gossip) failing() []string { return n.d.entry.Failing() }
 
-// peerReport returns the own word, with a delta for whoever is behind.
+// peerReport returns this entry's report. If another entry is behind, the report carries the delta from the oldest version in use.
+// An entry that does not lead adds it only when its view has not changed for followerDeltaDelay.
 func (n *gossip) peerReport() peerReport {
 	now := time.Now()
 	_, lead := n.d.lease.Held()
@@ -139,7 +141,8 @@
 	return b
 }
 
-// oldestVersion returns the oldestVersion version of an entry that is behind; n.mu is held.
+// oldestVersion returns the oldest view version that another entry reports; ok is false if none is behind own. It drops expired reports.
+// The caller holds n.mu.
 func (n *gossip) oldestVersion(now time.Time, own view.Version) (v view.Version, ok bool) {
 	v = own
 	for e, h := range n.received {
@@ -154,7 +157,7 @@
 	return v, ok
 }
 
-// receive takes in what another entry of the data centre said.
+// receive handles a report of another entry. It ignores entries of other data centres.
 func (n *gossip) receive(p relay.Peer, raw []byte) {
 	if len(raw) == 0 || p.Address().DataCentre() != n.d.settings.DataCentre() {
 		return
@@ -175,13 +178,14 @@
 	n.d.loop.Wake()
 }
 
+// applyDelta applies a delta to the view. It ignores deltas that are old or do not apply.
 func (n *gossip) applyDelta(d view.Delta) {
 	if err := n.d.views.Offer(d); err == nil {
 		n.d.log.Debug().Str("step", "view").Int64("fence", d.To.Fence).Int64("count", d.To.Count).Msg("viewTaken")
 	}
 }
 
-// leader returns the entry that leads the data centre as far as is heard, or nothing.
+// leader returns the entry that leads the data centre according to the reports, or an empty string.
 func (n *gossip) leader() string {
 	if _, ok := n.d.lease.Held(); ok {
 		return n.d.settings.Name()
@@ -196,7 +200,7 @@
 	return ""
 }
 
-// hasLeader reports whether a leader of the data centre is heard.
+// hasLeader reports whether the data centre has a leader according to the reports.
 func (n *gossip) hasLeader() bool { return n.leader() != "" }
 
 // Words implements steer.Peers.
@@ -238,7 +242,7 @@
 	return slices.Clip(r)
 }
 
-// shardVersions returns the version of each shard of the membership that the view shows.
+// shardVersions returns the version of each membership shard, taken from the targets of the view.
 func shardVersions(v *view.View) []int64 {
 	l := make([]int64, pool.Count)
 	for _, t := range v.Targets() {
--- a/node/daemon/jobs.go
+++ b/node/daemon/jobs.go
@@ -8,7 +8,7 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// jobRunner runs the data centre's jobs while this entry leads, and gives operators access to those of all data centres.
+// jobRunner runs the data centre's jobs while this entry leads. It also gives operators access to the jobs of all data centres.
 type jobRunner struct {
 	d        *Daemon
 	platform *tasks.Client
@@ -25,7 +25,7 @@
 
 func (r *jobRunner) close() { r.platform.Close() }
 
-// operOption lets the operators' API reach the jobs.
+// operOption returns the option that gives the operators' API access to the jobs.
 func (r *jobRunner) operOption() oper.Option {
 	return oper.WithJobs(jobs.NewQueue(r.d.store), r.d.settings.DataCentres())
 }
--- a/node/daemon/keys.go
+++ b/node/daemon/keys.go
@@ -10,7 +10,7 @@
 	"burdockreach.dev/node/relay"
 )
 
-// keyClaimer claims idempotency keyClaimer through the relay.
+// keyClaimer claims idempotency keys through the relay's keeper.
 type keyClaimer struct{ k *relay.Keeper }
 
 // Claim implements entry.Keys.
@@ -29,6 +29,7 @@
 	return entry.Decision{Verdict: entry.Unasked, Why: err.Error()}
 }
 
+// refusedDecision returns the decision for a refused claim. Its verdict depends on the reason and on whether the request certainly did not run.
 func refusedDecision(r *relay.RefusedError) entry.Decision {
 	d := entry.Decision{Verdict: entry.Unasked, Why: r.Error(), RetryAfter: r.RetryAfter()}
 	switch {
@@ -42,6 +43,7 @@
 	return d
 }
 
+// repeatedDecision returns the decision for a key that was claimed before: its kept answer, or that the earlier copy is running or lost.
 func repeatedDecision(r *relay.RepeatError) entry.Decision {
 	if b, ok := r.Answer(); ok && r.Phase() == ledger.Answered {
 		return entry.Decision{Verdict: entry.Repeated, Kept: entry.Kept{Status: r.Status(), ContentType: r.ContentType(), Body: b}}
@@ -52,7 +54,7 @@
 	return entry.Decision{Verdict: entry.Lost, Why: r.Error()}
 }
 
-// keyClaim settles a claim.
+// keyClaim is a granted claim of an idempotency key, to be settled with the outcome of the request.
 type keyClaim struct{ t *relay.Ticket }
 
 // Until implements entry.Claim.
--- a/node/daemon/opers.go
+++ b/node/daemon/operapi.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// configAPI is the configuration as operators' API needs it.
+// configAPI implements oper.Config.
 type configAPI struct{ d *Daemon }
 
 // Document implements oper.Config.
@@ -26,7 +26,7 @@
 	return c.d.committer.Commit(ctx, h)
 }
 
-// Settle implements oper.Config; an operation that is not in the log may still come there.
+// Settle implements oper.Config. An operation that is not in the log yet may still be written, so its outcome stays unknown.
 func (c configAPI) Settle(ctx context.Context, op string) (conf.Number, error) {
 	n, err := c.d.committer.Find(ctx, op)
 	if err == nil && n == 0 {
@@ -39,12 +39,12 @@
 }
 
 const (
-	catchUpTimeout = 2 * time.Second
-	catchUpInterval   = 20 * time.Millisecond
+	catchUpTimeout  = 2 * time.Second
+	catchUpInterval = 20 * time.Millisecond
 )
 
-// catchUp waits until an entry that its roster does not leave alone has heard another one and has its newest change, so that a
-// new entry does not build on a service that came back older.
+// catchUp waits until this entry has all changes that its peers have applied. If its roster has other members, it also waits for the
+// first beat of a peer. Otherwise a new entry could build on a store that was restored to an older state.
 func (d *Daemon) catchUp(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
@@ -58,6 +58,8 @@
 	return nil
 }
 
+// caughtUp reports whether no peer has applied a newer change. Without a beat of any peer, it reports whether the roster has fewer
+// than two members.
 func (d *Daemon) caughtUp() bool {
 	peers := d.beater.Heard()
 	if len(peers) == 0 {
@@ -71,7 +73,7 @@
 	return true
 }
 
-// fleetAPI is the entry's knowledge of VMs and entries as operators' API needs it.
+// fleetAPI implements oper.Fleet.
 type fleetAPI struct{ d *Daemon }
 
 // VMs implements oper.Fleet.
@@ -108,10 +110,10 @@
 	}}
 	now := time.Now()
 	for _, p := range d.beater.Heard() {
-		since := now.Sub(p.At())
+		silent := now.Sub(p.At())
 		l = append(l, oper.Entry{
 			Entry: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
-			Heard: since < d.settings.EntryUnheard(), UnheardMs: since.Milliseconds(), Applied: conf.Number(p.Applied()),
+			Heard: silent < d.settings.EntryUnheard(), UnheardMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
 			Roster: p.Roster(), Leaving: p.Stopping(),
 		})
 	}
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	rosterInterval = 100 * time.Millisecond // between looks at the roster
-	probeInterval  = 2 * time.Second
-	maxConcurrentBorrows   = 4 // requests for slots that are under way at once
+	rosterInterval       = 100 * time.Millisecond // between reads of the roster
+	probeInterval        = 2 * time.Second
+	maxConcurrentBorrows = 4 // concurrent requests for slots
 )
 
-// slotLoans carries slot loans between the entries of the data centre.
+// slotLoans exchanges slot loans with the other entries of the data centre and sets the teams' quotas at this entry.
 type slotLoans struct {
-	d      *Daemon
-	platformDown atomic.Bool // the platform cannot be reached
-	standingIn atomic.Bool // this entry has the place of a silent one
+	d            *Daemon
+	platformDown atomic.Bool // the platform was unreachable at the last probe
+	standingIn   atomic.Bool // this entry has taken the place of a silent member
 }
 
-// instanceName names one instanceName of an entry; a restarted one has lost its loans and is another.
-func instanceName(m ledger.Member) string { return m.Entry + "@" + strconv.FormatInt(m.Incarnation, 36) }
+// instanceName names one incarnation of an entry. An entry that restarts has lost its loans and therefore gets a new name.
+func instanceName(m ledger.Member) string {
+	return m.Entry + "@" + strconv.FormatInt(m.Incarnation, 36)
+}
 
-// run follows the roster and sends this entry's requests for slots.
+// run follows the roster, updates the quotas and sends this entry's requests for slots.
 func (s *slotLoans) run(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -50,7 +52,7 @@
 	return g.Wait()
 }
 
-// followRoster passes a new roster on and returns its number.
+// followRoster applies a roster that is newer than last, and returns the number of the roster in use.
 func (s *slotLoans) followRoster(now time.Time, last int64) int64 {
 	r := s.d.keeper.Roster(s.d.settings.DataCentre())
 	if r.Number() <= last {
@@ -67,6 +69,7 @@
 	return r.Number()
 }
 
+// instanceNames returns the instance name of each member of the roster.
 func instanceNames(r ledger.Roster) []string {
 	var l []string
 	for _, m := range r.Members() {
@@ -75,8 +78,8 @@
 	return l
 }
 
-// standIn returns the roster's lives with this entry in the place of a member that nobody hears, while the platform cannot
-// be reached to write a new roster; nil if there is no place. Each newcomer takes another place, in order of their names.
+// standIn returns the roster's instance names with this entry in the place of a silent member, while the platform cannot be reached to
+// write a new roster. It returns nil if there is no such place. New entries take different places, in the order of their names.
 func (s *slotLoans) standIn(now time.Time, r ledger.Roster) []string {
 	if !s.platformDown.Load() {
 		return nil
@@ -111,12 +114,13 @@
 	return nil
 }
 
+// incarnation returns the incarnation of the entry in the roster, or 0.
 func incarnation(r ledger.Roster, entry string) int64 {
 	m, _ := r.Member(entry)
 	return m.Incarnation
 }
 
-// probe finds out whether the platform can be reached while this entry is in no roster.
+// probe checks whether the platform can be reached while this entry is not in its roster.
 func (s *slotLoans) probe(ctx context.Context) error {
 	return every(ctx, probeInterval, func(time.Time) {
 		if s.d.inRoster() {
@@ -130,13 +134,13 @@
 	})
 }
 
-// quotaInputs is what the teams' rates at this entry follow from.
+// quotaInputs holds what the teams' rates at this entry are computed from.
 type quotaInputs struct {
 	doc     *conf.Document
-	entries int
+	entries int // in the rosters of all data centres
 }
 
-// updateQuotas gives this entry an equal part of each team's rate when the configuration or the number of entries has changed.
+// updateQuotas gives this entry an equal part of each team's rate. It does so when the configuration or the number of entries has changed.
 func (s *slotLoans) updateQuotas(now time.Time, old quotaInputs) quotaInputs {
 	b := quotaInputs{doc: s.d.conf.Document()}
 	for _, n := range s.d.settings.DataCentres() {
@@ -145,7 +149,7 @@
 	if b == old || b.entries == 0 {
 		return old
 	}
-	var rates map[string]float64 // nil, which lets everybody in, until a team has a quota
+	var rates map[string]float64 // nil, which admits every team, unless some team has a quota
 	for _, t := range b.doc.Teams() {
 		if t.QuotaPerSec == 0 {
 			continue
@@ -159,14 +163,14 @@
 	return b
 }
 
-// rosterSettled passes on that another entry keeps to a roster.
+// rosterSettled records the number of the roster that another entry follows.
 func (s *slotLoans) rosterSettled(p relay.Peer, number int64) {
 	if number > 0 {
 		s.d.entry.SetSettled(time.Now(), instanceName(ledger.Member{Entry: p.Address().Entry(), Incarnation: p.Incarnation()}), number)
 	}
 }
 
-// borrowLoop sends requests for slots one after the other.
+// borrowLoop sends requests for slots one at a time.
 func (s *slotLoans) borrowLoop(ctx context.Context) error {
 	for {
 		select {
@@ -178,6 +182,8 @@
 	}
 }
 
+// requestSlots asks another entry for slots and passes its reply to this entry. It drops the request if that entry is no longer in the
+// roster or does not reply.
 func (s *slotLoans) requestSlots(ctx context.Context, a entry.Ask) {
 	var to ledger.Member
 	for _, m := range s.d.keeper.Roster(s.d.settings.DataCentre()).Members() {
@@ -217,7 +223,7 @@
 	return o, nil
 }
 
-// Return implements relay.Lender; slots are given back by the next request's list of what is held.
+// Return implements relay.Lender. It does nothing, because the list of held slots in the next request returns all others.
 func (s *slotLoans) Return(context.Context, *relay.ReturnRequest) (*relay.ReturnReply, error) {
 	return &relay.ReturnReply{}, nil
 }
--- a/node/daemon/vars.go
+++ b/node/daemon/vars.go
@@ -5,7 +5,7 @@
 	"burdockreach.dev/node/entry"
 )
 
-// Vars are the counters and gauges of one entry process, as its expvar page shows them.
+// Vars holds the counters and gauges of one entry process, as published on its expvar page.
 type Vars struct {
 	Entry    EntryVars              `json:"entry"`
 	Services map[string]ServiceVars `json:"services"`
@@ -16,14 +16,14 @@
 	Leader   LeaderVars             `json:"leader"`
 }
 
-// EntryVars count the callers' requests by their end.
+// EntryVars counts callers' requests by outcome.
 type EntryVars struct {
 	entry.Counts
 	InFlight int  `json:"inFlight"`
 	Ready    bool `json:"ready"`
 }
 
-// ServiceVars are one service's requests at this entry.
+// ServiceVars holds the queues, slots and rates of one service at this entry.
 type ServiceVars struct {
 	QueuedUrgent     int     `json:"queuedUrgent"`
 	QueuedNormal     int     `json:"queuedNormal"`
@@ -35,12 +35,12 @@
 	ServiceMs        float64 `json:"serviceMs"`
 }
 
-// ConfigVars tell the configuration in force.
+// ConfigVars identifies the configuration in force by the number of its last change.
 type ConfigVars struct {
 	Number int64 `json:"number"`
 }
 
-// KeyVars tell what is remembered of keyed requests.
+// KeyVars holds the figures of the idempotency keys kept at this entry, and the numbers of the rosters it knows and holds.
 type KeyVars struct {
 	Records     int   `json:"records"`
 	AnswerBytes int   `json:"answerBytes"`
@@ -48,14 +48,14 @@
 	Holding     int64 `json:"holding"`
 }
 
-// ViewVars tell the version of the targets' view.
+// ViewVars holds the version and the size of the view of the targets.
 type ViewVars struct {
 	Fence   int64 `json:"fence"`
 	Count   int64 `json:"count"`
 	Targets int   `json:"targets"`
 }
 
-// PlatformVars count the calls on the platform's key-value service.
+// PlatformVars counts the calls to the platform's key-value service.
 type PlatformVars struct {
 	Reads     int64 `json:"reads"`
 	Writes    int64 `json:"writes"`
@@ -65,13 +65,13 @@
 	Unknowns  int64 `json:"unknowns"`
 }
 
-// LeaderVars are the leader's figures; they are zero at other entries.
+// LeaderVars holds the leader's figures. They are zero at entries that do not lead.
 type LeaderVars struct {
 	Leading bool  `json:"leading"`
 	Moves   int64 `json:"moves"`
 }
 
-// Vars returns the newest figures.
+// Vars returns the current figures.
 func (d *Daemon) Vars() Vars {
 	v := Vars{
 		Entry:    EntryVars{Counts: d.entry.Counts(), InFlight: d.entry.InFlight(), Ready: d.entry.Ready()},
--- a/node/jobs/act.go
+++ b/node/jobs/act.go
@@ -12,10 +12,10 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// result is applied to the term once its command was performed.
+// result applies the outcome of an executed command to the term.
 type result func()
 
-// executePending performs the commands, those that make room before the starts.
+// executePending executes the pending commands. Starts come last, after the commands that free capacity.
 func (t *term) executePending(ctx context.Context) {
 	l := t.pending
 	t.pending = nil
@@ -30,12 +30,12 @@
 	t.executeAll(ctx, rest)
 	n := min(len(starts), maxWritesPerStep)
 	t.executeAll(ctx, starts[:n])
-	for _, c := range starts[n:] { // placed again in the next step.
+	for _, c := range starts[n:] { // too many for one step: the placer places them again in the next one.
 		t.feed(c.pool, place.EndedMsg{At: nowMillis(), Task: taskOf(c.Cmd), How: place.Stopped})
 	}
 }
 
-// executeAll performs the commands, some at once, and then applies their results in order.
+// executeAll executes the commands concurrently, up to maxConcurrentCommands, and then applies their results in the order of l.
 func (t *term) executeAll(ctx context.Context, l []command) {
 	results := make([]result, len(l))
 	var g errgroup.Group
@@ -60,6 +60,7 @@
 	}
 }
 
+// taskOf returns the task that the command is for, or the zero Task.
 func taskOf(c place.Cmd) place.Task {
 	switch c := c.(type) {
 	case place.StartCmd:
@@ -74,7 +75,8 @@
 	return place.Task{}
 }
 
-// execute performs one command without a change to the term and returns what is to be changed.
+// execute executes one command without changing the term, since commands run concurrently, and returns the change to apply.
+// It skips the command if the term has lost the lease or the task is no longer the job's running attempt.
 func (t *term) execute(ctx context.Context, j *job, c place.Cmd) result {
 	if !t.held() {
 		return nil
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// stopResult ends the task, or keeps the command to be repeated.
+// stopResult returns the result of a stop or checkpoint: it ends the task, or keeps the command for a retry if the call failed.
 func (t *term) stopResult(j *job, c place.Cmd, s tasks.State, err error) result {
 	return func() {
 		if j.liveTaskID == "" {
@@ -115,7 +117,7 @@
 	}
 }
 
-// start records the attempt and only then has the platform run it; an attempt that is not recorded does not run.
+// start records the attempt before it asks the platform to run the task. An attempt that could not be recorded does not run.
 func (t *term) start(ctx context.Context, j *job, c place.StartCmd) result {
 	r := j.record
 	r.State, r.Attempt, r.Worker, r.Size = Running, j.attemptOffset+c.Task.Attempt, c.Worker, c.Size
@@ -134,7 +136,7 @@
 		j.record, j.recordRevision, j.liveTaskID, j.dirty = r, rev, r.taskID(), false
 		t.logPlatformCall("runTask", j, err)
 		switch {
-		case errors.Is(err, tasks.ErrRefused): // the lease may have lapsed; neither job nor worker is to blame.
+		case errors.Is(err, tasks.ErrRefused): // the task lease may have expired, so the refusal counts against neither the job nor the worker.
 			t.renewedAt = time.Time{}
 			t.finish(j, tasks.Stopped)
 		case errors.Is(err, tasks.ErrDown):
@@ -151,7 +153,7 @@
 	e.Str("step", step).Str("job", j.record.Spec.ID).Int("attempt", j.record.Attempt).Str("peer", j.record.Worker).Msg("platformCall")
 }
 
-// writeRecord writes the job's record on condition that it is as this term knows it.
+// writeRecord writes the job's record if it is still at the revision that this term knows. It counts consecutive conflicts in j.
 func (t *term) writeRecord(ctx context.Context, j *job, r Record) (keyval.Revision, error) {
 	b, err := r.marshal()
 	if err != nil {
@@ -168,7 +170,8 @@
 	return rev, err
 }
 
-// writeDirtyRecords writes the records that have changed; one that cannot be written is tried again in the next step.
+// writeDirtyRecords writes up to maxWritesPerStep changed records and removes ended jobs from the term. A failed write is retried in the
+// next step.
 func (t *term) writeDirtyRecords(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCommands)
@@ -197,7 +200,7 @@
 	}
 }
 
-// pruneEndedRecords removes the records of jobs that ended long ago.
+// pruneEndedRecords deletes the records of jobs that ended more than endedRetention ago.
 func (t *term) pruneEndedRecords(ctx context.Context) {
 	if time.Since(t.prunedAt) < renewInterval {
 		return
--- a/node/jobs/queue.go
+++ b/node/jobs/queue.go
@@ -15,24 +15,24 @@
 	ErrExists = eris.New("jobs: id is taken by another job")
 	// ErrNotFound reports that no job has the id.
 	ErrNotFound = eris.New("jobs: no such job")
-	// ErrUnsettled reports that the call may have taken effect: repeat it.
+	// ErrUnsettled reports that the call may have taken effect. Repeating it is safe.
 	ErrUnsettled = eris.New("jobs: outcome unknown")
 )
 
 const (
-	pageSize   = 200
-	maxCancelAttempts = 5 // conditional writes for one cancellation.
+	pageSize          = 200
+	maxCancelAttempts = 5 // conditional writes per cancellation.
 )
 
-// Queue is operators' access to the jobs of the data centres.
+// Queue lets operators submit, cancel and read the jobs of all data centres.
 type Queue struct {
 	store keyval.Store
 }
 
-// NewQueue returns the jobs in the store.
+// NewQueue returns a Queue of the jobs in the store.
 func NewQueue(s keyval.Store) *Queue { return &Queue{store: s} }
 
-// Submit adds the job; a repeat with the same spec is no error, ErrMalformed and ErrExists leave nothing behind.
+// Submit adds the job. Repeating it with the same spec is no error. If it returns ErrMalformed or ErrExists, it has added nothing.
 func (q *Queue) Submit(ctx context.Context, s Spec) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return r, i.Rev(), err
 }
 
-// Cancel takes the job back; one that waits never starts, one that runs is stopped, one that has ended stays as it is.
+// Cancel cancels the job. A waiting job never starts, the leader stops a running one, and one that has ended stays as it is.
 func (q *Queue) Cancel(ctx context.Context, dataCentre, id string) (Record, error) {
 	var last error
 	for range maxCancelAttempts {
@@ -96,7 +96,7 @@
 	return r, err
 }
 
-// List returns the data centre's jobs in the order of their ids, those that ended lately included.
+// List returns the data centre's jobs sorted by id, including ended ones whose records are still kept.
 func (q *Queue) List(ctx context.Context, dataCentre string) ([]Record, error) {
 	l := []Record{}
 	_, err := eachItem(ctx, q.store, prefix(dataCentre), func(i keyval.Item) error {
@@ -107,7 +107,7 @@
 	return l, err
 }
 
-// eachItem calls f with each item under the prefix and returns the revision from which changes are to be followed.
+// eachItem calls f with each item under the prefix and returns the revision from which to watch for changes.
 func eachItem(ctx context.Context, s keyval.Store, prefix string, f func(keyval.Item) error) (keyval.Revision, error) {
 	var first keyval.Revision
 	after := ""
--- a/node/jobs/record.go
+++ b/node/jobs/record.go
@@ -11,19 +11,19 @@
 	"burdockreach.dev/fleet/place"
 )
 
-// State is where a job stands.
+// State is the state of a job.
 type State string
 
 const (
 	// Waiting means that the job waits for a worker.
 	Waiting State = "waiting"
-	// Running means that an attempt is recorded and runs, or is about to.
+	// Running means that an attempt is recorded and runs or is about to run.
 	Running State = "running"
-	// Done means that the job has ended well.
+	// Done means that the job has completed successfully.
 	Done State = "done"
-	// GivenUp means that the job will not run; its record has the reason.
+	// GivenUp means that the job will not run. Its record holds the reason.
 	GivenUp State = "givenUp"
-	// Canceled means that an operator has taken the job back.
+	// Canceled means that an operator has cancelled the job.
 	Canceled State = "canceled"
 )
 
@@ -36,40 +36,40 @@
 	DataCentre   string  `json:"dataCentre"`
 	Pool         string  `json:"pool"`
 	Team         string  `json:"team"`
-	Kind         string  `json:"kind"` // jobs of a kind are of like size and run time.
+	Kind         string  `json:"kind"` // jobs of one kind have similar sizes and run times.
 	Cores        float64 `json:"cores"`
 	MemoryMB     float64 `json:"memoryMB"`
 	Accelerators int     `json:"accelerators"`
 	RunMillis    int64   `json:"runMs"`
 	FinishBy     int64   `json:"finishBy"` // Unix milliseconds.
 	Urgent       bool    `json:"urgent"`
-	RunOnce      bool    `json:"runOnce"` // never has two running copies.
+	RunOnce      bool    `json:"runOnce"` // two copies never run at the same time.
 }
 
-// Record is a job's document in the platform's service; times are in Unix milliseconds.
+// Record is a job's document in the platform's key-value service. Times are in Unix milliseconds.
 type Record struct {
 	Spec      Spec       `json:"spec"`
 	State     State      `json:"state"`
-	Cancel    bool       `json:"cancel"` // an operator has taken the job back while it ran.
+	Cancel    bool       `json:"cancel"` // an operator has cancelled the job.
 	Attempt   int        `json:"attempt"`
 	Worker    string     `json:"worker"`
 	Size      place.Size `json:"size"` // reserved for the attempt.
 	Lease     int64      `json:"lease"`
-	Fence     int64      `json:"fence"` // of the leader that recorded the attempt.
+	Fence     int64      `json:"fence"` // fencing token of the leader that recorded the attempt.
 	Reason    string     `json:"reason"`
 	Submitted int64      `json:"submitted"`
 	Started   int64      `json:"started"`
 	Ended     int64      `json:"ended"`
 }
 
-// ErrMalformed reports a job whose field cannot be accepted.
+// ErrMalformed reports a job with an invalid field.
 var ErrMalformed = eris.New("jobs: malformed job")
 
 const maxNameBytes = 64
 
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]*$`)
 
-// Check returns an error that matches ErrMalformed and names the first field that cannot be accepted.
+// Check returns nil, or an error that matches ErrMalformed and names the first invalid field.
 func (s Spec) Check() error {
 	for _, f := range []struct{ field, value string }{
 		{"id", s.ID}, {"dataCentre", s.DataCentre}, {"pool", s.Pool}, {"team", s.Team}, {"kind", s.Kind},
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// job returns the spec as the placer knows it.
+// job returns the spec in the placer's form.
 func (s Spec) job() place.Job {
 	return place.Job{
 		ID: s.ID, Team: s.Team, Kind: s.Kind, RunMillis: s.RunMillis, FinishBy: s.FinishBy, Urgent: s.Urgent, RunOnce: s.RunOnce,
@@ -105,14 +105,14 @@
 
 func key(dataCentre, id string) string { return prefix(dataCentre) + id }
 
-// taskPrefix begins the ids of a data centre's tasks.
+// taskPrefix is the prefix of the ids of a data centre's tasks.
 func taskPrefix(dataCentre string) string { return dataCentre + "/" }
 
 func (r Record) taskID() string {
 	return fmt.Sprintf("%s%s/%d", taskPrefix(r.Spec.DataCentre), r.Spec.ID, r.Attempt)
 }
 
-// parseTask returns the job and the attempt that a task's id names.
+// parseTask splits a task id of the data centre into the job and the attempt.
 func parseTask(dataCentre, id string) (job string, attempt int, ok bool) {
 	rest, ok := strings.CutPrefix(id, taskPrefix(dataCentre))
 	if !ok {
--- a/node/jobs/runner.go
+++ b/node/jobs/runner.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	defaultTick = 500 * time.Millisecond
-	stepTimeout = 3 * time.Second  // of one call to the platform.
-	maxConcurrentCommands     = 16               // commands that are performed at once.
-	maxWritesPerStep   = 50               // starts, and further records, that are written in one step.
-	maxConflicts     = 5                // conflicts in succession, after which the records are read anew.
-	taskLeaseTTL    = time.Minute      // tasks run on without a leader for so long.
-	renewInterval  = 10 * time.Second // renewals of the tasks' leases.
-	auditInterval  = 20 * time.Second // listings of all records.
-	endedRetention   = time.Hour        // for which the record of a job that has ended is kept.
+	defaultTick           = 500 * time.Millisecond
+	stepTimeout           = 3 * time.Second  // limits the reads of one step together, and each command and record write.
+	maxConcurrentCommands = 16               // commands or record writes executed concurrently.
+	maxWritesPerStep      = 50               // starts in one step, and as many other record writes.
+	maxConflicts          = 5                // consecutive conflicts of a job's writes, after which all records are read again.
+	taskLeaseTTL          = time.Minute      // tasks keep running without a leader for this long.
+	renewInterval         = 10 * time.Second // between renewals of the tasks' leases, and between prunings of ended records.
+	auditInterval         = 20 * time.Second // between listings of all records.
+	endedRetention        = time.Hour        // how long the record of an ended job is kept.
 )
 
-// Leadership tells whether this entry leads its data centre, and the fence of its term.
+// Leadership reports whether this entry leads its data centre, and the fencing token of its term.
 type Leadership interface {
 	Held() (keyval.Revision, bool)
 }
 
-// Hosts gives the platform's list of VMs.
+// Hosts returns the platform's list of VMs.
 type Hosts interface {
 	List(ctx context.Context) ([]hosts.VM, error)
 }
@@ -42,21 +42,21 @@
 	store      keyval.Store
 	platform   tasks.Platform
 	hosts      Hosts
-	leadership       Leadership
+	leadership Leadership
 	log        zerolog.Logger
 	tick       time.Duration
 }
 
-// Option adjusts a runner.
+// Option configures a Runner.
 type Option func(*Runner)
 
-// WithTick sets the interval of the steps.
+// WithTick sets the interval between steps.
 func WithTick(d time.Duration) Option { return func(r *Runner) { r.tick = d } }
 
-// WithLogger sets where events are logged.
+// WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) Option { return func(r *Runner) { r.log = l } }
 
-// New returns the runner of the data centre's jobs.
+// New returns a runner of the data centre's jobs.
 func New(dataCentre string, s keyval.Store, p tasks.Platform, h Hosts, l Leadership, opts ...Option) *Runner {
 	r := &Runner{dataCentre: dataCentre, store: s, platform: p, hosts: h, leadership: l, log: zerolog.Nop(), tick: defaultTick}
 	for _, o := range opts {
@@ -65,7 +65,7 @@
 	return r
 }
 
-// Run runs jobs whenever the entry holds the lease, until the context ends.
+// Run runs jobs whenever the entry holds the leader's lease, until ctx is cancelled.
 func (r *Runner) Run(ctx context.Context) error {
 	k := time.NewTicker(r.tick)
 	defer k.Stop()
@@ -83,10 +83,10 @@
 	}
 }
 
-// errTermOver ends a term whose lease is lost or that another leader has followed.
-var errTermOver = eris.New("jobs: term is over")
+// errTermOver ends the term: the lease is lost, another leader has written records, or the records must be read again.
+var errTermOver = eris.New("jobs: leader term is over: lease lost or records must be read again")
 
-// term leads until the lease is lost, the records have to be read anew, or the context ends.
+// term runs one term until the lease is lost, the records must be read again, or ctx is cancelled.
 func (r *Runner) term(ctx context.Context, fence keyval.Revision, tick <-chan time.Time) error {
 	t := &term{Runner: r, fence: fence, auditedAt: time.Now(), jobs: map[string]*job{}, ended: map[string]endedJob{}, placers: map[string]*place.Placer{}}
 	if err := t.takeOver(ctx); err != nil {
@@ -107,42 +107,42 @@
 	}
 }
 
-// term is one term of leadership; one goroutine touches it.
+// term is one term of leadership. One goroutine at a time uses it, except that commands and record writes run concurrently.
 type term struct {
 	*Runner
-	fence   keyval.Revision
-	watchRevision     keyval.Revision // from which changes of records are followed.
-	taskLease   keyval.LeaseID  // under which new tasks run.
-	renewedAt time.Time
-	prunedAt  time.Time
-	auditedAt time.Time
-	jobs    map[string]*job
-	ended   map[string]endedJob
-	placers map[string]*place.Placer // by pool.
-	workersByPool   map[string][]place.Worker
-	leavingWorkers map[string]bool // workers that are about to stop.
-	pending []command
+	fence          keyval.Revision
+	watchRevision  keyval.Revision // from which changes of records are watched.
+	taskLease      keyval.LeaseID  // lease under which new tasks run.
+	renewedAt      time.Time
+	prunedAt       time.Time
+	auditedAt      time.Time
+	jobs           map[string]*job
+	ended          map[string]endedJob
+	placers        map[string]*place.Placer // by pool.
+	workersByPool  map[string][]place.Worker
+	leavingWorkers map[string]bool // workers that the platform will stop soon.
+	pending        []command
 }
 
 // job is a job that has not ended, as this term knows it.
 type job struct {
-	record   Record
-	recordRevision   keyval.Revision // of the record that was last read or written.
-	attemptOffset  int             // attempts before those of the placer.
-	liveTaskID  string          // id of the recorded task; empty when none can be running.
-	retry place.Cmd       // stop or checkpoint that has not succeeded yet.
-	dirty bool            // the record is to be written.
-	throttled  bool            // the task is to be throttled.
-	conflicts  int             // conflicts of its writes in succession.
+	record         Record
+	recordRevision keyval.Revision // of the record as last read or written.
+	attemptOffset  int             // recorded attempts that the placer does not count.
+	liveTaskID     string          // task id of the recorded attempt; empty when none can be running.
+	retry          place.Cmd       // stop or checkpoint to repeat because its call failed.
+	dirty          bool            // the record has changed and must be written.
+	throttled      bool            // the task should be throttled.
+	conflicts      int             // consecutive conflicts of the record's writes.
 }
 
-// endedJob is a record that is kept for some time.
+// endedJob is the record of an ended job, kept for endedRetention.
 type endedJob struct {
-	rev keyval.Revision
-	endedAtMillis  int64
+	rev           keyval.Revision
+	endedAtMillis int64
 }
 
-// command is one of a pool's placer.
+// command is a command of a pool's placer.
 type command struct {
 	pool string
 	place.Cmd
@@ -150,11 +150,13 @@
 
 func nowMillis() int64 { return time.Now().UnixMilli() }
 
+// held reports whether the entry still holds the lease of this term.
 func (t *term) held() bool {
 	f, ok := t.leadership.Held()
 	return ok && f == t.fence
 }
 
+// placer returns the pool's placer, creating it if needed.
 func (t *term) placer(pool string) *place.Placer {
 	p := t.placers[pool]
 	if p == nil {
@@ -165,7 +167,7 @@
 	return p
 }
 
-// feed hands a message to the pool's placer and keeps its commands.
+// feed passes a message to the pool's placer and queues the commands that it returns.
 func (t *term) feed(pool string, m place.Msg) {
 	for _, c := range t.placer(pool).Update(m) {
 		if g, ok := c.(place.GiveUpCmd); ok {
--- a/node/jobs/step.go
+++ b/node/jobs/step.go
@@ -11,7 +11,7 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// step reads what has changed, places jobs, performs the commands and writes the records.
+// step reads what has changed, places jobs, executes commands and writes changed records.
 func (t *term) step(ctx context.Context) error {
 	if !t.held() || t.recordsOutdated() {
 		return errTermOver
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// recordsOutdated reports whether the records cannot be as this term knows them, as when the service has come back older.
+// recordsOutdated reports whether the writes of a job conflict so often that the stored records must differ from those that this term
+// knows. This happens after the key-value service was restored to an older state.
 func (t *term) recordsOutdated() bool {
 	for _, j := range t.jobs {
 		if j.conflicts >= maxConflicts {
@@ -53,7 +54,8 @@
 	return false
 }
 
-// auditRecords lists the records now and then, since a service that came back older and was written to since tells no watch of it.
+// auditRecords lists all records every auditInterval. After the key-value service was restored to an older state and then written to,
+// a watch does not report the loss.
 func (t *term) auditRecords(ctx context.Context) error {
 	if time.Since(t.auditedAt) < auditInterval {
 		return nil
@@ -74,7 +76,7 @@
 	return err
 }
 
-// renewLeases keeps the leases of this term's tasks and of those that it took over; a lapsed one is replaced for new tasks.
+// renewLeases renews the task leases of this term and of the tasks that it took over. It replaces its own lease if that has expired.
 func (t *term) renewLeases(ctx context.Context) error {
 	if time.Since(t.renewedAt) < renewInterval {
 		return nil
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// followRecords takes in the records that have changed.
+// followRecords applies the changes of records since the last step.
 func (t *term) followRecords(ctx context.Context) error {
 	for {
 		events, rev, err := t.store.Watch(ctx, prefix(t.dataCentre), t.watchRevision, 0)
@@ -117,7 +119,9 @@
 	}
 }
 
-// applyChange takes one change in; what this term has decided stays, an operator's cancellation is added.
+// applyChange applies one change of a record. It keeps this term's decisions and adds an operator's cancellation.
+// It returns errTermOver if a later leader has written the
+// record or another one has recorded an attempt that this term does not know.
 func (t *term) applyChange(e keyval.Event) error {
 	i := e.Item()
 	if e.Deleted() {
@@ -158,26 +162,27 @@
 	return nil
 }
 
-// isUnknownAttempt reports whether another leader has recorded an attempt that this term does not know, which has to be taken over.
+// isUnknownAttempt reports whether another leader has recorded an attempt that this term does not know and must take over.
 func (t *term) isUnknownAttempt(j *job, r Record) bool {
 	return r.State == Running && r.Fence != int64(t.fence) && (j == nil || j.liveTaskID == "" || r.Attempt != j.record.Attempt)
 }
 
-// checkTasks asks the platform for the tasks; a recorded one that it does not list is stopped for good before it is made again.
+// checkTasks compares the recorded tasks with the platform's list. It stops a recorded task that is not listed, so that its id can never
+// start later, before the job gets another attempt.
 func (t *term) checkTasks(ctx context.Context) error {
 	list, err := t.platform.List(ctx, taskPrefix(t.dataCentre))
 	if err != nil {
 		return err
 	}
-	seen := make(map[string]tasks.Task, len(list))
+	listed := make(map[string]tasks.Task, len(list))
 	for _, k := range list {
-		seen[k.ID] = k
+		listed[k.ID] = k
 	}
 	for _, j := range t.sortedJobs() {
 		if j.liveTaskID == "" {
 			continue
 		}
-		k, ok := seen[j.liveTaskID]
+		k, ok := listed[j.liveTaskID]
 		switch {
 		case !ok:
 			t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: place.StopCmd{Task: j.task(), Worker: j.record.Worker}})
@@ -190,6 +195,7 @@
 	return nil
 }
 
+// reconcileTask passes a listed task's usage to the placer, and repeats a failed stop or checkpoint or corrects the throttle.
 func (t *term) reconcileTask(j *job, k tasks.Task) {
 	if k.UsedCores > 0 || k.UsedMemoryMB > 0 {
 		t.feed(j.record.Spec.Pool, place.UsageMsg{Task: j.task(), Used: place.Size{Cores: k.UsedCores, MemoryMB: k.UsedMemoryMB}})
@@ -197,21 +203,22 @@
 	switch {
 	case j.retry != nil:
 		t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: j.retry})
-	case k.Throttled != j.throttled: // a call was lost, or a former leader made it.
+	case k.Throttled != j.throttled: // a throttle call was lost, or a former leader made it.
 		t.pending = append(t.pending, command{pool: j.record.Spec.Pool, Cmd: place.ThrottleCmd{Task: j.task(), Worker: k.VM, On: j.throttled}})
 	}
 }
 
-// task returns the recorded attempt as the placer numbers it.
+// task returns the recorded attempt with the placer's number for it.
 func (j *job) task() place.Task {
 	return place.Task{Job: j.record.Spec.ID, Attempt: j.record.Attempt - j.attemptOffset}
 }
 
+// endByState gives the placer's outcome for each state of an ended task.
 var endByState = map[tasks.State]place.End{
 	tasks.Done: place.Done, tasks.Failed: place.Failed, tasks.TooBig: place.TooBig, tasks.Stopped: place.Stopped,
 }
 
-// finish notes how the recorded attempt has ended.
+// finish updates the job's record after its recorded attempt has ended, and passes the outcome to the placer.
 func (t *term) finish(j *job, s tasks.State) {
 	j.liveTaskID, j.retry, j.throttled, j.dirty = "", nil, false, true
 	switch {
@@ -227,7 +234,7 @@
 	t.feed(j.record.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: j.task(), How: endByState[s]})
 }
 
-// updateWorkers hands each pool's updateWorkers to its placer.
+// updateWorkers reads the platform's list of VMs and passes each pool's workers to its placer.
 func (t *term) updateWorkers(ctx context.Context) error {
 	vms, err := t.hosts.List(ctx)
 	if err != nil {
@@ -251,7 +258,7 @@
 	return nil
 }
 
-// checkpointAndGiveUp saves the tasks of workers that leave, and gives up jobs that no worker of their pool can run.
+// checkpointAndGiveUp checkpoints the tasks of leaving workers and gives up jobs that no worker of their pool can run.
 func (t *term) checkpointAndGiveUp() {
 	for _, j := range t.sortedJobs() {
 		s := j.record.Spec
@@ -265,7 +272,7 @@
 	}
 }
 
-// lacksAccelerators reports whether the pool has workers, none of which has the accelerators that the job asks for.
+// lacksAccelerators reports whether the pool has workers but none with the accelerators that the job needs.
 func (t *term) lacksAccelerators(s Spec) bool {
 	for _, w := range t.workersByPool[s.Pool] {
 		if w.Size.Accelerators >= s.Accelerators {
--- a/node/jobs/begin.go
+++ b/node/jobs/takeover.go
@@ -10,7 +10,8 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// takeOver reads all records and takes the running tasks over.
+// takeOver begins a term: it reads all records, takes over the running tasks and submits the jobs that
+// have not ended to the placers.
 func (t *term) takeOver(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// addRecord takes one record in that this term does not know yet.
+// addRecord adds a record that this term does not know yet. It returns nil if the record is malformed or its job has ended.
 func (t *term) addRecord(i keyval.Item) *job {
 	r, err := parseRecord(i.Value())
 	if err != nil || key(t.dataCentre, r.Spec.ID) != i.Key() || r.Spec.Check() != nil {
@@ -59,7 +60,8 @@
 	return j
 }
 
-// advanceAttempts brings records up to the platform's tasks where the service has come back older than they are.
+// advanceAttempts updates records that are older than the platform's tasks. This happens after the key-value service was restored to an
+// older state.
 func (t *term) advanceAttempts(list []tasks.Task) {
 	for _, k := range list {
 		id, n, ok := parseTask(t.dataCentre, k.ID)
@@ -78,27 +80,27 @@
 	}
 }
 
-// adoptRunning makes the placers know the recorded attempts: each worker is shown alone, with room for just its tasks, so that the
-// placer puts them there; the real list of workers follows.
+// adoptRunning makes the placers place the recorded attempts on the workers that run them. For each worker, it gives the placer a list
+// with this worker alone and with capacity for exactly its tasks. The real list of workers follows in updateWorkers.
 func (t *term) adoptRunning() {
-	type spot struct{ pool, worker string }
-	at := map[spot][]place.Job{}
-	size := map[spot]place.Size{}
+	type workerKey struct{ pool, worker string }
+	jobs := map[workerKey][]place.Job{}
+	size := map[workerKey]place.Size{}
 	for _, j := range t.sortedJobs() {
 		if j.record.State != Running {
 			continue
 		}
-		s := spot{j.record.Spec.Pool, j.record.Worker}
+		s := workerKey{j.record.Spec.Pool, j.record.Worker}
 		p := j.record.Spec.job()
 		p.Declared = j.record.Size
-		at[s] = append(at[s], p)
+		jobs[s] = append(jobs[s], p)
 		size[s] = place.Size{
 			Cores: size[s].Cores + p.Declared.Cores, MemoryMB: size[s].MemoryMB + p.Declared.MemoryMB,
 			Accelerators: size[s].Accelerators + p.Declared.Accelerators,
 		}
 		j.attemptOffset, j.liveTaskID = j.record.Attempt-1, j.record.taskID()
 	}
-	for s, l := range at {
+	for s, l := range jobs {
 		p := t.placer(s.pool)
 		p.Update(place.WorkersMsg{Workers: []place.Worker{{Name: s.worker, Size: size[s]}}})
 		p.Update(place.SubmitMsg{At: nowMillis(), Jobs: l})
@@ -106,7 +108,7 @@
 	}
 }
 
-// submit hands the job, and its cancellation, to the placer; one that was adopted is known there.
+// submit submits the job, and its cancellation, to the placer. The placer already knows jobs that were taken over.
 func (t *term) submit(j *job) {
 	pool := j.record.Spec.Pool
 	t.feed(pool, place.SubmitMsg{At: nowMillis(), Jobs: []place.Job{j.record.Spec.job()}})
@@ -115,7 +117,7 @@
 	}
 }
 
-// sortedJobs returns the jobs in the order of their ids.
+// sortedJobs returns the jobs sorted by id.
 func (t *term) sortedJobs() []*job {
 	l := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
