--- a/node/jobs/chaos_test.go
+++ b/node/jobs/chaos_test.go
@@ -16,21 +16,22 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// faulty delays calls, loses their answers, or has them take effect after the caller was told that their outcome is unknown.
-type faulty struct {
-	s    *site
-	mu   sync.Mutex
-	rand *rand.Rand
-	calm bool
+// faultInjector injects faults into calls at random. It delays calls, fails them, loses their answers, or lets them take effect after
+// the caller got an error that says that the outcome is unknown.
+type faultInjector struct {
+	s        *fixture
+	mu       sync.Mutex
+	rand     *rand.Rand
+	disabled bool
 }
 
 const maxDelay = 4 * time.Second
 
-// call performs f under a fault; down and unknown are the errors of the called service.
-func (y *faulty) call(down, unknown error, f func() error) error {
+// call runs f with an injected fault or without one. down and unknown are the errors of the called service.
+func (y *faultInjector) call(down, unknown error, f func() error) error {
 	y.mu.Lock()
 	n, d := y.rand.IntN(100), time.Duration(y.rand.Int64N(int64(maxDelay)))
-	if y.calm {
+	if y.disabled {
 		n = 100
 	}
 	y.mu.Unlock()
@@ -55,7 +56,7 @@
 
 type faultyStore struct {
 	*keyval.Memory
-	y *faulty
+	y *faultInjector
 }
 
 func (f faultyStore) Put(_ context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
@@ -70,7 +71,7 @@
 
 type faultyTasks struct {
 	*cloud.Tasks
-	y *faulty
+	y *faultInjector
 }
 
 func (f faultyTasks) Run(_ context.Context, r tasks.RunRequest) error {
@@ -85,8 +86,9 @@
 	return f.y.call(tasks.ErrDown, tasks.ErrUnknown, func() error { return f.Tasks.Checkpoint(context.Background(), id) })
 }
 
-// TestLeadersUnderFaults has leaders follow one another, the former ones going on unaware or dying, while calls are late or lost;
-// no run-once job may have two running copies, and all must end well. The order of calls is not part of the seed.
+// TestLeadersUnderFaults runs a series of leaders while calls are delayed or lost. Each former leader crashes, loses its lease, or
+// continues because it does not know that it was replaced. No run-once job may have two running copies, and all must complete.
+// The seed does not determine the order of concurrent calls.
 func TestLeadersUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -96,9 +98,9 @@
 }
 
 func leadersUnderFaults(t *testing.T, seed uint64) {
-	s := newSite(t, 6, cloud.WithBroken("w03"), cloud.WithTruth(cloud.Truth{Run: 7 * time.Second, Cores: 3, MemoryMB: 900}))
+	s := newFixture(t, 6, cloud.WithBroken("w03"), cloud.WithTruth(cloud.Truth{Run: 7 * time.Second, Cores: 3, MemoryMB: 900}))
 	r := rand.New(rand.NewPCG(seed, 0))
-	y := &faulty{s: s, rand: rand.New(rand.NewPCG(seed, 1))}
+	y := &faultInjector{s: s, rand: rand.New(rand.NewPCG(seed, 1))}
 	for i := range 40 {
 		s.submit(fmt.Sprint("job-", i), func(j *jobs.Spec) { j.RunOnce, j.Urgent = true, i%8 == 0 })
 	}
@@ -113,14 +115,14 @@
 		case 1:
 			l.lost.Store(true)
 		default:
-			former = append(former, l) // goes on unaware.
+			former = append(former, l) // continues, as it does not know that it was replaced.
 		}
 	}
 	for _, l := range former {
 		l.lost.Store(true)
 	}
 	y.mu.Lock()
-	y.calm = true
+	y.disabled = true
 	y.mu.Unlock()
 	s.lead(&leader{fence: 21}, s.store, s.tasks, s.vms)
 	wait(10 * time.Minute)
--- a/node/jobs/jobs_test.go
+++ b/node/jobs/jobs_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	cores  = 8
-	memory = 8192
+	workerCores    = 8
+	workerMemoryMB = 8192
 )
 
-// leader holds the lease of its fence until it is told otherwise.
+// leader holds the leader's lease with its fencing token until lost is set.
 type leader struct {
 	fence keyval.Revision
 	lost  atomic.Bool
@@ -31,14 +31,14 @@
 
 func (l *leader) Held() (keyval.Revision, bool) { return l.fence, !l.lost.Load() }
 
-// vms is the platform's list.
-type vms struct {
+// vmList is the platform's list of VMs.
+type vmList struct {
 	l       []hosts.VM
-	hidden  atomic.Bool
-	leaving atomic.Pointer[hosts.VM] // takes the place of the first.
+	hidden  atomic.Bool              // the list is empty.
+	leaving atomic.Pointer[hosts.VM] // if set, replaces the first VM.
 }
 
-func (v *vms) List(context.Context) ([]hosts.VM, error) {
+func (v *vmList) List(context.Context) ([]hosts.VM, error) {
 	if v.hidden.Load() {
 		return nil, nil
 	}
@@ -48,26 +48,26 @@
 	return v.l, nil
 }
 
-// site is a data centre with a pool of workers.
-type site struct {
+// fixture is a data centre with a pool of workers.
+type fixture struct {
 	t     *testing.T
 	is    *is.I
 	ctx   context.Context
 	store *keyval.Memory
 	tasks *cloud.Tasks
-	vms   *vms
+	vms   *vmList
 	queue *jobs.Queue
 	g     errgroup.Group
 }
 
-func newSite(t *testing.T, workers int, opts ...cloud.TaskOption) *site {
+func newFixture(t *testing.T, workers int, opts ...cloud.TaskOption) *fixture {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &site{t: t, is: is.New(t), ctx: ctx, store: keyval.NewMemory(), vms: &vms{}}
+	s := &fixture{t: t, is: is.New(t), ctx: ctx, store: keyval.NewMemory(), vms: &vmList{}}
 	s.tasks, s.queue = cloud.NewTasks(s.store, opts...), jobs.NewQueue(s.store)
 	for i := range workers {
 		s.vms.l = append(s.vms.l, hosts.FromWire(hosts.Wire{
 			ID: fmt.Sprintf("w%02d", i), DataCentre: "east", Rack: fmt.Sprint("r", i/4), Pool: "nightly",
-			State: hosts.Live, Kind: hosts.Worker, Cores: cores, MemoryMB: memory,
+			State: hosts.Live, Kind: hosts.Worker, Cores: workerCores, MemoryMB: workerMemoryMB,
 		}))
 	}
 	t.Cleanup(func() {
@@ -77,15 +77,15 @@
 	return s
 }
 
-// lead starts a runner; the returned function ends it as a crash would.
-func (s *site) lead(l *leader, st keyval.Store, p tasks.Platform, h jobs.Hosts) (crash context.CancelFunc) {
+// lead starts a runner. The returned function ends it as a crash would, without cleanup.
+func (s *fixture) lead(l *leader, st keyval.Store, p tasks.Platform, h jobs.Hosts) (crash context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	r := jobs.New("east", st, p, h, l)
 	s.g.Go(func() error { return r.Run(ctx) })
 	return cancel
 }
 
-func (s *site) submit(id string, edit func(*jobs.Spec)) {
+func (s *fixture) submit(id string, edit func(*jobs.Spec)) {
 	s.t.Helper()
 	j := jobs.Spec{
 		ID: id, DataCentre: "east", Pool: "nightly", Team: "kijani", Kind: "ledger", Cores: 4, MemoryMB: 1024,
@@ -98,7 +98,7 @@
 	s.is.NoErr(s.queue.Submit(s.ctx, j))
 }
 
-func (s *site) wantState(id string, want jobs.State) jobs.Record {
+func (s *fixture) wantState(id string, want jobs.State) jobs.Record {
 	s.t.Helper()
 	s.is.Helper()
 	r, err := s.queue.Get(s.ctx, "east", id)
@@ -107,8 +107,8 @@
 	return r
 }
 
-// wantRoom wants no worker to run more than it has cores for, throttled tasks' small part aside.
-func (s *site) wantRoom() {
+// wantNoOvercommit requires that no worker's tasks use more cores than it has. It allows less than one core more, for throttled tasks.
+func (s *fixture) wantNoOvercommit() {
 	s.t.Helper()
 	s.is.Helper()
 	l, err := s.tasks.List(s.ctx, "")
@@ -120,24 +120,25 @@
 		}
 	}
 	for _, u := range used {
-		s.is.True(u < cores+1)
+		s.is.True(u < workerCores+1)
 	}
 }
 
-// wait lets time pass in the bubble.
+// wait advances the fake clock of the synctest bubble.
 func wait(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func once(j *jobs.Spec) { j.RunOnce = true }
+func runOnce(j *jobs.Spec) { j.RunOnce = true }
 
-// TestUrgentStart submits an urgent job to workers full of background jobs, with memory free and without.
+// TestUrgentStart submits an urgent job while all workers are full of background jobs. It must start within 1.5 s: by a throttle where
+// memory is free, and otherwise by a checkpoint.
 func TestUrgentStart(t *testing.T) {
-	for name, mb := range map[string]float64{"throttle": 1024, "checkpoint": memory / 2} {
+	for name, mb := range map[string]float64{"throttle": 1024, "checkpoint": workerMemoryMB / 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, 3, cloud.WithTruth(cloud.Truth{Run: time.Minute, Cores: 4, MemoryMB: mb}))
+				s := newFixture(t, 3, cloud.WithTruth(cloud.Truth{Run: time.Minute, Cores: 4, MemoryMB: mb}))
 				for i := range 8 {
 					s.submit(fmt.Sprint("night-", i), func(j *jobs.Spec) { j.MemoryMB = mb })
 				}
@@ -149,18 +150,19 @@
 				r := s.wantState("now", jobs.Running)
 				s.is.True(r.Started-r.Submitted <= 1500)
 				wait(2 * time.Second)
-				s.wantRoom()
+				s.wantNoOvercommit()
 			})
 		})
 	}
 }
 
-// TestJobsThatCannotRun wants them given up with the reason while others go on.
+// TestJobsThatCannotRun checks that jobs that cannot run are given up with the reason, while other jobs complete. A job is not given up
+// before the platform has listed workers.
 func TestJobsThatCannotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 4, cloud.WithTruth(
+		s := newFixture(t, 4, cloud.WithTruth(
 			cloud.Truth{Prefix: "east/broken", Broken: true, Run: time.Minute},
-			cloud.Truth{Prefix: "east/huge", Run: time.Second, MemoryMB: 2 * memory}, cloud.Truth{Run: 2 * time.Second}))
+			cloud.Truth{Prefix: "east/huge", Run: time.Second, MemoryMB: 2 * workerMemoryMB}, cloud.Truth{Run: 2 * time.Second}))
 		s.vms.hidden.Store(true)
 		s.submit("early", func(j *jobs.Spec) { j.Accelerators = 1 })
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
@@ -169,7 +171,7 @@
 		s.vms.hidden.Store(false)
 		s.submit("accelerated", func(j *jobs.Spec) { j.Accelerators = 1 })
 		s.submit("broken", nil)
-		s.submit("huge", func(j *jobs.Spec) { j.MemoryMB = 4 * memory })
+		s.submit("huge", func(j *jobs.Spec) { j.MemoryMB = 4 * workerMemoryMB })
 		for i := range 20 {
 			s.submit(fmt.Sprint("good-", i), nil)
 		}
@@ -185,10 +187,10 @@
 	})
 }
 
-// TestBrokenWorker wants all jobs done beside a worker that fails everything.
+// TestBrokenWorker checks that all jobs complete although one worker fails every task.
 func TestBrokenWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 5, cloud.WithBroken("w00"), cloud.WithTruth(cloud.Truth{Run: 2 * time.Second}))
+		s := newFixture(t, 5, cloud.WithBroken("w00"), cloud.WithTruth(cloud.Truth{Run: 2 * time.Second}))
 		for i := range 30 {
 			s.submit(fmt.Sprint("good-", i), nil)
 		}
@@ -200,16 +202,16 @@
 	})
 }
 
-// TestLostLease ends the tasks' lease under the leader: no job is to blame for that.
+// TestLostLease revokes the task lease while the leader runs tasks under it. No job may be given up for the failures that follow.
 func TestLostLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 5, cloud.WithTruth(cloud.Truth{Run: 3 * time.Second}))
+		s := newFixture(t, 5, cloud.WithTruth(cloud.Truth{Run: 3 * time.Second}))
 		for i := range 30 {
 			s.submit(fmt.Sprint("good-", i), nil)
 		}
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(2 * time.Second)
-		s.is.NoErr(s.store.Revoke(s.ctx, 1)) // the first that was granted.
+		s.is.NoErr(s.store.Revoke(s.ctx, 1)) // the first lease granted.
 		wait(time.Minute)
 		for i := range 30 {
 			s.wantState(fmt.Sprint("good-", i), jobs.Done)
@@ -217,15 +219,15 @@
 	})
 }
 
-// TestLeavingWorker has a task saved on a worker that leaves; it goes on elsewhere from there.
+// TestLeavingWorker checks that a task on a leaving worker is checkpointed and continues from there on another worker.
 func TestLeavingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 2, cloud.WithTruth(cloud.Truth{Run: 40 * time.Second}))
-		s.submit("night", once)
+		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 40 * time.Second}))
+		s.submit("night", runOnce)
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(30 * time.Second)
 		s.is.Equal(s.wantState("night", jobs.Running).Worker, "w00")
-		v := hosts.FromWire(hosts.Wire{ID: "w00", DataCentre: "east", Pool: "nightly", State: hosts.Leaving, Kind: hosts.Worker, Cores: cores, MemoryMB: memory})
+		v := hosts.FromWire(hosts.Wire{ID: "w00", DataCentre: "east", Pool: "nightly", State: hosts.Leaving, Kind: hosts.Worker, Cores: workerCores, MemoryMB: workerMemoryMB})
 		s.vms.leaving.Store(&v)
 		wait(2 * time.Second)
 		s.is.Equal(s.wantState("night", jobs.Running).Worker, "w01")
@@ -234,13 +236,13 @@
 	})
 }
 
-// TestCancelMany takes running and waiting jobs back.
+// TestCancelMany cancels running and waiting jobs. Running ones must be stopped, and waiting ones must never start.
 func TestCancelMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
+		s := newFixture(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		for i := range 200 {
-			s.submit(fmt.Sprint("night-", i), once)
+			s.submit(fmt.Sprint("night-", i), runOnce)
 		}
 		wait(2 * time.Second)
 		s.is.Equal(s.tasks.Starts(), 8)
@@ -261,10 +263,10 @@
 	})
 }
 
-// TestManyStarts bounds the writes of one step.
+// TestManyStarts checks that one step starts at most 50 tasks and that later steps start the rest.
 func TestManyStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
+		s := newFixture(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
 		for i := range 120 {
 			s.submit(fmt.Sprint("small-", i), func(j *jobs.Spec) { j.Cores, j.MemoryMB = 0.1, 10 })
 		}
--- a/node/jobs/lead_test.go
+++ b/node/jobs/lead_test.go
@@ -14,53 +14,53 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// paused is a platform and a store whose next run or write waits until the gate opens.
-type paused struct {
+// pausedPlatform is a platform and a store whose runs or writes block until resume is closed.
+type pausedPlatform struct {
 	tasks.Platform
 	keyval.Store
-	atRun, atWrite bool
-	gate           chan struct{}
-	reached        atomic.Bool
+	pauseRun, pauseWrite bool
+	resume               chan struct{}
+	reached              atomic.Bool
 }
 
-func (p *paused) wait() {
+func (p *pausedPlatform) wait() {
 	p.reached.Store(true)
-	<-p.gate
+	<-p.resume
 }
 
-func (p *paused) Run(ctx context.Context, r tasks.RunRequest) error {
-	if p.atRun {
+func (p *pausedPlatform) Run(ctx context.Context, r tasks.RunRequest) error {
+	if p.pauseRun {
 		p.wait()
 	}
 	return p.Platform.Run(context.WithoutCancel(ctx), r)
 }
 
-func (p *paused) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
-	if p.atWrite {
+func (p *pausedPlatform) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
+	if p.pauseWrite {
 		p.wait()
 	}
 	return p.Store.Put(context.WithoutCancel(ctx), key, v, cond, l)
 }
 
-// List is the platform's; pausedStore has the store's.
-func (p *paused) List(ctx context.Context, prefix string) ([]tasks.Task, error) {
+// List lists the platform's tasks. pausedStore lists the store's items instead.
+func (p *pausedPlatform) List(ctx context.Context, prefix string) ([]tasks.Task, error) {
 	return p.Platform.List(ctx, prefix)
 }
 
-type pausedStore struct{ *paused }
+type pausedStore struct{ *pausedPlatform }
 
 func (p pausedStore) List(ctx context.Context, prefix, after string, n int) ([]keyval.Item, keyval.Revision, error) {
 	return p.Store.List(ctx, prefix, after, n)
 }
 
-// TestPausedLeader pauses a leader that never learns that its lease is lost, before a write or between record and run, and
-// lets another lead meanwhile.
+// TestPausedLeader pauses a leader before it writes a record, or between the record and the run, and starts another leader meanwhile.
+// The former leader never learns that its lease is lost. The job must start once and have no second copy.
 func TestPausedLeader(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		run, die      bool
-		withoutWorker bool // the next leader has no worker until the former one goes on.
-		withoutWrite  bool // the next leader's writes do not reach the service until then.
+		withoutWorker bool // the next leader has no worker until after the former one has resumed.
+		withoutWrite  bool // the next leader's writes do not reach the service until then, either.
 	}{
 		{name: "between record and run", run: true},
 		{name: "dies between record and run", run: true, die: true},
@@ -76,69 +76,69 @@
 }
 
 func pausedLeader(t *testing.T, run, die, withoutWorker, withoutWrite bool) {
-	s := newSite(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
-	s.submit("disburse", once)
-	p := &paused{Platform: s.tasks, Store: s.store, atRun: run, atWrite: !run, gate: make(chan struct{})}
+	s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
+	s.submit("disburse", runOnce)
+	p := &pausedPlatform{Platform: s.tasks, Store: s.store, pauseRun: run, pauseWrite: !run, resume: make(chan struct{})}
 	crash := s.lead(&leader{fence: 1}, pausedStore{p}, p, s.vms)
 	wait(2 * time.Second)
 	s.is.True(p.reached.Load())
 	if die {
 		crash()
 	}
-	next := &vms{l: s.vms.l}
+	next := &vmList{l: s.vms.l}
 	next.hidden.Store(withoutWorker)
-	deaf := &deafStore{Memory: s.store}
-	deaf.down.Store(withoutWrite)
-	s.lead(&leader{fence: 2}, deaf, s.tasks, next)
+	store := &unreachableStore{Memory: s.store}
+	store.down.Store(withoutWrite)
+	s.lead(&leader{fence: 2}, store, s.tasks, next)
 	wait(3250 * time.Millisecond)
-	close(p.gate)
+	close(p.resume)
 	wait(3 * time.Second)
 	next.hidden.Store(false)
-	deaf.down.Store(false)
+	store.down.Store(false)
 	wait(50 * time.Second)
 	s.is.Equal(s.tasks.Doubled(), 0)
 	s.is.Equal(s.tasks.Starts(), 1)
 	s.wantState("disburse", jobs.Done)
 }
 
-// deafStore is a store whose writes of values do not arrive while it is down.
-type deafStore struct {
+// unreachableStore is a store whose Put fails with ErrDown while down is set.
+type unreachableStore struct {
 	*keyval.Memory
 	down atomic.Bool
 }
 
-func (d *deafStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
+func (d *unreachableStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
 	if d.down.Load() {
 		return 0, keyval.ErrDown
 	}
 	return d.Memory.Put(ctx, key, v, cond, l)
 }
 
-// TestLateRecord lets a paused leader write its record when the next one has long finished the job.
+// TestLateRecord lets a paused leader write its record after the next leader has completed the job. The write must not start the job again.
 func TestLateRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 2, cloud.WithTruth(cloud.Truth{Run: 5 * time.Second}))
-		s.submit("disburse", once)
-		p := &paused{Platform: s.tasks, Store: s.store, atWrite: true, gate: make(chan struct{})}
+		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 5 * time.Second}))
+		s.submit("disburse", runOnce)
+		p := &pausedPlatform{Platform: s.tasks, Store: s.store, pauseWrite: true, resume: make(chan struct{})}
 		s.lead(&leader{fence: 1}, pausedStore{p}, p, s.vms)
 		wait(2 * time.Second)
 		s.is.True(p.reached.Load())
 		s.lead(&leader{fence: 2}, s.store, s.tasks, s.vms)
 		wait(10 * time.Second)
 		s.wantState("disburse", jobs.Done)
-		close(p.gate)
+		close(p.resume)
 		synctest.Wait()
 		s.wantState("disburse", jobs.Done)
 		s.is.Equal(s.tasks.Starts(), 1)
 	})
 }
 
-// TestNextLeaderTakesTasksOver wants running tasks to run on under the next leader, which can make them yield.
+// TestNextLeaderTakesTasksOver checks that tasks keep running under the next leader and that it can make room among them for an urgent job.
 func TestNextLeaderTakesTasksOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 2, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 90 * time.Second}))
+		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 90 * time.Second}))
 		for i := range 4 {
-			s.submit(fmt.Sprint("night-", i), once)
+			s.submit(fmt.Sprint("night-", i), runOnce)
 		}
 		crash := s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(2 * time.Second)
@@ -158,11 +158,11 @@
 	})
 }
 
-// TestThrottleIsLifted ends a leader that has throttled a task; the next one lifts the throttle.
+// TestThrottleIsLifted crashes a leader that has throttled a task. The next leader must lift the throttle, so that the task completes.
 func TestThrottleIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 30 * time.Second}))
-		s.submit("night", func(j *jobs.Spec) { j.Cores = cores })
+		s := newFixture(t, 1, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 30 * time.Second}))
+		s.submit("night", func(j *jobs.Spec) { j.Cores = workerCores })
 		crash := s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(2 * time.Second)
 		s.submit("now", func(j *jobs.Spec) { j.Urgent = true })
@@ -176,21 +176,22 @@
 	})
 }
 
-// TestOlderService has the service come back as it was before the job's record, while its task runs or after it was done.
+// TestOlderService restores the key-value service to its state before the job's attempt was recorded, while the task runs or after it is done.
+// The job must complete without two running copies, also if other writes have hidden the loss from watches.
 func TestOlderService(t *testing.T) {
 	for name, c := range map[string]struct {
 		at             time.Duration
 		starts, writes int
 	}{
-		"while it runs":                  {at: 3 * time.Second, starts: 2}, // its lease has lapsed.
+		"while it runs":                  {at: 3 * time.Second, starts: 2}, // its lease has lapsed, so the job starts again.
 		"while it runs, others write on": {at: 3 * time.Second, starts: 2, writes: 500},
 		"after its end":                  {at: 30 * time.Second, starts: 1},
 		"after its end, others write on": {at: 30 * time.Second, starts: 1, writes: 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSite(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
-				s.submit("disburse", once)
+				s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
+				s.submit("disburse", runOnce)
 				before := s.store.Save()
 				s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 				wait(c.at)
@@ -199,7 +200,7 @@
 					_, err := s.store.Put(s.ctx, "other", nil, keyval.Any, 0)
 					s.is.NoErr(err)
 				}
-				s.submit("next", nil) // makes the leader look at the records again.
+				s.submit("next", nil) // makes the leader read the records again.
 				wait(time.Minute)
 				s.wantState("disburse", jobs.Done)
 				s.wantState("next", jobs.Done)
