--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -120,6 +120,7 @@
 	if err != nil {
 		return err
 	}
+	// inner outlives ctx, so that the background work continues until accepted requests are finished and the records are handed over.
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	g, x := errgroup.WithContext(inner)
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -85,7 +85,7 @@
 		return nil
 	}
 	heard := make(map[string]bool)
-	place := 0
+	place := 0 // silent members left to other new entries whose names sort first
 	for _, p := range s.d.beater.Heard() {
 		e := p.Address().Entry()
 		if now.Sub(p.At()) > ledger.UnheardAfter || p.Address().DataCentre() != s.d.settings.DataCentre() {
--- a/node/jobs/act.go
+++ b/node/jobs/act.go
@@ -136,7 +136,7 @@
 		j.record, j.recordRevision, j.liveTaskID, j.dirty = r, rev, r.taskID(), false
 		t.logPlatformCall("runTask", j, err)
 		switch {
-		case errors.Is(err, tasks.ErrRefused): // the task lease may have expired, so the refusal counts against neither the job nor the worker.
+		case errors.Is(err, tasks.ErrRefused): // the task lease may have expired, so neither the job nor the worker is at fault.
 			t.renewedAt = time.Time{}
 			t.finish(j, tasks.Stopped)
 		case errors.Is(err, tasks.ErrDown):
--- a/node/jobs/lead_test.go
+++ b/node/jobs/lead_test.go
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestOlderService restores the key-value service to its state before the job's attempt was recorded, while the task runs or after it is done.
-// The job must complete without two running copies, also if other writes have hidden the loss from watches.
-func TestOlderService(t *testing.T) {
+// TestStoreRestoredToOlderState restores the key-value service to its state before the job's attempt was recorded, while the task runs
+// or after it is done. The job must complete without two running copies, also if other writes have hidden the loss from watches.
+func TestStoreRestoredToOlderState(t *testing.T) {
 	for name, c := range map[string]struct {
 		at             time.Duration
 		starts, writes int
--- a/node/jobs/step.go
+++ b/node/jobs/step.go
@@ -119,9 +119,8 @@
 	}
 }
 
-// applyChange applies one change of a record. It keeps this term's decisions and adds an operator's cancellation.
-// It returns errTermOver if a later leader has written the
-// record or another one has recorded an attempt that this term does not know.
+// applyChange applies one change of a record. It keeps this term's decisions and adds an operator's cancellation. It returns errTermOver
+// if a later leader has written the record, or if another one has recorded an attempt that this term does not know.
 func (t *term) applyChange(e keyval.Event) error {
 	i := e.Item()
 	if e.Deleted() {
--- a/node/jobs/takeover.go
+++ b/node/jobs/takeover.go
@@ -10,8 +10,8 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// takeOver begins a term: it reads all records, takes over the running tasks and submits the jobs that
-// have not ended to the placers.
+// takeOver begins a term: it reads all records, takes over the running tasks and submits the jobs
+// that have not ended to the placers.
 func (t *term) takeOver(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
--- a/node/steer/act.go
+++ b/node/steer/act.go
@@ -40,6 +40,7 @@
 }
 
 // execute executes one command and puts its result into the inbox. It skips the command if the term has lost the lease.
+// Its call is limited to callTimeout by x, while the result is sent under ctx.
 func (t *term) execute(ctx context.Context, c wave.Cmd) {
 	if !t.held() {
 		return
--- a/node/view/view_test.go
+++ b/node/view/view_test.go
@@ -21,9 +21,9 @@
 	return New(v, ts)
 }
 
-// TestShelvesConverge delivers deltas in any order, with losses and repeats. No copy may return to an older version, and all must hold
+// TestCopiesConverge delivers deltas in any order, with losses and repeats. No copy may return to an older version, and all must hold
 // the same targets once they have received the newest delta.
-func TestShelvesConverge(t *testing.T) {
+func TestCopiesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copies := []*Shelf{NewShelf(), NewShelf(), NewShelf()}
 		var sent []Delta
