--- a/node/daemon/gossip.go
+++ b/node/daemon/gossip.go
@@ -45,6 +45,7 @@
 	viewVersion   view.Version
 }
 
+// receivedReport is a report of another entry with the time at which it was received.
 type receivedReport struct {
 	peerReport
 	receivedAt time.Time
@@ -185,7 +186,7 @@
 	}
 }
 
-// leader returns the entry that leads the data centre according to the reports, or an empty string.
+// leader returns the entry that leads the data centre according to this entry's lease and the reports, or an empty string.
 func (n *gossip) leader() string {
 	if _, ok := n.d.lease.Held(); ok {
 		return n.d.settings.Name()
@@ -200,7 +201,7 @@
 	return ""
 }
 
-// hasLeader reports whether the data centre has a leader according to the reports.
+// hasLeader reports whether leader finds an entry that leads the data centre.
 func (n *gossip) hasLeader() bool { return n.leader() != "" }
 
 // Words implements steer.Peers.
@@ -226,6 +227,7 @@
 	return l
 }
 
+// ownLoads returns this entry's loads in the leader's form.
 func (n *gossip) ownLoads() []steer.Load {
 	var l []steer.Load
 	for s, o := range n.d.entry.Loads() {
@@ -234,6 +236,7 @@
 	return l
 }
 
+// drainedVMs converts the entry's list of drained VMs to the leader's form.
 func drainedVMs(l []entry.Quit) []steer.Quit {
 	r := make([]steer.Quit, 0, len(l))
 	for _, q := range l {
--- a/node/view/holder.go
+++ b/node/view/holder.go
@@ -19,7 +19,7 @@
 	changed chan struct{}
 }
 
-// NewShelf returns a Shelf with an empty view.
+// NewShelf starts with an empty view.
 func NewShelf() *Shelf {
 	s := &Shelf{changed: make(chan struct{})}
 	s.current.Store(New(Version{}, nil))
