--- a/node/steer/read.go
+++ b/node/steer/read.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	pageItems  = 100
-	retryAfter = time.Second
+	pageSize        = 100
+	watchRetryDelay = time.Second
 )
 
-// use takes one item in that was read at the given Unix milliseconds.
-type use func(ctx context.Context, at int64, i keyval.Item)
+// itemFunc handles one item. readAt is the time before the read, in Unix milliseconds.
+type itemFunc func(ctx context.Context, readAt int64, i keyval.Item)
 
-// watch lists all keys under prefix, then follows their changes, until the context ends.
-func (t *term) watch(ctx context.Context, prefix string, u use) error {
+// watch lists all keys under prefix and then follows their changes, until ctx is cancelled.
+func (t *term) watch(ctx context.Context, prefix string, u itemFunc) error {
 	for ctx.Err() == nil {
 		rev, err := t.listAll(ctx, prefix, u)
 		if err == nil {
-			err = t.followFrom(ctx, prefix, rev, u)
+			err = t.followChanges(ctx, prefix, rev, u)
 		}
 		if err != nil && !errors.Is(err, keyval.ErrReset) && ctx.Err() == nil {
 			t.log.Warn().Str("step", "watch").Str("key", prefix).Err(err).Msg("watchFailed")
-			pause(ctx, retryAfter)
+			sleep(ctx, watchRetryDelay)
 		}
 	}
 	return nil
 }
 
-// listAll reads every key under prefix and returns the revision from which the first page was read.
-func (t *term) listAll(ctx context.Context, prefix string, u use) (keyval.Revision, error) {
+// listAll reads every key under prefix and returns the revision of the first page, from which to watch for changes.
+func (t *term) listAll(ctx context.Context, prefix string, u itemFunc) (keyval.Revision, error) {
 	var first keyval.Revision
 	after := ""
 	for {
-		at := now()
-		x, cancel := context.WithTimeout(ctx, actTimeout)
-		items, rev, err := t.store.List(x, prefix, after, pageItems)
+		at := nowMillis()
+		x, cancel := context.WithTimeout(ctx, callTimeout)
+		items, rev, err := t.store.List(x, prefix, after, pageSize)
 		cancel()
 		if err != nil {
 			return 0, err
@@ -54,16 +54,17 @@
 			u(ctx, at, i)
 			after = i.Key()
 		}
-		if len(items) < pageItems {
-			t.fresh(ctx, prefix, at)
+		if len(items) < pageSize {
+			t.reportFresh(ctx, prefix, at)
 			return first, nil
 		}
 	}
 }
 
-func (t *term) followFrom(ctx context.Context, prefix string, rev keyval.Revision, u use) error {
+// followChanges passes each change under prefix after rev to u. A deleted key becomes an item without a value.
+func (t *term) followChanges(ctx context.Context, prefix string, rev keyval.Revision, u itemFunc) error {
 	for ctx.Err() == nil {
-		at := now()
+		at := nowMillis()
 		events, next, err := t.store.Watch(ctx, prefix, rev, t.watchWait())
 		if err != nil {
 			return err
@@ -76,38 +77,39 @@
 			u(ctx, at, i)
 		}
 		rev = next
-		t.fresh(ctx, prefix, at)
+		t.reportFresh(ctx, prefix, at)
 	}
 	return nil
 }
 
-// watchWait keeps the documents fresher than the planner's bound.
+// watchWait returns the longest wait of one watch. It is short enough to keep the documents fresher than the planner's maximum age.
 func (t *term) watchWait() time.Duration { return 2 * t.tick }
 
-// freshMsg is the loop's own note that all keys under a prefix were up to date at a time.
-func (t *term) fresh(ctx context.Context, prefix string, at int64) {
-	t.freshMu.Lock()
-	t.freshAt[prefix] = at
-	both := len(t.freshAt) == watches
-	for _, o := range t.freshAt {
+// reportFresh records that all keys under prefix were up to date at the given Unix milliseconds. Once every prefix has such a time,
+// it sends the earliest to the planner.
+func (t *term) reportFresh(ctx context.Context, prefix string, at int64) {
+	t.freshnessMu.Lock()
+	t.freshAtMillis[prefix] = at
+	all := len(t.freshAtMillis) == watchedPrefixes
+	for _, o := range t.freshAtMillis {
 		at = min(at, o)
 	}
-	t.freshMu.Unlock()
-	if both {
+	t.freshnessMu.Unlock()
+	if all {
 		t.send(ctx, wave.DocumentsFreshMsg{At: at})
 	}
 }
 
-// watches is the number of prefixes that a term follows.
-const watches = 2
+// watchedPrefixes is the number of prefixes that a term watches: shards and budgets.
+const watchedPrefixes = 2
 
-// list asks for the platform's list once a tick.
+// list reads the platform's list of VMs once per tick.
 func (t *term) list(ctx context.Context) error {
 	k := time.NewTicker(t.tick)
 	defer k.Stop()
 	for {
-		at := now()
-		x, cancel := context.WithTimeout(ctx, actTimeout)
+		at := nowMillis()
+		x, cancel := context.WithTimeout(ctx, callTimeout)
 		vms, err := t.platform.List(x)
 		cancel()
 		if err != nil {
@@ -123,7 +125,7 @@
 	}
 }
 
-// hostsMsg keeps the own data centre's lines.
+// hostsMsg returns the planner's message with the VMs of this data centre, stores them for publish and reports the entries that are gone.
 func (t *term) hostsMsg(at int64, vms []hosts.VM) wave.Msg {
 	m := wave.HostsMsg{At: at}
 	var gone []string
@@ -140,8 +142,8 @@
 			Name: v.ID(), Pool: v.Pool(), Rack: v.Rack(), State: hostState(v.State()), RunsEntry: v.Kind() == hosts.Entry, Boot: v.Boot(),
 		})
 	}
-	t.hostsNow.Store(&own)
-	t.gone(gone)
+	t.listedVMs.Store(&own)
+	t.onGone(gone)
 	return m
 }
 
@@ -155,13 +157,13 @@
 	return wave.Live
 }
 
-// listen tells which other data centres have a leader, as their keys under a lease show.
-func (t *term) listen(ctx context.Context) error {
+// pollLeaders reports to the planner, every two ticks, which other data centres have no leader key. The key is bound to the leader's lease.
+func (t *term) pollLeaders(ctx context.Context) error {
 	k := time.NewTicker(2 * t.tick)
 	defer k.Stop()
 	for {
-		at := now()
-		t.send(ctx, wave.UnreachableMsg{At: at, DataCentres: t.unheard(ctx)})
+		at := nowMillis()
+		t.send(ctx, wave.UnreachableMsg{At: at, DataCentres: t.dataCentresWithoutLeader(ctx)})
 		select {
 		case <-ctx.Done():
 			return nil
@@ -170,25 +172,26 @@
 	}
 }
 
-func (t *term) unheard(ctx context.Context) []string {
-	var silent []string
-	for _, n := range t.others {
-		x, cancel := context.WithTimeout(ctx, actTimeout)
+// dataCentresWithoutLeader returns the other data centres whose leader key is absent or cannot be read.
+func (t *term) dataCentresWithoutLeader(ctx context.Context) []string {
+	var missing []string
+	for _, n := range t.otherDataCentres {
+		x, cancel := context.WithTimeout(ctx, callTimeout)
 		i, err := t.store.Get(x, LeaderKey(n))
 		cancel()
 		if err != nil || !i.Found() {
-			silent = append(silent, n)
+			missing = append(missing, n)
 		}
 	}
-	return silent
+	return missing
 }
 
 // LeaderKey returns the key under which the data centre's leader holds its lease.
 func LeaderKey(dataCentre string) string { return "dc/" + dataCentre + "/leader" }
 
-// policy hands the configuration to the planner and the sizer.
-func (t *term) policy(at time.Time) {
-	d := t.docs.Document()
+// updatePolicy passes a changed configuration to the planner and the sizer.
+func (t *term) updatePolicy(at time.Time) {
+	d := t.config.Document()
 	if d == t.doc {
 		return
 	}
@@ -204,27 +207,28 @@
 	for _, w := range d.Waves() {
 		m.Waves = append(m.Waves, wave.Wave{ID: w.ID, Pools: w.Pools, Paused: w.Paused})
 	}
-	t.sizer.Update(spareRules(d, len(t.others)+1))
+	t.sizer.Update(sizingRules(d, len(t.otherDataCentres)+1))
 	t.feed(m)
-	t.absent(d)
+	t.readMissing(d)
 }
 
-// absent asks once for each document that may not exist yet, since a list shows only those that do.
-func (t *term) absent(d *conf.Document) {
+// readMissing requests each document that may not exist yet, because a listing omits absent keys. It requests each budget once per term,
+// and each shard without a revision after each change of the configuration.
+func (t *term) readMissing(d *conf.Document) {
 	for i := range pool.ShardCount {
 		if t.planner.Table().Revision(i) == 0 {
 			t.pending = append(t.pending, wave.ReadShardCmd{Index: i})
 		}
 	}
 	for _, s := range d.Services() {
-		if !t.asked[s.Name] {
-			t.asked[s.Name] = true
+		if !t.budgetsRequested[s.Name] {
+			t.budgetsRequested[s.Name] = true
 			t.pending = append(t.pending, wave.ReadBudgetCmd{Service: s.Name})
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	k := time.NewTimer(d)
 	defer k.Stop()
 	select {
