--- a/bench/slopes/lead.go
+++ b/bench/slopes/lead.go
@@ -57,12 +57,12 @@
 // talk is the word of as many entries, each with the use of every service.
 type talk int
 
-func (n talk) Words() []steer.Word {
-	l := make([]steer.Word, n)
+func (n talk) EntryReports() []steer.EntryReport {
+	l := make([]steer.EntryReport, n)
 	for i := range l {
-		l[i] = steer.Word{Entry: fmt.Sprint("entry-", i), At: time.Now()}
+		l[i] = steer.EntryReport{Entry: fmt.Sprint("entry-", i), ReceivedAt: time.Now()}
 		for s := range pools {
-			l[i].Loads = append(l[i].Loads, steer.Load{Service: serviceName(s), Busy: 3, Arrivals: 40})
+			l[i].Loads = append(l[i].Loads, steer.Load{Service: serviceName(s), Busy: 3, ArrivalsPerSecond: 40})
 		}
 	}
 	return l
@@ -98,15 +98,15 @@
 
 // term is a leader at work.
 type term struct {
-	shelf *view.Shelf
+	shelf *view.Holder
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
 // rule starts a leader over the platform's VMs.
 func rule(s keyval.Store, p hosts.Platform, h *conf.Holder) *term {
-	t := &term{shelf: view.NewShelf()}
-	l := steer.New(home, "entry-0", s, p, alwaysLeads{}, h, talk(talkers), t.shelf, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
+	t := &term{shelf: view.NewHolder()}
+	l := steer.New(home, "entry-0", s, p, alwaysLeads{}, h, talk(talkers), t.shelf, steer.WithTick(leaderTick), steer.WithOtherDataCentres(dataCentres[1:]))
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.group.Go(func() error { return l.Run(ctx) })
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -66,8 +66,8 @@
 	}
 }
 
-func shelfOf(l []view.Target) *view.Shelf {
-	s := view.NewShelf()
+func shelfOf(l []view.Target) *view.Holder {
+	s := view.NewHolder()
 	if err := s.Put(view.New(view.Version{Fence: 1, Count: 1}, l)); err != nil {
 		panic(fmt.Sprint("bench: put: ", err))
 	}
@@ -75,7 +75,7 @@
 }
 
 // runEntry starts an entry among 12 that all keep to their shares and calls f with its address.
-func runEntry(h *conf.Holder, v *view.Shelf, teams int, f func(addr string)) {
+func runEntry(h *conf.Holder, v *view.Holder, teams int, f func(addr string)) {
 	var lc net.ListenConfig
 	ctx, stop := context.WithCancel(context.Background())
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -143,7 +143,7 @@
 	return max(c, 0)
 }
 
-func entryHeap(h *conf.Holder, v *view.Shelf, teams int) (c float64) {
+func entryHeap(h *conf.Holder, v *view.Holder, teams int) (c float64) {
 	before := heapNow()
 	runEntry(h, v, teams, func(string) { c = float64(heapNow()) - float64(before) })
 	return c
--- a/bench/slopes/views.go
+++ b/bench/slopes/views.go
@@ -18,7 +18,7 @@
 func viewSeries() []slope.Series {
 	return []slope.Series{
 		series("viewWhole", "whole view in JSON", "B", "VM of the data centre", vmSizes, func(n int) float64 {
-			return encoded(view.Whole(view.New(view.Version{Fence: 1, Count: 1}, targets(n))))
+			return encoded(view.FullDelta(view.New(view.Version{Fence: 1, Count: 1}, targets(n))))
 		}),
 		series("viewDelta", "delta of a view of 1,500 in JSON", "B", "changed VM", deltaSizes, func(n int) float64 {
 			a, b := turned(1500, n)
@@ -49,13 +49,13 @@
 	l := targets(n)
 	a = view.New(view.Version{Fence: 1, Count: 1}, l)
 	for i := range k {
-		l[i].Serving, l[i].Number = false, l[i].Number+1
+		l[i].Serving, l[i].ShardVersion = false, l[i].ShardVersion+1
 	}
 	return a, view.New(view.Version{Fence: 1, Count: 2}, l)
 }
 
 func wholeCPU(n int) float64 {
-	b, err := json.Marshal(view.Whole(view.New(view.Version{Fence: 1, Count: 1}, targets(n))))
+	b, err := json.Marshal(view.FullDelta(view.New(view.Version{Fence: 1, Count: 1}, targets(n))))
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
@@ -67,15 +67,15 @@
 }
 
 // fullShelf returns the shelf of an entry that has followed the leader for long, one VM a version.
-func fullShelf(n int) *view.Shelf {
-	s, l := view.NewShelf(), targets(n)
+func fullShelf(n int) *view.Holder {
+	s, l := view.NewHolder(), targets(n)
 	if err := s.Put(view.New(view.Version{Fence: 1, Count: 1}, l)); err != nil {
 		panic(fmt.Sprint("bench: put: ", err))
 	}
 	for i := range int64(keptViews) {
 		t := l[i]
-		t.Number++
-		d := view.Delta{Base: view.Version{Fence: 1, Count: 1 + i}, To: view.Version{Fence: 1, Count: 2 + i}, Put: []view.Target{t}}
+		t.ShardVersion++
+		d := view.Delta{Base: view.Version{Fence: 1, Count: 1 + i}, To: view.Version{Fence: 1, Count: 2 + i}, Updated: []view.Target{t}}
 		if err := s.Offer(d); err != nil {
 			panic(fmt.Sprint("bench: offer: ", err))
 		}
--- a/bench/slopes/world.go
+++ b/bench/slopes/world.go
@@ -59,7 +59,7 @@
 func targets(n int) []view.Target {
 	l := make([]view.Target, n)
 	for i, w := range platformVMs(n, false) {
-		l[i] = view.Target{VM: w.ID, Addr: w.Addr, Rack: w.Rack, Pool: w.Pool, Serving: true, Number: int64(1000 + i)}
+		l[i] = view.Target{VM: w.ID, Addr: w.Addr, Rack: w.Rack, Pool: w.Pool, Serving: true, ShardVersion: int64(1000 + i)}
 	}
 	return l
 }
--- a/cmd/burdockreach/job.go
+++ b/cmd/burdockreach/job.go
@@ -196,7 +196,7 @@
 	var rows [][]string
 	for _, j := range r.Items {
 		s := j.Spec
-		rows = append(rows, texts(s.ID, s.DataCentre, s.Pool, s.Kind, j.State, j.Attempt, j.Worker, clock(s.FinishBy), clock(j.Ended), j.Reason))
+		rows = append(rows, texts(s.ID, s.DataCentre, s.Pool, s.Kind, j.State, j.Attempt, j.Worker, clock(s.FinishBy), clock(j.EndedMillis), j.Reason))
 	}
 	return l.app.table([]string{"JOB", "DATA CENTRE", "POOL", "KIND", "STATE", "ATTEMPT", "WORKER", "FINISH BY", "ENDED", "REASON"}, rows)
 }
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -44,7 +44,7 @@
 	client    *relay.Client
 	keeper    *relay.Keeper
 	beater    *relay.Beater
-	views     *view.Shelf
+	views     *view.Holder
 	gossip    *gossip
 	entry     *entry.Entry
 	loop      *steer.Loop
@@ -56,7 +56,7 @@
 
 // New returns the process that the settings describe. It starts nothing.
 func New(s setup.Settings, l zerolog.Logger) *Daemon {
-	d := &Daemon{settings: s, log: l, views: view.NewShelf(), conf: conf.NewHolder()}
+	d := &Daemon{settings: s, log: l, views: view.NewHolder(), conf: conf.NewHolder()}
 	d.store = keyval.New(s.PlatformAddr(), keyval.WithName(s.Name()), keyval.WithTimeout(s.PlatformTimeout()))
 	d.platform = hosts.New(s.PlatformAddr(), hosts.WithName(s.Name()), hosts.WithTimeout(s.PlatformTimeout()))
 	d.committer = conf.NewCommitter(d.store, d.conf, conf.WithCatchUp(d.catchUp))
@@ -89,8 +89,8 @@
 		entry.WithKeys(keyClaimer{d.keeper}), entry.WithSelf(instanceName(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.hasPlace),
 		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.Kick))
 	d.loop = steer.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
-		steer.WithTick(s.Tick()), steer.WithLogger(d.log), steer.WithOthers(exclude(s.DataCentres(), s.DataCentre())),
-		steer.WithGone(d.keeper.Gone))
+		steer.WithTick(s.Tick()), steer.WithLogger(d.log), steer.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
+		steer.WithOnEntriesGone(d.keeper.Gone))
 	d.jobs = newRunner(d)
 }
 
--- a/node/daemon/gossip.go
+++ b/node/daemon/gossip.go
@@ -25,13 +25,13 @@
 
 // peerReport is an entry's report about targets to the other entries of its data centre.
 type peerReport struct {
-	Version view.Version    `json:"v"`
-	Leading bool            `json:"lead,omitempty"`
-	Quits   []entry.Quit    `json:"quits,omitempty"`
-	Leaving []entry.Leaving `json:"leaving,omitempty"`
-	Delta   *view.Delta     `json:"delta,omitempty"`
-	Shares  int64           `json:"shares,omitempty"`  // number of the roster that all services of the entry follow in sharing slots
-	Numbers []int64         `json:"numbers,omitempty"` // version of each membership shard in the entry's view
+	Version       view.Version    `json:"v"`
+	Leading       bool            `json:"lead,omitempty"`
+	Drained       []entry.Quit    `json:"quits,omitempty"`
+	Leaving       []entry.Leaving `json:"leaving,omitempty"`
+	Delta         *view.Delta     `json:"delta,omitempty"`
+	SettledRoster int64           `json:"shares,omitempty"`  // number of the roster that all services of the entry follow in sharing slots
+	ShardVersions []int64         `json:"numbers,omitempty"` // version of each membership shard in the entry's view
 }
 
 // gossip exchanges configuration changes, view deltas and reports with the other entries.
@@ -125,7 +125,7 @@
 func (n *gossip) peerReport() peerReport {
 	now := time.Now()
 	_, lead := n.d.lease.Held()
-	b := peerReport{Version: n.d.views.View().Version(), Leading: lead, Quits: n.d.entry.Quits(), Leaving: n.d.entry.Leavings(), Shares: n.d.entry.Settled(), Numbers: shardVersions(n.d.views.View())}
+	b := peerReport{Version: n.d.views.View().Version(), Leading: lead, Drained: n.d.entry.Quits(), Leaving: n.d.entry.Leavings(), SettledRoster: n.d.entry.Settled(), ShardVersions: shardVersions(n.d.views.View())}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.viewVersion != b.Version {
@@ -135,7 +135,7 @@
 		return b
 	}
 	if oldest, ok := n.oldestVersion(now, b.Version); ok {
-		if d, ok := n.d.views.Since(oldest); ok {
+		if d, ok := n.d.views.DeltaSince(oldest); ok {
 			b.Delta = &d
 		}
 	}
@@ -175,7 +175,7 @@
 		n.applyDelta(*b.Delta)
 	}
 	n.d.entry.Learn(b.Leaving)
-	n.d.slotLoans.rosterSettled(p, b.Shares)
+	n.d.slotLoans.rosterSettled(p, b.SettledRoster)
 	n.d.loop.Wake()
 }
 
@@ -204,10 +204,10 @@
 // hasLeader reports whether leader finds an entry that leads the data centre.
 func (n *gossip) hasLeader() bool { return n.leader() != "" }
 
-// Words implements steer.Peers.
-func (n *gossip) Words() []steer.Word {
+// EntryReports implements steer.Peers.
+func (n *gossip) EntryReports() []steer.EntryReport {
 	now := time.Now()
-	l := []steer.Word{{Entry: n.d.settings.Name(), At: now, Quits: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), Numbers: shardVersions(n.d.views.View())}}
+	l := []steer.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
 	for _, p := range n.d.beater.Heard() {
 		e := p.Address().Entry()
 		n.mu.Lock()
@@ -216,10 +216,10 @@
 		if !ok || now.Sub(h.receivedAt) > reportMaxAge {
 			continue
 		}
-		w := steer.Word{Entry: e, At: h.receivedAt, Quits: drainedVMs(h.Quits), Failing: p.Failing(), Numbers: h.Numbers}
+		w := steer.EntryReport{Entry: e, ReceivedAt: h.receivedAt, Drained: drainedVMs(h.Drained), Failing: p.Failing(), ShardVersions: h.ShardVersions}
 		for _, s := range p.Loads() {
 			w.Loads = append(w.Loads, steer.Load{
-				Service: s.GetService(), Busy: float64(s.GetBusy()), Queued: float64(s.GetQueued()), Arrivals: s.GetArrivals(), Done: s.GetDone(),
+				Service: s.GetService(), Busy: float64(s.GetBusy()), Queued: float64(s.GetQueued()), ArrivalsPerSecond: s.GetArrivals(), AnswersPerSecond: s.GetDone(),
 			})
 		}
 		l = append(l, w)
@@ -231,16 +231,16 @@
 func (n *gossip) ownLoads() []steer.Load {
 	var l []steer.Load
 	for s, o := range n.d.entry.Loads() {
-		l = append(l, steer.Load{Service: s, Busy: float64(o.Busy()), Queued: float64(queued(o)), Arrivals: o.Arrivals(), Done: o.Goodput()})
+		l = append(l, steer.Load{Service: s, Busy: float64(o.Busy()), Queued: float64(queued(o)), ArrivalsPerSecond: o.Arrivals(), AnswersPerSecond: o.Goodput()})
 	}
 	return l
 }
 
 // drainedVMs converts the entry's list of drained VMs to the leader's form.
-func drainedVMs(l []entry.Quit) []steer.Quit {
-	r := make([]steer.Quit, 0, len(l))
+func drainedVMs(l []entry.Quit) []steer.DrainedVM {
+	r := make([]steer.DrainedVM, 0, len(l))
 	for _, q := range l {
-		r = append(r, steer.Quit{VM: q.VM, Number: q.Number})
+		r = append(r, steer.DrainedVM{VM: q.VM, ShardVersion: q.Number})
 	}
 	return slices.Clip(r)
 }
@@ -250,7 +250,7 @@
 	l := make([]int64, pool.ShardCount)
 	for _, t := range v.Targets() {
 		i := pool.Index(t.VM, pool.ShardCount)
-		l[i] = max(l[i], t.Number)
+		l[i] = max(l[i], t.ShardVersion)
 	}
 	return l
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -48,7 +48,7 @@
 	set    setup.Settings
 	log    zerolog.Logger
 	conf   Documents
-	view   *view.Shelf
+	view   *view.Holder
 	keys   Keys
 	burner Burner
 	gate   func() bool
@@ -105,7 +105,7 @@
 func (e *Entry) admitted() bool { return e.gate == nil || e.gate() }
 
 // New returns an entry over the configuration and the view.
-func New(s setup.Settings, l zerolog.Logger, d Documents, v *view.Shelf, opts ...Option) *Entry {
+func New(s setup.Settings, l zerolog.Logger, d Documents, v *view.Holder, opts ...Option) *Entry {
 	e := &Entry{
 		set: s, log: l, conf: d, view: v, keys: noKeys{}, burner: noBurner{}, ids: newIDs(s.Name()), health: newHealth(),
 		asks:    make(chan Ask, maxAsks),
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -28,7 +28,7 @@
 	t     testing.TB
 	e     *Entry
 	addr  string
-	shelf *view.Shelf
+	shelf *view.Holder
 	stop  context.CancelFunc
 	done  *errgroup.Group
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, addr: ln.Addr().String(), shelf: view.NewShelf()}
+	r := &rig{t: t, addr: ln.Addr().String(), shelf: view.NewHolder()}
 	r.show(1, true, targets...)
 	r.e = New(settings(t), zerolog.Nop(), document(t), r.shelf, opts...)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 func (r *rig) show(n int64, serving bool, targets ...string) {
 	var ts []view.Target
 	for _, a := range targets {
-		ts = append(ts, view.Target{VM: "vm-" + a, Addr: a, Rack: "r", Pool: "p", Serving: serving, Number: n})
+		ts = append(ts, view.Target{VM: "vm-" + a, Addr: a, Rack: "r", Pool: "p", Serving: serving, ShardVersion: n})
 	}
 	if err := r.shelf.Put(view.New(view.Version{Fence: 1, Count: n}, ts)); err != nil {
 		r.t.Fatal(err)
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -97,7 +97,7 @@
 	var q []Quit
 	for _, t := range e.listed.Targets() {
 		if !t.Serving && e.quit(t.VM, now) {
-			q = append(q, Quit{VM: t.VM, Number: t.Number})
+			q = append(q, Quit{VM: t.VM, Number: t.ShardVersion})
 		}
 	}
 	return q
--- a/node/jobs/act.go
+++ b/node/jobs/act.go
@@ -120,8 +120,8 @@
 // start records the attempt before it asks the platform to run the task. An attempt that could not be recorded does not run.
 func (t *term) start(ctx context.Context, j *job, c place.StartCmd) result {
 	r := j.record
-	r.State, r.Attempt, r.Worker, r.Size = Running, j.attemptOffset+c.Task.Attempt, c.Worker, c.Size
-	r.Lease, r.Fence, r.Started = int64(t.taskLease), int64(t.fence), nowMillis()
+	r.State, r.Attempt, r.Worker, r.ReservedSize = Running, j.attemptOffset+c.Task.Attempt, c.Worker, c.Size
+	r.Lease, r.Fence, r.StartedMillis = int64(t.taskLease), int64(t.fence), nowMillis()
 	rev, err := t.writeRecord(ctx, j, r)
 	if err != nil {
 		return func() { t.feed(r.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: c.Task, How: place.Stopped}) }
@@ -129,7 +129,7 @@
 	if t.held() {
 		err = t.platform.Run(ctx, tasks.RunRequest{
 			ID: r.taskID(), Job: taskPrefix(t.dataCentre) + r.Spec.ID, VM: r.Worker, Lease: r.Lease, RunOnce: r.Spec.RunOnce,
-			Cores: r.Size.Cores, MemoryMB: r.Size.MemoryMB, Accelerators: r.Size.Accelerators,
+			Cores: r.ReservedSize.Cores, MemoryMB: r.ReservedSize.MemoryMB, Accelerators: r.ReservedSize.Accelerators,
 		})
 	}
 	return func() {
@@ -195,7 +195,7 @@
 	for _, j := range l {
 		if !j.dirty && j.record.State.Ended() {
 			delete(t.jobs, j.record.Spec.ID)
-			t.ended[j.record.Spec.ID] = endedJob{rev: j.recordRevision, endedAtMillis: j.record.Ended}
+			t.ended[j.record.Spec.ID] = endedJob{rev: j.recordRevision, endedAtMillis: j.record.EndedMillis}
 		}
 	}
 }
--- a/node/jobs/jobs_test.go
+++ b/node/jobs/jobs_test.go
@@ -148,7 +148,7 @@
 				s.submit("now", func(j *jobs.Spec) { j.Urgent, j.Kind, j.MemoryMB = true, "hardship", mb })
 				wait(1500 * time.Millisecond)
 				r := s.wantState("now", jobs.Running)
-				s.is.True(r.Started-r.Submitted <= 1500)
+				s.is.True(r.StartedMillis-r.SubmittedMillis <= 1500)
 				wait(2 * time.Second)
 				s.wantNoOvercommit()
 			})
--- a/node/jobs/queue.go
+++ b/node/jobs/queue.go
@@ -37,7 +37,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	b, err := Record{Spec: s, State: Waiting, Submitted: time.Now().UnixMilli()}.marshal()
+	b, err := Record{Spec: s, State: Waiting, SubmittedMillis: time.Now().UnixMilli()}.marshal()
 	if err != nil {
 		return err
 	}
@@ -72,12 +72,12 @@
 	var last error
 	for range maxCancelAttempts {
 		r, rev, err := q.get(ctx, dataCentre, id)
-		if err != nil || r.State.Ended() || r.Cancel {
+		if err != nil || r.State.Ended() || r.CancelRequested {
 			return r, err
 		}
-		r.Cancel = true
+		r.CancelRequested = true
 		if r.State == Waiting {
-			r.State, r.Ended = Canceled, time.Now().UnixMilli()
+			r.State, r.EndedMillis = Canceled, time.Now().UnixMilli()
 		}
 		b, err := r.marshal()
 		if err != nil {
--- a/node/jobs/record.go
+++ b/node/jobs/record.go
@@ -48,18 +48,18 @@
 
 // Record is a job's document in the platform's key-value service. Times are in Unix milliseconds.
 type Record struct {
-	Spec      Spec       `json:"spec"`
-	State     State      `json:"state"`
-	Cancel    bool       `json:"cancel"` // an operator has cancelled the job.
-	Attempt   int        `json:"attempt"`
-	Worker    string     `json:"worker"`
-	Size      place.Size `json:"size"` // reserved for the attempt.
-	Lease     int64      `json:"lease"`
-	Fence     int64      `json:"fence"` // fencing token of the leader that recorded the attempt.
-	Reason    string     `json:"reason"`
-	Submitted int64      `json:"submitted"`
-	Started   int64      `json:"started"`
-	Ended     int64      `json:"ended"`
+	Spec            Spec       `json:"spec"`
+	State           State      `json:"state"`
+	CancelRequested bool       `json:"cancel"` // an operator has cancelled the job.
+	Attempt         int        `json:"attempt"`
+	Worker          string     `json:"worker"`
+	ReservedSize    place.Size `json:"size"` // reserved for the attempt.
+	Lease           int64      `json:"lease"`
+	Fence           int64      `json:"fence"` // fencing token of the leader that recorded the attempt.
+	Reason          string     `json:"reason"`
+	SubmittedMillis int64      `json:"submitted"`
+	StartedMillis   int64      `json:"started"`
+	EndedMillis     int64      `json:"ended"`
 }
 
 // ErrMalformed reports a job with an invalid field.
--- a/node/jobs/runner.go
+++ b/node/jobs/runner.go
@@ -183,6 +183,6 @@
 	if j == nil {
 		return
 	}
-	j.record.State, j.record.Reason, j.record.Ended, j.dirty = GivenUp, string(c.Reason), nowMillis(), true
+	j.record.State, j.record.Reason, j.record.EndedMillis, j.dirty = GivenUp, string(c.Reason), nowMillis(), true
 	t.log.Info().Str("step", "runJobs").Str("job", c.Job).Str("reason", string(c.Reason)).Msg("jobGivenUp")
 }
--- a/node/jobs/step.go
+++ b/node/jobs/step.go
@@ -148,13 +148,13 @@
 		return nil
 	}
 	j.recordRevision = i.Rev()
-	if r.Cancel && !j.record.Cancel {
-		j.record.Cancel = true
+	if r.CancelRequested && !j.record.CancelRequested {
+		j.record.CancelRequested = true
 		t.feed(j.record.Spec.Pool, place.CancelMsg{Jobs: []string{r.Spec.ID}})
 	}
 	if r.State == Canceled && j.liveTaskID == "" {
 		delete(t.jobs, r.Spec.ID)
-		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.Ended}
+		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.EndedMillis}
 		return nil
 	}
 	j.dirty = j.dirty || r.State != j.record.State
@@ -222,9 +222,9 @@
 	j.liveTaskID, j.retry, j.throttled, j.dirty = "", nil, false, true
 	switch {
 	case s == tasks.Done:
-		j.record.State, j.record.Ended = Done, nowMillis()
-	case j.record.Cancel:
-		j.record.State, j.record.Ended = Canceled, nowMillis()
+		j.record.State, j.record.EndedMillis = Done, nowMillis()
+	case j.record.CancelRequested:
+		j.record.State, j.record.EndedMillis = Canceled, nowMillis()
 	default:
 		j.record.State = Waiting
 	}
--- a/node/jobs/takeover.go
+++ b/node/jobs/takeover.go
@@ -52,7 +52,7 @@
 		return nil
 	}
 	if r.State.Ended() {
-		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.Ended}
+		t.ended[r.Spec.ID] = endedJob{rev: i.Rev(), endedAtMillis: r.EndedMillis}
 		return nil
 	}
 	j := &job{record: r, recordRevision: i.Rev(), attemptOffset: r.Attempt}
@@ -72,10 +72,10 @@
 		j.record.Attempt, j.attemptOffset = n, n
 		switch {
 		case k.State == tasks.Done:
-			j.record.State, j.record.Ended, j.dirty = Done, nowMillis(), true
+			j.record.State, j.record.EndedMillis, j.dirty = Done, nowMillis(), true
 		case !k.State.Ended():
 			j.record.State, j.record.Worker, j.dirty = Running, k.VM, true
-			j.record.Size = j.record.Spec.job().Declared
+			j.record.ReservedSize = j.record.Spec.job().Declared
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		}
 		s := workerKey{j.record.Spec.Pool, j.record.Worker}
 		p := j.record.Spec.job()
-		p.Declared = j.record.Size
+		p.Declared = j.record.ReservedSize
 		jobs[s] = append(jobs[s], p)
 		size[s] = place.Size{
 			Cores: size[s].Cores + p.Declared.Cores, MemoryMB: size[s].MemoryMB + p.Declared.MemoryMB,
@@ -112,7 +112,7 @@
 func (t *term) submit(j *job) {
 	pool := j.record.Spec.Pool
 	t.feed(pool, place.SubmitMsg{At: nowMillis(), Jobs: []place.Job{j.record.Spec.job()}})
-	if j.record.Cancel {
+	if j.record.CancelRequested {
 		t.feed(pool, place.CancelMsg{Jobs: []string{j.record.Spec.ID}})
 	}
 }
--- a/node/steer/publish.go
+++ b/node/steer/publish.go
@@ -29,7 +29,7 @@
 	}
 	t.version.Count++
 	v := view.New(t.version, targets)
-	if v.Same(t.views.View()) && t.views.View().Version().Fence == t.version.Fence {
+	if v.SameTargets(t.views.View()) && t.views.View().Version().Fence == t.version.Fence {
 		t.version.Count--
 		return
 	}
@@ -44,13 +44,13 @@
 // newTarget returns the target for one VM. It keeps the number of the published target while nothing else in it changes.
 func (t *term) newTarget(m pool.Member, h hosts.VM, number int64) view.Target {
 	n := view.Target{
-		VM: m.VM, Addr: h.Addr(), Rack: m.Rack, Pool: m.Pool, Number: number,
+		VM: m.VM, Addr: h.Addr(), Rack: m.Rack, Pool: m.Pool, ShardVersion: number,
 		Serving: m.State == pool.Serving && h.State() == hosts.Live,
 	}
 	o := t.published[m.VM]
-	o.Number = n.Number
+	o.ShardVersion = n.ShardVersion
 	if o == n {
-		n.Number = t.published[m.VM].Number
+		n.ShardVersion = t.published[m.VM].ShardVersion
 	}
 	return n
 }
@@ -66,11 +66,11 @@
 // readPeerReports passes the newest report of each entry to the planner and updates the failed VMs.
 func (t *term) readPeerReports() {
 	failing := make(map[string]int)
-	reports := t.peers.Words()
+	reports := t.peers.EntryReports()
 	for _, w := range reports {
-		m := wave.EntryReportMsg{At: w.At.UnixMilli(), Entry: w.Entry, Versions: w.Numbers}
-		for _, q := range w.Quits {
-			m.Drained = append(m.Drained, wave.Drained{VM: q.VM, Version: q.Number})
+		m := wave.EntryReportMsg{At: w.ReceivedAt.UnixMilli(), Entry: w.Entry, Versions: w.ShardVersions}
+		for _, q := range w.Drained {
+			m.Drained = append(m.Drained, wave.Drained{VM: q.VM, Version: q.ShardVersion})
 		}
 		for _, vm := range w.Failing {
 			failing[vm]++
@@ -137,14 +137,14 @@
 		pools[s.Name] = s.Pool
 	}
 	sum := make(map[string]spare.Demand)
-	for _, w := range t.peers.Words() {
+	for _, w := range t.peers.EntryReports() {
 		for _, l := range w.Loads {
 			p := pools[l.Service]
 			d := sum[p]
 			d.Busy += l.Busy
 			d.Queued += l.Queued
-			d.Arrivals += l.Arrivals * t.tick.Seconds()
-			d.Done += l.Done * t.tick.Seconds()
+			d.Arrivals += l.ArrivalsPerSecond * t.tick.Seconds()
+			d.Done += l.AnswersPerSecond * t.tick.Seconds()
 			sum[p] = d
 		}
 	}
--- a/node/steer/steer.go
+++ b/node/steer/steer.go
@@ -32,39 +32,39 @@
 	Held() (keyval.Revision, bool)
 }
 
-// Documents returns the operators' configuration that is in force.
-type Documents interface {
+// ConfigSource returns the operators' configuration that is in force.
+type ConfigSource interface {
 	Document() *conf.Document
 }
 
 // Peers returns the newest report of each entry of the data centre, including this one.
 type Peers interface {
-	Words() []Word
+	EntryReports() []EntryReport
 }
 
-// Word is the last report of one entry.
-type Word struct {
-	Entry   string
-	At      time.Time // when the report was received
-	Quits   []Quit
-	Failing []string // VMs that fail every request of the entry
-	Loads   []Load
-	Numbers []int64 // version of each membership shard in the entry's view
+// EntryReport is the last report of one entry.
+type EntryReport struct {
+	Entry         string
+	ReceivedAt    time.Time // when the report was received
+	Drained       []DrainedVM
+	Failing       []string // VMs that fail every request of the entry
+	Loads         []Load
+	ShardVersions []int64 // version of each membership shard in the entry's view
 }
 
-// Quit is a VM to which the entry sends no requests and has none in flight.
-type Quit struct {
-	VM     string
-	Number int64 // version of the membership shard that made the entry stop sending
+// DrainedVM is a VM to which the entry sends no requests and has none in flight.
+type DrainedVM struct {
+	VM           string
+	ShardVersion int64 // version of the membership shard that made the entry stop sending
 }
 
 // Load is the use of one service's slots at one entry.
 type Load struct {
-	Service  string
-	Busy     float64
-	Queued   float64
-	Arrivals float64 // requests per second
-	Done     float64 // answers per second
+	Service           string
+	Busy              float64
+	Queued            float64
+	ArrivalsPerSecond float64 // requests per second
+	AnswersPerSecond  float64 // answers per second
 }
 
 // Loop is the control loop that an entry runs while it leads its data centre.
@@ -74,9 +74,9 @@
 	store            keyval.Store
 	platform         hosts.Platform
 	leadership       Leadership
-	config           Documents
+	config           ConfigSource
 	peers            Peers
-	views            *view.Shelf
+	views            *view.Holder
 	log              zerolog.Logger
 	tick             time.Duration
 	entry            string
@@ -96,14 +96,14 @@
 // WithLogger sets the logger.
 func WithLogger(z zerolog.Logger) Option { return func(l *Loop) { l.log = z } }
 
-// WithGone sets the function that receives the entries whose VMs are gone, after each read of the platform's list.
-func WithGone(f func(entries []string)) Option { return func(l *Loop) { l.onGone = f } }
+// WithOnEntriesGone sets the function that receives the entries whose VMs are gone, after each read of the platform's list.
+func WithOnEntriesGone(f func(entries []string)) Option { return func(l *Loop) { l.onGone = f } }
 
-// WithOthers names the other data centres. The loop reads their leader keys to find out whether they have a leader.
-func WithOthers(names []string) Option { return func(l *Loop) { l.otherDataCentres = names } }
+// WithOtherDataCentres names the other data centres. The loop reads their leader keys to find out whether they have a leader.
+func WithOtherDataCentres(names []string) Option { return func(l *Loop) { l.otherDataCentres = names } }
 
 // New returns the control loop of the entry in the data centre.
-func New(dataCentre, entry string, s keyval.Store, p hosts.Platform, a Leadership, d Documents, w Peers, v *view.Shelf, opts ...Option) *Loop {
+func New(dataCentre, entry string, s keyval.Store, p hosts.Platform, a Leadership, d ConfigSource, w Peers, v *view.Holder, opts ...Option) *Loop {
 	l := &Loop{
 		dataCentre: dataCentre, entry: entry, store: s, platform: p, leadership: a, config: d, peers: w, views: v,
 		log: zerolog.Nop(), tick: defaultTick, onGone: func([]string) {}, wake: make(chan struct{}, 1),
--- a/node/view/holder.go
+++ b/node/view/holder.go
@@ -11,26 +11,26 @@
 // keptDeltas is the number of past versions from which a delta can be computed.
 const keptDeltas = 16
 
-// Shelf holds the newest view and the past versions that deltas are computed from. It is safe for concurrent use.
-type Shelf struct {
+// Holder holds the newest view and the past versions that deltas are computed from. It is safe for concurrent use.
+type Holder struct {
 	current atomic.Pointer[View]
 	mu      sync.Mutex
 	past    []*View
 	changed chan struct{}
 }
 
-// NewShelf starts with an empty view.
-func NewShelf() *Shelf {
-	s := &Shelf{changed: make(chan struct{})}
+// NewHolder starts with an empty view.
+func NewHolder() *Holder {
+	s := &Holder{changed: make(chan struct{})}
 	s.current.Store(New(Version{}, nil))
 	return s
 }
 
 // View returns the newest view.
-func (s *Shelf) View() *View { return s.current.Load() }
+func (s *Holder) View() *View { return s.current.Load() }
 
 // Offer applies a delta to the newest view. If it returns ErrOld or ErrGap, nothing has changed.
-func (s *Shelf) Offer(d Delta) error {
+func (s *Holder) Offer(d Delta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, err := s.current.Load().Apply(d)
@@ -42,7 +42,7 @@
 }
 
 // Put replaces the newest view. If it returns ErrOld, nothing has changed.
-func (s *Shelf) Put(v *View) error {
+func (s *Holder) Put(v *View) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !v.version.After(s.current.Load().version) {
@@ -53,7 +53,7 @@
 }
 
 // push makes v the newest view and wakes the callers of Wait. The caller holds s.mu.
-func (s *Shelf) push(v *View) {
+func (s *Holder) push(v *View) {
 	s.past = append(s.past, s.current.Load())
 	if n := len(s.past) - keptDeltas; n > 0 {
 		s.past = append(s.past[:0], s.past[n:]...)
@@ -63,9 +63,9 @@
 	s.changed = make(chan struct{})
 }
 
-// Since returns the delta from base to the newest view, or a delta with the whole view if base is no longer kept.
+// DeltaSince returns the delta from base to the newest view, or a delta with the whole view if base is no longer kept.
 // ok is false if base is not older than the newest view.
-func (s *Shelf) Since(base Version) (d Delta, ok bool) {
+func (s *Holder) DeltaSince(base Version) (d Delta, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.current.Load()
@@ -77,11 +77,11 @@
 			return Diff(o, v), true
 		}
 	}
-	return Whole(v), true
+	return FullDelta(v), true
 }
 
 // Wait blocks until the newest view is newer than base, or until ctx is done, and then returns the context's error.
-func (s *Shelf) Wait(ctx context.Context, base Version) error {
+func (s *Holder) Wait(ctx context.Context, base Version) error {
 	for {
 		s.mu.Lock()
 		w := s.changed
--- a/node/view/view.go
+++ b/node/view/view.go
@@ -32,12 +32,12 @@
 
 // Target is one worker VM that requests can be sent to.
 type Target struct {
-	VM      string `json:"vm"`
-	Addr    string `json:"a"`
-	Rack    string `json:"r"`
-	Pool    string `json:"p"`
-	Serving bool   `json:"s"`
-	Number  int64  `json:"n"` // version of the membership shard that brought the target to this state.
+	VM           string `json:"vm"`
+	Addr         string `json:"a"`
+	Rack         string `json:"r"`
+	Pool         string `json:"p"`
+	Serving      bool   `json:"s"`
+	ShardVersion int64  `json:"n"` // version of the membership shard that brought the target to this state.
 }
 
 // View is one version of the targets of a data centre. It is immutable.
@@ -72,21 +72,21 @@
 	return slices.SortedFunc(maps.Values(v.targets), func(a, b Target) int { return strings.Compare(a.VM, b.VM) })
 }
 
-// Same reports whether both views hold the same targets. It ignores their versions.
-func (v *View) Same(o *View) bool { return maps.Equal(v.targets, o.targets) }
+// SameTargets reports whether both views hold the same targets. It ignores their versions.
+func (v *View) SameTargets(o *View) bool { return maps.Equal(v.targets, o.targets) }
 
 // Delta changes a view from one version to a newer one. A whole delta carries all targets and needs no base.
 type Delta struct {
-	Whole bool     `json:"w,omitempty"`
-	Base  Version  `json:"b"`
-	To    Version  `json:"t"`
-	Put   []Target `json:"put,omitempty"`
-	Drop  []string `json:"drop,omitempty"`
+	Full    bool     `json:"w,omitempty"`
+	Base    Version  `json:"b"`
+	To      Version  `json:"t"`
+	Updated []Target `json:"put,omitempty"`
+	Removed []string `json:"drop,omitempty"`
 }
 
-// Whole returns a delta that carries all targets of the view.
-func Whole(v *View) Delta {
-	return Delta{Whole: true, To: v.version, Put: v.Targets()}
+// FullDelta returns a delta that carries all targets of the view.
+func FullDelta(v *View) Delta {
+	return Delta{Full: true, To: v.version, Updated: v.Targets()}
 }
 
 // Diff returns the delta from old to new.
@@ -94,12 +94,12 @@
 	d := Delta{Base: old.version, To: new.version}
 	for _, t := range new.Targets() {
 		if o, ok := old.targets[t.VM]; !ok || o != t {
-			d.Put = append(d.Put, t)
+			d.Updated = append(d.Updated, t)
 		}
 	}
 	for _, t := range old.Targets() {
 		if _, ok := new.targets[t.VM]; !ok {
-			d.Drop = append(d.Drop, t.VM)
+			d.Removed = append(d.Removed, t.VM)
 		}
 	}
 	return d
@@ -110,17 +110,17 @@
 	if !d.To.After(v.version) {
 		return v, ErrOld
 	}
-	if d.Whole {
-		return New(d.To, d.Put), nil
+	if d.Full {
+		return New(d.To, d.Updated), nil
 	}
 	if d.Base != v.version {
 		return v, ErrGap
 	}
 	m := maps.Clone(v.targets)
-	for _, t := range d.Put {
+	for _, t := range d.Updated {
 		m[t.VM] = t
 	}
-	for _, n := range d.Drop {
+	for _, n := range d.Removed {
 		delete(m, n)
 	}
 	return &View{version: d.To, targets: m}, nil
--- a/node/view/view_test.go
+++ b/node/view/view_test.go
@@ -25,7 +25,7 @@
 // the same targets once they have received the newest delta.
 func TestCopiesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		copies := []*Shelf{NewShelf(), NewShelf(), NewShelf()}
+		copies := []*Holder{NewHolder(), NewHolder(), NewHolder()}
 		var sent []Delta
 		var c int64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -36,7 +36,7 @@
 				c++
 				_ = copies[0].Put(draw(t, Version{Fence: 1 + c/7, Count: c}))
 			case 1:
-				if d, ok := copies[0].Since(before); ok {
+				if d, ok := copies[0].DeltaSince(before); ok {
 					sent = append(sent, d)
 				}
 			default:
@@ -49,12 +49,12 @@
 			}
 		}
 		for k, s := range copies[1:] {
-			if d, ok := copies[0].Since(s.View().Version()); ok {
+			if d, ok := copies[0].DeltaSince(s.View().Version()); ok {
 				if err := s.Offer(d); err != nil {
 					t.Fatalf("copy %d refused the newest delta: %v", k+1, err)
 				}
 			}
-			if !s.View().Same(copies[0].View()) {
+			if !s.View().SameTargets(copies[0].View()) {
 				t.Fatalf("copy %d differs from the leader's after the newest delta", k+1)
 			}
 		}
@@ -66,6 +66,6 @@
 	v := New(Version{1, 1}, []Target{{VM: "a"}})
 	_, err := v.Apply(Delta{Base: Version{1, 2}, To: Version{1, 3}})
 	i.True(errors.Is(err, ErrGap))
-	_, err = v.Apply(Delta{Whole: true, To: Version{1, 1}})
+	_, err = v.Apply(Delta{Full: true, To: Version{1, 1}})
 	i.True(errors.Is(err, ErrOld))
 }
