--- a/bench/slope/size.go
+++ b/bench/slope/size.go
@@ -26,8 +26,8 @@
 	rosterWait   = 30.0   // seconds; node/relay/roster.go rosterWatchFor
 	rosterRound  = 67.5   // seconds, the mean; node/relay/roster.go othersEvery
 	renewParts   = 3.0    // plat/lease/model.go
-	watchTicks   = 2.0    // node/steer/read.go watchWait
-	unheardTicks = 2.0    // node/steer/read.go listen
+	watchTicks   = 2.0    // node/leader/read.go watchWait
+	unheardTicks = 2.0    // node/leader/read.go listen
 	keptLog      = 1000.0 // changes; plat/conf/log.go DefaultTail
 	snapEvery    = 500.0  // plat/conf/compact.go SnapEvery
 	holdersOfKey = 2.0    // flow/ledger
--- a/bench/slopes/lead.go
+++ b/bench/slopes/lead.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"burdockreach.dev/node/steer"
+	"burdockreach.dev/node/leader"
 	"burdockreach.dev/node/view"
 	"burdockreach.dev/plat/conf"
 	"burdockreach.dev/plat/hosts"
@@ -57,12 +57,12 @@
 // talk is the word of as many entries, each with the use of every service.
 type talk int
 
-func (n talk) EntryReports() []steer.EntryReport {
-	l := make([]steer.EntryReport, n)
+func (n talk) EntryReports() []leader.EntryReport {
+	l := make([]leader.EntryReport, n)
 	for i := range l {
-		l[i] = steer.EntryReport{Entry: fmt.Sprint("entry-", i), ReceivedAt: time.Now()}
+		l[i] = leader.EntryReport{Entry: fmt.Sprint("entry-", i), ReceivedAt: time.Now()}
 		for s := range pools {
-			l[i].Loads = append(l[i].Loads, steer.Load{Service: serviceName(s), Busy: 3, ArrivalsPerSecond: 40})
+			l[i].Loads = append(l[i].Loads, leader.Load{Service: serviceName(s), Busy: 3, ArrivalsPerSecond: 40})
 		}
 	}
 	return l
@@ -106,7 +106,7 @@
 // rule starts a leader over the platform's VMs.
 func rule(s keyval.Store, p hosts.Platform, h *conf.Holder) *term {
 	t := &term{shelf: view.NewHolder()}
-	l := steer.New(home, "entry-0", s, p, alwaysLeads{}, h, talk(talkers), t.shelf, steer.WithTick(leaderTick), steer.WithOtherDataCentres(dataCentres[1:]))
+	l := leader.New(home, "entry-0", s, p, alwaysLeads{}, h, talk(talkers), t.shelf, leader.WithTick(leaderTick), leader.WithOtherDataCentres(dataCentres[1:]))
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.group.Go(func() error { return l.Run(ctx) })
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -13,10 +13,10 @@
 	"burdockreach.dev/flow/ledger"
 	"burdockreach.dev/node/burn"
 	"burdockreach.dev/node/entry"
+	"burdockreach.dev/node/leader"
 	"burdockreach.dev/node/oper"
 	"burdockreach.dev/node/relay"
 	"burdockreach.dev/node/setup"
-	"burdockreach.dev/node/steer"
 	"burdockreach.dev/node/view"
 	"burdockreach.dev/plat/conf"
 	"burdockreach.dev/plat/hosts"
@@ -47,7 +47,7 @@
 	views     *view.Holder
 	gossip    *gossip
 	entry     *entry.Entry
-	loop      *steer.Loop
+	loop      *leader.Loop
 	burn      *burn.Meter
 	jobs      *jobRunner
 	slotLoans *slotLoans
@@ -62,7 +62,7 @@
 	d.committer = conf.NewCommitter(d.store, d.conf, conf.WithCatchUp(d.catchUp))
 	d.self = ledger.Member{Entry: s.Name(), Addr: s.PeerAddr(), Incarnation: time.Now().UnixNano()}
 	d.burn = burn.NewMeter(s.Name(), s.DataCentre(), time.Now())
-	d.lease = lease.New(d.store, steer.LeaderKey(s.DataCentre()), instanceName(d.self), lease.WithTTL(s.LeaderLease()))
+	d.lease = lease.New(d.store, leader.Key(s.DataCentre()), instanceName(d.self), lease.WithTTL(s.LeaderLease()))
 	d.initRelay()
 	d.initEntry()
 	return d
@@ -88,9 +88,9 @@
 	d.entry = entry.New(s, d.log, d.conf, d.views,
 		entry.WithKeys(keyClaimer{d.keeper}), entry.WithSelf(instanceName(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.hasPlace),
 		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.Kick))
-	d.loop = steer.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
-		steer.WithTick(s.Tick()), steer.WithLogger(d.log), steer.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
-		steer.WithOnEntriesGone(d.keeper.Gone))
+	d.loop = leader.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
+		leader.WithTick(s.Tick()), leader.WithLogger(d.log), leader.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
+		leader.WithOnEntriesGone(d.keeper.Gone))
 	d.jobs = newRunner(d)
 }
 
--- a/node/daemon/gossip.go
+++ b/node/daemon/gossip.go
@@ -9,8 +9,8 @@
 	"burdockreach.dev/fleet/pool"
 	"burdockreach.dev/flow/sched"
 	"burdockreach.dev/node/entry"
+	"burdockreach.dev/node/leader"
 	"burdockreach.dev/node/relay"
-	"burdockreach.dev/node/steer"
 	"burdockreach.dev/node/view"
 	"burdockreach.dev/plat/conf"
 )
@@ -204,10 +204,10 @@
 // hasLeader reports whether leader finds an entry that leads the data centre.
 func (n *gossip) hasLeader() bool { return n.leader() != "" }
 
-// EntryReports implements steer.Peers.
-func (n *gossip) EntryReports() []steer.EntryReport {
+// EntryReports implements leader.Peers.
+func (n *gossip) EntryReports() []leader.EntryReport {
 	now := time.Now()
-	l := []steer.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
+	l := []leader.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
 	for _, p := range n.d.beater.Heard() {
 		e := p.Address().Entry()
 		n.mu.Lock()
@@ -216,9 +216,9 @@
 		if !ok || now.Sub(h.receivedAt) > reportMaxAge {
 			continue
 		}
-		w := steer.EntryReport{Entry: e, ReceivedAt: h.receivedAt, Drained: drainedVMs(h.Drained), Failing: p.Failing(), ShardVersions: h.ShardVersions}
+		w := leader.EntryReport{Entry: e, ReceivedAt: h.receivedAt, Drained: drainedVMs(h.Drained), Failing: p.Failing(), ShardVersions: h.ShardVersions}
 		for _, s := range p.Loads() {
-			w.Loads = append(w.Loads, steer.Load{
+			w.Loads = append(w.Loads, leader.Load{
 				Service: s.GetService(), Busy: float64(s.GetBusy()), Queued: float64(s.GetQueued()), ArrivalsPerSecond: s.GetArrivals(), AnswersPerSecond: s.GetDone(),
 			})
 		}
@@ -228,19 +228,19 @@
 }
 
 // ownLoads returns this entry's loads in the leader's form.
-func (n *gossip) ownLoads() []steer.Load {
-	var l []steer.Load
+func (n *gossip) ownLoads() []leader.Load {
+	var l []leader.Load
 	for s, o := range n.d.entry.Loads() {
-		l = append(l, steer.Load{Service: s, Busy: float64(o.Busy()), Queued: float64(queued(o)), ArrivalsPerSecond: o.Arrivals(), AnswersPerSecond: o.Goodput()})
+		l = append(l, leader.Load{Service: s, Busy: float64(o.Busy()), Queued: float64(queued(o)), ArrivalsPerSecond: o.Arrivals(), AnswersPerSecond: o.Goodput()})
 	}
 	return l
 }
 
 // drainedVMs converts the entry's list of drained VMs to the leader's form.
-func drainedVMs(l []entry.Quit) []steer.DrainedVM {
-	r := make([]steer.DrainedVM, 0, len(l))
+func drainedVMs(l []entry.Quit) []leader.DrainedVM {
+	r := make([]leader.DrainedVM, 0, len(l))
 	for _, q := range l {
-		r = append(r, steer.DrainedVM{VM: q.VM, ShardVersion: q.Number})
+		r = append(r, leader.DrainedVM{VM: q.VM, ShardVersion: q.Number})
 	}
 	return slices.Clip(r)
 }
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -11,8 +11,8 @@
 	"burdockreach.dev/flow/ledger"
 	"burdockreach.dev/flow/share"
 	"burdockreach.dev/node/entry"
+	"burdockreach.dev/node/leader"
 	"burdockreach.dev/node/relay"
-	"burdockreach.dev/node/steer"
 	"burdockreach.dev/plat/conf"
 )
 
@@ -129,7 +129,7 @@
 		}
 		x, cancel := context.WithTimeout(ctx, probeInterval)
 		defer cancel()
-		_, err := s.d.store.Get(x, steer.LeaderKey(s.d.settings.DataCentre()))
+		_, err := s.d.store.Get(x, leader.Key(s.d.settings.DataCentre()))
 		s.platformDown.Store(err != nil)
 	})
 }
--- a/node/steer/steer.go
+++ b/node/leader/loop.go
@@ -1,4 +1,4 @@
-package steer
+package leader
 
 import (
 	"context"
@@ -187,7 +187,7 @@
 }
 
 // errTermOver ends the term after the leader's lease is lost.
-var errTermOver = eris.New("steer: leader lease lost")
+var errTermOver = eris.New("leader: lease lost")
 
 // decide runs the term's main loop. Only its goroutine uses the planner and the sizer.
 func (t *term) decide(ctx context.Context) error {
--- a/node/steer/read.go
+++ b/node/leader/read.go
@@ -1,4 +1,4 @@
-package steer
+package leader
 
 import (
 	"context"
@@ -177,7 +177,7 @@
 	var missing []string
 	for _, n := range t.otherDataCentres {
 		x, cancel := context.WithTimeout(ctx, callTimeout)
-		i, err := t.store.Get(x, LeaderKey(n))
+		i, err := t.store.Get(x, Key(n))
 		cancel()
 		if err != nil || !i.Found() {
 			missing = append(missing, n)
@@ -186,8 +186,8 @@
 	return missing
 }
 
-// LeaderKey returns the key under which the data centre's leader holds its lease.
-func LeaderKey(dataCentre string) string { return "dc/" + dataCentre + "/leader" }
+// Key returns the key under which the data centre's leader holds its lease.
+func Key(dataCentre string) string { return "dc/" + dataCentre + "/leader" }
 
 // updatePolicy passes a changed configuration to the planner and the sizer.
 func (t *term) updatePolicy(at time.Time) {
--- a/node/steer/stats.go
+++ b/node/leader/stats.go
@@ -1,4 +1,4 @@
-package steer
+package leader
 
 import (
 	"burdockreach.dev/fleet/pool"
