--- a/flow/queue/example_test.go
+++ b/flow/queue/example_test.go
@@ -11,7 +11,7 @@
 	q := queue.New[string]()
 	q.SetSlots(0, 1)
 	q.Started(queue.Normal)
-	q.Finished(queue.Normal, time.Second) // a run takes a second
+	q.Finished(queue.Normal, time.Second) // the service time is one second
 	q.Push(0, queue.Background, time.Hour, "ledger")
 	q.Push(0, queue.Normal, 10*time.Second, "order")
 	q.Push(0, queue.Urgent, 10*time.Second, "hardship grant")
--- a/flow/queue/learn.go
+++ b/flow/queue/learn.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	learnGain  = 1.0 / 64         // of a sample, once there are that many
-	rateTime   = 2.0              // seconds over which arrivals are averaged
-	settleStep = time.Millisecond // between two settlements of a rate
-	longTime   = 60.0             // seconds over which they, and slots, are averaged for entries that can wait
+	learnGain  = 1.0 / 64         // least weight of a new sample, reached at 64 samples
+	rateTime   = 2.0              // time constant of the recent arrival rate
+	settleStep = time.Millisecond // least time between two decays of a rate
+	longTime   = 60.0             // time constant of the averages for background requests, which can wait
 )
 
-// times learns the mean and the mean deviation of service times.
+// times tracks the moving mean and mean deviation of service times.
 type times struct {
 	mean, dev float64 // seconds
 	n         int
@@ -30,7 +30,7 @@
 	t.mean += g * (x - t.mean)
 }
 
-// level learns the mean of a value that changes in steps.
+// level tracks the moving time average of a value that changes in steps.
 type level struct {
 	value, mean float64
 	at          time.Duration
@@ -47,9 +47,9 @@
 	l.value, l.at = x, now
 }
 
-// rate learns how many events a second come.
+// rate tracks the rate of events, recently and over the long term.
 type rate struct {
-	perSecond, long float64
+	perSecond, long float64 // events per second
 	at              time.Duration
 }
 
@@ -59,6 +59,7 @@
 	r.long += 1 / longTime
 }
 
+// settle decays the rates for the time that has passed.
 func (r *rate) settle(now time.Duration) {
 	if now-r.at < settleStep {
 		return
--- a/flow/queue/line.go
+++ b/flow/queue/line.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Handle names a waiting entry; it is valid until the entry leaves the queue.
+// Handle identifies a waiting request; it is valid until the request leaves the queue.
 type Handle int32
 
-// None is the Handle of nothing.
+// None is the Handle that refers to no request.
 const None Handle = 0
 
-// node is a place in a treap that is ordered by deadline and arrival; 0 stands for no node.
+// node is a node of a treap that is ordered by deadline, then arrival. Index 0 means no node.
 type node[V any] struct {
 	deadline    time.Duration
-	spare       time.Duration // bound of the margin for a long service time
+	spare       time.Duration // limit of the margin for a long service time
 	seq         uint64
-	heap        uint32
-	size        int32
+	heap        uint32 // random; higher ones are nearer the root
+	size        int32  // nodes in the subtree
 	left, right Handle
 	class       Class
 	v           V
 }
 
-// slab holds the nodes of all lines.
+// slab holds the nodes of all treaps, one treap for each class, and reuses freed ones.
 type slab[V any] struct {
 	nodes []node[V]
-	free  Handle // list linked by left
-	state uint32
+	free  Handle // first free node; free nodes are linked by left
+	state uint32 // of the xorshift generator for priorities
 	seq   uint64
 }
 
@@ -58,18 +58,19 @@
 	return s.nodes[h].size
 }
 
+// sum recomputes the size of h from its children.
 func (s *slab[V]) sum(h Handle) {
 	n := &s.nodes[h]
 	n.size = 1 + s.size(n.left) + s.size(n.right)
 }
 
-// before orders two nodes by deadline, then by arrival.
+// before reports whether a is ordered before b: by deadline, then by arrival.
 func (s *slab[V]) before(a, b Handle) bool {
 	x, y := &s.nodes[a], &s.nodes[b]
 	return x.deadline < y.deadline || x.deadline == y.deadline && x.seq < y.seq
 }
 
-// merge joins two treaps, all of a before all of b.
+// merge joins two treaps; every node of a must be ordered before every node of b.
 func (s *slab[V]) merge(a, b Handle) Handle {
 	switch {
 	case a == None:
@@ -86,7 +87,7 @@
 	return b
 }
 
-// split parts a treap into what goes before h and the rest.
+// split divides a treap into the nodes before h and the rest.
 func (s *slab[V]) split(t, h Handle) (a, b Handle) {
 	if t == None {
 		return None, None
@@ -121,7 +122,7 @@
 	return t
 }
 
-// remove takes h, which is in it, out of the treap t and returns the new root.
+// remove removes h from the treap t, which must contain it, and returns the new root.
 func (s *slab[V]) remove(t, h Handle) Handle {
 	if t == h {
 		return s.merge(s.nodes[t].left, s.nodes[t].right)
@@ -149,7 +150,7 @@
 	return t
 }
 
-// rank returns the number of nodes whose deadline is not after d.
+// rank returns the number of nodes whose deadline is d or earlier.
 func (s *slab[V]) rank(t Handle, d time.Duration) int {
 	k := 0
 	for t != None {
--- a/flow/queue/queue.go
+++ b/flow/queue/queue.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// Class orders entries; a lower value goes first.
+// Class is the priority class of a request; a lower value is served first.
 type Class uint8
 
 const (
-	// Urgent entries go first.
+	// Urgent requests are served first.
 	Urgent Class = iota
-	// Normal entries go after urgent ones.
+	// Normal requests are served after urgent ones.
 	Normal
-	// Background entries go last, but before their deadline.
+	// Background requests are served last, but get reserved slots in time to meet their deadlines.
 	Background
 
 	classes = 3
 )
 
 const (
-	defaultBound  = 1 << 16                // entries
-	sweepEvery    = 100 * time.Millisecond // and longer for long queues
-	sweepScale    = 4096                   // entries that double the time between sweeps
-	marginDevs    = 5                      // mean deviations kept for a service time that is longer than the mean
-	marginShare   = 0.25                   // of the time from arrival to deadline that the margin may take
-	reserveGrowth = 1.5                    // of the slots that background entries need to be in time
-	minSlots      = 0.5                    // that are taken for free of other classes' work
+	defaultBound  = 1 << 16                // requests
+	sweepEvery    = 100 * time.Millisecond // minimum; longer queues are swept less often
+	sweepScale    = 4096                   // queue length that doubles the interval
+	marginDevs    = 5                      // safety margin for long service times, in mean deviations
+	marginShare   = 0.25                   // limit of the margin, as a share of the time from arrival to deadline
+	reserveGrowth = 1.5                    // reserve, as a multiple of the slots that background requests need to be in time
+	minSlots      = 0.5                    // least number of slots assumed to be available to a class
 )
 
-// Queue holds the waiting entries of one service; it is not safe for concurrent use.
+// Queue holds the waiting requests of one service. It is not safe for concurrent use.
 type Queue[V any] struct {
 	s        *slab[V]
 	roots    [classes]Handle
 	bound    int
 	slots    int
-	share    level // of slots
+	share    level // average number of slots
 	running  [classes]int
 	learned  [classes]times
-	all      times
-	urgents  rate
-	reserve  int // slots that background entries need
+	all      times // of all classes together
+	urgents  rate  // arrivals of urgent requests
+	reserve  int   // slots reserved for background requests
 	nextWalk time.Duration
 	dropped  []Drop[V]
 	hopeless []Handle
 }
 
-// Drop is an entry that was shed; Late means that its deadline has passed, else it could not be met.
+// Drop is a request that was shed because its deadline had passed or could not be met, or to make room for a higher class.
 type Drop[V any] struct {
 	v    V
 	late bool
 }
 
-// Value returns the entry's value.
+// Value returns the value that was queued.
 func (d Drop[V]) Value() V { return d.v }
 
-// Late reports whether the deadline has passed.
+// Late reports whether the deadline had passed when the request was shed.
 func (d Drop[V]) Late() bool { return d.late }
 
-// Option changes the settings of a Queue at its making.
+// Option configures a Queue.
 type Option func(*settings)
 
 type settings struct{ bound int }
 
-// WithBound sets how many entries may wait.
+// WithBound sets how many requests may wait.
 func WithBound(n int) Option { return func(s *settings) { s.bound = n } }
 
 // New returns an empty Queue without slots.
@@ -72,7 +72,7 @@
 	return &Queue[V]{s: newSlab[V](), bound: c.bound}
 }
 
-// SetSlots sets the number of slots that serve this queue, busy ones included.
+// SetSlots sets the number of slots that serve this queue, including busy ones.
 func (q *Queue[V]) SetSlots(now time.Duration, n int) {
 	if n != q.slots {
 		q.slots = n
@@ -80,7 +80,7 @@
 	}
 }
 
-// Len returns the number of entries of all classes.
+// Len returns the number of waiting requests of all classes.
 func (q *Queue[V]) Len() int {
 	n := 0
 	for c := range q.roots {
@@ -89,29 +89,30 @@
 	return n
 }
 
-// Waiting returns the number of entries of class c.
+// Waiting returns the number of waiting requests of class c.
 func (q *Queue[V]) Waiting(c Class) int { return int(q.s.size(q.roots[c])) }
 
-// Pressing returns the number of entries that should not wait: urgent and normal ones, and the background ones that the reserve is for.
+// Pressing returns the number of waiting requests that should start at once: urgent and normal ones, and as many
+// background ones as the unused part of the reserve can serve.
 func (q *Queue[V]) Pressing() int {
 	b := min(q.Waiting(Background), q.reserve-q.running[Background])
 	return q.Waiting(Urgent) + q.Waiting(Normal) + max(0, b)
 }
 
-// Yielding returns the number of background entries that run beyond the reserve.
+// Yielding returns the number of running background requests in excess of the reserve.
 func (q *Queue[V]) Yielding() int { return max(0, q.running[Background]-q.reserve) }
 
-// Arrived counts a request of class c, queued or not.
+// Arrived records the arrival of a request of class c, whether it is queued or not.
 func (q *Queue[V]) Arrived(now time.Duration, c Class) {
 	if c == Urgent {
 		q.urgents.add(now)
 	}
 }
 
-// Started counts a request of class c that took a slot.
+// Started records that a request of class c took a slot.
 func (q *Queue[V]) Started(c Class) { q.running[c]++ }
 
-// Finished counts a request of class c that gave its slot back, and learns its service time if took is positive.
+// Finished records that a request of class c released its slot, and its service time if took is positive.
 func (q *Queue[V]) Finished(c Class, took time.Duration) {
 	q.running[c]--
 	if took > 0 {
@@ -120,11 +121,12 @@
 	}
 }
 
-// Mean returns the learned service time of all classes, 0 if there is none yet.
+// Mean returns the mean service time of all classes, or 0 if none has been recorded yet.
 func (q *Queue[V]) Mean() time.Duration { return seconds(q.all.mean) }
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
+// times returns the service times of class c, or those of all classes while c has none.
 func (q *Queue[V]) times(c Class) *times {
 	if q.learned[c].n > 0 {
 		return &q.learned[c]
@@ -132,25 +134,26 @@
 	return &q.all
 }
 
-// need returns the time that an entry should have left when it starts, with a margin of at most spare.
-func (q *Queue[V]) need(c Class, spare time.Duration) time.Duration {
+// need returns the time that a request must have left before its deadline when it starts: the mean service time and a
+// margin of at most maxMargin.
+func (q *Queue[V]) need(c Class, maxMargin time.Duration) time.Duration {
 	t := q.times(c)
-	return seconds(t.mean) + min(seconds(marginDevs*t.dev), spare)
+	return seconds(t.mean) + min(seconds(marginDevs*t.dev), maxMargin)
 }
 
-// spareOf returns the most that the margin may take of the time to the deadline.
+// spareOf returns the largest margin for a request that has the given time left until its deadline.
 func spareOf(left time.Duration) time.Duration { return time.Duration(marginShare * float64(left)) }
 
-// forUrgent returns the slots that urgent requests keep busy, of late or in the long run.
-func (q *Queue[V]) forUrgent(now time.Duration, long bool) float64 {
+// forUrgent returns the average number of slots that urgent requests keep busy, recently or over the long term.
+func (q *Queue[V]) forUrgent(now time.Duration, longTerm bool) float64 {
 	q.urgents.settle(now)
-	if long {
+	if longTerm {
 		return q.urgents.long * q.times(Urgent).mean
 	}
 	return q.urgents.perSecond * q.times(Urgent).mean
 }
 
-// slotsFor returns the slots that a class can count on.
+// slotsFor returns the number of slots assumed to be available to a class.
 func (q *Queue[V]) slotsFor(now time.Duration, c Class) float64 {
 	n := float64(q.slots)
 	switch c {
@@ -163,29 +166,30 @@
 	return max(n, minSlots)
 }
 
-// Wait estimates how long an entry of class c waits that has the given number of its class before it.
-func (q *Queue[V]) Wait(now time.Duration, c Class, before int) time.Duration {
-	w := float64(before+1) * q.times(c).mean / q.slotsFor(now, c)
+// Wait estimates how long a request of class c waits if the given number of requests of its class are ahead of it.
+func (q *Queue[V]) Wait(now time.Duration, c Class, ahead int) time.Duration {
+	w := float64(ahead+1) * q.times(c).mean / q.slotsFor(now, c)
 	if c != Urgent {
 		w += float64(q.Waiting(Urgent)) * q.times(Urgent).mean / max(float64(q.slots), minSlots)
 	}
 	return seconds(w)
 }
 
-// Push adds an entry if it can be answered by its deadline; else it returns None and how much too long the wait is.
+// Push adds a request if it can be answered by its deadline. Otherwise it returns None and by how much the estimated
+// completion exceeds the deadline, or the estimated wait if the queue is full.
 func (q *Queue[V]) Push(now time.Duration, c Class, deadline time.Duration, v V) (Handle, time.Duration) {
 	left := deadline - now
-	before := q.s.rank(q.roots[c], deadline)
-	if over := q.Wait(now, c, before) + q.need(c, spareOf(left)) - left; over > 0 && (q.roots[c] != None || left <= 0) {
-		return None, over
+	ahead := q.s.rank(q.roots[c], deadline)
+	if excess := q.Wait(now, c, ahead) + q.need(c, spareOf(left)) - left; excess > 0 && (q.roots[c] != None || left <= 0) {
+		return None, excess
 	}
 	if q.Len() >= q.bound && !q.evict(now, c) {
-		return None, q.Wait(now, c, before)
+		return None, q.Wait(now, c, ahead)
 	}
 	return q.put(now, c, deadline, v), 0
 }
 
-// PushBack adds an entry whatever its chances; it is for requests that were let in before.
+// PushBack adds a request without checking its deadline or the queue's limit. It is for requests that were admitted before.
 func (q *Queue[V]) PushBack(now time.Duration, c Class, deadline time.Duration, v V) Handle {
 	return q.put(now, c, deadline, v)
 }
@@ -196,7 +200,7 @@
 	return h
 }
 
-// evict drops the last entry of the lowest class below c, to make room.
+// evict sheds the last request of the lowest class below c to make room, and reports whether there was one.
 func (q *Queue[V]) evict(now time.Duration, c Class) bool {
 	for k := Background; k > c; k-- {
 		if h := q.s.last(q.roots[k]); h != None {
@@ -213,21 +217,22 @@
 	q.Remove(h)
 }
 
-// Remove takes an entry out.
+// Remove removes a waiting request.
 func (q *Queue[V]) Remove(h Handle) {
 	c := q.s.nodes[h].class
 	q.roots[c] = q.s.remove(q.roots[c], h)
 	q.s.drop(h)
 }
 
-// Dropped returns what was shed since it was last called; the slice is reused.
+// Dropped returns the requests that were shed since the last call; the next sheds reuse the slice.
 func (q *Queue[V]) Dropped() []Drop[V] {
 	d := q.dropped
 	q.dropped = q.dropped[:0]
 	return d
 }
 
-// Pop takes out the entry to start next. It takes only an urgent one if urgentOnly, and sheds those that it finds hopeless.
+// Pop removes and returns the request to start next, with urgentOnly only an urgent one. It sheds requests on the way
+// that can no longer meet their deadline.
 func (q *Queue[V]) Pop(now time.Duration, urgentOnly bool) (v V, ok bool) {
 	for {
 		c := q.class(urgentOnly)
@@ -247,7 +252,7 @@
 	}
 }
 
-// class returns the class to serve next, or classes if nothing may be served.
+// class returns the class to serve next, or the constant classes if nothing may be served.
 func (q *Queue[V]) class(urgentOnly bool) Class {
 	switch {
 	case q.roots[Urgent] != None:
@@ -264,7 +269,8 @@
 	return classes
 }
 
-// Sweep sheds the entries that can no longer be answered in time and sets the reserve; it does nothing if it did so lately.
+// Sweep sheds the requests that can no longer be answered in time and updates the reserve for background requests. It
+// does nothing if the sweep interval has not passed.
 func (q *Queue[V]) Sweep(now time.Duration) {
 	if now < q.nextWalk {
 		return
@@ -275,19 +281,20 @@
 	}
 }
 
+// sweep estimates the wait of each request of class c in order, counting only the requests before it that are kept.
 func (q *Queue[V]) sweep(now time.Duration, c Class) {
 	mean := q.times(c).mean
-	each := mean / q.slotsFor(now, c)
-	ahead := 0.0
+	perRequest := mean / q.slotsFor(now, c)
+	urgentWait := 0.0
 	if c != Urgent {
-		ahead = float64(q.Waiting(Urgent)) * q.times(Urgent).mean / max(float64(q.slots), minSlots)
+		urgentWait = float64(q.Waiting(Urgent)) * q.times(Urgent).mean / max(float64(q.slots), minSlots)
 	}
 	kept, reserve := 0.0, 0.0
 	q.hopeless = q.hopeless[:0]
 	q.s.walk(q.roots[c], func(h Handle) {
 		n := &q.s.nodes[h]
 		left, need := n.deadline-now, q.need(c, n.spare)
-		if left <= 0 || kept+ahead > 0 && seconds(ahead+kept*each)+need > left {
+		if left <= 0 || kept+urgentWait > 0 && seconds(urgentWait+kept*perRequest)+need > left {
 			q.hopeless = append(q.hopeless, h)
 			return
 		}
--- a/flow/queue/queue_test.go
+++ b/flow/queue/queue_test.go
@@ -22,10 +22,12 @@
 	handle   queue.Handle
 }
 
+// order compares entries in the order in which the queue must serve them.
 func order(a, b entry) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 }
 
+// TestSameOrderAsSortedSlice checks random pushes, removals and pops against a sorted slice.
 func TestSameOrderAsSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, id := queue.New[int](), 0
@@ -46,18 +48,18 @@
 				slices.SortFunc(l, order)
 				v, ok := q.Pop(0, false)
 				if !ok || v != l[0].id {
-					t.Fatalf("took %d, not %d", v, l[0].id)
+					t.Fatalf("popped request %d, want %d", v, l[0].id)
 				}
 				l = l[1:]
 			}
 			if q.Len() != len(l) {
-				t.Fatalf("%d wait, not %d", q.Len(), len(l))
+				t.Fatalf("%d requests wait, want %d", q.Len(), len(l))
 			}
 		}
 	})
 }
 
-// taught returns a queue with slots that has learned that a run takes d.
+// taught returns a queue with the given slots and a recorded service time of d for each class.
 func taught(slots int, d time.Duration) *queue.Queue[int] {
 	q := queue.New[int]()
 	q.SetSlots(0, slots)
@@ -71,18 +73,18 @@
 }
 
 func TestShedding(t *testing.T) {
-	t.Run("what cannot be in time is refused at once, with an honest excess", func(t *testing.T) {
+	t.Run("a request that cannot be in time is refused with the right excess", func(t *testing.T) {
 		i, q := is.New(t), taught(1, 100*time.Millisecond)
 		for k := range 20 {
 			h, over := q.Push(0, queue.Normal, time.Second, k)
 			i.Equal(h != queue.None, over == 0)
 		}
-		i.True(q.Len() >= 6 && q.Len() <= 9) // of ten runs that fit, some are kept for long ones
+		i.True(q.Len() >= 6 && q.Len() <= 9) // ten would fit by the mean; the margin for long service times takes some
 		_, over := q.Push(0, queue.Normal, time.Second, 99)
 		h, _ := q.Push(0, queue.Normal, time.Second+over+time.Millisecond, 99)
 		i.True(h != queue.None)
 	})
-	t.Run("fewer slots shed the last ones at once", func(t *testing.T) {
+	t.Run("after a loss of slots the next sweep sheds the last requests", func(t *testing.T) {
 		i, q := is.New(t), taught(8, 100*time.Millisecond)
 		for k := range 30 {
 			q.Push(0, queue.Normal, time.Second, k)
@@ -96,7 +98,7 @@
 		i.Equal(d[len(d)-1].Value(), 29)
 		i.True(!d[0].Late())
 	})
-	t.Run("an urgent entry takes the place of the last background one", func(t *testing.T) {
+	t.Run("an urgent request evicts the last background one from a full queue", func(t *testing.T) {
 		i, q := is.New(t), queue.New[int](queue.WithBound(2))
 		q.SetSlots(0, 1)
 		for k := range 3 {
@@ -117,14 +119,15 @@
 	q.Push(0, queue.Urgent, time.Second, 20)
 	q.Push(0, queue.Normal, time.Second, 21)
 	q.Sweep(0)
-	i.Equal(q.Pressing(), 2) // the background entries have time
+	i.Equal(q.Pressing(), 2) // the background requests still have time
 	q.Sweep(9 * time.Second)
 	i.True(q.Pressing() > 2)
 	q.Started(queue.Background)
 	i.Equal(q.Yielding(), 0)
 }
 
-// compete runs background entries against endless normal ones and returns how many ended in time and the normal runs of the first half.
+// compete runs background requests against a steady load of normal ones that takes all slots. It returns the number of
+// background requests that ended in time and the number of normal ones that ended in the first half.
 func compete(q *queue.Queue[int], slots, back int, by time.Duration) (inTime, normal int) {
 	const run = 100 * time.Millisecond
 	for k := range back {
@@ -163,6 +166,6 @@
 func TestBackgroundIsInTimeThoughNormalWorkNeverEnds(t *testing.T) {
 	i := is.New(t)
 	inTime, normal := compete(taught(4, 100*time.Millisecond), 4, 100, 30*time.Second)
-	i.True(inTime >= 99)                  // the last may end at the very deadline
-	i.True(float64(normal) > 0.9*4*10*15) // the reserve is small while the deadline is far
+	i.True(inTime >= 99)                  // the last one may end exactly at the deadline
+	i.True(float64(normal) > 0.9*4*10*15) // the reserve stays small while the deadline is far away
 }
--- a/flow/route/doc.go
+++ b/flow/route/doc.go
@@ -1,7 +1,7 @@
 // Package route chooses the target of each send among those with a free slot.
 //
-// The least loaded target relative to its slots is chosen, spread over racks, in constant time.
-// A target that fails everything is ejected and tried again by one request at a time; a share of the pool always stays in use.
-// A leaving target gets nothing new from the moment it is known.
-// Times are durations since a start that the owner of the Pool chooses.
+// It picks the target with the least load relative to its slots, spread over racks, in constant time.
+// A target that fails repeatedly is ejected and probed with one request at a time; the ejected share of the pool is limited.
+// A target that reports that it is leaving gets no new requests from then on.
+// All times are durations since an instant that the caller chooses.
 package route
--- a/flow/route/judge.go
+++ b/flow/route/judge.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Outcome is what a send told of its target.
+// Outcome is the result of a send, as far as it concerns the target.
 type Outcome uint8
 
 const (
@@ -16,21 +16,22 @@
 	Bad
 	// Full means that the target refused because its slots were taken.
 	Full
-	// Lost means that the target was not heard; it may go on running the request.
+	// Lost means that no answer came; the target may still be running the request.
 	Lost
-	// Mute means that the send tells nothing of the target.
+	// Mute means that the result says nothing about the target.
 	Mute
 )
 
 const (
-	minStreak   = 3    // failures in a row that eject a target of a pool that is well
-	maxStreak   = 20   // and of a pool that fails much
-	chance      = 1e-4 // of ejecting a target that fails no more than the others
-	failingGain = 1.0 / 64
-	minFailing  = 0.02
+	minStreak   = 3        // consecutive failures that eject a target of a healthy pool
+	maxStreak   = 20       // the same for a pool with a high failure rate
+	chance      = 1e-4     // probability of ejecting a target that fails no more than the others
+	failingGain = 1.0 / 64 // weight of a new send in the average
+	minFailing  = 0.02     // least failure rate assumed for the threshold
 )
 
-// Done gives a slot back and learns from the outcome; the slot of a lost request stays taken for the time that it may run on.
+// Done ends a request and updates its target's state by the outcome. It releases the slot at once, except that a lost
+// request keeps its slot for the time runOn, in which it may still be running.
 func (p *Pool) Done(now time.Duration, name string, o Outcome, runOn time.Duration) {
 	i, ok := p.names[name]
 	if !ok || p.nodes[i].outstanding == p.nodes[i].lost {
@@ -58,6 +59,7 @@
 	p.collect(i)
 }
 
+// good ends an ejection and opens one more slot of a target in slow start.
 func (p *Pool) good(i int) {
 	n := &p.nodes[i]
 	p.failing -= p.failing * failingGain
@@ -76,6 +78,7 @@
 	})
 }
 
+// bad ejects a target after too many consecutive failures, or after one in the slow start that follows an ejection.
 func (p *Pool) bad(now time.Duration, i int) {
 	n := &p.nodes[i]
 	n.streak++
@@ -89,13 +92,13 @@
 		}
 		return
 	}
-	slow := n.cap < n.slots && n.backOff > 0
-	if n.streak >= p.tolerated() || slow {
+	slowStart := n.cap < n.slots && n.backOff > 0
+	if n.streak >= p.tolerated() || slowStart {
 		p.eject(now, i)
 	}
 }
 
-// giveBack frees one slot.
+// giveBack releases one slot of a target.
 func (p *Pool) giveBack(i int) {
 	n := &p.nodes[i]
 	p.count(n, -1)
@@ -105,7 +108,7 @@
 	p.relist(i)
 }
 
-// full sends less to a target that refused; one that refuses while it has nothing of ours counts as failing.
+// full limits a target that refused to the requests that it still has from this pool. If it has none, the refusal counts as a failure.
 func (p *Pool) full(now time.Duration, i int) {
 	if p.nodes[i].outstanding == 0 || p.nodes[i].ejected {
 		p.bad(now, i)
@@ -120,7 +123,7 @@
 	node int
 }
 
-// keep remembers a lost request, in the order of time.
+// keep adds a lost request to the list, which is ordered by expiry.
 func (p *Pool) keep(till time.Duration, i int) {
 	k := len(p.lost)
 	for k > 0 && p.lost[k-1].till > till {
@@ -129,7 +132,7 @@
 	p.lost = slices.Insert(p.lost, k, running{till, i})
 }
 
-// Pass lets time go on: slots of lost requests become free.
+// Pass releases the slots of lost requests whose time has run out by now.
 func (p *Pool) Pass(now time.Duration) {
 	k := 0
 	for ; k < len(p.lost) && p.lost[k].till <= now; k++ {
@@ -143,12 +146,14 @@
 	}
 }
 
-// tolerated returns the failures in a row that a target of this pool has by chance.
+// tolerated returns the number of consecutive failures that eject a target: at the pool's failure rate, a target that is
+// no worse than the others reaches it with the probability chance.
 func (p *Pool) tolerated() int {
 	k := math.Log(chance) / math.Log(min(0.9, max(minFailing, p.failing)))
 	return min(maxStreak, max(minStreak, int(math.Ceil(k))))
 }
 
+// eject ejects a target, or marks it as suspect if that would exceed the limit of ejected targets.
 func (p *Pool) eject(now time.Duration, i int) {
 	if float64(p.ejected+1) > p.maxShare*float64(p.usable+p.ejected) {
 		p.change(i, func(n *node) { n.suspect = true })
@@ -159,15 +164,15 @@
 	p.postpone(now, &p.nodes[i])
 }
 
-// postpone sets the next trial of an ejected target, later each time.
+// postpone doubles the backoff of an ejected target and schedules its next probe.
 func (p *Pool) postpone(now time.Duration, n *node) {
 	n.backOff = min(lastBackOff, max(firstBackOff, 2*n.backOff))
 	n.probeAt = now + n.backOff
 	p.nextProbe = min(p.nextProbe, n.probeAt)
 }
 
-// probe returns an ejected target that is due for a trial, or none.
-func (p *Pool) probe(now time.Duration, careful bool) int {
+// probe returns an ejected target that is due for a probe, or none, and finds the time of the next probe.
+func (p *Pool) probe(now time.Duration, delayProbe bool) int {
 	best, next := none, forever
 	for i := range p.nodes {
 		n := &p.nodes[i]
@@ -175,7 +180,7 @@
 			continue
 		}
 		due := n.probeAt
-		if careful {
+		if delayProbe {
 			due += n.backOff
 		}
 		if best == none && due <= now && n.outstanding == 0 {
@@ -193,7 +198,8 @@
 
 const minProbeGap = 50 * time.Millisecond
 
-// Leave stops new work for a target that said that it is leaving, until the list drops it or lists it for some time on.
+// Leave stops new requests to a target that reported that it is leaving. It lasts until the target has been dropped from
+// the list, or for a limited time if the target stays listed.
 func (p *Pool) Leave(now time.Duration, name string) {
 	if i, ok := p.names[name]; ok {
 		p.change(i, func(n *node) { n.leavingTill = now + leavingHold })
@@ -202,7 +208,7 @@
 	}
 }
 
-// keepShare takes ejected targets back into use when too few others are left.
+// keepShare returns ejected targets to use, marked as suspect, while their share exceeds the limit.
 func (p *Pool) keepShare() {
 	for p.ejected > 0 && float64(p.ejected) > p.maxShare*float64(p.usable+p.ejected) {
 		best := none
@@ -220,7 +226,7 @@
 	}
 }
 
-// reopen takes back targets that were said to be leaving long ago and are still listed.
+// reopen returns targets to use that reported long ago that they are leaving and are still listed.
 func (p *Pool) reopen(now time.Duration) {
 	p.nextOpen = forever
 	for i := range p.nodes {
--- a/flow/route/pool.go
+++ b/flow/route/pool.go
@@ -7,11 +7,11 @@
 
 const (
 	levels         = 16 // steps of load, from idle to nearly full
-	look           = 4  // targets of one level that are compared by rack
+	look           = 4  // targets of one level that are compared by the load of their racks
 	defaultEjected = 0.5
 	firstBackOff   = time.Second
 	lastBackOff    = time.Minute
-	leavingHold    = 30 * time.Second // a leaving target that is still listed after it is tried again
+	leavingHold    = 30 * time.Second // a leaving target that is still listed after this time is used again
 	none           = -1
 )
 
@@ -21,54 +21,56 @@
 	slots      int
 }
 
-// NewTarget returns a target in a rack, with the number of requests that may be at it at once.
+// NewTarget returns a target in a rack; slots is the number of requests that it may run at once.
 func NewTarget(name, rack string, slots int) Target {
 	return Target{name: name, rack: rack, slots: slots}
 }
 
-// node is what a Pool knows of a target.
+// node is the state that a Pool keeps of a target.
 type node struct {
 	Target
 	rackID      int
-	outstanding int // lost ones included
-	lost        int
-	cap         int // slots open to it while it starts slowly
+	outstanding int // requests that hold a slot, including lost ones
+	lost        int // requests without an answer that may still be running
+	cap         int // slots that may be used; fewer than slots after a refusal and during slow start
 	listed      bool
 	ejected     bool
-	suspect     bool // would be ejected if the pool were larger
+	suspect     bool // due for ejection, but the ejected share is at its limit
 	probing     bool
-	leavingTill time.Duration
-	streak      int
+	leavingTill time.Duration // 0 unless the target is leaving
+	streak      int           // consecutive failures
 	backOff     time.Duration
 	probeAt     time.Duration
-	level       int // none if it is in no list
-	prev, next  int
+	level       int // index of its list in heads and tails; none if it is in no list
+	prev, next  int // neighbors in that list
 }
 
-// Pool holds the targets of one service at one entry.
+// Pool holds the targets of one service at one entry. It is not safe for concurrent use.
+//
+// Targets with a free slot are kept in linked lists, one for each level of load.
 type Pool struct {
 	nodes     []node
 	names     map[string]int
 	unused    []int
 	racks     map[string]int
-	rackLoad  []int
+	rackLoad  []int // outstanding requests by rack
 	heads     [levels]int
 	tails     [levels]int
-	filled    uint32 // levels that are not empty
+	filled    uint32 // bit set of the levels that are not empty
 	listed    int
 	ejected   int
 	usable    int
 	slots     int // of usable targets
 	free      int // of usable targets
-	busy      int
+	busy      int // requests at targets, without lost ones
 	nextProbe time.Duration
 	nextOpen  time.Duration
-	failing   float64 // share of sends that fail by chance
+	failing   float64 // average share of failed sends; of consecutive failures of a target only the first counts
 	maxShare  float64
 	lost      []running
 }
 
-// Option changes a Pool at its making.
+// Option configures a Pool.
 type Option func(*Pool)
 
 // WithMaxEjected sets the share of the targets that may be ejected at once.
@@ -91,16 +93,16 @@
 
 const forever = time.Duration(1<<63 - 1)
 
-// Free returns the number of slots that are free at targets in use.
+// Free returns the number of free slots at usable targets.
 func (p *Pool) Free() int { return p.free }
 
-// Slots returns the number of slots, free or not, of targets in use.
+// Slots returns the number of slots, free or not, of usable targets.
 func (p *Pool) Slots() int { return p.slots }
 
-// Busy returns the number of requests at targets.
+// Busy returns the number of requests at targets, without lost ones.
 func (p *Pool) Busy() int { return p.busy }
 
-// Taken sets in m the number of slots that are taken at each target, those of lost requests included.
+// Taken sets in m the number of taken slots by target, including those of lost requests. It omits targets without any.
 func (p *Pool) Taken(m map[string]int) {
 	for i := range p.nodes {
 		if n := &p.nodes[i]; n.outstanding > 0 {
@@ -109,13 +111,13 @@
 	}
 }
 
-// Usable returns the number of targets in use.
+// Usable returns the number of targets that are listed, not ejected and not leaving.
 func (p *Pool) Usable() int { return p.usable }
 
-// Listed returns the number of targets that were last set.
+// Listed returns the number of targets in the last Set.
 func (p *Pool) Listed() int { return p.listed }
 
-// Ready reports whether a Pick may find a target.
+// Ready reports whether Pick may find a target.
 func (p *Pool) Ready(now time.Duration) bool {
 	return p.free > 0 || now >= p.nextProbe || now >= p.nextOpen
 }
@@ -123,7 +125,8 @@
 // Ejected returns the number of ejected targets.
 func (p *Pool) Ejected() int { return p.ejected }
 
-// Set replaces the targets; those that stay keep what is known of them, those that go keep their requests until done.
+// Set replaces the list of targets. A target that stays keeps its state; one that is dropped is kept until its requests
+// are done.
 func (p *Pool) Set(now time.Duration, targets []Target) {
 	for i := range p.nodes {
 		if p.nodes[i].listed {
@@ -140,6 +143,7 @@
 	p.keepShare()
 }
 
+// list adds a target or updates the one of the same name, and marks it as listed.
 func (p *Pool) list(now time.Duration, t Target) {
 	i, ok := p.names[t.name]
 	if !ok {
@@ -176,7 +180,7 @@
 	return i
 }
 
-// collect forgets a target that is off the list and has no request.
+// collect removes a target that is not listed and has no outstanding requests.
 func (p *Pool) collect(i int) {
 	n := &p.nodes[i]
 	if n.listed || n.outstanding > 0 || n.name == "" {
@@ -190,14 +194,14 @@
 	p.unused = append(p.unused, i)
 }
 
-// SetSlots replaces the slots of one target; it does nothing if the target is not known.
+// SetSlots changes the number of slots of one target. It does nothing if the target is unknown.
 func (p *Pool) SetSlots(name string, slots int) {
 	if i, ok := p.names[name]; ok && p.nodes[i].slots != slots {
 		p.change(i, func(n *node) { n.resize(slots) })
 	}
 }
 
-// resize opens all slots of a target that is not starting slowly.
+// resize changes the number of slots, and opens all of them unless the target is ejected or some of its slots are closed.
 func (n *node) resize(slots int) {
 	if n.cap >= n.slots && !n.ejected {
 		n.cap = slots
@@ -207,6 +211,7 @@
 
 func (n *node) inUse() bool { return n.listed && !n.ejected && n.leavingTill == 0 }
 
+// limit returns the number of requests that the target may have: at least one while only some of its slots are open.
 func (n *node) limit() int {
 	if n.suspect || n.cap < n.slots {
 		return min(n.slots, max(n.cap, 1))
@@ -214,7 +219,7 @@
 	return n.slots
 }
 
-// change applies f to a target and keeps sums and lists true.
+// change applies f to a target and updates the totals and lists.
 func (p *Pool) change(i int, f func(*node)) {
 	n := &p.nodes[i]
 	p.count(n, -1)
@@ -223,6 +228,7 @@
 	p.relist(i)
 }
 
+// count adds the target to the totals if sign is 1, or subtracts it if sign is -1.
 func (p *Pool) count(n *node, sign int) {
 	if !n.inUse() {
 		return
@@ -232,7 +238,8 @@
 	p.free += sign * max(0, n.limit()-n.outstanding)
 }
 
-// relist moves a target to the end of the list of its level.
+// relist moves a target to the end of the list of its level, or out of all lists if it can take no request. A suspect
+// target goes to the last level, so that it is picked last.
 func (p *Pool) relist(i int) {
 	n := &p.nodes[i]
 	p.unlink(i)
@@ -275,14 +282,14 @@
 	n.level = none
 }
 
-// Pick takes a slot and returns its target. It passes over avoid while another target is in use.
-// A careful request is only slowly made the trial of an ejected target.
-func (p *Pool) Pick(now time.Duration, avoid string, careful bool) (string, bool) {
+// Pick takes a slot and returns its target. It skips the target named avoid while more than one target is usable.
+// A request with delayProbe set becomes the probe of an ejected target only one backoff after the probe is due.
+func (p *Pool) Pick(now time.Duration, avoid string, delayProbe bool) (string, bool) {
 	if now >= p.nextOpen {
 		p.reopen(now)
 	}
 	if now >= p.nextProbe {
-		if i := p.probe(now, careful); i != none {
+		if i := p.probe(now, delayProbe); i != none {
 			return p.take(i), true
 		}
 	}
@@ -294,7 +301,7 @@
 	return "", false
 }
 
-// least returns the target of the level whose rack has the least load, among the first few.
+// least returns, of the first few targets of the level, the one whose rack has the least load.
 func (p *Pool) least(level int, avoid string) int {
 	best := none
 	for i, k := p.heads[level], 0; i != none && k < look; i, k = p.nodes[i].next, k+1 {
--- a/flow/route/pool_test.go
+++ b/flow/route/pool_test.go
@@ -28,7 +28,8 @@
 	p.Set(now, l)
 }
 
-// run sends a request every millisecond of the span, each of 2 ms, and counts sends by target.
+// run sends one request each millisecond from from to to and counts the sends by target. Requests end two sends later,
+// those to bad targets with a failure.
 func run(p *route.Pool, from, to time.Duration, bad func(string) bool) map[string]int {
 	sent := map[string]int{}
 	var out []string
@@ -61,7 +62,7 @@
 }
 
 func TestEjection(t *testing.T) {
-	t.Run("a target that fails everything gets a few requests and then rare trials", func(t *testing.T) {
+	t.Run("a target that fails everything gets a few requests and then rare probes", func(t *testing.T) {
 		i, p := is.New(t), pool(4, 8)
 		n := run(p, 0, time.Second, only("vm-1"))
 		i.True(n["vm-1"] <= 6)
@@ -69,7 +70,7 @@
 		i.True(n["vm-1"] >= 4 && n["vm-1"] <= 8) // after 1, 2, 4, 8, 16 and 32 s
 		i.Equal(p.Ejected(), 1)
 	})
-	t.Run("never more than the share is ejected, and the rest goes on", func(t *testing.T) {
+	t.Run("never more than the allowed share is ejected, and the rest stays in use", func(t *testing.T) {
 		i, p := is.New(t), pool(10, 8, route.WithMaxEjected(0.3))
 		n := run(p, 0, 10*time.Second, func(string) bool { return true })
 		i.Equal(p.Ejected(), 3)
@@ -79,12 +80,12 @@
 		}
 		i.Equal(sum, 10000)
 	})
-	t.Run("targets that fail no more than the others by chance stay", func(t *testing.T) {
+	t.Run("targets that fail no more than the others are not ejected", func(t *testing.T) {
 		i, p, k := is.New(t), pool(4, 8), 0
 		run(p, 0, 20*time.Second, func(string) bool { k++; return k*2654435761>>8%10 < 3 })
 		i.Equal(p.Ejected(), 0)
 	})
-	t.Run("a target that is well again gets more step by step", func(t *testing.T) {
+	t.Run("a target that recovered gets its slots back one by one", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
 		run(p, 0, 500*time.Millisecond, only("vm-1"))
 		i.Equal(p.Slots(), 8)
@@ -97,7 +98,7 @@
 		run(p, now, now+time.Second, only())
 		i.Equal(p.Free(), 16)
 	})
-	t.Run("a careful request is no trial at first", func(t *testing.T) {
+	t.Run("a request that delays probes is not the first probe", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
 		run(p, 0, 500*time.Millisecond, only("vm-1"))
 		x, _ := p.Pick(1100*time.Millisecond, "", true)
@@ -107,15 +108,17 @@
 	})
 }
 
+// TestLastTargetsAreNotLeftEjected checks that an ejected target is used again when the last other one leaves.
 func TestLastTargetsAreNotLeftEjected(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
 	run(p, 0, 500*time.Millisecond, only("vm-1"))
 	i.Equal(p.Ejected(), 1)
 	p.Leave(500*time.Millisecond, "vm-0")
-	i.Equal(p.Free(), 8) // better a failing target than none
+	i.Equal(p.Free(), 8) // a failing target is better than none
 	i.Equal(p.Ejected(), 0)
 }
 
+// TestTrialIsDueThoughNoSlotIsFree checks that the probe of an ejected target does not wait for a free slot elsewhere.
 func TestTrialIsDueThoughNoSlotIsFree(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
 	run(p, 0, 500*time.Millisecond, only("vm-1"))
@@ -129,13 +132,13 @@
 func TestLeaving(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
 	p.Leave(0, "vm-0")
-	set(p, time.Second, 2, 8) // the list lags
+	set(p, time.Second, 2, 8) // the list is stale and still has the target
 	n := run(p, time.Second, 29*time.Second, only())
 	i.Equal(n["vm-0"], 0)
 	set(p, 29*time.Second, 0, 8)
 	set(p, 29*time.Second, 2, 8)
 	n = run(p, 29*time.Second, 30*time.Second, only())
-	i.True(n["vm-0"] > 0) // the list dropped it and has it again
+	i.True(n["vm-0"] > 0) // the list dropped the target and has it again
 }
 
 func TestSlotOfLostRequestStaysTaken(t *testing.T) {
@@ -148,7 +151,7 @@
 	m := map[string]int{}
 	p.Taken(m)
 	i.Equal(m["vm-0"], 1)
-	p.Done(0, x, route.Good, 0) // it has been done already
+	p.Done(0, x, route.Good, 0) // a second Done for the same request does nothing
 	i.Equal(p.Busy(), 0)
 	i.Equal(p.Free(), 0)
 	p.Pass(time.Second)
@@ -157,7 +160,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	t.Run("a target that is full of others' requests is sent less for a while", func(t *testing.T) {
+	t.Run("a target that is full of requests of other entries is sent less for a while", func(t *testing.T) {
 		i, p := is.New(t), pool(1, 8)
 		var x string
 		for range 8 {
@@ -166,12 +169,12 @@
 		for range 5 {
 			p.Done(0, x, route.Full, 0)
 		}
-		i.Equal(p.Free(), 0) // it took three
+		i.Equal(p.Free(), 0) // it accepted three
 		i.Equal(p.Ejected(), 0)
 		p.Done(0, x, route.Good, 0)
-		i.Equal(p.Free(), 2) // the slot of the answer and one more
+		i.Equal(p.Free(), 2) // the answered request's slot and one that the success opened
 	})
-	t.Run("a target that refuses though it has nothing of ours is ejected", func(t *testing.T) {
+	t.Run("a target that refuses while it has no request of this pool is ejected", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
 		for range 200 {
 			x, _ := p.Pick(0, "", false)
@@ -185,10 +188,10 @@
 	})
 }
 
-// model is the naive version: it looks at all targets.
+// model is a naive reference implementation that scans all targets.
 type model map[string]*struct{ slots, out int }
 
-// least returns the least load in steps of a sixteenth.
+// least returns the least load of a target with a free slot, in sixteenths of its slots; 16 if there is none.
 func (m model) least(avoid string) int {
 	best := 16
 	for n, x := range m {
@@ -199,6 +202,7 @@
 	return best
 }
 
+// TestPicksLeastLoadedAsNaive checks that Pick finds a target with the same load as the naive model does.
 func TestPicksLeastLoadedAsNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, m := route.New(), model{}
