--- a/fleet/place/choose.go
+++ b/fleet/place/choose.go
@@ -6,71 +6,71 @@
 )
 
 const (
-	candidates = 8 // workers of one level of free cores that are compared.
-	yieldTasks = 8 // tasks of one worker that are asked to yield at most for one urgent job.
+	maxCandidates = 8 // workers of one level of free cores that are compared.
+	maxYieldTasks = 8 // tasks of one worker that are asked to yield at most for one urgent job.
 )
 
 // place starts what fits, queue by queue, each queue until its head does not fit.
 func (p *Placer) place() []Cmd {
-	l := p.lift(nil)
-	for turns := p.turns(); len(turns) > 0; {
+	l := p.liftThrottles(nil)
+	for turns := p.readyQueues(); len(turns) > 0; {
 		t := turns[0]
 		e := t.head()
 		var ok bool
 		if e != nil {
-			l, ok = p.try(l, e)
+			l, ok = p.tryStart(l, e)
 		}
 		turns = turns[1:]
 		if e = t.head(); !ok || e == nil {
 			continue
 		}
 		t.startBy = p.startBy(e)
-		i, _ := slices.BinarySearchFunc(turns, t, before)
+		i, _ := slices.BinarySearchFunc(turns, t, compareQueues)
 		turns = slices.Insert(turns, i, t)
 	}
 	return l
 }
 
-// try starts the job if some worker has room, or has others yield if it is urgent.
-func (p *Placer) try(l []Cmd, e *entry) ([]Cmd, bool) {
-	s := p.need(e)
-	if q, ok := p.quotas[e.Team]; ok && p.teams[e.Team]+s.Cores > q {
+// tryStart starts the job if some worker has room, or has others yield if it is urgent.
+func (p *Placer) tryStart(l []Cmd, e *jobState) ([]Cmd, bool) {
+	s := p.reservation(e)
+	if q, ok := p.quotaCores[e.Team]; ok && p.teamCores[e.Team]+s.Cores > q {
 		return l, false
 	}
-	if m := p.choose(e, s); m != nil {
+	if m := p.chooseWorker(e, s); m != nil {
 		return p.start(l, e, m, s), true
 	}
 	if !e.Urgent {
 		return l, false
 	}
-	return p.yield(l, e, s)
+	return p.makeRoom(l, e, s)
 }
 
-// need returns what to reserve for the job: what its kind is known to take, and no more than the largest worker has.
-func (p *Placer) need(e *entry) Size {
+// reservation returns what to reserve for the job: what its kind is known to take, and no more than the largest worker has.
+func (p *Placer) reservation(e *jobState) Size {
 	s := p.kind(e.Kind).size(e.Declared)
-	if e.tooSmall > 0 {
-		s.MemoryMB = max(s.MemoryMB, growShare*e.tooSmall)
+	if e.insufficientMB > 0 {
+		s.MemoryMB = max(s.MemoryMB, memoryGrowth*e.insufficientMB)
 	}
-	s.Cores = min(s.Cores, p.largest.Cores)
-	s.MemoryMB = min(s.MemoryMB, p.largest.MemoryMB)
+	s.Cores = min(s.Cores, p.largestWorker.Cores)
+	s.MemoryMB = min(s.MemoryMB, p.largestWorker.MemoryMB)
 	return s
 }
 
-// choose returns the worker with the least free cores that are enough, and among some of those the one whose rack runs the
+// chooseWorker returns the worker with the least free cores that are enough, and among some of those the one whose rack runs the
 // fewest tasks of the kind.
-func (p *Placer) choose(e *entry, s Size) *machine {
-	for b := int(s.Cores); b < len(p.index.buckets); b++ {
-		var best *machine
+func (p *Placer) chooseWorker(e *jobState, s Size) *workerState {
+	for b := int(s.Cores); b < len(p.byFreeCores.buckets); b++ {
+		var best *workerState
 		n := 0
-		for _, m := range p.index.buckets[b] {
-			if !m.isOpen(p.now) || e.failedOn[m.Name] || !s.fits(m.free()) {
+		for _, m := range p.byFreeCores.buckets[b] {
+			if !m.acceptsTask(p.nowMillis) || e.failedOn[m.Name] || !s.fits(m.free()) {
 				continue
 			}
 			if best == nil || p.prefers(e, m, best) {
 				best = m
 			}
-			if n++; n == candidates {
+			if n++; n == maxCandidates {
 				break
 			}
 		}
@@ -81,37 +81,37 @@
 	return nil
 }
 
-func (p *Placer) prefers(e *entry, a, b *machine) bool {
+func (p *Placer) prefers(e *jobState, a, b *workerState) bool {
 	return cmp.Or(
-		cmp.Compare(p.spread[e.Kind+"/"+a.Rack], p.spread[e.Kind+"/"+b.Rack]),
+		cmp.Compare(p.tasksByKindRack[e.Kind+"/"+a.Rack], p.tasksByKindRack[e.Kind+"/"+b.Rack]),
 		cmp.Compare(a.Size.Accelerators, b.Size.Accelerators),
 		cmp.Compare(a.Name, b.Name),
 	) < 0
 }
 
-func (p *Placer) start(l []Cmd, e *entry, m *machine, s Size) []Cmd {
+func (p *Placer) start(l []Cmd, e *jobState, m *workerState, s Size) []Cmd {
 	e.attempt++
-	t := &task{Task: Task{Job: e.ID, Attempt: e.attempt}, job: e, machine: m, size: s, started: p.now}
+	t := &task{Task: Task{Job: e.ID, Attempt: e.attempt}, job: e, worker: m, size: s, startedMillis: p.nowMillis}
 	e.task, m.tasks[e.ID] = t, t
-	m.used.Cores += s.Cores
-	m.used.MemoryMB += s.MemoryMB
-	m.used.Accelerators += s.Accelerators
-	p.teams[e.Team] += s.Cores
-	p.spread[e.Kind+"/"+m.Rack]++
-	p.index.put(m)
+	m.reserved.Cores += s.Cores
+	m.reserved.MemoryMB += s.MemoryMB
+	m.reserved.Accelerators += s.Accelerators
+	p.teamCores[e.Team] += s.Cores
+	p.tasksByKindRack[e.Kind+"/"+m.Rack]++
+	p.byFreeCores.update(m)
 	return append(l, StartCmd{Task: t.Task, Worker: m.Name, Size: s})
 }
 
-// yield makes room for an urgent job: at once by throttling tasks on a worker that has the memory free, else by having
+// makeRoom makes room for an urgent job: at once by throttling tasks on a worker that has the memory free, else by having
 // tasks checkpointed, after which the job starts.
-func (p *Placer) yield(l []Cmd, e *entry, s Size) ([]Cmd, bool) {
-	var save *machine
-	for _, n := range p.names {
+func (p *Placer) makeRoom(l []Cmd, e *jobState, s Size) ([]Cmd, bool) {
+	var save *workerState
+	for _, n := range p.workerNames {
 		m := p.workers[n]
-		if !m.isOpen(p.now) || e.failedOn[n] || s.Accelerators > m.free().Accelerators {
+		if !m.acceptsTask(p.nowMillis) || e.failedOn[n] || s.Accelerators > m.free().Accelerators {
 			continue
 		}
-		slack, saved := m.slack()
+		slack, saved := m.reclaimable()
 		free := m.free()
 		switch {
 		case s.fits(Size{Cores: free.Cores + slack, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}):
@@ -127,21 +127,21 @@
 	return l, false
 }
 
-// yielding returns the tasks that may yield, those that have run least first.
-func (m *machine) yielding() []*task {
+// yieldCandidates returns the tasks that may yield, those that have run least first.
+func (m *workerState) yieldCandidates() []*task {
 	var l []*task
 	for _, t := range m.tasks {
-		if !t.job.Urgent && !t.ending {
+		if !t.job.Urgent && !t.stopping {
 			l = append(l, t)
 		}
 	}
-	slices.SortFunc(l, func(a, b *task) int { return cmp.Or(cmp.Compare(b.started, a.started), byName(a, b)) })
-	return l[:min(len(l), yieldTasks)]
+	slices.SortFunc(l, func(a, b *task) int { return cmp.Or(cmp.Compare(b.startedMillis, a.startedMillis), byName(a, b)) })
+	return l[:min(len(l), maxYieldTasks)]
 }
 
-// slack returns the cores that throttling would free, and what checkpoints would.
-func (m *machine) slack() (cores float64, saved Size) {
-	for _, t := range m.yielding() {
+// reclaimable returns the cores that throttling would free, and what checkpoints would.
+func (m *workerState) reclaimable() (cores float64, saved Size) {
+	for _, t := range m.yieldCandidates() {
 		saved.Cores += t.cores()
 		saved.MemoryMB += t.size.MemoryMB
 		if !t.throttled {
@@ -151,62 +151,62 @@
 	return cores, saved
 }
 
-func (p *Placer) throttle(l []Cmd, m *machine, cores float64) []Cmd {
-	for _, t := range m.yielding() {
+func (p *Placer) throttle(l []Cmd, m *workerState, cores float64) []Cmd {
+	for _, t := range m.yieldCandidates() {
 		if m.free().Cores+1e-9 >= cores {
 			break
 		}
 		if !t.throttled {
-			m.used.Cores -= t.size.Cores * (1 - throttledShare)
+			m.reserved.Cores -= t.size.Cores * (1 - throttledShare)
 			t.throttled = true
-			p.calmed = append(p.calmed, t)
+			p.throttled = append(p.throttled, t)
 			l = append(l, ThrottleCmd{Task: t.Task, Worker: m.Name, On: true})
 		}
 	}
 	return l
 }
 
-func (p *Placer) checkpoint(l []Cmd, m *machine, s Size) []Cmd {
+func (p *Placer) checkpoint(l []Cmd, m *workerState, s Size) []Cmd {
 	free := m.free()
 	for _, t := range m.tasks {
-		if t.ending { // room that is on its way already.
+		if t.stopping { // room that is on its way already.
 			free.Cores += t.cores()
 			free.MemoryMB += t.size.MemoryMB
 		}
 	}
-	for _, t := range m.yielding() {
+	for _, t := range m.yieldCandidates() {
 		if s.Cores <= free.Cores && s.MemoryMB <= free.MemoryMB {
 			break
 		}
 		free.Cores += t.cores()
 		free.MemoryMB += t.size.MemoryMB
-		t.ending = true
+		t.stopping = true
 		l = append(l, CheckpointCmd{Task: t.Task, Worker: m.Name})
 	}
 	return l
 }
 
-// lift ends throttles for which there is room again, unless urgent jobs wait.
-func (p *Placer) lift(l []Cmd) []Cmd {
-	for k, q := range p.lines {
+// liftThrottles ends throttles for which there is room again, unless urgent jobs wait.
+func (p *Placer) liftThrottles(l []Cmd) []Cmd {
+	for k, q := range p.queues {
 		if k.urgent && q.head() != nil {
 			return l
 		}
 	}
 	var left []*task
-	for _, t := range p.calmed {
+	for _, t := range p.throttled {
 		need := t.size.Cores * (1 - throttledShare)
-		if t.machine.free().Cores+1e-9 < need || t.ending {
+		if t.worker.free().Cores+1e-9 < need || t.stopping {
 			left = append(left, t)
 			continue
 		}
 		t.throttled = false
-		t.machine.used.Cores += need
-		if t.machine.bucket >= 0 {
-			p.index.put(t.machine)
+		t.worker.reserved.Cores += need
+		if t.worker.bucket >= 0 {
+			p.byFreeCores.update(t.worker)
 		}
-		l = append(l, ThrottleCmd{Task: t.Task, Worker: t.machine.Name})
+		l = append(l, ThrottleCmd{Task: t.Task, Worker: t.worker.Name})
 	}
-	p.calmed = left
+	p.throttled = left
 	return l
 }
--- a/fleet/place/naive.go
+++ b/fleet/place/naive.go
@@ -5,8 +5,8 @@
 // FirstFit is the naive policy beside which the placer is measured: jobs in order of arrival, each on the first worker
 // that has its declared size free, again and again until it ends well.
 type FirstFit struct {
-	workers []*machine
-	waiting []*entry
+	workers []*workerState
+	waiting []*jobState
 	running map[string]*task
 }
 
@@ -18,11 +18,11 @@
 	switch m := msg.(type) {
 	case WorkersMsg:
 		for _, w := range m.Workers {
-			f.workers = append(f.workers, &machine{Worker: w, tasks: map[string]*task{}})
+			f.workers = append(f.workers, &workerState{Worker: w, tasks: map[string]*task{}})
 		}
 	case SubmitMsg:
 		for _, j := range m.Jobs {
-			f.waiting = append(f.waiting, &entry{Job: j})
+			f.waiting = append(f.waiting, &jobState{Job: j})
 		}
 	case EndedMsg:
 		f.ended(m)
@@ -38,9 +38,9 @@
 		return
 	}
 	delete(f.running, m.Task.Job)
-	t.machine.used.Cores -= t.size.Cores
-	t.machine.used.MemoryMB -= t.size.MemoryMB
-	t.machine.used.Accelerators -= t.size.Accelerators
+	t.worker.reserved.Cores -= t.size.Cores
+	t.worker.reserved.MemoryMB -= t.size.MemoryMB
+	t.worker.reserved.Accelerators -= t.size.Accelerators
 	if m.How != Done {
 		f.waiting = append(f.waiting, t.job)
 	}
@@ -48,17 +48,17 @@
 
 func (f *FirstFit) place() []Cmd {
 	var l []Cmd
-	f.waiting = slices.DeleteFunc(f.waiting, func(e *entry) bool {
-		i := slices.IndexFunc(f.workers, func(m *machine) bool { return e.Declared.fits(m.free()) })
+	f.waiting = slices.DeleteFunc(f.waiting, func(e *jobState) bool {
+		i := slices.IndexFunc(f.workers, func(m *workerState) bool { return e.Declared.fits(m.free()) })
 		if i < 0 {
 			return false
 		}
 		m := f.workers[i]
 		e.attempt++
-		f.running[e.ID] = &task{Task: Task{Job: e.ID, Attempt: e.attempt}, job: e, machine: m, size: e.Declared}
-		m.used.Cores += e.Declared.Cores
-		m.used.MemoryMB += e.Declared.MemoryMB
-		m.used.Accelerators += e.Declared.Accelerators
+		f.running[e.ID] = &task{Task: Task{Job: e.ID, Attempt: e.attempt}, job: e, worker: m, size: e.Declared}
+		m.reserved.Cores += e.Declared.Cores
+		m.reserved.MemoryMB += e.Declared.MemoryMB
+		m.reserved.Accelerators += e.Declared.Accelerators
 		l = append(l, StartCmd{Task: Task{Job: e.ID, Attempt: e.attempt}, Worker: m.Name, Size: e.Declared})
 		return true
 	})
--- a/fleet/place/placer.go
+++ b/fleet/place/placer.go
@@ -5,41 +5,41 @@
 	"strings"
 )
 
-// badJobWorkers is how many good workers a job may fail on before it is given up.
-const badJobWorkers = 3
+// maxFailedWorkers is how many good workers a job may fail on before it is given up.
+const maxFailedWorkers = 3
 
 // Placer decides for one pool.
 type Placer struct {
-	now     int64
-	workers map[string]*machine
-	names   []string // of workers, sorted.
-	index   index
-	largest Size
-	jobs    map[string]*entry
-	kinds   map[string]*kind
-	lines   map[line]*queue
-	quotas  map[string]float64
-	teams   map[string]float64 // cores that each team's tasks hold.
-	spread  map[string]int     // tasks by kind and rack.
-	calmed  []*task            // throttled tasks, oldest first.
+	nowMillis       int64
+	workers         map[string]*workerState
+	workerNames     []string // of workers, sorted.
+	byFreeCores     coreIndex
+	largestWorker   Size
+	jobs            map[string]*jobState
+	kinds           map[string]*kindStats
+	queues          map[queueKey]*queue
+	quotaCores      map[string]float64
+	teamCores       map[string]float64 // cores that each team's tasks hold.
+	tasksByKindRack map[string]int     // tasks by kind and rack.
+	throttled       []*task            // throttled tasks, oldest first.
 }
 
-// entry is one job and its attempts.
-type entry struct {
+// jobState is one job and its attempts.
+type jobState struct {
 	Job
-	attempt  int
-	tooSmall float64 // memory that was not enough.
-	failedOn map[string]bool
-	failures int
-	task     *task // the running attempt; nil while the job waits.
-	canceled bool
+	attempt        int
+	insufficientMB float64 // memory that was not enough.
+	failedOn       map[string]bool
+	failures       int
+	task           *task // the running attempt; nil while the job waits.
+	canceled       bool
 }
 
 // New returns a placer without workers or jobs.
 func New() *Placer {
 	return &Placer{
-		workers: map[string]*machine{}, jobs: map[string]*entry{}, kinds: map[string]*kind{},
-		lines: map[line]*queue{}, teams: map[string]float64{}, spread: map[string]int{},
+		workers: map[string]*workerState{}, jobs: map[string]*jobState{}, kinds: map[string]*kindStats{},
+		queues: map[queueKey]*queue{}, teamCores: map[string]float64{}, tasksByKindRack: map[string]int{},
 	}
 }
 
@@ -60,65 +60,65 @@
 // IsAside tells whether the worker is set aside.
 func (p *Placer) IsAside(worker string) bool {
 	m := p.workers[worker]
-	return m != nil && m.wait > 0
+	return m != nil && m.quarantineMillis > 0
 }
 
 // Update takes one message in and returns what is to be done.
 func (p *Placer) Update(msg Msg) []Cmd {
 	switch m := msg.(type) {
 	case WorkersMsg:
-		p.takeWorkers(m.Workers)
+		p.updateWorkers(m.Workers)
 	case QuotaMsg:
-		p.quotas = m.Cores
+		p.quotaCores = m.Cores
 	case SubmitMsg:
-		p.now = max(p.now, m.At)
+		p.nowMillis = max(p.nowMillis, m.At)
 		return p.submit(m.Jobs)
 	case CancelMsg:
 		return p.cancel(m.Jobs)
 	case UsageMsg:
-		p.use(m)
+		p.recordUsage(m)
 	case EndedMsg:
-		p.now = max(p.now, m.At)
-		return p.ended(m)
+		p.nowMillis = max(p.nowMillis, m.At)
+		return p.taskEnded(m)
 	case LapsedMsg:
-		p.now = max(p.now, m.At)
-		p.lapsed(m.Task)
+		p.nowMillis = max(p.nowMillis, m.At)
+		p.leaseExpired(m.Task)
 	case TickMsg:
-		p.now = max(p.now, m.At)
+		p.nowMillis = max(p.nowMillis, m.At)
 		return p.place()
 	}
 	return nil
 }
 
-func (p *Placer) takeWorkers(l []Worker) {
+func (p *Placer) updateWorkers(l []Worker) {
 	seen := make(map[string]bool, len(l))
-	p.largest = Size{}
+	p.largestWorker = Size{}
 	for _, w := range l {
 		seen[w.Name] = true
 		m := p.workers[w.Name]
 		if m == nil {
-			m = &machine{tasks: map[string]*task{}, strikes: map[string]bool{}, bucket: -1}
+			m = &workerState{tasks: map[string]*task{}, failedJobs: map[string]bool{}, bucket: -1}
 			p.workers[w.Name] = m
 		}
 		m.Worker = w
-		p.index.put(m)
-		p.largest.Cores = max(p.largest.Cores, w.Size.Cores)
-		p.largest.MemoryMB = max(p.largest.MemoryMB, w.Size.MemoryMB)
-		p.largest.Accelerators = max(p.largest.Accelerators, w.Size.Accelerators)
+		p.byFreeCores.update(m)
+		p.largestWorker.Cores = max(p.largestWorker.Cores, w.Size.Cores)
+		p.largestWorker.MemoryMB = max(p.largestWorker.MemoryMB, w.Size.MemoryMB)
+		p.largestWorker.Accelerators = max(p.largestWorker.Accelerators, w.Size.Accelerators)
 	}
-	p.names = p.names[:0]
+	p.workerNames = p.workerNames[:0]
 	for n, m := range p.workers {
 		if !seen[n] {
 			m.Out = true
-			p.index.drop(m)
+			p.byFreeCores.remove(m)
 		}
 		if !seen[n] && len(m.tasks) == 0 {
 			delete(p.workers, n)
 			continue
 		}
-		p.names = append(p.names, n)
+		p.workerNames = append(p.workerNames, n)
 	}
-	slices.Sort(p.names)
+	slices.Sort(p.workerNames)
 }
 
 func (p *Placer) submit(l []Job) []Cmd {
@@ -127,18 +127,18 @@
 		if _, ok := p.jobs[j.ID]; ok {
 			continue
 		}
-		e := &entry{Job: j, failedOn: map[string]bool{}}
+		e := &jobState{Job: j, failedOn: map[string]bool{}}
 		p.jobs[j.ID] = e
-		if len(p.names) > 0 && j.Declared.Accelerators > p.largest.Accelerators {
+		if len(p.workerNames) > 0 && j.Declared.Accelerators > p.largestWorker.Accelerators {
 			c = p.giveUp(c, e, NoWorker)
 			continue
 		}
-		p.queue(e)
+		p.enqueue(e)
 	}
 	return c
 }
 
-func (p *Placer) giveUp(c []Cmd, e *entry, why Reason) []Cmd {
+func (p *Placer) giveUp(c []Cmd, e *jobState, why Reason) []Cmd {
 	delete(p.jobs, e.ID)
 	e.canceled = true
 	return append(c, GiveUpCmd{Job: e.ID, Reason: why})
@@ -155,16 +155,16 @@
 		e.canceled = true
 		if e.task == nil {
 			delete(p.jobs, id)
-		} else if !e.task.ending {
-			e.task.ending = true
-			c = append(c, StopCmd{Task: e.task.Task, Worker: e.task.machine.Name})
+		} else if !e.task.stopping {
+			e.task.stopping = true
+			c = append(c, StopCmd{Task: e.task.Task, Worker: e.task.worker.Name})
 		}
 	}
 	return c
 }
 
-// find returns the running attempt that the task names; an earlier attempt is not it.
-func (p *Placer) find(t Task) *task {
+// runningTask returns the running attempt that the task names; an earlier attempt is not it.
+func (p *Placer) runningTask(t Task) *task {
 	e := p.jobs[t.Job]
 	if e == nil || e.task == nil || e.task.Task != t {
 		return nil
@@ -172,72 +172,72 @@
 	return e.task
 }
 
-func (p *Placer) use(m UsageMsg) {
-	if t := p.find(m.Task); t != nil {
-		t.peak.Cores = max(t.peak.Cores, m.Used.Cores)
-		t.peak.MemoryMB = max(t.peak.MemoryMB, m.Used.MemoryMB)
+func (p *Placer) recordUsage(m UsageMsg) {
+	if t := p.runningTask(m.Task); t != nil {
+		t.peakUsage.Cores = max(t.peakUsage.Cores, m.Used.Cores)
+		t.peakUsage.MemoryMB = max(t.peakUsage.MemoryMB, m.Used.MemoryMB)
 	}
 }
 
-func (p *Placer) kind(name string) *kind {
+func (p *Placer) kind(name string) *kindStats {
 	k := p.kinds[name]
 	if k == nil {
-		k = &kind{}
+		k = &kindStats{}
 		p.kinds[name] = k
 	}
 	return k
 }
 
-func (p *Placer) ended(m EndedMsg) []Cmd {
-	t := p.find(m.Task)
+func (p *Placer) taskEnded(m EndedMsg) []Cmd {
+	t := p.runningTask(m.Task)
 	if t == nil {
 		return nil
 	}
-	e, w, k := t.job, t.machine, p.kind(t.job.Kind)
+	e, w, k := t.job, t.worker, p.kind(t.job.Kind)
 	p.release(t)
 	if m.How == TooBig {
-		k.cores.add(max(t.peak.Cores, t.size.Cores))
-		k.memory.add(growShare * t.size.MemoryMB)
-	} else if t.peak.Cores > 0 {
-		k.cores.add(t.peak.Cores)
-		k.memory.add(t.peak.MemoryMB)
+		k.cores.add(max(t.peakUsage.Cores, t.size.Cores))
+		k.memory.add(memoryGrowth * t.size.MemoryMB)
+	} else if t.peakUsage.Cores > 0 {
+		k.cores.add(t.peakUsage.Cores)
+		k.memory.add(t.peakUsage.MemoryMB)
 	}
 	switch {
 	case m.How == Done:
-		k.run.add(float64(m.At - t.started))
-		w.succeeded()
+		k.run.add(float64(m.At - t.startedMillis))
+		w.recordSuccess()
 		delete(p.jobs, e.ID)
 		return nil
 	case e.canceled:
 		delete(p.jobs, e.ID)
 		return nil
 	case m.How == TooBig:
-		e.tooSmall = max(e.tooSmall, t.size.MemoryMB)
-		if t.size.MemoryMB >= p.largest.MemoryMB {
+		e.insufficientMB = max(e.insufficientMB, t.size.MemoryMB)
+		if t.size.MemoryMB >= p.largestWorker.MemoryMB {
 			return p.giveUp(nil, e, Larger)
 		}
 	case m.How == Failed:
-		if c, gone := p.blame(e, w); gone {
+		if c, gone := p.attributeFailure(e, w); gone {
 			return c
 		}
 	}
-	p.queue(e)
+	p.enqueue(e)
 	return nil
 }
 
-// blame lays a failure to the job if the worker is good, else to the worker, and tells whether the job was given up.
-func (p *Placer) blame(e *entry, w *machine) ([]Cmd, bool) {
+// attributeFailure lays a failure to the job if the worker is good, else to the worker, and tells whether the job was given up.
+func (p *Placer) attributeFailure(e *jobState, w *workerState) ([]Cmd, bool) {
 	e.failedOn[w.Name] = true
 	e.failures++
-	w.failed(e.ID, p.now)
+	w.recordFailure(e.ID, p.nowMillis)
 	good := 0
 	for n := range e.failedOn {
-		if m := p.workers[n]; m != nil && m.isGood() {
+		if m := p.workers[n]; m != nil && m.isHealthy() {
 			good++
 		}
 	}
-	few := len(p.names) < badJobWorkers
-	if good < badJobWorkers && (!few || e.failures < badJobWorkers) {
+	few := len(p.workerNames) < maxFailedWorkers
+	if good < maxFailedWorkers && (!few || e.failures < maxFailedWorkers) {
 		if few {
 			clear(e.failedOn)
 		}
@@ -245,16 +245,16 @@
 	}
 	for n := range e.failedOn { // the job was at fault, not the workers.
 		if m := p.workers[n]; m != nil {
-			delete(m.strikes, e.ID)
+			delete(m.failedJobs, e.ID)
 		}
 	}
 	return p.giveUp(nil, e, Broken), true
 }
 
-// lapsed frees a job whose task's lease has lapsed for another attempt, unless it must not have two running copies: that
+// leaseExpired frees a job whose task's lease has leaseExpired for another attempt, unless it must not have two running copies: that
 // one waits until its task is known to have ended.
-func (p *Placer) lapsed(id Task) {
-	t := p.find(id)
+func (p *Placer) leaseExpired(id Task) {
+	t := p.runningTask(id)
 	if t == nil || t.job.RunOnce {
 		return
 	}
@@ -263,22 +263,22 @@
 		delete(p.jobs, t.job.ID)
 		return
 	}
-	p.queue(t.job)
+	p.enqueue(t.job)
 }
 
 // release gives back what the task holds.
 func (p *Placer) release(t *task) {
-	m := t.machine
-	m.used.Cores -= t.cores()
-	m.used.MemoryMB -= t.size.MemoryMB
-	m.used.Accelerators -= t.size.Accelerators
+	m := t.worker
+	m.reserved.Cores -= t.cores()
+	m.reserved.MemoryMB -= t.size.MemoryMB
+	m.reserved.Accelerators -= t.size.Accelerators
 	delete(m.tasks, t.Job)
-	p.teams[t.job.Team] -= t.size.Cores
-	p.spread[t.job.Kind+"/"+m.Rack]--
-	p.calmed = slices.DeleteFunc(p.calmed, func(o *task) bool { return o == t })
+	p.teamCores[t.job.Team] -= t.size.Cores
+	p.tasksByKindRack[t.job.Kind+"/"+m.Rack]--
+	p.throttled = slices.DeleteFunc(p.throttled, func(o *task) bool { return o == t })
 	t.job.task = nil
 	if m.bucket >= 0 {
-		p.index.put(m)
+		p.byFreeCores.update(m)
 	}
 }
 
--- a/fleet/place/placer_test.go
+++ b/fleet/place/placer_test.go
@@ -15,8 +15,8 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// site returns a placer with n workers of 8 cores, two a rack.
-func site(n int) *Placer {
+// newTestPlacer returns a placer with n workers of 8 cores, two a rack.
+func newTestPlacer(n int) *Placer {
 	p := New()
 	var l []Worker
 	for i := range n {
@@ -45,10 +45,10 @@
 	t.Run("a job that can never run is given up at once", func(t *testing.T) {
 		j := job("a", 1)
 		j.Declared.Accelerators = 1
-		is.New(t).Equal(site(2).Update(SubmitMsg{Jobs: []Job{j}}), []Cmd{GiveUpCmd{Job: "a", Reason: NoWorker}})
+		is.New(t).Equal(newTestPlacer(2).Update(SubmitMsg{Jobs: []Job{j}}), []Cmd{GiveUpCmd{Job: "a", Reason: NoWorker}})
 	})
 	t.Run("a job larger than any worker is given up when a whole one was too small", func(t *testing.T) {
-		p := site(2)
+		p := newTestPlacer(2)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 5)}})
 		for at := int64(1); at < 3; at++ {
 			s := tick(p, at)["a"]
@@ -58,10 +58,10 @@
 		is.New(t).Equal(p.Waiting(), 0)
 	})
 	t.Run("a bad job is given up, its workers stay good", func(t *testing.T) {
-		p := site(5)
+		p := newTestPlacer(5)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 1)}})
 		var c []Cmd
-		for at := int64(1); at <= badJobWorkers; at++ {
+		for at := int64(1); at <= maxFailedWorkers; at++ {
 			c = p.Update(EndedMsg{At: at, Task: tick(p, at)["a"].Task, How: Failed})
 		}
 		is.New(t).Equal(c, []Cmd{GiveUpCmd{Job: "a", Reason: Broken}})
@@ -70,7 +70,7 @@
 		}
 	})
 	t.Run("a bad worker is set aside and tried again with one job", func(t *testing.T) {
-		p := site(4)
+		p := newTestPlacer(4)
 		failAll := func(at int64) int {
 			n := 0
 			for _, s := range tick(p, at) {
@@ -93,33 +93,33 @@
 		for i := range 32 {
 			p.Update(SubmitMsg{Jobs: []Job{job(fmt.Sprint("b", i), 1)}})
 		}
-		is.New(t).True(failAll(asideMillis+20) <= 1)
+		is.New(t).True(failAll(minQuarantineMillis+20) <= 1)
 	})
 	t.Run("failures on bad workers are not the job's", func(t *testing.T) {
-		p := site(5)
+		p := newTestPlacer(5)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 1)}})
-		for at := int64(1); at <= badJobWorkers; at++ {
+		for at := int64(1); at <= maxFailedWorkers; at++ {
 			s := tick(p, at)["a"]
-			p.workers[s.Worker].wait = asideMillis
+			p.workers[s.Worker].quarantineMillis = minQuarantineMillis
 			is.New(t).Equal(len(p.Update(EndedMsg{At: at, Task: s.Task, How: Failed})), 0)
 		}
 		is.New(t).Equal(p.Waiting(), 1)
 	})
 	t.Run("sizes are learned", func(t *testing.T) {
-		p := site(1)
+		p := newTestPlacer(1)
 		for at := int64(1); at < 6; at++ {
 			j := job(fmt.Sprint(at), 8)
 			j.Kind = "k"
 			p.Update(SubmitMsg{Jobs: []Job{j}})
 			for _, s := range tick(p, at) {
-				is.New(t).Equal(s.Size.Cores < 2, at > fewSamples)
+				is.New(t).Equal(s.Size.Cores < 2, at > minSamples)
 				p.Update(UsageMsg{Task: s.Task, Used: Size{Cores: 1, MemoryMB: 100}})
 				p.Update(EndedMsg{At: at, Task: s.Task, How: Done})
 			}
 		}
 	})
 	t.Run("a canceled job is stopped", func(t *testing.T) {
-		p := site(1)
+		p := newTestPlacer(1)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 5), job("b", 5)}})
 		s := tick(p, 1)["a"]
 		is.New(t).Equal(p.Update(CancelMsg{Jobs: []string{"a", "b"}}), []Cmd{StopCmd{Task: s.Task, Worker: "w0"}})
@@ -127,7 +127,7 @@
 		is.New(t).Equal(len(tick(p, 3)), 0)
 	})
 	t.Run("urgent work starts at once in a full pool", func(t *testing.T) {
-		p := site(2)
+		p := newTestPlacer(2)
 		for i := range 4 {
 			p.Update(SubmitMsg{Jobs: []Job{{ID: fmt.Sprint(i), Kind: "k", Declared: Size{Cores: 4, MemoryMB: 1000}, FinishBy: 1}}})
 		}
@@ -138,7 +138,7 @@
 		is.New(t).Equal(len(tick(p, 2)), 1)
 	})
 	t.Run("without memory others are checkpointed first", func(t *testing.T) {
-		p := site(1)
+		p := newTestPlacer(1)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 8)}})
 		s := tick(p, 1)["a"]
 		u := job("u", 2)
@@ -150,20 +150,20 @@
 		is.New(t).Equal(tick(p, 4)["u"].Worker, "w0")
 	})
 	t.Run("a team's quota bounds its cores", func(t *testing.T) {
-		p := site(4)
+		p := newTestPlacer(4)
 		p.Update(QuotaMsg{Cores: map[string]float64{"t": 5}})
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 2), job("b", 2), job("c", 2)}})
 		is.New(t).Equal(len(tick(p, 1)), 2)
 	})
 	t.Run("less known kinds start earlier", func(t *testing.T) {
-		var known, unknown kind
+		var known, unknown kindStats
 		for range 5 {
 			known.run.add(1000)
 		}
 		is.New(t).True(known.runMillis(1000) < unknown.runMillis(1000))
 	})
 	t.Run("a lapsed lease starts no second copy of a job that must run once", func(t *testing.T) {
-		p := site(2)
+		p := newTestPlacer(2)
 		j := job("a", 1)
 		j.RunOnce = true
 		p.Update(SubmitMsg{Jobs: []Job{j, job("b", 1)}})
@@ -180,32 +180,32 @@
 	})
 }
 
-// checker follows the commands and sees that no worker is given more than it has and no job runs twice.
-type checker struct {
+// commandChecker follows the commands and sees that no worker is given more than it has and no job runs twice.
+type commandChecker struct {
 	*rapid.T
-	running map[Task]StartCmd
-	slow    map[Task]bool
-	maybe   map[string]int // running copies by job, lapsed ones included.
-	once    map[string]bool
+	running   map[Task]StartCmd
+	throttled map[Task]bool
+	copies    map[string]int // running copies by job, lapsed ones included.
+	runOnce   map[string]bool
 }
 
-func (c *checker) see(l []Cmd) {
+func (c *commandChecker) check(l []Cmd) {
 	for _, m := range l {
 		switch m := m.(type) {
 		case StartCmd:
 			c.running[m.Task] = m
-			if c.maybe[m.Task.Job]++; c.once[m.Task.Job] && c.maybe[m.Task.Job] > 1 {
+			if c.copies[m.Task.Job]++; c.runOnce[m.Task.Job] && c.copies[m.Task.Job] > 1 {
 				c.Fatalf("%+v is a second copy", m.Task)
 			}
 		case ThrottleCmd:
-			c.slow[m.Task] = m.On
+			c.throttled[m.Task] = m.On
 		}
 	}
 	used := map[string]Size{}
 	for _, s := range c.running {
 		u := used[s.Worker]
 		k := 1.0
-		if c.slow[s.Task] {
+		if c.throttled[s.Task] {
 			k = throttledShare
 		}
 		used[s.Worker] = Size{Cores: u.Cores + k*s.Size.Cores, MemoryMB: u.MemoryMB + s.Size.MemoryMB}
@@ -220,8 +220,8 @@
 func TestTraces(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := site(3)
-		c := &checker{T: t, running: map[Task]StartCmd{}, slow: map[Task]bool{}, maybe: map[string]int{}, once: map[string]bool{}}
+		p := newTestPlacer(3)
+		c := &commandChecker{T: t, running: map[Task]StartCmd{}, throttled: map[Task]bool{}, copies: map[string]int{}, runOnce: map[string]bool{}}
 		at, ids := int64(1), []Task(nil)
 		for _, u := range rapid.SliceOfN(rapid.Uint32Range(0, 1<<20), 100, 300).Draw(t, "trace") {
 			at += int64(u % 700)
@@ -233,27 +233,27 @@
 			_, runs := c.running[old]
 			switch u % 8 {
 			case 0, 1, 2:
-				j := job(fmt.Sprint("j", len(c.once)), float64(n%8+1)/2)
+				j := job(fmt.Sprint("j", len(c.runOnce)), float64(n%8+1)/2)
 				j.Kind, j.Urgent, j.RunOnce = fmt.Sprint(n%3), n%5 == 0, n%2 == 0
-				c.once[j.ID] = j.RunOnce
-				c.see(p.Update(SubmitMsg{At: at, Jobs: []Job{j}}))
+				c.runOnce[j.ID] = j.RunOnce
+				c.check(p.Update(SubmitMsg{At: at, Jobs: []Job{j}}))
 			case 3, 4:
 				if runs {
 					p.Update(UsageMsg{Task: old, Used: Size{Cores: float64(n%6) + 0.5, MemoryMB: float64(n%6)*900 + 100}})
 					delete(c.running, old)
-					c.maybe[old.Job]--
-					c.see(p.Update(EndedMsg{At: at, Task: old, How: End(n / 16 % 4)}))
+					c.copies[old.Job]--
+					c.check(p.Update(EndedMsg{At: at, Task: old, How: End(n / 16 % 4)}))
 				}
 			case 5:
-				if runs && !c.once[old.Job] {
+				if runs && !c.runOnce[old.Job] {
 					delete(c.running, old) // the lease's end frees the worker.
 				}
-				c.see(p.Update(LapsedMsg{At: at, Task: old}))
+				c.check(p.Update(LapsedMsg{At: at, Task: old}))
 			case 6:
-				c.see(p.Update(CancelMsg{Jobs: []string{fmt.Sprint("j", n%20)}}))
+				c.check(p.Update(CancelMsg{Jobs: []string{fmt.Sprint("j", n%20)}}))
 			case 7:
 				l := p.Update(TickMsg{At: at})
-				c.see(l)
+				c.check(l)
 				for _, m := range l {
 					if s, ok := m.(StartCmd); ok {
 						ids, starts = append(ids, s.Task), starts+1
--- a/fleet/place/queue.go
+++ b/fleet/place/queue.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// line names the jobs that stand in one queue: they need the same, run alike and count against one quota.
-type line struct {
-	team, kind string
-	urgent     bool
-	again      bool // had too little memory before, and so need more than their kind.
+// queueKey names the jobs that stand in one queue: they need the same, run alike and count against one quota.
+type queueKey struct {
+	team, kind      string
+	urgent          bool
+	needsMoreMemory bool // had too little memory before, and so need more than their kind.
 }
 
 // queue holds jobs by the time at which they must finish; since they run alike, that is also the order of their latest starts.
 type queue struct {
-	line
-	jobs []*entry
+	queueKey
+	jobs []*jobState
 }
 
 func (q *queue) Len() int           { return len(q.jobs) }
@@ -24,7 +24,7 @@
 func (q *queue) Swap(i, j int)      { q.jobs[i], q.jobs[j] = q.jobs[j], q.jobs[i] }
 
 // Push adds a job for the heap package.
-func (q *queue) Push(x any) { q.jobs = append(q.jobs, x.(*entry)) }
+func (q *queue) Push(x any) { q.jobs = append(q.jobs, x.(*jobState)) }
 
 // Pop takes the last job off for the heap package.
 func (q *queue) Pop() any {
@@ -35,7 +35,7 @@
 }
 
 // head returns the first job that is still wanted.
-func (q *queue) head() *entry {
+func (q *queue) head() *jobState {
 	for len(q.jobs) > 0 {
 		if e := q.jobs[0]; !e.canceled && e.task == nil {
 			return e
@@ -45,48 +45,48 @@
 	return nil
 }
 
-func (p *Placer) queue(e *entry) {
-	l := line{team: e.Team, kind: e.Kind, urgent: e.Urgent, again: e.tooSmall > 0}
-	q := p.lines[l]
+func (p *Placer) enqueue(e *jobState) {
+	l := queueKey{team: e.Team, kind: e.Kind, urgent: e.Urgent, needsMoreMemory: e.insufficientMB > 0}
+	q := p.queues[l]
 	if q == nil {
-		q = &queue{line: l}
-		p.lines[l] = q
+		q = &queue{queueKey: l}
+		p.queues[l] = q
 	}
 	heap.Push(q, e)
 }
 
-// turn is one queue with the latest start of its head.
-type turn struct {
+// readyQueue is one queue with the latest start of its head.
+type readyQueue struct {
 	*queue
 	startBy int64
 }
 
-// turns returns the queues that have jobs, urgent ones first, then by latest start.
-func (p *Placer) turns() []turn {
-	var l []turn
-	for k, q := range p.lines {
+// readyQueues returns the queues that have jobs, urgent ones first, then by latest start.
+func (p *Placer) readyQueues() []readyQueue {
+	var l []readyQueue
+	for k, q := range p.queues {
 		e := q.head()
 		if e == nil {
-			delete(p.lines, k)
+			delete(p.queues, k)
 			continue
 		}
-		l = append(l, turn{queue: q, startBy: p.startBy(e)})
+		l = append(l, readyQueue{queue: q, startBy: p.startBy(e)})
 	}
-	slices.SortFunc(l, before)
+	slices.SortFunc(l, compareQueues)
 	return l
 }
 
-func before(a, b turn) int {
+func compareQueues(a, b readyQueue) int {
 	return cmp.Or(
-		-cmp.Compare(rank(a.urgent), rank(b.urgent)),
+		-cmp.Compare(boolToInt(a.urgent), boolToInt(b.urgent)),
 		cmp.Compare(a.startBy, b.startBy),
 		cmp.Compare(a.team, b.team),
 		cmp.Compare(a.kind, b.kind),
-		cmp.Compare(rank(a.again), rank(b.again)),
+		cmp.Compare(boolToInt(a.needsMoreMemory), boolToInt(b.needsMoreMemory)),
 	)
 }
 
-func rank(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -94,6 +94,6 @@
 }
 
 // startBy returns the latest time at which the job can start and still finish in time, as far as its kind is known.
-func (p *Placer) startBy(e *entry) int64 {
+func (p *Placer) startBy(e *jobState) int64 {
 	return e.FinishBy - p.kind(e.Kind).runMillis(e.RunMillis)
 }
--- a/fleet/place/replay.go
+++ b/fleet/place/replay.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	replayTickMillis  = 500
-	replayUsageMillis = 5_000 // lag of a task's usage.
-	replayFailMillis  = 1_000 // after which a broken job, or any job on a broken worker, fails.
-	replaySaveMillis  = 800   // that a checkpoint takes.
-	hourMillis        = 3_600_000
+	replayTickMillis       = 500
+	replayUsageMillis      = 5_000 // lag of a task's usage.
+	replayFailMillis       = 1_000 // after which a broken job, or any job on a broken worker, fails.
+	replayCheckpointMillis = 800   // that a checkpoint takes.
+	hourMillis             = 3_600_000
 )
 
 // TraceJob is one job with the truth about it.
 type TraceJob struct {
 	Job
-	At       int64
-	True     Size
-	TrueRun  int64
-	Broken   bool  // fails on every worker.
-	Undoable bool  // no worker of the pool can run it.
-	saved    int64 // run time that a checkpoint holds.
+	At          int64
+	True        Size
+	TrueRun     int64
+	Broken      bool  // fails on every worker.
+	Undoable    bool  // no worker of the pool can run it.
+	savedMillis int64 // run time that a checkpoint holds.
 }
 
 // Trace is a night of one pool.
@@ -94,30 +94,30 @@
 	return j
 }
 
-// live is one running attempt of a replay.
-type live struct {
+// attempt is one running attempt of a replay.
+type attempt struct {
 	Task
-	job                 *TraceJob
-	worker              string
-	given               Size
-	start, left, ending int64
-	slow                bool
+	job                                   *TraceJob
+	worker                                string
+	reserved                              Size
+	startMillis, leftMillis, stopAtMillis int64
+	throttled                             bool
 }
 
 // replay is a pool's night in virtual time.
 type replay struct {
-	policy  Policy
-	trace   Trace
-	jobs    map[string]*TraceJob
-	running []*live
-	first   map[string]bool
-	now     int64
-	result  Result
+	policy        Policy
+	trace         Trace
+	jobs          map[string]*TraceJob
+	running       []*attempt
+	startedUrgent map[string]bool
+	nowMillis     int64
+	result        Result
 }
 
 // Replay runs the night under the policy.
 func Replay(t Trace, p Policy) Result {
-	r := &replay{policy: p, trace: t, jobs: map[string]*TraceJob{}, first: map[string]bool{}}
+	r := &replay{policy: p, trace: t, jobs: map[string]*TraceJob{}, startedUrgent: map[string]bool{}}
 	p.Update(WorkersMsg{Workers: t.Workers})
 	for i := range t.Jobs {
 		j := t.Jobs[i]
@@ -127,16 +127,16 @@
 		}
 	}
 	next := 0
-	for r.now = 0; r.now < t.Until; r.now += replayTickMillis {
+	for r.nowMillis = 0; r.nowMillis < t.Until; r.nowMillis += replayTickMillis {
 		var l []Job
-		for ; next < len(t.Jobs) && t.Jobs[next].At <= r.now; next++ {
+		for ; next < len(t.Jobs) && t.Jobs[next].At <= r.nowMillis; next++ {
 			l = append(l, t.Jobs[next].Job)
 		}
 		if len(l) > 0 {
-			r.perform(p.Update(SubmitMsg{At: r.now, Jobs: l}))
+			r.apply(p.Update(SubmitMsg{At: r.nowMillis, Jobs: l}))
 		}
 		r.advance()
-		r.perform(p.Update(TickMsg{At: r.now}))
+		r.apply(p.Update(TickMsg{At: r.nowMillis}))
 	}
 	return r.result
 }
@@ -147,18 +147,18 @@
 	for _, v := range r.running {
 		load[v.worker] += v.cores()
 	}
-	var left []*live
+	var left []*attempt
 	for _, v := range r.running {
 		speed := min(1, 32/max(load[v.worker], 1))
-		if v.slow {
+		if v.throttled {
 			speed *= throttledShare
 		}
-		v.left -= int64(replayTickMillis * speed)
-		if how, ends := r.ends(v); ends {
-			r.end(v, how)
+		v.leftMillis -= int64(replayTickMillis * speed)
+		if how, ends := r.outcome(v); ends {
+			r.finish(v, how)
 			continue
 		}
-		if (r.now-v.start)%replayUsageMillis == 0 && r.now > v.start {
+		if (r.nowMillis-v.startMillis)%replayUsageMillis == 0 && r.nowMillis > v.startMillis {
 			r.policy.Update(UsageMsg{Task: v.Task, Used: v.job.True})
 		}
 		left = append(left, v)
@@ -166,59 +166,59 @@
 	r.running = left
 }
 
-func (v *live) cores() float64 {
-	if v.slow {
+func (v *attempt) cores() float64 {
+	if v.throttled {
 		return v.job.True.Cores * throttledShare
 	}
 	return v.job.True.Cores
 }
 
-func (r *replay) ends(v *live) (End, bool) {
-	age := r.now - v.start
+func (r *replay) outcome(v *attempt) (End, bool) {
+	age := r.nowMillis - v.startMillis
 	switch {
-	case v.ending > 0 && r.now >= v.ending:
+	case v.stopAtMillis > 0 && r.nowMillis >= v.stopAtMillis:
 		return Stopped, true
 	case (v.job.Broken || r.trace.Broken[v.worker]) && age >= replayFailMillis:
 		return Failed, true
-	case v.job.True.MemoryMB > v.given.MemoryMB && age >= v.job.TrueRun/10:
+	case v.job.True.MemoryMB > v.reserved.MemoryMB && age >= v.job.TrueRun/10:
 		return TooBig, true
 	default:
-		return Done, v.left <= 0
+		return Done, v.leftMillis <= 0
 	}
 }
 
-func (r *replay) end(v *live, how End) {
+func (r *replay) finish(v *attempt, how End) {
 	switch how {
 	case Done:
 		r.result.Finished++
-		if r.now <= v.job.FinishBy {
+		if r.nowMillis <= v.job.FinishBy {
 			r.result.InTime++
 		}
 	case Stopped:
-		v.job.saved = max(0, v.job.TrueRun-v.left)
+		v.job.savedMillis = max(0, v.job.TrueRun-v.leftMillis)
 	default:
 		r.result.Failures++
-		r.result.WastedRun += int64(float64(r.now-v.start) * v.job.True.Cores)
+		r.result.WastedRun += int64(float64(r.nowMillis-v.startMillis) * v.job.True.Cores)
 	}
-	r.perform(r.policy.Update(EndedMsg{At: r.now, Task: v.Task, How: how}))
+	r.apply(r.policy.Update(EndedMsg{At: r.nowMillis, Task: v.Task, How: how}))
 }
 
-func (r *replay) perform(l []Cmd) {
+func (r *replay) apply(l []Cmd) {
 	for _, c := range l {
 		switch c := c.(type) {
 		case StartCmd:
-			r.begin(c)
+			r.start(c)
 		case ThrottleCmd:
-			r.each(c.Task, func(v *live) { v.slow = c.On })
+			r.update(c.Task, func(v *attempt) { v.throttled = c.On })
 		case CheckpointCmd:
-			r.each(c.Task, func(v *live) { v.ending = r.now + replaySaveMillis })
+			r.update(c.Task, func(v *attempt) { v.stopAtMillis = r.nowMillis + replayCheckpointMillis })
 		case StopCmd:
-			r.each(c.Task, func(v *live) { v.ending = r.now })
+			r.update(c.Task, func(v *attempt) { v.stopAtMillis = r.nowMillis })
 		}
 	}
 }
 
-func (r *replay) begin(c StartCmd) {
+func (r *replay) start(c StartCmd) {
 	j := r.jobs[c.Task.Job]
 	r.result.Starts++
 	for _, v := range r.running {
@@ -226,16 +226,16 @@
 			r.result.Doubled++
 		}
 	}
-	if j.Urgent && !r.first[j.ID] {
-		r.first[j.ID] = true
-		r.result.UrgentWait = max(r.result.UrgentWait, r.now-j.At)
+	if j.Urgent && !r.startedUrgent[j.ID] {
+		r.startedUrgent[j.ID] = true
+		r.result.UrgentWait = max(r.result.UrgentWait, r.nowMillis-j.At)
 	}
-	r.running = append(r.running, &live{
-		Task: c.Task, job: j, worker: c.Worker, given: c.Size, start: r.now, left: j.TrueRun - j.saved,
+	r.running = append(r.running, &attempt{
+		Task: c.Task, job: j, worker: c.Worker, reserved: c.Size, startMillis: r.nowMillis, leftMillis: j.TrueRun - j.savedMillis,
 	})
 }
 
-func (r *replay) each(t Task, f func(*live)) {
+func (r *replay) update(t Task, f func(*attempt)) {
 	for _, v := range r.running {
 		if v.Task == t {
 			f(v)
