--- a/fleet/place/choose.go
+++ b/fleet/place/choose.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	maxCandidates = 8 // workers of one level of free cores that are compared.
-	maxYieldTasks = 8 // tasks of one worker that are asked to yield at most for one urgent job.
+	maxCandidates = 8 // fitting workers with the same number of free cores that are compared.
+	maxYieldTasks = 8 // tasks of one worker that may be throttled or checkpointed for one urgent job.
 )
 
-// place starts what fits, queue by queue, each queue until its head does not fit.
+// place starts the jobs that fit, always from the queue whose head is next in order. A queue whose head does not fit is
+// done for this tick.
 func (p *Placer) place() []Cmd {
 	l := p.liftThrottles(nil)
-	for turns := p.readyQueues(); len(turns) > 0; {
-		t := turns[0]
+	for ready := p.readyQueues(); len(ready) > 0; {
+		t := ready[0]
 		e := t.head()
 		var ok bool
 		if e != nil {
 			l, ok = p.tryStart(l, e)
 		}
-		turns = turns[1:]
+		ready = ready[1:]
 		if e = t.head(); !ok || e == nil {
 			continue
 		}
 		t.startBy = p.startBy(e)
-		i, _ := slices.BinarySearchFunc(turns, t, compareQueues)
-		turns = slices.Insert(turns, i, t)
+		i, _ := slices.BinarySearchFunc(ready, t, compareQueues)
+		ready = slices.Insert(ready, i, t)
 	}
 	return l
 }
 
-// tryStart starts the job if some worker has room, or has others yield if it is urgent.
+// tryStart starts the job if its team's quota allows it and a worker has room. For an urgent job it makes room by
+// throttling or checkpointing other tasks. It reports whether the job was started.
 func (p *Placer) tryStart(l []Cmd, e *jobState) ([]Cmd, bool) {
 	s := p.reservation(e)
 	if q, ok := p.quotaCores[e.Team]; ok && p.teamCores[e.Team]+s.Cores > q {
@@ -46,7 +48,7 @@
 	return p.makeRoom(l, e, s)
 }
 
-// reservation returns what to reserve for the job: what its kind is known to take, and no more than the largest worker has.
+// reservation returns the size to reserve for the job, estimated from its kind and at most that of the largest worker.
 func (p *Placer) reservation(e *jobState) Size {
 	s := p.kind(e.Kind).size(e.Declared)
 	if e.insufficientMB > 0 {
@@ -57,8 +59,8 @@
 	return s
 }
 
-// chooseWorker returns the worker with the least free cores that are enough, and among some of those the one whose rack runs the
-// fewest tasks of the kind.
+// chooseWorker returns the worker with the fewest whole free cores on which the job fits (best fit). Among up to
+// maxCandidates such workers it takes the one whose rack runs the fewest tasks of the kind.
 func (p *Placer) chooseWorker(e *jobState, s Size) *workerState {
 	for b := int(s.Cores); b < len(p.byFreeCores.buckets); b++ {
 		var best *workerState
@@ -102,32 +104,32 @@
 	return append(l, StartCmd{Task: t.Task, Worker: m.Name, Size: s})
 }
 
-// makeRoom makes room for an urgent job: at once by throttling tasks on a worker that has the memory free, else by having
-// tasks checkpointed, after which the job starts.
+// makeRoom makes room for an urgent job. If a worker has enough free memory, it throttles tasks there and starts the job
+// at once. Otherwise it has tasks of one worker checkpointed; the job starts on a later tick, when they have ended.
 func (p *Placer) makeRoom(l []Cmd, e *jobState, s Size) ([]Cmd, bool) {
-	var save *workerState
+	var toCheckpoint *workerState
 	for _, n := range p.workerNames {
 		m := p.workers[n]
 		if !m.acceptsTask(p.nowMillis) || e.failedOn[n] || s.Accelerators > m.free().Accelerators {
 			continue
 		}
-		slack, saved := m.reclaimable()
+		byThrottle, byCheckpoint := m.reclaimable()
 		free := m.free()
 		switch {
-		case s.fits(Size{Cores: free.Cores + slack, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}):
+		case s.fits(Size{Cores: free.Cores + byThrottle, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}):
 			l = p.throttle(l, m, s.Cores)
 			return p.start(l, e, m, s), true
-		case save == nil && s.Cores <= free.Cores+saved.Cores && s.MemoryMB <= free.MemoryMB+saved.MemoryMB:
-			save = m
+		case toCheckpoint == nil && s.Cores <= free.Cores+byCheckpoint.Cores && s.MemoryMB <= free.MemoryMB+byCheckpoint.MemoryMB:
+			toCheckpoint = m
 		}
 	}
-	if save != nil {
-		l = p.checkpoint(l, save, s)
+	if toCheckpoint != nil {
+		l = p.checkpoint(l, toCheckpoint, s)
 	}
 	return l, false
 }
 
-// yieldCandidates returns the tasks that may yield, those that have run least first.
+// yieldCandidates returns the tasks that may be throttled or checkpointed for an urgent job, the last started first.
 func (m *workerState) yieldCandidates() []*task {
 	var l []*task
 	for _, t := range m.tasks {
@@ -139,18 +141,19 @@
 	return l[:min(len(l), maxYieldTasks)]
 }
 
-// reclaimable returns the cores that throttling would free, and what checkpoints would.
-func (m *workerState) reclaimable() (cores float64, saved Size) {
+// reclaimable returns the cores that throttling would free, and the size that checkpoints would free.
+func (m *workerState) reclaimable() (byThrottle float64, byCheckpoint Size) {
 	for _, t := range m.yieldCandidates() {
-		saved.Cores += t.cores()
-		saved.MemoryMB += t.size.MemoryMB
+		byCheckpoint.Cores += t.cores()
+		byCheckpoint.MemoryMB += t.size.MemoryMB
 		if !t.throttled {
-			cores += t.size.Cores * (1 - throttledShare)
+			byThrottle += t.size.Cores * (1 - throttledShare)
 		}
 	}
-	return cores, saved
+	return byThrottle, byCheckpoint
 }
 
+// throttle throttles tasks of the worker until it has the given number of free cores.
 func (p *Placer) throttle(l []Cmd, m *workerState, cores float64) []Cmd {
 	for _, t := range m.yieldCandidates() {
 		if m.free().Cores+1e-9 >= cores {
@@ -166,10 +169,11 @@
 	return l
 }
 
+// checkpoint has tasks of the worker checkpointed until the cores and memory that will be free are enough.
 func (p *Placer) checkpoint(l []Cmd, m *workerState, s Size) []Cmd {
 	free := m.free()
 	for _, t := range m.tasks {
-		if t.stopping { // room that is on its way already.
+		if t.stopping { // will be free soon without a further checkpoint.
 			free.Cores += t.cores()
 			free.MemoryMB += t.size.MemoryMB
 		}
@@ -186,18 +190,18 @@
 	return l
 }
 
-// liftThrottles ends throttles for which there is room again, unless urgent jobs wait.
+// liftThrottles ends the throttling of tasks whose workers have enough free cores again, unless urgent jobs wait.
 func (p *Placer) liftThrottles(l []Cmd) []Cmd {
 	for k, q := range p.queues {
 		if k.urgent && q.head() != nil {
 			return l
 		}
 	}
-	var left []*task
+	var remaining []*task
 	for _, t := range p.throttled {
 		need := t.size.Cores * (1 - throttledShare)
 		if t.worker.free().Cores+1e-9 < need || t.stopping {
-			left = append(left, t)
+			remaining = append(remaining, t)
 			continue
 		}
 		t.throttled = false
@@ -207,6 +211,6 @@
 		}
 		l = append(l, ThrottleCmd{Task: t.Task, Worker: t.worker.Name})
 	}
-	p.throttled = left
+	p.throttled = remaining
 	return l
 }
--- a/fleet/place/doc.go
+++ b/fleet/place/doc.go
@@ -1,8 +1,8 @@
-// Package place puts a pool's jobs on its workers.
+// Package place assigns the jobs of a pool to its workers.
 //
-// Sizes and run times are learned by kind of job, since declared ones are far from the truth. Jobs go by their latest
-// start, which moves earlier the less is known of their kind; urgent ones go first and make others yield, by throttle
-// where memory is free and else by checkpoint. A job that fails on several good workers is given up, a worker that fails
-// several jobs is set aside and tried again with one job at a time. A job that must run once is placed again only
-// when its former task is known to have ended.
+// It estimates sizes and run times by kind of job from measurements, since declared values are far from the real ones.
+// Jobs start in the order of their latest start time, which is earlier the less is known of their kind. Urgent jobs go
+// first and preempt others: by throttling where enough memory is free, otherwise by checkpointing. A job that fails on
+// several healthy workers is given up. A worker on which several jobs fail is quarantined and then tried again with one
+// task at a time. A job that must never run twice at once is placed again only when its former task is known to have ended.
 package place
--- a/fleet/place/learn.go
+++ b/fleet/place/learn.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	minWeight        = 0.2 // weight of the newest observation.
-	marginDeviations = 2.0 // deviations of size that are reserved beyond the mean.
-	memoryGrowth     = 2.0 // by which a task's memory grows after it was too small.
-	minSamples       = 3   // observations below which declared values count.
+	minWeight        = 0.2 // least weight of the newest observation.
+	marginDeviations = 2.0 // mean deviations beyond the mean that upperBound allows for.
+	memoryGrowth     = 2.0 // factor on a reservation that ran out of memory.
+	minSamples       = 3   // with fewer observations, declared values are used.
 )
 
-// average is a running mean and its mean deviation.
+// average is a moving mean and mean deviation.
 type average struct {
 	mean, dev float64
 	n         int
@@ -22,15 +22,15 @@
 	a.mean += k * (x - a.mean)
 }
 
-// upperBound returns a value that few observations exceed; the fewer there are, the farther from the mean.
+// upperBound returns a value that few observations exceed. The fewer observations there are, the larger the margin.
 func (a *average) upperBound() float64 {
 	return a.mean + (marginDeviations+2/float64(max(a.n, 1)))*a.dev
 }
 
-// kindStats is what was learned of jobs of one kindStats.
+// kindStats holds the measurements of the jobs of one kind.
 type kindStats struct{ cores, memory, run average }
 
-// size returns what to reserve for a job of the kind.
+// size returns the size to reserve for a job of the kind.
 func (k *kindStats) size(declared Size) Size {
 	if k.cores.n < minSamples {
 		return declared
@@ -38,7 +38,7 @@
 	return Size{Cores: k.cores.upperBound(), MemoryMB: k.memory.upperBound(), Accelerators: declared.Accelerators}
 }
 
-// runMillis returns the run time to reckon with; declared times are doubled, since they are far from the truth.
+// runMillis returns the estimated run time. Declared times are doubled, since they are far from the real ones.
 func (k *kindStats) runMillis(declared int64) int64 {
 	if k.run.n < minSamples {
 		return 2 * declared
--- a/fleet/place/message.go
+++ b/fleet/place/message.go
@@ -1,30 +1,30 @@
 package place
 
-// Size is what a task takes of a worker.
+// Size is an amount of resources: that of a worker, or the share that a task uses of it.
 type Size struct {
 	Cores        float64
 	MemoryMB     float64
 	Accelerators int
 }
 
-// Worker is one worker of the pool.
+// Worker describes one worker of the pool.
 type Worker struct {
 	Name, Rack string
 	Size       Size
 	Out        bool // takes no new task.
 }
 
-// Job is one piece of work; a Kind has jobs of like size and run time.
+// Job is one piece of work. Jobs of the same Kind have similar sizes and run times.
 type Job struct {
 	ID, Team, Kind string
 	Declared       Size
 	RunMillis      int64 // declared run time.
 	FinishBy       int64 // Unix milliseconds.
 	Urgent         bool
-	RunOnce        bool // never has two running copies.
+	RunOnce        bool // must never have two running copies.
 }
 
-// Task is one attempt at a job; the attempt's number fences earlier ones off.
+// Task identifies one attempt at a job. Messages about an earlier attempt are ignored by its number.
 type Task struct {
 	Job     string
 	Attempt int
@@ -47,41 +47,42 @@
 // Msg is a message to the placer; times are in Unix milliseconds.
 type Msg interface{ isMsg() }
 
-// WorkersMsg replaces the list of workers; tasks on a worker that is not listed go on until their end or lapse is told.
+// WorkersMsg replaces the list of workers. Tasks on a worker that is no longer listed count as running until an EndedMsg
+// or LapsedMsg about them.
 type WorkersMsg struct{ Workers []Worker }
 
-// QuotaMsg replaces the teams' quotas in cores; a team that is not named has no bound.
+// QuotaMsg replaces the teams' quotas in cores; a team that is not named has no quota.
 type QuotaMsg struct{ Cores map[string]float64 }
 
-// SubmitMsg adds jobs; one whose id is known is passed over.
+// SubmitMsg adds jobs; one whose ID is already known is ignored.
 type SubmitMsg struct {
 	At   int64
 	Jobs []Job
 }
 
-// CancelMsg takes jobs back.
+// CancelMsg cancels jobs.
 type CancelMsg struct{ Jobs []string }
 
-// UsageMsg is the most that a running task has used so far; it lags behind.
+// UsageMsg reports the peak usage of a running task so far; it arrives with a delay.
 type UsageMsg struct {
 	Task Task
 	Used Size
 }
 
-// EndedMsg says how a task ended.
+// EndedMsg reports how a task ended.
 type EndedMsg struct {
 	At   int64
 	Task Task
 	How  End
 }
 
-// LapsedMsg says that a task's lease has lapsed; it may still be running.
+// LapsedMsg reports that a task's lease has expired; the task may still be running.
 type LapsedMsg struct {
 	At   int64
 	Task Task
 }
 
-// TickMsg lets time pass and places jobs.
+// TickMsg advances the time and places jobs.
 type TickMsg struct{ At int64 }
 
 func (WorkersMsg) isMsg() {}
@@ -93,24 +94,24 @@
 func (LapsedMsg) isMsg()  {}
 func (TickMsg) isMsg()    {}
 
-// Cmd is what the placer wants done.
+// Cmd is a command for the caller to carry out.
 type Cmd interface{ isCmd() }
 
-// StartCmd starts the task on the worker with the size reserved for it.
+// StartCmd starts the task on the worker; Size is reserved for it.
 type StartCmd struct {
 	Task   Task
 	Worker string
 	Size   Size
 }
 
-// ThrottleCmd slows the task down so that it takes next to no cores; On false lifts it.
+// ThrottleCmd throttles the task to a small share of its cores, or ends the throttling if On is false.
 type ThrottleCmd struct {
 	Task   Task
 	Worker string
 	On     bool
 }
 
-// CheckpointCmd has the task saved and stopped; an EndedMsg must follow.
+// CheckpointCmd saves a checkpoint of the task and stops it; an EndedMsg must follow.
 type CheckpointCmd struct {
 	Task   Task
 	Worker string
@@ -122,7 +123,7 @@
 	Worker string
 }
 
-// GiveUpCmd ends a job that will not run.
+// GiveUpCmd ends a job that is not tried again.
 type GiveUpCmd struct {
 	Job    string
 	Reason Reason
@@ -136,7 +137,7 @@
 	NoWorker Reason = "no worker has what the job asks for"
 	// Larger means that the job needs more memory than the largest worker has.
 	Larger Reason = "larger than any worker"
-	// Broken means that the job failed on several good workers.
+	// Broken means that the job failed on several healthy workers.
 	Broken Reason = "failed on several good workers"
 )
 
--- a/fleet/place/naive.go
+++ b/fleet/place/naive.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// FirstFit is the naive policy beside which the placer is measured: jobs in order of arrival, each on the first worker
-// that has its declared size free, again and again until it ends well.
+// FirstFit is a naive policy, the baseline with which the Placer is compared. It takes jobs in order of arrival, starts
+// each on the first worker with enough room for its declared size, and retries it until it succeeds.
 type FirstFit struct {
 	workers []*workerState
 	waiting []*jobState
 	running map[string]*task
 }
 
-// NewFirstFit returns the naive policy.
+// NewFirstFit returns a policy without workers or jobs.
 func NewFirstFit() *FirstFit { return &FirstFit{running: map[string]*task{}} }
 
-// Update takes one message in and returns what is to be done.
+// Update handles one message and returns the commands to carry out.
 func (f *FirstFit) Update(msg Msg) []Cmd {
 	switch m := msg.(type) {
 	case WorkersMsg:
--- a/fleet/place/placer.go
+++ b/fleet/place/placer.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// maxFailedWorkers is how many good workers a job may fail on before it is given up.
+// maxFailedWorkers is the number of healthy workers on which a job must fail to be given up.
 const maxFailedWorkers = 3
 
-// Placer decides for one pool.
+// Placer decides which jobs of one pool run on which workers. It does no I/O: Update takes messages and returns commands.
 type Placer struct {
 	nowMillis       int64
 	workers         map[string]*workerState
-	workerNames     []string // of workers, sorted.
+	workerNames     []string // sorted.
 	byFreeCores     coreIndex
 	largestWorker   Size
 	jobs            map[string]*jobState
 	kinds           map[string]*kindStats
 	queues          map[queueKey]*queue
 	quotaCores      map[string]float64
-	teamCores       map[string]float64 // cores that each team's tasks hold.
-	tasksByKindRack map[string]int     // tasks by kind and rack.
+	teamCores       map[string]float64 // cores reserved for each team's tasks, without regard to throttling.
+	tasksByKindRack map[string]int     // number of tasks by "kind/rack".
 	throttled       []*task            // throttled tasks, oldest first.
 }
 
-// jobState is one job and its attempts.
+// jobState is a waiting or running job and the history of its attempts.
 type jobState struct {
 	Job
 	attempt        int
-	insufficientMB float64 // memory that was not enough.
+	insufficientMB float64 // largest reservation with which an attempt ran out of memory.
 	failedOn       map[string]bool
 	failures       int
 	task           *task // the running attempt; nil while the job waits.
@@ -57,13 +57,13 @@
 // Running returns the number of jobs with a running attempt.
 func (p *Placer) Running() int { return len(p.jobs) - p.Waiting() }
 
-// IsAside tells whether the worker is set aside.
+// IsAside reports whether the worker is quarantined, or on probation after it.
 func (p *Placer) IsAside(worker string) bool {
 	m := p.workers[worker]
 	return m != nil && m.quarantineMillis > 0
 }
 
-// Update takes one message in and returns what is to be done.
+// Update handles one message and returns the commands to carry out.
 func (p *Placer) Update(msg Msg) []Cmd {
 	switch m := msg.(type) {
 	case WorkersMsg:
@@ -91,10 +91,10 @@
 }
 
 func (p *Placer) updateWorkers(l []Worker) {
-	seen := make(map[string]bool, len(l))
+	listed := make(map[string]bool, len(l))
 	p.largestWorker = Size{}
 	for _, w := range l {
-		seen[w.Name] = true
+		listed[w.Name] = true
 		m := p.workers[w.Name]
 		if m == nil {
 			m = &workerState{tasks: map[string]*task{}, failedJobs: map[string]bool{}, bucket: -1}
@@ -108,11 +108,11 @@
 	}
 	p.workerNames = p.workerNames[:0]
 	for n, m := range p.workers {
-		if !seen[n] {
+		if !listed[n] {
 			m.Out = true
 			p.byFreeCores.remove(m)
 		}
-		if !seen[n] && len(m.tasks) == 0 {
+		if !listed[n] && len(m.tasks) == 0 {
 			delete(p.workers, n)
 			continue
 		}
@@ -138,13 +138,14 @@
 	return c
 }
 
-func (p *Placer) giveUp(c []Cmd, e *jobState, why Reason) []Cmd {
+// giveUp forgets a job that will not run; its queue drops it later, since it is marked as canceled.
+func (p *Placer) giveUp(c []Cmd, e *jobState, reason Reason) []Cmd {
 	delete(p.jobs, e.ID)
 	e.canceled = true
-	return append(c, GiveUpCmd{Job: e.ID, Reason: why})
+	return append(c, GiveUpCmd{Job: e.ID, Reason: reason})
 }
 
-// cancel takes jobs out; those that wait are only marked, and leave their queue when they come to its head.
+// cancel cancels jobs and stops their tasks. A waiting job is only marked, and leaves its queue when it reaches the head.
 func (p *Placer) cancel(l []string) []Cmd {
 	var c []Cmd
 	for _, id := range l {
@@ -163,7 +164,7 @@
 	return c
 }
 
-// runningTask returns the running attempt that the task names; an earlier attempt is not it.
+// runningTask returns the running attempt with this job and attempt number, or nil if it is not the current one.
 func (p *Placer) runningTask(t Task) *task {
 	e := p.jobs[t.Job]
 	if e == nil || e.task == nil || e.task.Task != t {
@@ -225,25 +226,27 @@
 	return nil
 }
 
-// attributeFailure lays a failure to the job if the worker is good, else to the worker, and tells whether the job was given up.
+// attributeFailure records a failure against the job and the worker, and reports whether the job was given up. Failures
+// on quarantined workers do not count against the job. In a pool with fewer than maxFailedWorkers workers, a job may fail
+// on the same worker again, and its number of failures counts instead.
 func (p *Placer) attributeFailure(e *jobState, w *workerState) ([]Cmd, bool) {
 	e.failedOn[w.Name] = true
 	e.failures++
 	w.recordFailure(e.ID, p.nowMillis)
-	good := 0
+	healthy := 0
 	for n := range e.failedOn {
 		if m := p.workers[n]; m != nil && m.isHealthy() {
-			good++
+			healthy++
 		}
 	}
 	few := len(p.workerNames) < maxFailedWorkers
-	if good < maxFailedWorkers && (!few || e.failures < maxFailedWorkers) {
+	if healthy < maxFailedWorkers && (!few || e.failures < maxFailedWorkers) {
 		if few {
 			clear(e.failedOn)
 		}
 		return nil, false
 	}
-	for n := range e.failedOn { // the job was at fault, not the workers.
+	for n := range e.failedOn { // the job was at fault: its failures do not count against the workers.
 		if m := p.workers[n]; m != nil {
 			delete(m.failedJobs, e.ID)
 		}
@@ -251,8 +254,8 @@
 	return p.giveUp(nil, e, Broken), true
 }
 
-// leaseExpired frees a job whose task's lease has leaseExpired for another attempt, unless it must not have two running copies: that
-// one waits until its task is known to have ended.
+// leaseExpired queues a job for another attempt after its task's lease has expired. A job that must not have two running
+// copies waits instead until its task is known to have ended.
 func (p *Placer) leaseExpired(id Task) {
 	t := p.runningTask(id)
 	if t == nil || t.job.RunOnce {
@@ -266,7 +269,7 @@
 	p.enqueue(t.job)
 }
 
-// release gives back what the task holds.
+// release frees what is reserved for the task and clears it from its job.
 func (p *Placer) release(t *task) {
 	m := t.worker
 	m.reserved.Cores -= t.cores()
--- a/fleet/place/placer_test.go
+++ b/fleet/place/placer_test.go
@@ -15,7 +15,7 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// newTestPlacer returns a placer with n workers of 8 cores, two a rack.
+// newTestPlacer returns a placer with n workers of 8 cores and 8000 MB, two in each rack.
 func newTestPlacer(n int) *Placer {
 	p := New()
 	var l []Worker
@@ -30,7 +30,7 @@
 	return Job{ID: id, Kind: "k" + id, Team: "t", Declared: Size{Cores: cores, MemoryMB: 1000 * cores}, RunMillis: 1000, FinishBy: 100_000}
 }
 
-// tick places jobs and returns the starts by job.
+// tick sends a TickMsg and returns the start commands by job.
 func tick(p *Placer, at int64) map[string]StartCmd {
 	l := map[string]StartCmd{}
 	for _, c := range p.Update(TickMsg{At: at}) {
@@ -47,7 +47,7 @@
 		j.Declared.Accelerators = 1
 		is.New(t).Equal(newTestPlacer(2).Update(SubmitMsg{Jobs: []Job{j}}), []Cmd{GiveUpCmd{Job: "a", Reason: NoWorker}})
 	})
-	t.Run("a job larger than any worker is given up when a whole one was too small", func(t *testing.T) {
+	t.Run("a job is given up when it ran out of memory with that of a whole worker", func(t *testing.T) {
 		p := newTestPlacer(2)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 5)}})
 		for at := int64(1); at < 3; at++ {
@@ -57,7 +57,7 @@
 		}
 		is.New(t).Equal(p.Waiting(), 0)
 	})
-	t.Run("a bad job is given up, its workers stay good", func(t *testing.T) {
+	t.Run("a job that always fails is given up and its workers stay healthy", func(t *testing.T) {
 		p := newTestPlacer(5)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 1)}})
 		var c []Cmd
@@ -69,7 +69,7 @@
 			is.New(t).True(!p.IsAside(fmt.Sprintf("w%d", i)))
 		}
 	})
-	t.Run("a bad worker is set aside and tried again with one job", func(t *testing.T) {
+	t.Run("a worker that always fails is quarantined and tried again with one job", func(t *testing.T) {
 		p := newTestPlacer(4)
 		failAll := func(at int64) int {
 			n := 0
@@ -95,7 +95,7 @@
 		}
 		is.New(t).True(failAll(minQuarantineMillis+20) <= 1)
 	})
-	t.Run("failures on bad workers are not the job's", func(t *testing.T) {
+	t.Run("failures on quarantined workers do not count against the job", func(t *testing.T) {
 		p := newTestPlacer(5)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 1)}})
 		for at := int64(1); at <= maxFailedWorkers; at++ {
@@ -105,7 +105,7 @@
 		}
 		is.New(t).Equal(p.Waiting(), 1)
 	})
-	t.Run("sizes are learned", func(t *testing.T) {
+	t.Run("reservations follow the measured usage", func(t *testing.T) {
 		p := newTestPlacer(1)
 		for at := int64(1); at < 6; at++ {
 			j := job(fmt.Sprint(at), 8)
@@ -137,7 +137,7 @@
 		p.Update(SubmitMsg{At: 2, Jobs: []Job{u}})
 		is.New(t).Equal(len(tick(p, 2)), 1)
 	})
-	t.Run("without memory others are checkpointed first", func(t *testing.T) {
+	t.Run("without free memory, tasks are checkpointed before urgent work starts", func(t *testing.T) {
 		p := newTestPlacer(1)
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 8)}})
 		s := tick(p, 1)["a"]
@@ -145,24 +145,24 @@
 		u.Urgent = true
 		p.Update(SubmitMsg{At: 2, Jobs: []Job{u}})
 		is.New(t).Equal(p.Update(TickMsg{At: 2}), []Cmd{CheckpointCmd{Task: s.Task, Worker: "w0"}})
-		is.New(t).Equal(len(p.Update(TickMsg{At: 3})), 0) // asked once.
+		is.New(t).Equal(len(p.Update(TickMsg{At: 3})), 0) // commanded only once.
 		p.Update(EndedMsg{At: 4, Task: s.Task, How: Stopped})
 		is.New(t).Equal(tick(p, 4)["u"].Worker, "w0")
 	})
-	t.Run("a team's quota bounds its cores", func(t *testing.T) {
+	t.Run("a team's quota limits its cores", func(t *testing.T) {
 		p := newTestPlacer(4)
 		p.Update(QuotaMsg{Cores: map[string]float64{"t": 5}})
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 2), job("b", 2), job("c", 2)}})
 		is.New(t).Equal(len(tick(p, 1)), 2)
 	})
-	t.Run("less known kinds start earlier", func(t *testing.T) {
+	t.Run("jobs of unknown kinds start earlier", func(t *testing.T) {
 		var known, unknown kindStats
 		for range 5 {
 			known.run.add(1000)
 		}
 		is.New(t).True(known.runMillis(1000) < unknown.runMillis(1000))
 	})
-	t.Run("a lapsed lease starts no second copy of a job that must run once", func(t *testing.T) {
+	t.Run("an expired lease starts no second copy of a job that must run once", func(t *testing.T) {
 		p := newTestPlacer(2)
 		j := job("a", 1)
 		j.RunOnce = true
@@ -173,19 +173,19 @@
 		l := tick(p, 3)
 		is.New(t).Equal(len(l), 1)
 		is.New(t).Equal(l["b"].Task.Attempt, 2)
-		p.Update(EndedMsg{At: 4, Task: s["b"].Task, How: Failed}) // word of the fenced attempt changes nothing.
+		p.Update(EndedMsg{At: 4, Task: s["b"].Task, How: Failed}) // a message about the former attempt is ignored.
 		is.New(t).Equal(p.Running(), 2)
 		p.Update(EndedMsg{At: 5, Task: s["a"].Task, How: Stopped})
 		is.New(t).Equal(tick(p, 6)["a"].Task.Attempt, 2)
 	})
 }
 
-// commandChecker follows the commands and sees that no worker is given more than it has and no job runs twice.
+// commandChecker follows the commands and checks that no worker is overcommitted and that no run-once job has two copies.
 type commandChecker struct {
 	*rapid.T
 	running   map[Task]StartCmd
 	throttled map[Task]bool
-	copies    map[string]int // running copies by job, lapsed ones included.
+	copies    map[string]int // possibly running copies by job, including those whose lease expired.
 	runOnce   map[string]bool
 }
 
@@ -195,7 +195,7 @@
 		case StartCmd:
 			c.running[m.Task] = m
 			if c.copies[m.Task.Job]++; c.runOnce[m.Task.Job] && c.copies[m.Task.Job] > 1 {
-				c.Fatalf("%+v is a second copy", m.Task)
+				c.Fatalf("%+v starts a second copy of a run-once job", m.Task)
 			}
 		case ThrottleCmd:
 			c.throttled[m.Task] = m.On
@@ -212,11 +212,12 @@
 	}
 	for w, u := range used {
 		if u.Cores > 8+1e-6 || u.MemoryMB > 8000+1e-6 {
-			c.Fatalf("%s is given %+v", w, u)
+			c.Fatalf("worker %s is overcommitted: %+v reserved", w, u)
 		}
 	}
 }
 
+// TestTraces sends random messages to a placer and checks its commands after each one.
 func TestTraces(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -246,7 +247,7 @@
 				}
 			case 5:
 				if runs && !c.runOnce[old.Job] {
-					delete(c.running, old) // the lease's end frees the worker.
+					delete(c.running, old) // the placer frees the reservation when the lease expires.
 				}
 				c.check(p.Update(LapsedMsg{At: at, Task: old}))
 			case 6:
--- a/fleet/place/queue.go
+++ b/fleet/place/queue.go
@@ -6,14 +6,15 @@
 	"slices"
 )
 
-// queueKey names the jobs that stand in one queue: they need the same, run alike and count against one quota.
+// queueKey identifies a queue. Its jobs need the same resources, take similar time and count against one quota.
 type queueKey struct {
 	team, kind      string
 	urgent          bool
-	needsMoreMemory bool // had too little memory before, and so need more than their kind.
+	needsMoreMemory bool // ran out of memory before and so need more than others of their kind.
 }
 
-// queue holds jobs by the time at which they must finish; since they run alike, that is also the order of their latest starts.
+// queue is a heap of jobs by the time at which they must finish. Since their estimated run times are the same, that is
+// also the order of their latest start times.
 type queue struct {
 	queueKey
 	jobs []*jobState
@@ -23,10 +24,10 @@
 func (q *queue) Less(i, j int) bool { return q.jobs[i].FinishBy < q.jobs[j].FinishBy }
 func (q *queue) Swap(i, j int)      { q.jobs[i], q.jobs[j] = q.jobs[j], q.jobs[i] }
 
-// Push adds a job for the heap package.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) { q.jobs = append(q.jobs, x.(*jobState)) }
 
-// Pop takes the last job off for the heap package.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	n := len(q.jobs) - 1
 	e := q.jobs[n]
@@ -34,7 +35,7 @@
 	return e
 }
 
-// head returns the first job that is still wanted.
+// head returns the first job that still waits, and drops canceled and running ones before it.
 func (q *queue) head() *jobState {
 	for len(q.jobs) > 0 {
 		if e := q.jobs[0]; !e.canceled && e.task == nil {
@@ -55,13 +56,13 @@
 	heap.Push(q, e)
 }
 
-// readyQueue is one queue with the latest start of its head.
+// readyQueue is a queue and the latest start time of its head.
 type readyQueue struct {
 	*queue
 	startBy int64
 }
 
-// readyQueues returns the queues that have jobs, urgent ones first, then by latest start.
+// readyQueues returns the queues that have jobs, urgent ones first, then by latest start time.
 func (p *Placer) readyQueues() []readyQueue {
 	var l []readyQueue
 	for k, q := range p.queues {
@@ -93,7 +94,7 @@
 	return 0
 }
 
-// startBy returns the latest time at which the job can start and still finish in time, as far as its kind is known.
+// startBy returns the latest time at which the job can start and still finish in time by its estimated run time.
 func (p *Placer) startBy(e *jobState) int64 {
 	return e.FinishBy - p.kind(e.Kind).runMillis(e.RunMillis)
 }
--- a/fleet/place/replay.go
+++ b/fleet/place/replay.go
@@ -8,13 +8,13 @@
 
 const (
 	replayTickMillis       = 500
-	replayUsageMillis      = 5_000 // lag of a task's usage.
-	replayFailMillis       = 1_000 // after which a broken job, or any job on a broken worker, fails.
-	replayCheckpointMillis = 800   // that a checkpoint takes.
+	replayUsageMillis      = 5_000 // interval, and so the lag, of usage reports.
+	replayFailMillis       = 1_000 // time after which a broken job, or any job on a broken worker, fails.
+	replayCheckpointMillis = 800   // time that a checkpoint takes.
 	hourMillis             = 3_600_000
 )
 
-// TraceJob is one job with the truth about it.
+// TraceJob is a job with its real size and run time and whether it can succeed.
 type TraceJob struct {
 	Job
 	At          int64
@@ -22,10 +22,10 @@
 	TrueRun     int64
 	Broken      bool  // fails on every worker.
 	Undoable    bool  // no worker of the pool can run it.
-	savedMillis int64 // run time that a checkpoint holds.
+	savedMillis int64 // run time that the last checkpoint saved.
 }
 
-// Trace is a night of one pool.
+// Trace is the load of one pool over a night.
 type Trace struct {
 	Workers []Worker
 	Broken  map[string]bool // workers that fail everything.
@@ -38,20 +38,20 @@
 	Update(msg Msg) []Cmd
 }
 
-// Result is what a replay measured.
+// Result holds the measurements of a replay.
 type Result struct {
 	Finished   int
 	InTime     int
-	Runnable   int // jobs that could be run at all.
+	Runnable   int // jobs that can succeed on some worker.
 	Failures   int // attempts that failed.
 	Starts     int
-	WastedRun  int64 // milliseconds of core time in attempts that did not end well.
-	UrgentWait int64 // longest wait of an urgent job for its start, in milliseconds.
-	Doubled    int   // jobs that had two running copies.
+	WastedRun  int64 // core milliseconds in attempts that failed.
+	UrgentWait int64 // longest time until the first start of an urgent job, in milliseconds.
+	Doubled    int   // starts of a job while another attempt at it was running.
 }
 
-// NightTrace returns a night: kinds of jobs whose true sizes and run times are from a quarter to three times the declared
-// ones, some broken jobs and workers, some jobs that no worker can run, and urgent jobs into a full pool.
+// NightTrace returns a random night: kinds of jobs whose real sizes and run times are from a quarter to three times the
+// declared ones, some broken jobs and workers, some jobs that no worker can run, and urgent jobs that find the pool full.
 func NightTrace(seed int64, workers, jobs int) Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := Trace{Broken: map[string]bool{}, Until: 5 * hourMillis}
@@ -104,7 +104,7 @@
 	throttled                             bool
 }
 
-// replay is a pool's night in virtual time.
+// replay is the state of a replay, in virtual time.
 type replay struct {
 	policy        Policy
 	trace         Trace
@@ -115,7 +115,7 @@
 	result        Result
 }
 
-// Replay runs the night under the policy.
+// Replay runs the trace under the policy and returns what it measured.
 func Replay(t Trace, p Policy) Result {
 	r := &replay{policy: p, trace: t, jobs: map[string]*TraceJob{}, startedUrgent: map[string]bool{}}
 	p.Update(WorkersMsg{Workers: t.Workers})
@@ -141,7 +141,7 @@
 	return r.result
 }
 
-// advance lets the running attempts go on by one tick; workers that are asked for more cores than they have are slower.
+// advance runs the attempts for one tick. On a worker with more demand for cores than it has, all attempts run slower.
 func (r *replay) advance() {
 	load := map[string]float64{}
 	for _, v := range r.running {
@@ -154,7 +154,7 @@
 			speed *= throttledShare
 		}
 		v.leftMillis -= int64(replayTickMillis * speed)
-		if how, ends := r.outcome(v); ends {
+		if how, ended := r.outcome(v); ended {
 			r.finish(v, how)
 			continue
 		}
@@ -173,6 +173,7 @@
 	return v.job.True.Cores
 }
 
+// outcome returns whether and how the attempt has ended.
 func (r *replay) outcome(v *attempt) (End, bool) {
 	age := r.nowMillis - v.startMillis
 	switch {
--- a/fleet/place/worker.go
+++ b/fleet/place/worker.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	quarantineAfterJobs = 3         // distinct jobs that fail on a worker, with none that ends well, before it is set aside.
-	minQuarantineMillis = 60_000    // first time for which a worker is set aside.
-	maxQuarantineMillis = 3_600_000 // longest.
-	throttledShare      = 0.05      // of a throttled task's cores that it still takes.
+	quarantineAfterJobs = 3         // distinct jobs that must fail on a worker, without a success between, to quarantine it.
+	minQuarantineMillis = 60_000    // first quarantine; each further one is twice as long.
+	maxQuarantineMillis = 3_600_000 // longest quarantine.
+	throttledShare      = 0.05      // share of its cores that a throttled task still takes.
 )
 
-// workerState is one worker and what runs on it.
+// workerState is one worker, the tasks on it and its failures.
 type workerState struct {
 	Worker
 	reserved         Size
 	tasks            map[string]*task // by job.
-	failedJobs       map[string]bool  // jobs that failed here since one ended well.
-	quarantinedUntil int64            // set aside until then; 0 if the worker is good.
+	failedJobs       map[string]bool  // jobs that failed here since the last success.
+	quarantinedUntil int64            // Unix milliseconds; 0 if the worker is healthy.
 	quarantineMillis int64
-	bucket           int // its place in the index; -1 if it is not in it.
+	bucket           int // bucket in the coreIndex; -1 if the worker is not in it.
 	bucketIndex      int
 }
 
-// task is one attempt that is running, or may be.
+// task is an attempt that is running or may still be.
 type task struct {
 	Task
 	job           *jobState
@@ -30,9 +30,10 @@
 	startedMillis int64
 	peakUsage     Size
 	throttled     bool
-	stopping      bool // a checkpoint or stop is on its way.
+	stopping      bool // a checkpoint or stop was commanded.
 }
 
+// free returns what is not reserved.
 func (m *workerState) free() Size {
 	return Size{
 		Cores: m.Size.Cores - m.reserved.Cores, MemoryMB: m.Size.MemoryMB - m.reserved.MemoryMB,
@@ -44,7 +45,7 @@
 	return s.Cores <= free.Cores+1e-9 && s.MemoryMB <= free.MemoryMB+1e-9 && s.Accelerators <= free.Accelerators
 }
 
-// cores returns the cores that the task takes now.
+// cores returns the cores reserved for the task now.
 func (t *task) cores() float64 {
 	if t.throttled {
 		return t.size.Cores * throttledShare
@@ -52,34 +53,35 @@
 	return t.size.Cores
 }
 
-// acceptsTask tells whether the worker may be given a task now; one that was set aside gets one task at a time.
-func (m *workerState) acceptsTask(at int64) bool {
-	return !m.Out && (m.quarantineMillis == 0 || at >= m.quarantinedUntil && len(m.tasks) == 0)
+// acceptsTask reports whether the worker may be given a task now. After its quarantine, a worker gets one task at a time
+// until one succeeds.
+func (m *workerState) acceptsTask(nowMillis int64) bool {
+	return !m.Out && (m.quarantineMillis == 0 || nowMillis >= m.quarantinedUntil && len(m.tasks) == 0)
 }
 
-// recordFailure notes that the job recordFailure here, and sets the worker aside after several.
-func (m *workerState) recordFailure(job string, at int64) {
+// recordFailure records that the job failed on the worker, and quarantines the worker after several such jobs.
+func (m *workerState) recordFailure(job string, nowMillis int64) {
 	m.failedJobs[job] = true
 	if len(m.failedJobs) < quarantineAfterJobs && m.quarantineMillis == 0 {
 		return
 	}
 	m.quarantineMillis = min(max(2*m.quarantineMillis, minQuarantineMillis), maxQuarantineMillis)
-	m.quarantinedUntil = at + m.quarantineMillis
+	m.quarantinedUntil = nowMillis + m.quarantineMillis
 }
 
-// recordSuccess notes that a job ended well here.
+// recordSuccess records that a job succeeded on the worker, which ends any quarantine.
 func (m *workerState) recordSuccess() {
 	clear(m.failedJobs)
 	m.quarantineMillis, m.quarantinedUntil = 0, 0
 }
 
-// isHealthy tells whether failures here count against the job.
+// isHealthy reports whether failures on the worker count against the job.
 func (m *workerState) isHealthy() bool { return m.quarantineMillis == 0 }
 
-// coreIndex holds the workers by whole free cores.
+// coreIndex groups the workers by their number of whole free cores.
 type coreIndex struct{ buckets [][]*workerState }
 
-// update files the worker under the cores that it has free now.
+// update moves the worker to the bucket for its current number of free cores, or adds it.
 func (x *coreIndex) update(m *workerState) {
 	b := max(0, int(math.Floor(m.free().Cores+1e-9)))
 	if m.bucket == b {
