--- a/fleet/place/message.go
+++ b/fleet/place/message.go
@@ -47,8 +47,8 @@
 // Msg is a message to the placer; times are in Unix milliseconds.
 type Msg interface{ isMsg() }
 
-// WorkersMsg replaces the list of workers. Tasks on a worker that is no longer listed count as running until an EndedMsg
-// or LapsedMsg about them.
+// WorkersMsg replaces the list of workers. Tasks on a worker that is no longer listed count as running until a message
+// reports their end or an expired lease.
 type WorkersMsg struct{ Workers []Worker }
 
 // QuotaMsg replaces the teams' quotas in cores; a team that is not named has no quota.
