--- a/fleet/spare/buffer.go
+++ b/fleet/spare/buffer.go
@@ -20,21 +20,21 @@
 	racks := (total + perRack - 1) / perRack
 	extra := make([]int, len(needs))
 	for i, n := range needs {
-		extra[i] = alone(n, racks, lost)
+		extra[i] = ownSpares(n, racks, lost)
 		b.PerPool += extra[i]
 		share = max(share, float64(extra[i])/float64(max(n, 1)))
 	}
 	for _, n := range needs {
-		b.Share += vms(share*float64(n), 1)
+		b.Share += vmsFor(share*float64(n), 1)
 	}
-	for b.Shared < total && !survives(needs, b.Shared, perRack, lost) {
+	for b.Shared < total && !survivesWith(needs, b.Shared, perRack, lost) {
 		b.Shared++
 	}
 	return b
 }
 
-// alone returns how many VMs beyond its need a pool must hold to survive by itself.
-func alone(need, racks, lost int) int {
+// ownSpares returns how many VMs beyond its need a pool must hold to survive by itself.
+func ownSpares(need, racks, lost int) int {
 	for e := 0; ; e++ {
 		n := need + e
 		crowd := min(lost*((n+racks-1)/max(racks, 1)), n)
@@ -44,12 +44,12 @@
 	}
 }
 
-// survives tells whether the given number of shared spare VMs makes up for every loss of racks.
-func survives(needs []int, spares, perRack, lost int) bool {
+// survivesWith tells whether the given number of shared spare VMs makes up for every loss of racks.
+func survivesWith(needs []int, spares, perRack, lost int) bool {
 	s, l, rules := New(), []VM{}, []Rule{}
 	for i, n := range needs {
 		r := Rule{Pool: fmt.Sprintf("p%d", i), SurviveRacks: lost}
-		rules, s.pools[r.Pool] = append(rules, r), &state{need: n}
+		rules, s.pools[r.Pool] = append(rules, r), &poolState{need: n}
 		for range n {
 			l = append(l, VM{Pool: r.Pool})
 		}
@@ -73,7 +73,7 @@
 		next++
 	}
 	s.Update(FleetMsg{VMs: l})
-	_, missing := s.worst()
+	_, missing := s.worstRackLoss()
 	return missing <= 0
 }
 
@@ -82,7 +82,7 @@
 	var l []int
 	for _, p := range t.Pools {
 		if !p.Rule.Spare {
-			l = append(l, p.least(int64(hour)*hourMillis))
+			l = append(l, p.needAt(int64(hour)*hourMillis))
 		}
 	}
 	return l
--- a/fleet/spare/naive.go
+++ b/fleet/spare/naive.go
@@ -16,22 +16,22 @@
 		return n.sizer.Update(msg)
 	}
 	s := n.sizer
-	s.forget(t.At)
+	s.expirePendingMoves(t.At)
 	for _, r := range s.rules {
 		d := t.Demand[r.Pool]
-		need := int(math.Ceil((d.Busy + d.Queued) / (float64(r.Slots) * use(r))))
-		s.pools[r.Pool] = &state{need: max(need, r.MinVMs), over: t.At, idle: 1}
+		need := int(math.Ceil((d.Busy + d.Queued) / (float64(r.Slots) * targetUse(r))))
+		s.pools[r.Pool] = &poolState{need: max(need, r.MinVMs), overloadSince: t.At, idleSince: 1}
 		if r.MaxVMs > 0 {
 			s.pools[r.Pool].need = min(s.pools[r.Pool].need, r.MaxVMs)
 		}
 	}
 	var l []Cmd
 	for _, r := range s.byShortage() {
-		switch have := s.racks.have(r.Pool); {
+		switch have := s.layout.count(r.Pool); {
 		case have < s.pools[r.Pool].need:
 			l = s.fill(l, r, t.At)
 		case have > s.pools[r.Pool].need:
-			l = s.giveBack(l, r, t.At)
+			l = s.returnIdle(l, r, t.At)
 		}
 	}
 	return l
--- a/fleet/spare/replay.go
+++ b/fleet/spare/replay.go
@@ -10,10 +10,10 @@
 const (
 	replayTickMillis = 1_000
 	dayMillis        = 24 * hourMillis
-	turnMillis       = 8_000 // length of one pool's burst.
+	burstTurnMillis  = 8_000 // length of one pool's burst.
 	burstFactor      = 5.0   // demand in a pool's turn, in means.
 	quietFactor      = 1.0 / 20
-	deadlineSeconds  = 30 // a request that waits longer is late.
+	maxWaitSeconds   = 30 // a request that waits longer is late.
 )
 
 // PoolTrace is one pool's demand over a day.
@@ -135,7 +135,7 @@
 	switch {
 	case !t.Turns:
 		return m
-	case int(at/turnMillis)%n == i:
+	case int(at/burstTurnMillis)%n == i:
 		return m * burstFactor
 	default:
 		return m * quietFactor
@@ -144,19 +144,19 @@
 
 // replay is a data centre's day in virtual time.
 type replay struct {
-	trace  Trace
-	vms    []VM
-	moving map[string]arrival
-	queued []float64
-	result Result
-	asked  float64
-	late   float64
+	trace        Trace
+	vms          []VM
+	moving       map[string]arrival
+	queued       []float64
+	result       Result
+	offeredSlots float64
+	lateSlots    float64
 }
 
 // arrival is when a moving VM serves its new pool.
 type arrival struct {
-	at int64
-	to string
+	readyMillis int64
+	pool        string
 }
 
 // Replay runs the day under the policy; a VM on its way serves nobody for DefaultReady.
@@ -172,7 +172,7 @@
 	p.Update(RulesMsg{Rules: rules})
 	var seen []VM
 	for at := int64(replayTickMillis); at < dayMillis; at += replayTickMillis {
-		r.live(at)
+		r.advance(at)
 		if !slices.Equal(r.vms, seen) {
 			seen = slices.Clone(r.vms)
 			p.Update(FleetMsg{VMs: seen})
@@ -181,21 +181,21 @@
 			r.move(c.(MoveCmd), at)
 		}
 	}
-	r.result.LateShare = r.late / r.asked
-	r.result.Least, r.result.LeastHours = t.least()
+	r.result.LateShare = r.lateSlots / r.offeredSlots
+	r.result.Least, r.result.LeastHours = t.leastCostPlan()
 	return r.result
 }
 
-// live ends moves and lets failures begin and end.
-func (r *replay) live(at int64) {
+// advance ends moves and lets failures begin and end.
+func (r *replay) advance(at int64) {
 	for i := range r.vms {
 		v := &r.vms[i]
 		v.Failed = slices.ContainsFunc(r.trace.Failures, func(f Failure) bool {
 			return (f.VM == v.Name || f.Rack == v.Rack) && at >= f.At && at < f.Until
 		})
-		if a, ok := r.moving[v.Name]; ok && at >= a.at {
+		if a, ok := r.moving[v.Name]; ok && at >= a.readyMillis {
 			delete(r.moving, v.Name)
-			v.Pool, v.Moving, v.Out = a.to, false, false
+			v.Pool, v.Moving, v.Out = a.pool, false, false
 		}
 	}
 }
@@ -219,10 +219,10 @@
 		x, room := r.trace.Demand(i, at), float64(n*p.Rule.Slots)
 		total := x + r.queued[i]
 		busy := min(total, room)
-		r.queued[i] = min(total-busy, deadlineSeconds*room)
-		r.asked += x
-		r.late += total - busy - r.queued[i]
-		r.result.HeldHours += float64(max(0, have-p.least(at))) * replayTickMillis / hourMillis
+		r.queued[i] = min(total-busy, maxWaitSeconds*room)
+		r.offeredSlots += x
+		r.lateSlots += total - busy - r.queued[i]
+		r.result.HeldHours += float64(max(0, have-p.needAt(at))) * replayTickMillis / hourMillis
 		d[p.Rule.Pool] = Demand{Busy: busy, Queued: r.queued[i], Arrivals: x, Done: busy}
 	}
 	return d
@@ -235,54 +235,54 @@
 	}
 	r.vms[i].Moving, r.vms[i].Out = true, true
 	r.vms[i].Pool = c.To
-	r.moving[c.VM] = arrival{at: at + DefaultReady, to: c.To}
+	r.moving[c.VM] = arrival{readyMillis: at + DefaultReady, pool: c.To}
 	r.result.Moves++
 	r.result.Whys[c.Why]++
 }
 
-// least returns how many VMs the mean of the hour needs.
-func (p PoolTrace) least(at int64) int {
+// needAt returns how many VMs the mean of the hour needs.
+func (p PoolTrace) needAt(at int64) int {
 	if p.Rule.Spare {
 		return 0
 	}
-	n := int(math.Ceil(p.Hours[at/hourMillis%24]/(float64(p.Rule.Slots)*use(p.Rule)) - 1e-9))
+	n := int(math.Ceil(p.Hours[at/hourMillis%24]/(float64(p.Rule.Slots)*targetUse(p.Rule)) - 1e-9))
 	return max(n, p.Rule.MinVMs)
 }
 
-// least returns moves and idle hours of the plan of least cost that knows each hour's need, pool by pool and without
+// leastCostPlan returns moves and idle hours of the plan of leastCostPlan cost that knows each hour's need, pool by pool and without
 // failures: no plan costs less.
-func (t Trace) least() (int, float64) {
+func (t Trace) leastCostPlan() (int, float64) {
 	moves, hours := 0, 0.0
 	for _, p := range t.Pools {
 		if !p.Rule.Spare {
-			m, h := p.plan()
+			m, h := p.leastCostPlan()
 			moves, hours = moves+m, hours+h
 		}
 	}
 	return moves, hours
 }
 
-// step is the cheapest way to have some number of VMs at some hour.
-type step struct {
+// planStep is the cheapest way to have some number of VMs at some hour.
+type planStep struct {
 	cost  float64
 	moves int
 	hours float64
 }
 
-func (p PoolTrace) plan() (int, float64) {
-	now := make([]step, p.Rule.MaxVMs+1)
+func (p PoolTrace) leastCostPlan() (int, float64) {
+	now := make([]planStep, p.Rule.MaxVMs+1)
 	for n := range now {
 		d := n - p.VMs
-		now[n] = step{cost: float64(max(d, -d)) * p.Rule.MoveWeight, moves: max(d, -d)}
+		now[n] = planStep{cost: float64(max(d, -d)) * p.Rule.MoveWeight, moves: max(d, -d)}
 	}
 	for h := range int64(24) {
-		next := make([]step, len(now))
+		next := make([]planStep, len(now))
 		for n := range next {
-			next[n] = p.cheapest(now, n, p.least(h*hourMillis))
+			next[n] = p.cheapestHour(now, n, p.needAt(h*hourMillis))
 		}
 		now = next
 	}
-	b := slices.MinFunc(now, func(a, b step) int {
+	b := slices.MinFunc(now, func(a, b planStep) int {
 		if a.cost < b.cost {
 			return -1
 		}
@@ -291,9 +291,9 @@
 	return b.moves, b.hours
 }
 
-// cheapest returns the cheapest way to spend the next hour with n VMs.
-func (p PoolTrace) cheapest(now []step, n, need int) step {
-	b := step{cost: math.Inf(1)}
+// cheapestHour returns the cheapestHour way to spend the next hour with n VMs.
+func (p PoolTrace) cheapestHour(now []planStep, n, need int) planStep {
+	b := planStep{cost: math.Inf(1)}
 	if n < need {
 		return b
 	}
--- a/fleet/spare/replay_test.go
+++ b/fleet/spare/replay_test.go
@@ -7,17 +7,17 @@
 	"github.com/matryer/is"
 )
 
-// still is the policy that never moves a VM.
-type still struct{}
+// neverMove is the policy that never moves a VM.
+type neverMove struct{}
 
-func (still) Update(Msg) []Cmd { return nil }
+func (neverMove) Update(Msg) []Cmd { return nil }
 
 func TestReplayDay(t *testing.T) {
 	for _, strike := range []bool{false, true} {
 		for _, seed := range []int64{1} {
 			t.Run(fmt.Sprintf("strike %v seed %d", strike, seed), func(t *testing.T) {
 				d := DayTrace(seed, strike)
-				a, b, c := Replay(d, New()), Replay(d, NewThreshold()), Replay(d, still{})
+				a, b, c := Replay(d, New()), Replay(d, NewThreshold()), Replay(d, neverMove{})
 				t.Logf("sizer %+v moves to hindsight %.2f", a, float64(a.Moves)/float64(a.Least))
 				t.Logf("naive %d moves, %.4f late; no moves %.4f late, %.0f VM hours", b.Moves, b.LateShare, c.LateShare, c.HeldHours)
 				is.New(t).True(a.Moves*10 < b.Moves)
--- a/fleet/spare/sizer_test.go
+++ b/fleet/spare/sizer_test.go
@@ -16,8 +16,8 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// site is a data centre of two pools of three VMs and a spare pool of three, in three racks.
-func site() ([]Rule, []VM) {
+// testFleet is a data centre of two pools of three VMs and a spare pool of three, in three racks.
+func testFleet() ([]Rule, []VM) {
 	r := []Rule{
 		{Pool: "orders", Slots: 8, MinVMs: 1, MaxVMs: 5, TargetUse: 0.7, SurviveRacks: 1, MoveWeight: 1, BufferWeight: 1},
 		{Pool: "checks", Slots: 8, MinVMs: 2, MaxVMs: 5, TargetUse: 0.7, SurviveRacks: 1, MoveWeight: 1, BufferWeight: 1},
@@ -48,7 +48,7 @@
 	return l
 }
 
-func checkWhys(t *testing.T, l []MoveCmd, want ...Why) {
+func checkReasons(t *testing.T, l []MoveCmd, want ...Why) {
 	t.Helper()
 	var got []Why
 	for _, m := range l {
@@ -59,30 +59,30 @@
 
 func TestSizer(t *testing.T) {
 	begin := func() (*Sizer, []VM) {
-		r, v := site()
+		r, v := testFleet()
 		s := New()
 		s.Update(RulesMsg{Rules: r})
 		s.Update(FleetMsg{VMs: v})
-		checkWhys(t, drive(s, v, 1, 900, 14, 14))
+		checkReasons(t, drive(s, v, 1, 900, 14, 14))
 		return s, v
 	}
 	t.Run("a burst that ends moves nothing", func(t *testing.T) {
 		s, v := begin()
-		checkWhys(t, drive(s, v, 901, 20, 60, 14))
-		checkWhys(t, drive(s, v, 921, 60, 1, 14))
+		checkReasons(t, drive(s, v, 901, 20, 60, 14))
+		checkReasons(t, drive(s, v, 921, 60, 1, 14))
 	})
 	t.Run("demand that lasts moves spare VMs in", func(t *testing.T) {
 		s, v := begin()
-		checkWhys(t, drive(s, v, 901, 40, 26, 14), Short)
+		checkReasons(t, drive(s, v, 901, 40, 26, 14), Short)
 		is.New(t).Equal(s.Need("orders"), 5)
-		checkWhys(t, drive(s, v, 941, 620, 26, 14), Short) // four VMs run it, if not at the target's use.
+		checkReasons(t, drive(s, v, 941, 620, 26, 14), Short) // four VMs run it, if not at the target's use.
 	})
 	t.Run("a move that does not show yet is not asked for again", func(t *testing.T) {
 		s, v := begin()
-		checkWhys(t, drive(s, nil, 901, 40, 26, 14), Short)
+		checkReasons(t, drive(s, nil, 901, 40, 26, 14), Short)
 		for at := int64(941); at < 960; at++ {
 			s.Update(FleetMsg{VMs: v})
-			checkWhys(t, drive(s, nil, at, 1, 26, 14))
+			checkReasons(t, drive(s, nil, at, 1, 26, 14))
 		}
 	})
 	t.Run("requests that wait count once", func(t *testing.T) {
@@ -96,19 +96,19 @@
 		s, v := begin()
 		v[0].Failed, v[1].Failed = true, true
 		s.Update(FleetMsg{VMs: v})
-		checkWhys(t, drive(s, v, 901, 20, 6, 14))
-		checkWhys(t, drive(s, v, 921, 600, 10, 14), Lost, Lost)
+		checkReasons(t, drive(s, v, 901, 20, 6, 14))
+		checkReasons(t, drive(s, v, 921, 600, 10, 14), Lost, Lost)
 	})
 	t.Run("a VM that reboots is not replaced", func(t *testing.T) {
 		s, v := begin()
 		v[0].Out, v[1].Out = true, true
 		s.Update(FleetMsg{VMs: v})
-		checkWhys(t, drive(s, v, 901, 700, 8, 14))
+		checkReasons(t, drive(s, v, 901, 700, 8, 14))
 	})
 	t.Run("an idle VM is given back once it has cost two moves", func(t *testing.T) {
 		s, v := begin()
-		checkWhys(t, drive(s, v, 901, 7000, 1, 14))
-		checkWhys(t, drive(s, v, 7901, 1500, 1, 14), Idle)
+		checkReasons(t, drive(s, v, 901, 7000, 1, 14))
+		checkReasons(t, drive(s, v, 7901, 1500, 1, 14), Idle)
 	})
 	t.Run("a crowded pool is spread", func(t *testing.T) {
 		s, v := begin()
@@ -128,16 +128,16 @@
 	moves, naive := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		trace := rapid.SliceOfN(rapid.Uint16(), 10, 60).Draw(t, "trace")
-		moves += follow(t, New(), trace, true)
-		naive += follow(t, NewThreshold(), trace, false)
+		moves += runTrace(t, New(), trace, true)
+		naive += runTrace(t, NewThreshold(), trace, false)
 	})
 	is.New(t).True(moves*2 < naive)
 	t.Logf("moves %d, naive %d", moves, naive)
 }
 
-// follow runs the trace of demand and failures under the policy and counts its moves.
-func follow(t *rapid.T, p Policy, trace []uint16, strict bool) int {
-	rules, v := site()
+// runTrace runs the trace of demand and failures under the policy and counts its moves.
+func runTrace(t *rapid.T, p Policy, trace []uint16, strict bool) int {
+	rules, v := testFleet()
 	p.Update(RulesMsg{Rules: rules})
 	n, at := 0, int64(1)
 	for _, u := range trace {
@@ -177,7 +177,7 @@
 }
 
 func ExampleSizer() {
-	rules, vms := site()
+	rules, vms := testFleet()
 	s := New()
 	s.Update(RulesMsg{Rules: rules})
 	s.Update(FleetMsg{VMs: vms})
