--- a/fleet/spare/buffer.go
+++ b/fleet/spare/buffer.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Buffer is how many spare VMs keep every pool's need through the loss of any racks that the profiles name.
+// Buffer compares three ways to hold spare VMs, so that each pool keeps what it needs after the loss of any racks. It has
+// the total number of spare VMs for each.
 type Buffer struct {
-	Shared  int // held once and lent to the pools that lose VMs.
-	PerPool int // held by each pool for itself, the least that is enough for it.
-	Share   int // held by each pool for itself, the same share of its need for all.
+	Shared  int // held once for all pools and lent to those that lose VMs.
+	PerPool int // held by each pool for itself, each the least number that is enough.
+	Share   int // held by each pool for itself, the same share of the need in all pools.
 }
 
-// Buffers returns the spare VMs that pools of the given needs must hold in racks of perRack VMs to survive the loss of
-// lost racks; every pool is spread evenly over the racks.
+// Buffers returns the spare VMs that pools with the given needs require to survive the loss of lost racks. A rack holds
+// perRack VMs, and each pool is spread evenly over the racks.
 func Buffers(needs []int, perRack, lost int) Buffer {
 	total := 0
 	for _, n := range needs {
@@ -33,18 +34,18 @@
 	return b
 }
 
-// ownSpares returns how many VMs beyond its need a pool must hold to survive by itself.
+// ownSpares returns how many VMs beyond its need a pool must hold to survive the loss of racks without shared spare VMs.
 func ownSpares(need, racks, lost int) int {
 	for e := 0; ; e++ {
 		n := need + e
-		crowd := min(lost*((n+racks-1)/max(racks, 1)), n)
-		if n-crowd >= need || e > need+lost*racks {
+		inLostRacks := min(lost*((n+racks-1)/max(racks, 1)), n)
+		if n-inLostRacks >= need || e > need+lost*racks {
 			return e
 		}
 	}
 }
 
-// survivesWith tells whether the given number of shared spare VMs makes up for every loss of racks.
+// survivesWith reports whether the given number of shared spare VMs makes up for the worst loss of racks.
 func survivesWith(needs []int, spares, perRack, lost int) bool {
 	s, l, rules := New(), []VM{}, []Rule{}
 	for i, n := range needs {
@@ -56,7 +57,7 @@
 	}
 	s.Update(RulesMsg{Rules: append(rules, Rule{Pool: "spare", Spare: true})})
 	racks := (len(l) + spares + perRack - 1) / perRack
-	for i := range spares { // spare VMs stand in different racks as far as there are enough.
+	for i := range spares { // spread the spare VMs over the racks.
 		l = append(l, VM{Pool: "spare", Rack: fmt.Sprintf("r%d", racks-1-i%racks)})
 	}
 	fill := make(map[string]int, racks)
@@ -73,11 +74,11 @@
 		next++
 	}
 	s.Update(FleetMsg{VMs: l})
-	_, missing := s.worstRackLoss()
-	return missing <= 0
+	_, uncovered := s.worstRackLoss()
+	return uncovered <= 0
 }
 
-// Needs returns the need of each pool that is not spare, in the given hour of the day.
+// Needs returns the need of each pool that is not a spare pool, in the given hour of the day.
 func (t Trace) Needs(hour int) []int {
 	var l []int
 	for _, p := range t.Pools {
--- a/fleet/spare/layout.go
+++ b/fleet/spare/layout.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// layout counts VMs by pool and rack; a VM on its way counts for where it goes.
+// layout counts VMs by pool and rack; a moving VM counts for the pool that it moves to.
 type layout struct {
 	byPool      map[string][]VM
-	perPoolRack map[string]map[string]int // by pool, then rack: VMs that are not failed.
-	perRackPool map[string]map[string]int // the same counts by rack, then pool.
-	perPool     map[string]int            // by pool.
-	failed      map[string]int
+	perPoolRack map[string]map[string]int // VMs that have not failed, by pool, then rack.
+	perRackPool map[string]map[string]int // the same by rack, then pool.
+	perPool     map[string]int            // the same by pool.
+	failed      map[string]int            // by pool.
 	unavailable map[string]int
 	racks       []string
 }
@@ -54,20 +54,21 @@
 	l.perPool[pool] += n
 }
 
-// count returns the pool's VMs that serve or will serve again.
+// count returns the number of the pool's VMs that serve, or will serve again after maintenance.
 func (l *layout) count(pool string) int { return l.perPool[pool] }
 
-// serving returns the pool's VMs that serve now.
+// serving returns the number of the pool's VMs that serve now.
 func (l *layout) serving(pool string) int { return l.count(pool) - l.unavailable[pool] }
 
-// reassign counts the VM for the pool that it is to move to.
+// reassign counts the VM for the pool that it will move to.
 func (l *layout) reassign(v VM, to string) {
 	l.add(v.Pool, v.Rack, -1)
 	l.add(to, v.Rack, 1)
 	l.byPool[v.Pool] = slices.DeleteFunc(slices.Clone(l.byPool[v.Pool]), func(o VM) bool { return o.Name == v.Name })
 }
 
-// pickForPool returns the VM of from whose rack holds the fewest of the pool to, then the most of from.
+// pickForPool returns the VM of the pool from to move to the pool to: the one whose rack holds the fewest VMs of to and,
+// among equal ones, the most of from.
 func (l *layout) pickForPool(from, to string, free func(VM) bool) (VM, bool) {
 	return bestVM(l.byPool[from], free, func(a, b VM) int {
 		return cmp.Or(
@@ -78,13 +79,14 @@
 	})
 }
 
-// pickFromFullestRack returns the VM of the pool whose rack holds the most of it.
+// pickFromFullestRack returns a VM of the pool from the rack that holds the most of its VMs.
 func (l *layout) pickFromFullestRack(pool string, free func(VM) bool) (VM, bool) {
 	return bestVM(l.byPool[pool], free, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(l.perPoolRack[pool][b.Rack], l.perPoolRack[pool][a.Rack]), cmp.Compare(a.Name, b.Name))
 	})
 }
 
+// bestVM returns the first of the free VMs in the order of before.
 func bestVM(l []VM, free func(VM) bool, before func(a, b VM) int) (VM, bool) {
 	var b VM
 	ok := false
--- a/fleet/spare/message.go
+++ b/fleet/spare/message.go
@@ -1,31 +1,31 @@
 package spare
 
-// Rule is what the sizer needs of a pool and the profile of its service; all counts are of this data centre.
+// Rule holds the settings of a pool, and of its service's profile, that the sizer needs. All counts are for this data centre.
 type Rule struct {
 	Pool         string
-	Spare        bool    // lends its VMs; no demand of its own.
-	Slots        int     // requests that one VM runs at once.
-	MinVMs       int     // VMs that the pool keeps here.
-	MaxVMs       int     // VMs that the pool never exceeds here; 0 means no bound.
+	Spare        bool    // lends its VMs to other pools and has no demand of its own.
+	Slots        int     // requests that one VM can run at once.
+	MinVMs       int     // least number of VMs.
+	MaxVMs       int     // greatest number of VMs; 0 means no limit.
 	TargetUse    float64 // share of slots in use that sizing aims at, 0 to 1.
-	SurviveRacks int     // racks of this data centre whose loss demand must survive.
+	SurviveRacks int     // number of racks whose loss must leave the pool with enough VMs for its demand.
 	MoveWeight   float64 // cost of one VM move.
 	BufferWeight float64 // cost of one spare VM for an hour.
 }
 
-// VM is one VM of the data centre; the pool of one that moves is the one that it moves to.
+// VM is one VM of the data centre. The Pool of a moving VM is the one that it moves to.
 type VM struct {
 	Name, Pool, Rack string
-	Out              bool // takes no new work but comes back: draining or rebooting.
-	Failed           bool // dead, not known to come back.
-	Moving           bool // on its way to another pool.
+	Out              bool // draining or rebooting: takes no new work now but will serve again.
+	Failed           bool // down; it is not known whether it will serve again.
+	Moving           bool // being moved to another pool.
 }
 
-// Demand is what one pool was asked for since the last tick, summed over the entries of the data centre.
+// Demand is the load of one pool since the last tick, summed over the entries of the data centre.
 type Demand struct {
-	Busy     float64 // slots in use, the mean over the tick.
-	Queued   float64 // requests that wait.
-	Arrivals float64 // requests that came, those turned away included.
+	Busy     float64 // mean number of slots in use.
+	Queued   float64 // waiting requests.
+	Arrivals float64 // requests that arrived, including refused ones.
 	Done     float64 // requests that were answered by a target.
 }
 
@@ -38,7 +38,7 @@
 // FleetMsg replaces the list of VMs.
 type FleetMsg struct{ VMs []VM }
 
-// TickMsg is one look at the demand of each pool; At is in Unix milliseconds.
+// TickMsg reports the demand of each pool and has the sizer decide on moves; At is in Unix milliseconds.
 type TickMsg struct {
 	At     int64
 	Demand map[string]Demand
@@ -48,10 +48,10 @@
 func (FleetMsg) isMsg() {}
 func (TickMsg) isMsg()  {}
 
-// Cmd is what the sizer wants done.
+// Cmd is a command for the caller to carry out.
 type Cmd interface{ isCmd() }
 
-// MoveCmd moves the VM between pools by way of a drain.
+// MoveCmd drains the VM and moves it to another pool.
 type MoveCmd struct {
 	VM, From, To string
 	Why          Why
@@ -61,13 +61,13 @@
 type Why string
 
 const (
-	// Short means that the pool lacks VMs for the demand that it has learned.
+	// Short means that the pool has too few VMs for its lasting demand.
 	Short Why = "short"
-	// Lost means that the pool lacks VMs since some of its own are out.
+	// Lost means that the pool has too few VMs because some of its own have failed.
 	Lost Why = "lost"
 	// Spread means that the pool would not survive the loss of a rack.
 	Spread Why = "spread"
-	// Idle means that the pool gives back what it no longer needs.
+	// Idle means that the pool returns a VM that it no longer needs.
 	Idle Why = "idle"
 )
 
--- a/fleet/spare/naive.go
+++ b/fleet/spare/naive.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Threshold is the naive policy beside which the sizer is measured: it moves a VM whenever the demand of the moment
-// crosses what the pool's VMs run at their target.
+// Threshold is a naive policy, the baseline with which the Sizer is compared. It moves a VM as soon as the current demand
+// exceeds what the pool's VMs can run at their target use, or falls below it.
 type Threshold struct{ sizer *Sizer }
 
-// NewThreshold returns the naive policy.
+// NewThreshold returns a policy without pools and VMs.
 func NewThreshold() *Threshold { return &Threshold{sizer: New()} }
 
-// Update takes one message in and returns the moves.
+// Update handles one message and returns the moves.
 func (n *Threshold) Update(msg Msg) []Cmd {
 	t, ok := msg.(TickMsg)
 	if !ok {
--- a/fleet/spare/replay.go
+++ b/fleet/spare/replay.go
@@ -10,31 +10,31 @@
 const (
 	replayTickMillis = 1_000
 	dayMillis        = 24 * hourMillis
-	burstTurnMillis  = 8_000 // length of one pool's burst.
-	burstFactor      = 5.0   // demand in a pool's turn, in means.
+	burstTurnMillis  = 8_000 // length of one burst; the pools take turns.
+	burstFactor      = 5.0   // demand of a pool in its turn, as a multiple of its mean.
 	quietFactor      = 1.0 / 20
-	maxWaitSeconds   = 30 // a request that waits longer is late.
+	maxWaitSeconds   = 30 // requests that would wait longer count as late.
 )
 
 // PoolTrace is one pool's demand over a day.
 type PoolTrace struct {
 	Rule  Rule
-	Hours [24]float64 // mean slots asked for in each hour.
-	VMs   int         // VMs at the day's start.
+	Hours [24]float64 // mean demand in slots in each hour.
+	VMs   int         // VMs at the start of the day.
 }
 
-// Failure takes VMs down for a while; Rack names all VMs of a rack.
+// Failure is the outage of one VM, or of all VMs of a rack, for a span of time.
 type Failure struct {
 	VM, Rack  string
 	At, Until int64
 }
 
-// Trace is a day of one data centre.
+// Trace is the demand and the failures of one data centre over a day.
 type Trace struct {
 	Pools    []PoolTrace
 	VMs      []VM
 	Failures []Failure
-	Turns    bool // each pool in its turn asks for a burst and else for little.
+	Turns    bool // the pools take turns with bursts of demand and have little demand otherwise.
 	Seed     int64
 }
 
@@ -43,18 +43,20 @@
 	Update(msg Msg) []Cmd
 }
 
-// Result is what a replay measured.
+// Result holds the measurements of a replay.
 type Result struct {
 	Moves      int
-	LateShare  float64 // share of slot time that was asked for beyond what the pool could run.
-	HeldHours  float64 // VM hours in pools beyond what the hour's mean needs.
-	Least      int     // moves of the plan of least cost that knows the day.
-	LeastHours float64 // VM hours beyond the need of that plan.
+	LateShare  float64 // share of the demand that the pools could not run in time.
+	HeldHours  float64 // VM hours in pools beyond the need for the hour's mean demand.
+	Least      int     // moves of the plan of least cost in hindsight.
+	LeastHours float64 // VM hours beyond the need in that plan.
 	Whys       map[Why]int
 }
 
-// DayTrace returns a day of one deployment: five pools in one of three data centres. With strike, the first
-// pool's demand rises fourfold from six to noon and the last is busy by night; else the first two are busy each morning.
+// DayTrace returns a random day of one deployment: five pools and a spare pool in one of three data centres. With strike,
+// the first pool has four times its demand from 6 to 12 h; without it, the first two pools have 2.5 times theirs from 7
+// to 11 h. In both, the fourth pool has 2.5 times its demand until 5 h; otherwise all
+// have 0.3 times theirs from 20 to 6 h.
 func DayTrace(seed int64, strike bool) Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := Trace{Turns: true, Seed: seed}
@@ -79,7 +81,7 @@
 	return t
 }
 
-// dayShape returns the factor on the mean of pool i in hour h.
+// dayShape returns the demand of pool i in hour h as a multiple of its base demand.
 func dayShape(i, h int, strike bool) float64 {
 	switch {
 	case strike && i == 0 && h >= 6 && h < 12:
@@ -95,7 +97,7 @@
 	}
 }
 
-// place puts the VMs into racks of four, each pool spread over them.
+// place assigns the VMs to racks of four and spreads each pool over the racks.
 func (t *Trace) place() {
 	n := 0
 	for _, p := range t.Pools {
@@ -110,7 +112,7 @@
 	}
 }
 
-// fail draws a rack's failure and several VMs' failures.
+// fail adds random failures: three of single VMs and one of a rack.
 func (t *Trace) fail(r *rand.Rand) {
 	for range 3 {
 		at := r.Int63n(dayMillis)
@@ -120,7 +122,7 @@
 	t.Failures = append(t.Failures, Failure{Rack: t.VMs[r.Intn(len(t.VMs))].Rack, At: at, Until: at + hourMillis})
 }
 
-// Demand returns the slots that pool i is asked for at a time of the day.
+// Demand returns the demand of pool i in slots at a time of the day in milliseconds.
 func (t Trace) Demand(i int, at int64) float64 {
 	n := 0
 	for _, p := range t.Pools {
@@ -142,7 +144,7 @@
 	}
 }
 
-// replay is a data centre's day in virtual time.
+// replay is the state of a replay, in virtual time.
 type replay struct {
 	trace        Trace
 	vms          []VM
@@ -153,13 +155,13 @@
 	lateSlots    float64
 }
 
-// arrival is when a moving VM serves its new pool.
+// arrival is the time at which a moving VM starts to serve its new pool.
 type arrival struct {
 	readyMillis int64
 	pool        string
 }
 
-// Replay runs the day under the policy; a VM on its way serves nobody for DefaultReady.
+// Replay runs the trace under the policy and returns what it measured. A moving VM serves no pool until it is ready.
 func Replay(t Trace, p Policy) Result {
 	r := &replay{
 		trace: t, vms: slices.Clone(t.VMs), moving: map[string]arrival{}, queued: make([]float64, len(t.Pools)),
@@ -186,7 +188,7 @@
 	return r.result
 }
 
-// advance ends moves and lets failures begin and end.
+// advance completes moves that are due, and begins and ends failures.
 func (r *replay) advance(at int64) {
 	for i := range r.vms {
 		v := &r.vms[i]
@@ -200,7 +202,7 @@
 	}
 }
 
-// serve runs one tick of demand and returns what the pools saw.
+// serve runs one tick of demand and returns the load of each pool.
 func (r *replay) serve(at int64) map[string]Demand {
 	d := make(map[string]Demand, len(r.trace.Pools))
 	for i, p := range r.trace.Pools {
@@ -240,7 +242,7 @@
 	r.result.Whys[c.Why]++
 }
 
-// needAt returns how many VMs the mean of the hour needs.
+// needAt returns how many VMs the mean demand of the hour needs.
 func (p PoolTrace) needAt(at int64) int {
 	if p.Rule.Spare {
 		return 0
@@ -249,8 +251,8 @@
 	return max(n, p.Rule.MinVMs)
 }
 
-// leastCostPlan returns moves and idle hours of the plan of leastCostPlan cost that knows each hour's need, pool by pool and without
-// failures: no plan costs less.
+// leastCostPlan returns the moves and idle VM hours of the cheapest plan for the needs of each hour in hindsight. It plans
+// each pool alone and ignores failures, so no plan costs less.
 func (t Trace) leastCostPlan() (int, float64) {
 	moves, hours := 0, 0.0
 	for _, p := range t.Pools {
@@ -262,13 +264,14 @@
 	return moves, hours
 }
 
-// planStep is the cheapest way to have some number of VMs at some hour.
+// planStep is the cheapest way to have a certain number of VMs at a certain hour.
 type planStep struct {
 	cost  float64
 	moves int
 	hours float64
 }
 
+// leastCostPlan returns the pool's moves and idle VM hours in the cheapest plan.
 func (p PoolTrace) leastCostPlan() (int, float64) {
 	now := make([]planStep, p.Rule.MaxVMs+1)
 	for n := range now {
@@ -291,7 +294,7 @@
 	return b.moves, b.hours
 }
 
-// cheapestHour returns the cheapestHour way to spend the next hour with n VMs.
+// cheapestHour returns the cheapest way to have n VMs in the next hour; now has the ways to this hour by number of VMs.
 func (p PoolTrace) cheapestHour(now []planStep, n, need int) planStep {
 	b := planStep{cost: math.Inf(1)}
 	if n < need {
--- a/fleet/spare/replay_test.go
+++ b/fleet/spare/replay_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// neverMove is the policy that never moves a VM.
+// neverMove is a policy that never moves a VM.
 type neverMove struct{}
 
 func (neverMove) Update(Msg) []Cmd { return nil }
--- a/fleet/spare/sizer.go
+++ b/fleet/spare/sizer.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// DefaultReady is the time in milliseconds from a move's start until the VM serves its new pool.
+	// DefaultReady is the default time in milliseconds from a move's start until the VM serves its new pool.
 	DefaultReady = 30_000
-	// DefaultPatience is how long in milliseconds a pool may be short of its target without being overloaded.
+	// DefaultPatience is the default time in milliseconds for which a pool that is not overloaded may be short of VMs
+	// before it gets one.
 	DefaultPatience = 600_000
 
 	meanDecayMillis       = 180_000   // time constant of the mean demand.
-	burstDecayMillis      = 3_600_000 // time constant by which the longest burst is forgotten.
-	maxBurstMillis        = 600_000   // longest overload that counts as a burst.
+	burstDecayMillis      = 3_600_000 // time constant with which the length of the longest burst decays.
+	maxBurstMillis        = 600_000   // an overload that lasts longer is no burst.
 	hourMillis            = 3_600_000
-	overloadConfirmMillis = 60_000  // time for which the mean must exceed an overload bound.
-	donorIdleMillis       = 600_000 // time for which a pool must have had idle VMs before another may take one.
-	raiseMargin           = 0.1     // of the need's capacity by which the mean must exceed it to raise the need.
-	lowerMargin           = 0.15    // of a smaller need's capacity by which the mean must stay under it to lower the need.
+	overloadConfirmMillis = 60_000  // time for which the mean must overload the pool before it gets a VM.
+	donorIdleMillis       = 600_000 // time for which a pool must have had idle VMs before another pool may take one.
+	raiseMargin           = 0.1     // the need rises when the mean exceeds its capacity by more than this share.
+	lowerMargin           = 0.15    // the need falls when the mean is below a smaller need's capacity by at least this share.
 )
 
-// Sizer holds what was learned of each pool's demand.
+// Sizer estimates the need of each pool from its demand and decides on moves. It does no I/O: Update takes messages and
+// returns commands.
 type Sizer struct {
 	readyMillis, patienceMillis int64
 	rules                       []Rule
@@ -31,41 +33,41 @@
 	vms                         []VM
 	pools                       map[string]*poolState
 	layout                      *layout
-	pendingMoves                map[string]pendingMove // the last moves, by VM, which may not show in the fleet yet.
+	pendingMoves                map[string]pendingMove // recent moves by VM; the list of VMs may not show them yet.
 	worstLoss                   rackLoss
 }
 
-// pendingMove is a move that was asked for.
+// pendingMove is a move that was commanded.
 type pendingMove struct {
 	requestedMillis int64
 	to              string
 }
 
-// poolState is what was learned of one pool.
+// poolState holds the averages of one pool's demand and its need; times are in Unix milliseconds.
 type poolState struct {
 	updatedMillis     int64
-	meanSlots         float64 // slots asked for, averaged.
-	busySlotMillis    float64 // slot milliseconds spent, averaged.
-	answered          float64 // requests answered, averaged.
-	overloadSince     int64   // since when demand has exceeded what the pool can run; 0 if it does not.
-	overloadFloor     float64 // least demand since then.
-	burstMillis       float64 // longest overload that ended, in milliseconds, slowly forgotten.
-	shortSince        int64   // since when the pool has been short of its need; 0 if it is not.
-	meanOverloadSince int64   // since when the mean has overloaded the pool; 0 if it does not.
-	idleSince         int64   // since when the pool has had more than it needs; 0 if it has not.
+	meanSlots         float64 // average demand in slots.
+	busySlotMillis    float64 // average per tick.
+	answered          float64 // average number of requests per tick.
+	overloadSince     int64   // start of the time in which demand has exceeded the slots; 0 if it does not.
+	overloadFloor     float64 // least demand in slots since then.
+	burstMillis       float64 // length of the longest burst, slowly decaying.
+	shortSince        int64   // start of the time in which the pool has had fewer VMs than it needs; 0 if it has not.
+	meanOverloadSince int64   // start of the time in which the mean has overloaded the pool; 0 if it does not.
+	idleSince         int64   // start of the time in which the pool has had more VMs than it needs; 0 if it has not.
 	need              int
 }
 
-// Option changes a sizer's constants.
+// Option configures a Sizer.
 type Option func(*Sizer)
 
 // WithReady sets the time in milliseconds from a move's start until the VM serves its new pool.
 func WithReady(millis int64) Option { return func(s *Sizer) { s.readyMillis = millis } }
 
-// WithPatience sets how long in milliseconds a pool may be short of its target without being overloaded.
+// WithPatience sets the time in milliseconds for which a pool that is not overloaded may be short of VMs before it gets one.
 func WithPatience(millis int64) Option { return func(s *Sizer) { s.patienceMillis = millis } }
 
-// New returns a sizer that has learned nothing yet.
+// New returns a Sizer without pools and VMs.
 func New(opts ...Option) *Sizer {
 	s := &Sizer{
 		readyMillis: DefaultReady, patienceMillis: DefaultPatience,
@@ -85,13 +87,13 @@
 	return 0
 }
 
-// Held returns how many spare VMs must be held back to refill the pools after the worst loss of racks that their profiles name.
+// Held returns how many spare VMs are required to refill the pools after the worst loss of racks that their rules name.
 func (s *Sizer) Held() int {
 	lost, _ := s.worstRackLoss()
 	return lost
 }
 
-// Update takes one message in and returns the moves that pay.
+// Update handles one message and returns the moves that are worth their cost.
 func (s *Sizer) Update(msg Msg) []Cmd {
 	switch m := msg.(type) {
 	case RulesMsg:
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// rebuildLayout counts the VMs by pool and rack, those whose move was asked for as where they go.
+// rebuildLayout counts the VMs by pool and rack. A VM with a pending move counts for the pool that it moves to.
 func (s *Sizer) rebuildLayout() {
 	s.layout = newLayout(s.vms)
 	s.worstLoss.valid = false
@@ -120,11 +122,11 @@
 	}
 }
 
-// expirePendingMoves lets go of moves that are long made, or were not made.
-func (s *Sizer) expirePendingMoves(at int64) {
+// expirePendingMoves forgets moves that must have been made by now, or have failed.
+func (s *Sizer) expirePendingMoves(nowMillis int64) {
 	n := len(s.pendingMoves)
 	for vm, a := range s.pendingMoves {
-		if at-a.requestedMillis > 4*s.readyMillis {
+		if nowMillis-a.requestedMillis > 4*s.readyMillis {
 			delete(s.pendingMoves, vm)
 		}
 	}
@@ -153,28 +155,28 @@
 	return s.moves(m.At)
 }
 
-// observe takes one tick's demand in; n is the number of VMs that serve the pool.
-func (p *poolState) observe(r Rule, d Demand, n int, at int64) {
-	dt := float64(max(at-p.updatedMillis, 0))
+// observe updates the averages with one tick's demand; n is the number of VMs that serve the pool.
+func (p *poolState) observe(r Rule, d Demand, n int, nowMillis int64) {
+	dt := float64(max(nowMillis-p.updatedMillis, 0))
 	x := p.offeredSlots(d, dt)
 	p.meanSlots += (x - p.meanSlots) * (1 - math.Exp(-dt/meanDecayMillis))
 	p.burstMillis *= math.Exp(-dt / burstDecayMillis)
-	p.updatedMillis = at
+	p.updatedMillis = nowMillis
 	if x <= float64(n*r.Slots) {
-		if l := float64(at - p.overloadSince); p.overloadSince > 0 && l < maxBurstMillis {
+		if l := float64(nowMillis - p.overloadSince); p.overloadSince > 0 && l < maxBurstMillis {
 			p.burstMillis = max(p.burstMillis, l)
 		}
 		p.overloadSince = 0
 		return
 	}
 	if p.overloadSince == 0 {
-		p.overloadSince, p.overloadFloor = at, x
+		p.overloadSince, p.overloadFloor = nowMillis, x
 	}
 	p.overloadFloor = min(p.overloadFloor, x)
 }
 
-// offeredSlots returns the slots that the requests which came would keep busy: their rate times the mean time that an
-// answered one held its slot, so that a request which waits or was turned away counts once.
+// offeredSlots returns the slots that all arriving requests would keep busy: their rate times the mean time for which an
+// answered one held its slot. A request that waits or was refused thus counts once.
 func (p *poolState) offeredSlots(d Demand, dt float64) float64 {
 	k := 1 - math.Exp(-dt/meanDecayMillis)
 	p.busySlotMillis += (d.Busy*dt - p.busySlotMillis) * k
@@ -185,28 +187,31 @@
 	return d.Arrivals / dt * p.busySlotMillis / p.answered
 }
 
-// updateNeed derives the need from the demand that lasts; it keeps the last need while the mean is near its bounds.
-func (p *poolState) updateNeed(r Rule, ready, at int64) {
-	one := float64(r.Slots) * targetUse(r)
-	if p.overloadLasts(ready, at) {
+// updateNeed derives the need from the lasting demand, with hysteresis: the need stays while the mean is within
+// raiseMargin and lowerMargin of its capacity.
+func (p *poolState) updateNeed(r Rule, readyMillis, nowMillis int64) {
+	perVM := float64(r.Slots) * targetUse(r)
+	if p.overloadLasts(readyMillis, nowMillis) {
 		p.meanSlots = max(p.meanSlots, p.overloadFloor)
 	}
 	x := p.meanSlots
-	up, down := vmsFor(x/(1+raiseMargin), one), vmsFor(x/(1-lowerMargin), one)
+	up, down := vmsFor(x/(1+raiseMargin), perVM), vmsFor(x/(1-lowerMargin), perVM)
 	p.need = max(min(max(p.need, up), down), r.MinVMs, 1)
 	if r.MaxVMs > 0 {
 		p.need = min(p.need, r.MaxVMs)
 	}
 }
 
-// vmsFor returns how many VMs run x slots if each is to run one.
-func vmsFor(x, one float64) int { return int(math.Ceil(x/one - 1e-9)) }
+// vmsFor returns how many VMs are needed for the given number of slots if each provides perVM.
+func vmsFor(slots, perVM float64) int { return int(math.Ceil(slots/perVM - 1e-9)) }
 
-// overloadLasts tells whether the running overload has outlived the time a VM needs and the bursts seen before.
-func (p *poolState) overloadLasts(ready, at int64) bool {
-	return p.overloadSince > 0 && float64(at-p.overloadSince) >= max(float64(ready), 2*p.burstMillis)
+// overloadLasts reports whether the current overload has lasted as long as a VM takes to become ready and twice as long
+// as the longest burst.
+func (p *poolState) overloadLasts(readyMillis, nowMillis int64) bool {
+	return p.overloadSince > 0 && float64(nowMillis-p.overloadSince) >= max(float64(readyMillis), 2*p.burstMillis)
 }
 
+// targetUse returns the rule's target use, or 1 if it is not valid.
 func targetUse(r Rule) float64 {
 	if r.TargetUse <= 0 || r.TargetUse > 1 {
 		return 1
@@ -214,55 +219,56 @@
 	return r.TargetUse
 }
 
-// updateShortage notes since when the pool has had too few or too many VMs.
-func (p *poolState) updateShortage(r Rule, have int, at int64) {
-	p.shortSince = updateSince(p.shortSince, have < p.need, at)
-	p.idleSince = updateSince(p.idleSince, have > p.need, at)
+// updateShortage records since when the pool has had too few or too many VMs.
+func (p *poolState) updateShortage(r Rule, have int, nowMillis int64) {
+	p.shortSince = updateSince(p.shortSince, have < p.need, nowMillis)
+	p.idleSince = updateSince(p.idleSince, have > p.need, nowMillis)
 	bound := float64(have*r.Slots) * (1 + targetUse(r)) / 2
-	p.meanOverloadSince = updateSince(p.meanOverloadSince, p.meanSlots > bound, at)
+	p.meanOverloadSince = updateSince(p.meanOverloadSince, p.meanSlots > bound, nowMillis)
 }
 
-func updateSince(old int64, is bool, at int64) int64 {
+// updateSince returns the time since when a condition holds: 0 if it does not hold, else the old time if there is one.
+func updateSince(old int64, is bool, nowMillis int64) int64 {
 	switch {
 	case !is:
 		return 0
 	case old == 0:
-		return at
+		return nowMillis
 	default:
 		return old
 	}
 }
 
-// isDue tells whether a shortage is worth a move now.
-func (s *Sizer) isDue(p *poolState, at int64) bool {
+// isDue reports whether a shortage is worth a move now.
+func (s *Sizer) isDue(p *poolState, nowMillis int64) bool {
 	if p.shortSince == 0 {
 		return false
 	}
-	return p.overloadLasts(s.readyMillis, at) || p.meanOverloadSince > 0 && at-p.meanOverloadSince >= overloadConfirmMillis || at-p.shortSince >= s.patienceMillis
+	return p.overloadLasts(s.readyMillis, nowMillis) || p.meanOverloadSince > 0 && nowMillis-p.meanOverloadSince >= overloadConfirmMillis || nowMillis-p.shortSince >= s.patienceMillis
 }
 
-// isIdleTooLong tells whether an idle VM has cost as much as giving it back and fetching it again.
-func isIdleTooLong(r Rule, p *poolState, at int64) bool {
+// isIdleTooLong reports whether an idle VM has cost as much as two moves, away and back.
+func isIdleTooLong(r Rule, p *poolState, nowMillis int64) bool {
 	if p.idleSince == 0 || r.BufferWeight <= 0 {
 		return false
 	}
-	return float64(at-p.idleSince)*r.BufferWeight >= 2*r.MoveWeight*hourMillis
+	return float64(nowMillis-p.idleSince)*r.BufferWeight >= 2*r.MoveWeight*hourMillis
 }
 
-// moves returns the moves that pay now: one a pool and tick, the shortest pool first.
-func (s *Sizer) moves(at int64) []Cmd {
+// moves returns the moves that are worth their cost now: at most one for each pool, the pool with the largest shortfall first.
+func (s *Sizer) moves(nowMillis int64) []Cmd {
 	var l []Cmd
 	for _, r := range s.byShortage() {
 		p := s.pools[r.Pool]
 		switch {
-		case s.isDue(p, at):
-			l = s.fill(l, r, at)
-		case isIdleTooLong(r, p, at):
-			l = s.returnIdle(l, r, at)
+		case s.isDue(p, nowMillis):
+			l = s.fill(l, r, nowMillis)
+		case isIdleTooLong(r, p, nowMillis):
+			l = s.returnIdle(l, r, nowMillis)
 		}
 	}
 	if len(l) == 0 {
-		l = s.spread(l, at)
+		l = s.spread(l, nowMillis)
 	}
 	return l
 }
@@ -280,36 +286,36 @@
 	return l
 }
 
-// shortfall returns the share of its need that the pool is short of; negative when it has more.
+// shortfall returns the share of its need that the pool lacks; it is negative if the pool has more than it needs.
 func (s *Sizer) shortfall(r Rule) float64 {
 	n := s.pools[r.Pool].need
 	return float64(n-s.layout.count(r.Pool)) / float64(max(n, 1))
 }
 
-// fill brings one VM to the pool: from the spare pools, else from the pool with the most idle VMs.
-func (s *Sizer) fill(l []Cmd, r Rule, at int64) []Cmd {
+// fill moves one VM to the pool, from a spare pool if possible, otherwise from the pool with the most idle VMs.
+func (s *Sizer) fill(l []Cmd, r Rule, nowMillis int64) []Cmd {
 	why := Short
 	if s.layout.failed[r.Pool] > 0 {
 		why = Lost
 	}
-	for _, from := range s.donors(r, at) {
+	for _, from := range s.donors(r, nowMillis) {
 		if v, ok := s.layout.pickForPool(from, r.Pool, s.movable()); ok {
-			return s.move(l, v, r.Pool, why, at)
+			return s.move(l, v, r.Pool, why, nowMillis)
 		}
 	}
 	return l
 }
 
-// donors returns the spare pools, then, for a pool that is overloaded, pools that have had idle VMs for long, most
-// idle first.
-func (s *Sizer) donors(to Rule, at int64) []string {
+// donors returns the pools that may give the pool a VM: the spare pools and, if the pool is overloaded, the pools that
+// have had idle VMs for donorIdleMillis, those with the most idle VMs first.
+func (s *Sizer) donors(to Rule, nowMillis int64) []string {
 	overloaded := s.pools[to.Pool].meanOverloadSince > 0 || s.pools[to.Pool].overloadSince > 0
 	var spares, others []string
 	for _, r := range s.rules {
 		switch {
 		case r.Spare:
 			spares = append(spares, r.Pool)
-		case overloaded && r.Pool != to.Pool && s.pools[r.Pool].isDonor(at) && s.layout.count(r.Pool) > s.pools[r.Pool].need:
+		case overloaded && r.Pool != to.Pool && s.pools[r.Pool].isDonor(nowMillis) && s.layout.count(r.Pool) > s.pools[r.Pool].need:
 			others = append(others, r.Pool)
 		}
 	}
@@ -319,19 +325,20 @@
 	return append(spares, others...)
 }
 
-// isDonor tells whether the pool has had idle VMs for long enough that another may take one.
-func (p *poolState) isDonor(at int64) bool {
-	return p.idleSince > 0 && at-p.idleSince >= donorIdleMillis
+// isDonor reports whether the pool has had idle VMs for long enough that another pool may take one.
+func (p *poolState) isDonor(nowMillis int64) bool {
+	return p.idleSince > 0 && nowMillis-p.idleSince >= donorIdleMillis
 }
 
-func (s *Sizer) returnIdle(l []Cmd, r Rule, at int64) []Cmd {
+// returnIdle moves one VM of the pool to the spare pool.
+func (s *Sizer) returnIdle(l []Cmd, r Rule, nowMillis int64) []Cmd {
 	to, ok := s.sparePool()
 	if !ok {
 		return l
 	}
 	if v, ok := s.layout.pickFromFullestRack(r.Pool, s.movable()); ok {
-		s.pools[r.Pool].idleSince = at
-		return s.move(l, v, to, Idle, at)
+		s.pools[r.Pool].idleSince = nowMillis
+		return s.move(l, v, to, Idle, nowMillis)
 	}
 	return l
 }
@@ -345,16 +352,16 @@
 	return "", false
 }
 
-// movable returns a test for VMs that no recent move concerns.
+// movable returns a predicate for healthy VMs in service without a current or pending move.
 func (s *Sizer) movable() func(VM) bool {
 	return func(v VM) bool {
-		_, asked := s.pendingMoves[v.Name]
-		return !v.Out && !v.Failed && !v.Moving && !asked
+		_, pending := s.pendingMoves[v.Name]
+		return !v.Out && !v.Failed && !v.Moving && !pending
 	}
 }
 
-func (s *Sizer) move(l []Cmd, v VM, to string, why Why, at int64) []Cmd {
-	s.pendingMoves[v.Name] = pendingMove{requestedMillis: at, to: to}
+func (s *Sizer) move(l []Cmd, v VM, to string, why Why, nowMillis int64) []Cmd {
+	s.pendingMoves[v.Name] = pendingMove{requestedMillis: nowMillis, to: to}
 	s.layout.reassign(v, to)
 	s.worstLoss.valid = false
 	return append(l, MoveCmd{VM: v.Name, From: v.Pool, To: to, Why: why})
--- a/fleet/spare/sizer_test.go
+++ b/fleet/spare/sizer_test.go
@@ -16,7 +16,7 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// testFleet is a data centre of two pools of three VMs and a spare pool of three, in three racks.
+// testFleet returns two pools and a spare pool of three VMs each, in three racks.
 func testFleet() ([]Rule, []VM) {
 	r := []Rule{
 		{Pool: "orders", Slots: 8, MinVMs: 1, MaxVMs: 5, TargetUse: 0.7, SurviveRacks: 1, MoveWeight: 1, BufferWeight: 1},
@@ -30,8 +30,8 @@
 	return r, l
 }
 
-// drive ticks the policy each second of the given time under constant demand and returns its moves, which are made at once
-// if v is given.
+// drive sends the policy a tick for each second of the given time, with constant demand, and returns its moves. If v is
+// given, the moves are made in it at once.
 func drive(p Policy, v []VM, from, seconds int64, orders, checks float64) []MoveCmd {
 	var l []MoveCmd
 	for at := from * 1000; at < (from+seconds)*1000; at += 1000 {
@@ -71,13 +71,13 @@
 		checkReasons(t, drive(s, v, 901, 20, 60, 14))
 		checkReasons(t, drive(s, v, 921, 60, 1, 14))
 	})
-	t.Run("demand that lasts moves spare VMs in", func(t *testing.T) {
+	t.Run("lasting demand moves spare VMs in", func(t *testing.T) {
 		s, v := begin()
 		checkReasons(t, drive(s, v, 901, 40, 26, 14), Short)
 		is.New(t).Equal(s.Need("orders"), 5)
-		checkReasons(t, drive(s, v, 941, 620, 26, 14), Short) // four VMs run it, if not at the target's use.
+		checkReasons(t, drive(s, v, 941, 620, 26, 14), Short) // four VMs can run it, though above the target use.
 	})
-	t.Run("a move that does not show yet is not asked for again", func(t *testing.T) {
+	t.Run("a move that the list of VMs does not show yet is not commanded again", func(t *testing.T) {
 		s, v := begin()
 		checkReasons(t, drive(s, nil, 901, 40, 26, 14), Short)
 		for at := int64(941); at < 960; at++ {
@@ -85,14 +85,14 @@
 			checkReasons(t, drive(s, nil, at, 1, 26, 14))
 		}
 	})
-	t.Run("requests that wait count once", func(t *testing.T) {
+	t.Run("waiting requests count once", func(t *testing.T) {
 		s, _ := begin()
 		for at := int64(901); at < 1500; at++ {
 			d := map[string]Demand{"orders": {Busy: 14, Queued: 40, Arrivals: 14, Done: 14}, "checks": {Busy: 14, Arrivals: 14, Done: 14}}
 			is.New(t).Equal(len(s.Update(TickMsg{At: at * 1000, Demand: d})), 0)
 		}
 	})
-	t.Run("a lost VM is waited for, then replaced", func(t *testing.T) {
+	t.Run("a failed VM is replaced after a while", func(t *testing.T) {
 		s, v := begin()
 		v[0].Failed, v[1].Failed = true, true
 		s.Update(FleetMsg{VMs: v})
@@ -105,12 +105,12 @@
 		s.Update(FleetMsg{VMs: v})
 		checkReasons(t, drive(s, v, 901, 700, 8, 14))
 	})
-	t.Run("an idle VM is given back once it has cost two moves", func(t *testing.T) {
+	t.Run("an idle VM is returned once it has cost as much as two moves", func(t *testing.T) {
 		s, v := begin()
 		checkReasons(t, drive(s, v, 901, 7000, 1, 14))
 		checkReasons(t, drive(s, v, 7901, 1500, 1, 14), Idle)
 	})
-	t.Run("a crowded pool is spread", func(t *testing.T) {
+	t.Run("a pool in one rack is spread", func(t *testing.T) {
 		s, v := begin()
 		for i := range v[:6] {
 			v[i].Rack = "r0"
@@ -123,7 +123,7 @@
 	})
 }
 
-// TestSizerTraces drives the sizer and the naive policy by the same random demand and checks each move.
+// TestSizerTraces runs the sizer and the naive policy with the same random demand and failures and checks each move.
 func TestSizerTraces(t *testing.T) {
 	moves, naive := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -135,7 +135,7 @@
 	t.Logf("moves %d, naive %d", moves, naive)
 }
 
-// runTrace runs the trace of demand and failures under the policy and counts its moves.
+// runTrace runs the trace of demand and failures under the policy, checks its moves and returns their number.
 func runTrace(t *rapid.T, p Policy, trace []uint16, strict bool) int {
 	rules, v := testFleet()
 	p.Update(RulesMsg{Rules: rules})
@@ -155,6 +155,8 @@
 	return n
 }
 
+// apply makes the move in v. It fails the test if the VM is not in the pool that the move names, and with strict also if
+// the VM cannot move or the pool exceeds its greatest number of VMs.
 func apply(t *rapid.T, v []VM, m MoveCmd, strict bool) {
 	for i := range v {
 		if v[i].Name != m.VM {
@@ -172,7 +174,7 @@
 		}
 	}
 	if strict && m.To != "office" && m.Why != Spread && n > 5 {
-		t.Fatalf("move %+v fills %s above its bound", m, m.To)
+		t.Fatalf("move %+v brings pool %s above its MaxVMs", m, m.To)
 	}
 }
 
--- a/fleet/spare/survive.go
+++ b/fleet/spare/survive.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// rackLoss is the worst loss of racks as it was last reckoned.
+// rackLoss is the cached result of worstRackLoss.
 type rackLoss struct {
 	valid              bool
 	lacking, uncovered int
 }
 
-// worstRackLoss returns how many VMs the pools would lack together after the worstRackLoss loss of racks, and by how many the
-// spare VMs that are left would fall short of it. Losses of several racks are reckoned from the worstRackLoss single one on.
-func (s *Sizer) worstRackLoss() (lack, missing int) {
+// worstRackLoss returns how many VMs all pools together would lack after the worst loss of racks, and how many of these
+// the remaining spare VMs could not replace. A loss of several racks is built up greedily from the worst single rack.
+func (s *Sizer) worstRackLoss() (lacking, uncovered int) {
 	if s.worstLoss.valid {
 		return s.worstLoss.lacking, s.worstLoss.uncovered
 	}
@@ -22,15 +22,15 @@
 	for range min(k, len(s.layout.racks)) {
 		rack, n, short := s.worstNextRack(lost)
 		lost = append(lost, rack)
-		lack, missing = max(lack, n), max(missing, short)
+		lacking, uncovered = max(lacking, n), max(uncovered, short)
 	}
-	s.worstLoss = rackLoss{valid: true, lacking: lack, uncovered: missing}
-	return lack, missing
+	s.worstLoss = rackLoss{valid: true, lacking: lacking, uncovered: uncovered}
+	return lacking, uncovered
 }
 
-// worstNextRack returns the rack whose loss on top of lost would cost most, the most VMs that the pools would lack after such a
-// loss, and the most that would be missing.
-func (s *Sizer) worstNextRack(lost []string) (rack string, lack, missing int) {
+// worstNextRack returns the rack whose loss in addition to the lost ones leaves the most VMs uncovered, and the greatest
+// numbers of lacking and of uncovered VMs after the loss of any one further rack.
+func (s *Sizer) worstNextRack(lost []string) (rack string, lacking, uncovered int) {
 	most := -len(s.vms) - 1
 	taken, base, free := s.afterLoss(lost)
 	for _, r := range s.layout.racks {
@@ -49,13 +49,14 @@
 		if n-left > most {
 			rack, most = r, n-left
 		}
-		lack, missing = max(lack, n), max(missing, n-left)
+		lacking, uncovered = max(lacking, n), max(uncovered, n-left)
 	}
-	return rack, lack, missing
+	return rack, lacking, uncovered
 }
 
-// afterLoss returns the VMs that each pool loses with the racks, how many the pools then lack, and how many spare ones are left.
-func (s *Sizer) afterLoss(lost []string) (taken map[string]int, lack, free int) {
+// afterLoss returns how many VMs each pool loses with the racks, how many the pools then lack together, and how many
+// spare VMs are left.
+func (s *Sizer) afterLoss(lost []string) (taken map[string]int, lacking, free int) {
 	taken = map[string]int{}
 	for _, r := range lost {
 		for pool, c := range s.layout.perRackPool[r] {
@@ -67,13 +68,13 @@
 		case r.Spare:
 			free += n
 		case s.mustSurvive(r.Pool, len(lost)+1):
-			lack += max(0, s.Need(r.Pool)-n)
+			lacking += max(0, s.Need(r.Pool)-n)
 		}
 	}
-	return taken, lack, free
+	return taken, lacking, free
 }
 
-// mustSurvive tells whether the pool's profile promises to survive the loss of so many racks.
+// mustSurvive reports whether the pool's rule requires it to survive the loss of the given number of racks.
 func (s *Sizer) mustSurvive(pool string, racks int) bool {
 	r, ok := s.ruleByPool[pool]
 	return ok && !r.Spare && r.SurviveRacks >= racks
@@ -81,41 +82,42 @@
 
 func (s *Sizer) isSpare(pool string) bool { return s.ruleByPool[pool].Spare }
 
-// spread takes the pools' concentration down by one VM where the spare VMs would not make up for the loss of racks:
-// a spare VM of another rack joins the pool, and the pool gives one of the crowded rack back.
-func (s *Sizer) spread(l []Cmd, at int64) []Cmd {
-	_, missing := s.worstRackLoss()
-	if missing <= 0 {
+// spread spreads the pools better over the racks, by one VM, if the spare VMs could not make up for a loss of racks. A
+// pool with an idle VM returns one from its fullest rack. Otherwise a spare VM of another rack joins a concentrated pool,
+// which later returns the VM that has become idle.
+func (s *Sizer) spread(l []Cmd, nowMillis int64) []Cmd {
+	_, uncovered := s.worstRackLoss()
+	if uncovered <= 0 {
 		return l
 	}
 	for _, r := range s.rules {
-		if p := s.pools[r.Pool]; !r.Spare && p.idleSince > 0 && at-p.idleSince > s.readyMillis {
-			return s.returnIdle(l, r, at)
+		if p := s.pools[r.Pool]; !r.Spare && p.idleSince > 0 && nowMillis-p.idleSince > s.readyMillis {
+			return s.returnIdle(l, r, nowMillis)
 		}
 	}
-	return s.swap(l, at)
+	return s.swap(l, nowMillis)
 }
 
-// swap brings a VM of an emptier rack to the pool that is most crowded into one rack, if that would help.
-func (s *Sizer) swap(l []Cmd, at int64) []Cmd {
+// swap moves a spare VM to the pool with the most VMs in one rack, if the spare VM's rack holds at least two fewer of them.
+func (s *Sizer) swap(l []Cmd, nowMillis int64) []Cmd {
 	to, ok := s.sparePool()
 	if !ok {
 		return l
 	}
-	worst, most := "", 1
+	pool, most := "", 1
 	for _, r := range s.rules {
 		if r.Spare || r.SurviveRacks == 0 || s.layout.count(r.Pool) > s.pools[r.Pool].need {
 			continue
 		}
 		for _, n := range s.layout.perPoolRack[r.Pool] {
 			if n > most {
-				worst, most = r.Pool, n
+				pool, most = r.Pool, n
 			}
 		}
 	}
-	v, ok := s.layout.pickForPool(to, worst, s.movable())
-	if worst == "" || !ok || s.layout.perPoolRack[worst][v.Rack] >= most-1 {
+	v, ok := s.layout.pickForPool(to, pool, s.movable())
+	if pool == "" || !ok || s.layout.perPoolRack[pool][v.Rack] >= most-1 {
 		return l
 	}
-	return s.move(l, v, worst, Spread, at)
+	return s.move(l, v, pool, Spread, nowMillis)
 }
