--- a/fleet/place/choose.go
+++ b/fleet/place/choose.go
@@ -162,7 +162,7 @@
 		if !t.throttled {
 			m.reserved.Cores -= t.size.Cores * (1 - throttledShare)
 			t.throttled = true
-			p.throttled = append(p.throttled, t)
+			p.throttledTasks = append(p.throttledTasks, t)
 			l = append(l, ThrottleCmd{Task: t.Task, Worker: m.Name, On: true})
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 	}
 	var remaining []*task
-	for _, t := range p.throttled {
+	for _, t := range p.throttledTasks {
 		need := t.size.Cores * (1 - throttledShare)
 		if t.worker.free().Cores+1e-9 < need || t.stopping {
 			remaining = append(remaining, t)
@@ -211,6 +211,6 @@
 		}
 		l = append(l, ThrottleCmd{Task: t.Task, Worker: t.worker.Name})
 	}
-	p.throttled = remaining
+	p.throttledTasks = remaining
 	return l
 }
--- a/fleet/place/placer.go
+++ b/fleet/place/placer.go
@@ -21,7 +21,7 @@
 	quotaCores      map[string]float64
 	teamCores       map[string]float64 // cores reserved for each team's tasks, without regard to throttling.
 	tasksByKindRack map[string]int     // number of tasks by "kind/rack".
-	throttled       []*task            // throttled tasks, oldest first.
+	throttledTasks  []*task            // throttled tasks, oldest first.
 }
 
 // jobState is a waiting or running job and the history of its attempts.
@@ -278,7 +278,7 @@
 	delete(m.tasks, t.Job)
 	p.teamCores[t.job.Team] -= t.size.Cores
 	p.tasksByKindRack[t.job.Kind+"/"+m.Rack]--
-	p.throttled = slices.DeleteFunc(p.throttled, func(o *task) bool { return o == t })
+	p.throttledTasks = slices.DeleteFunc(p.throttledTasks, func(o *task) bool { return o == t })
 	t.job.task = nil
 	if m.bucket >= 0 {
 		p.byFreeCores.update(m)
