--- a/fleet/place/placer.go
+++ b/fleet/place/placer.go
@@ -218,7 +218,7 @@
 			return p.giveUp(nil, e, Larger)
 		}
 	case m.How == Failed:
-		if c, gone := p.attributeFailure(e, w); gone {
+		if c, givenUp := p.attributeFailure(e, w); givenUp {
 			return c
 		}
 	}
--- a/fleet/place/worker.go
+++ b/fleet/place/worker.go
@@ -26,7 +26,7 @@
 	Task
 	job           *jobState
 	worker        *workerState
-	size          Size
+	size          Size // reserved when it started.
 	startedMillis int64
 	peakUsage     Size
 	throttled     bool
