--- a/flow/queue/queue.go
+++ b/flow/queue/queue.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	defaultBound  = 1 << 16                // requests
-	sweepEvery    = 100 * time.Millisecond // minimum; longer queues are swept less often
-	sweepScale    = 4096                   // queue length that doubles the interval
-	marginDevs    = 5                      // safety margin for long service times, in mean deviations
-	marginShare   = 0.25                   // limit of the margin, as a share of the time from arrival to deadline
-	reserveGrowth = 1.5                    // reserve, as a multiple of the slots that background requests need to be in time
-	minSlots      = 0.5                    // least number of slots assumed to be available to a class
+	defaultCapacity  = 1 << 16                // requests
+	sweepInterval    = 100 * time.Millisecond // minimum; longer queues are swept less often
+	sweepScale       = 4096                   // queue length that doubles the interval
+	marginDeviations = 5                      // safety margin for long service times, in mean deviations
+	marginShare      = 0.25                   // limit of the margin, as a share of the time from arrival to deadline
+	reserveFactor    = 1.5                    // reserve, as a multiple of the slots that background requests need to be in time
+	minSlots         = 0.5                    // least number of slots assumed to be available to a class
 )
 
 // Queue holds the waiting requests of one service. It is not safe for concurrent use.
 type Queue[V any] struct {
-	s        *slab[V]
-	roots    [classes]Handle
-	bound    int
-	slots    int
-	share    level // average number of slots
-	running  [classes]int
-	learned  [classes]times
-	all      times // of all classes together
-	urgents  rate  // arrivals of urgent requests
-	reserve  int   // slots reserved for background requests
-	nextWalk time.Duration
-	dropped  []Drop[V]
-	hopeless []Handle
+	treaps       *treaps[V]
+	roots        [classes]Handle
+	capacity     int
+	slots        int
+	slotAverage  timeAverage // average number of slots
+	running      [classes]int
+	timesByClass [classes]timeStats
+	allTimes     timeStats // of all classes together
+	urgentRate   eventRate // arrivals of urgent requests
+	reserve      int       // slots reserved for background requests
+	nextSweep    time.Duration
+	dropped      []Drop[V]
+	toShed       []Handle
 }
 
 // Drop is a request that was shed because its deadline had passed or could not be met, or to make room for a higher class.
@@ -58,25 +58,25 @@
 // Option configures a Queue.
 type Option func(*settings)
 
-type settings struct{ bound int }
+type settings struct{ capacity int }
 
 // WithBound sets how many requests may wait.
-func WithBound(n int) Option { return func(s *settings) { s.bound = n } }
+func WithBound(n int) Option { return func(s *settings) { s.capacity = n } }
 
 // New returns an empty Queue without slots.
 func New[V any](opts ...Option) *Queue[V] {
-	c := settings{bound: defaultBound}
+	c := settings{capacity: defaultCapacity}
 	for _, o := range opts {
 		o(&c)
 	}
-	return &Queue[V]{s: newSlab[V](), bound: c.bound}
+	return &Queue[V]{treaps: newTreaps[V](), capacity: c.capacity}
 }
 
 // SetSlots sets the number of slots that serve this queue, including busy ones.
 func (q *Queue[V]) SetSlots(now time.Duration, n int) {
 	if n != q.slots {
 		q.slots = n
-		q.share.put(now, float64(n))
+		q.slotAverage.update(now, float64(n))
 	}
 }
 
@@ -84,13 +84,13 @@
 func (q *Queue[V]) Len() int {
 	n := 0
 	for c := range q.roots {
-		n += int(q.s.size(q.roots[c]))
+		n += int(q.treaps.size(q.roots[c]))
 	}
 	return n
 }
 
 // Waiting returns the number of waiting requests of class c.
-func (q *Queue[V]) Waiting(c Class) int { return int(q.s.size(q.roots[c])) }
+func (q *Queue[V]) Waiting(c Class) int { return int(q.treaps.size(q.roots[c])) }
 
 // Pressing returns the number of waiting requests that should start at once: urgent and normal ones, and as many
 // background ones as the unused part of the reserve can serve.
@@ -105,7 +105,7 @@
 // Arrived records the arrival of a request of class c, whether it is queued or not.
 func (q *Queue[V]) Arrived(now time.Duration, c Class) {
 	if c == Urgent {
-		q.urgents.add(now)
+		q.urgentRate.add(now)
 	}
 }
 
@@ -116,41 +116,41 @@
 func (q *Queue[V]) Finished(c Class, took time.Duration) {
 	q.running[c]--
 	if took > 0 {
-		q.learned[c].learn(took)
-		q.all.learn(took)
+		q.timesByClass[c].add(took)
+		q.allTimes.add(took)
 	}
 }
 
 // Mean returns the mean service time of all classes, or 0 if none has been recorded yet.
-func (q *Queue[V]) Mean() time.Duration { return seconds(q.all.mean) }
+func (q *Queue[V]) Mean() time.Duration { return seconds(q.allTimes.mean) }
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
 // times returns the service times of class c, or those of all classes while c has none.
-func (q *Queue[V]) times(c Class) *times {
-	if q.learned[c].n > 0 {
-		return &q.learned[c]
+func (q *Queue[V]) times(c Class) *timeStats {
+	if q.timesByClass[c].n > 0 {
+		return &q.timesByClass[c]
 	}
-	return &q.all
+	return &q.allTimes
 }
 
 // need returns the time that a request must have left before its deadline when it starts: the mean service time and a
 // margin of at most maxMargin.
 func (q *Queue[V]) need(c Class, maxMargin time.Duration) time.Duration {
 	t := q.times(c)
-	return seconds(t.mean) + min(seconds(marginDevs*t.dev), maxMargin)
+	return seconds(t.mean) + min(seconds(marginDeviations*t.dev), maxMargin)
 }
 
-// spareOf returns the largest margin for a request that has the given time left until its deadline.
-func spareOf(left time.Duration) time.Duration { return time.Duration(marginShare * float64(left)) }
+// marginLimit returns the largest margin for a request that has the given time left until its deadline.
+func marginLimit(left time.Duration) time.Duration { return time.Duration(marginShare * float64(left)) }
 
-// forUrgent returns the average number of slots that urgent requests keep busy, recently or over the long term.
-func (q *Queue[V]) forUrgent(now time.Duration, longTerm bool) float64 {
-	q.urgents.settle(now)
+// urgentSlots returns the average number of slots that urgent requests keep busy, recently or over the long term.
+func (q *Queue[V]) urgentSlots(now time.Duration, longTerm bool) float64 {
+	q.urgentRate.decay(now)
 	if longTerm {
-		return q.urgents.long * q.times(Urgent).mean
+		return q.urgentRate.longTerm * q.times(Urgent).mean
 	}
-	return q.urgents.perSecond * q.times(Urgent).mean
+	return q.urgentRate.recent * q.times(Urgent).mean
 }
 
 // slotsFor returns the number of slots assumed to be available to a class.
@@ -158,10 +158,10 @@
 	n := float64(q.slots)
 	switch c {
 	case Normal:
-		n -= q.forUrgent(now, false) + float64(q.reserve)
+		n -= q.urgentSlots(now, false) + float64(q.reserve)
 	case Background:
-		q.share.put(now, n)
-		n = max(n, q.share.mean) - q.forUrgent(now, true)
+		q.slotAverage.update(now, n)
+		n = max(n, q.slotAverage.mean) - q.urgentSlots(now, true)
 	}
 	return max(n, minSlots)
 }
@@ -179,49 +179,49 @@
 // completion exceeds the deadline, or the estimated wait if the queue is full.
 func (q *Queue[V]) Push(now time.Duration, c Class, deadline time.Duration, v V) (Handle, time.Duration) {
 	left := deadline - now
-	ahead := q.s.rank(q.roots[c], deadline)
-	if excess := q.Wait(now, c, ahead) + q.need(c, spareOf(left)) - left; excess > 0 && (q.roots[c] != None || left <= 0) {
+	ahead := q.treaps.rank(q.roots[c], deadline)
+	if excess := q.Wait(now, c, ahead) + q.need(c, marginLimit(left)) - left; excess > 0 && (q.roots[c] != None || left <= 0) {
 		return None, excess
 	}
-	if q.Len() >= q.bound && !q.evict(now, c) {
+	if q.Len() >= q.capacity && !q.evict(now, c) {
 		return None, q.Wait(now, c, ahead)
 	}
-	return q.put(now, c, deadline, v), 0
+	return q.insert(now, c, deadline, v), 0
 }
 
 // PushBack adds a request without checking its deadline or the queue's limit. It is for requests that were admitted before.
 func (q *Queue[V]) PushBack(now time.Duration, c Class, deadline time.Duration, v V) Handle {
-	return q.put(now, c, deadline, v)
+	return q.insert(now, c, deadline, v)
 }
 
-func (q *Queue[V]) put(now time.Duration, c Class, deadline time.Duration, v V) Handle {
-	h := q.s.add(c, deadline, spareOf(deadline-now), v)
-	q.roots[c] = q.s.insert(q.roots[c], h)
+func (q *Queue[V]) insert(now time.Duration, c Class, deadline time.Duration, v V) Handle {
+	h := q.treaps.add(c, deadline, marginLimit(deadline-now), v)
+	q.roots[c] = q.treaps.insert(q.roots[c], h)
 	return h
 }
 
 // evict sheds the last request of the lowest class below c to make room, and reports whether there was one.
 func (q *Queue[V]) evict(now time.Duration, c Class) bool {
 	for k := Background; k > c; k-- {
-		if h := q.s.last(q.roots[k]); h != None {
-			q.drop(now, h)
+		if h := q.treaps.last(q.roots[k]); h != None {
+			q.shed(now, h)
 			return true
 		}
 	}
 	return false
 }
 
-func (q *Queue[V]) drop(now time.Duration, h Handle) {
-	n := &q.s.nodes[h]
+func (q *Queue[V]) shed(now time.Duration, h Handle) {
+	n := &q.treaps.nodes[h]
 	q.dropped = append(q.dropped, Drop[V]{v: n.v, late: n.deadline <= now})
 	q.Remove(h)
 }
 
 // Remove removes a waiting request.
 func (q *Queue[V]) Remove(h Handle) {
-	c := q.s.nodes[h].class
-	q.roots[c] = q.s.remove(q.roots[c], h)
-	q.s.drop(h)
+	c := q.treaps.nodes[h].class
+	q.roots[c] = q.treaps.remove(q.roots[c], h)
+	q.treaps.release(h)
 }
 
 // Dropped returns the requests that were shed since the last call; the next sheds reuse the slice.
@@ -235,15 +235,15 @@
 // that can no longer meet their deadline.
 func (q *Queue[V]) Pop(now time.Duration, urgentOnly bool) (v V, ok bool) {
 	for {
-		c := q.class(urgentOnly)
+		c := q.nextClass(urgentOnly)
 		if c == classes {
 			return v, false
 		}
-		h := q.s.first(q.roots[c])
-		n := &q.s.nodes[h]
+		h := q.treaps.first(q.roots[c])
+		n := &q.treaps.nodes[h]
 		left := n.deadline - now
-		if left <= 0 || q.Waiting(c) > 1 && left < q.need(c, n.spare) {
-			q.drop(now, h)
+		if left <= 0 || q.Waiting(c) > 1 && left < q.need(c, n.marginLimit) {
+			q.shed(now, h)
 			continue
 		}
 		v = n.v
@@ -252,8 +252,8 @@
 	}
 }
 
-// class returns the class to serve next, or the constant classes if nothing may be served.
-func (q *Queue[V]) class(urgentOnly bool) Class {
+// nextClass returns the class to serve next, or the constant classes if nothing may be served.
+func (q *Queue[V]) nextClass(urgentOnly bool) Class {
 	switch {
 	case q.roots[Urgent] != None:
 		return Urgent
@@ -272,10 +272,10 @@
 // Sweep sheds the requests that can no longer be answered in time and updates the reserve for background requests. It
 // does nothing if the sweep interval has not passed.
 func (q *Queue[V]) Sweep(now time.Duration) {
-	if now < q.nextWalk {
+	if now < q.nextSweep {
 		return
 	}
-	q.nextWalk = now + sweepEvery + sweepEvery*time.Duration(q.Len())/sweepScale
+	q.nextSweep = now + sweepInterval + sweepInterval*time.Duration(q.Len())/sweepScale
 	for c := range Class(classes) {
 		q.sweep(now, c)
 	}
@@ -290,21 +290,21 @@
 		urgentWait = float64(q.Waiting(Urgent)) * q.times(Urgent).mean / max(float64(q.slots), minSlots)
 	}
 	kept, reserve := 0.0, 0.0
-	q.hopeless = q.hopeless[:0]
-	q.s.walk(q.roots[c], func(h Handle) {
-		n := &q.s.nodes[h]
-		left, need := n.deadline-now, q.need(c, n.spare)
+	q.toShed = q.toShed[:0]
+	q.treaps.walk(q.roots[c], func(h Handle) {
+		n := &q.treaps.nodes[h]
+		left, need := n.deadline-now, q.need(c, n.marginLimit)
 		if left <= 0 || kept+urgentWait > 0 && seconds(urgentWait+kept*perRequest)+need > left {
-			q.hopeless = append(q.hopeless, h)
+			q.toShed = append(q.toShed, h)
 			return
 		}
 		kept++
 		reserve = max(reserve, kept*mean/max((left-need).Seconds(), mean/2))
 	})
-	for _, h := range q.hopeless {
-		q.drop(now, h)
+	for _, h := range q.toShed {
+		q.shed(now, h)
 	}
 	if c == Background {
-		q.reserve = min(q.slots, int(reserve*reserveGrowth))
+		q.reserve = min(q.slots, int(reserve*reserveFactor))
 	}
 }
--- a/flow/queue/queue_test.go
+++ b/flow/queue/queue_test.go
@@ -15,15 +15,15 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-type entry struct {
+type request struct {
 	id       int
 	class    queue.Class
 	deadline time.Duration
 	handle   queue.Handle
 }
 
-// order compares entries in the order in which the queue must serve them.
-func order(a, b entry) int {
+// compareRequests compares requests in the order in which the queue must serve them.
+func compareRequests(a, b request) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 }
 
@@ -31,12 +31,12 @@
 func TestSameOrderAsSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, id := queue.New[int](), 0
-		var l []entry
+		var l []request
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch k := rapid.IntRange(0, 5).Draw(t, "act"); {
 			case k < 3 || len(l) == 0:
 				id++
-				e := entry{id: id, class: queue.Class(rapid.IntRange(0, 2).Draw(t, "class"))}
+				e := request{id: id, class: queue.Class(rapid.IntRange(0, 2).Draw(t, "class"))}
 				e.deadline = time.Hour + time.Duration(rapid.IntRange(0, 5).Draw(t, "deadline"))*time.Minute
 				e.handle, _ = q.Push(0, e.class, e.deadline, id)
 				l = append(l, e)
@@ -45,7 +45,7 @@
 				q.Remove(l[i].handle)
 				l = slices.Delete(l, i, i+1)
 			default:
-				slices.SortFunc(l, order)
+				slices.SortFunc(l, compareRequests)
 				v, ok := q.Pop(0, false)
 				if !ok || v != l[0].id {
 					t.Fatalf("popped request %d, want %d", v, l[0].id)
@@ -59,8 +59,8 @@
 	})
 }
 
-// taught returns a queue with the given slots and a recorded service time of d for each class.
-func taught(slots int, d time.Duration) *queue.Queue[int] {
+// trainedQueue returns a queue with the given slots and a recorded service time of d for each class.
+func trainedQueue(slots int, d time.Duration) *queue.Queue[int] {
 	q := queue.New[int]()
 	q.SetSlots(0, slots)
 	for c := range queue.Class(3) {
@@ -74,7 +74,7 @@
 
 func TestShedding(t *testing.T) {
 	t.Run("a request that cannot be in time is refused with the right excess", func(t *testing.T) {
-		i, q := is.New(t), taught(1, 100*time.Millisecond)
+		i, q := is.New(t), trainedQueue(1, 100*time.Millisecond)
 		for k := range 20 {
 			h, over := q.Push(0, queue.Normal, time.Second, k)
 			i.Equal(h != queue.None, over == 0)
@@ -85,7 +85,7 @@
 		i.True(h != queue.None)
 	})
 	t.Run("after a loss of slots the next sweep sheds the last requests", func(t *testing.T) {
-		i, q := is.New(t), taught(8, 100*time.Millisecond)
+		i, q := is.New(t), trainedQueue(8, 100*time.Millisecond)
 		for k := range 30 {
 			q.Push(0, queue.Normal, time.Second, k)
 		}
@@ -112,7 +112,7 @@
 }
 
 func TestPressing(t *testing.T) {
-	i, q := is.New(t), taught(4, 100*time.Millisecond)
+	i, q := is.New(t), trainedQueue(4, 100*time.Millisecond)
 	for k := range 20 {
 		q.Push(0, queue.Background, 10*time.Second, k)
 	}
@@ -133,7 +133,7 @@
 	for k := range back {
 		q.Push(0, queue.Background, by, k)
 	}
-	var ends []entry
+	var ends []request
 	for now := time.Duration(0); now < by; now += 10 * time.Millisecond {
 		for len(ends) > 0 && ends[0].deadline <= now {
 			q.Finished(ends[0].class, run)
@@ -151,7 +151,7 @@
 			if !ok {
 				break
 			}
-			e := entry{class: queue.Normal, deadline: now + run}
+			e := request{class: queue.Normal, deadline: now + run}
 			if v >= 0 {
 				e.class = queue.Background
 			}
@@ -165,7 +165,7 @@
 
 func TestBackgroundIsInTimeThoughNormalWorkNeverEnds(t *testing.T) {
 	i := is.New(t)
-	inTime, normal := compete(taught(4, 100*time.Millisecond), 4, 100, 30*time.Second)
+	inTime, normal := compete(trainedQueue(4, 100*time.Millisecond), 4, 100, 30*time.Second)
 	i.True(inTime >= 99)                  // the last one may end exactly at the deadline
 	i.True(float64(normal) > 0.9*4*10*15) // the reserve stays small while the deadline is far away
 }
--- a/flow/queue/line.go
+++ b/flow/queue/treap.go
@@ -11,26 +11,28 @@
 // node is a node of a treap that is ordered by deadline, then arrival. Index 0 means no node.
 type node[V any] struct {
 	deadline    time.Duration
-	spare       time.Duration // limit of the margin for a long service time
+	marginLimit time.Duration // limit of the margin for a long service time
 	seq         uint64
-	heap        uint32 // random; higher ones are nearer the root
+	priority    uint32 // random; higher ones are nearer the root
 	size        int32  // nodes in the subtree
 	left, right Handle
 	class       Class
 	v           V
 }
 
-// slab holds the nodes of all treaps, one treap for each class, and reuses freed ones.
-type slab[V any] struct {
+// treaps holds the nodes of several treaps, one for each class, and reuses freed nodes.
+type treaps[V any] struct {
 	nodes []node[V]
 	free  Handle // first free node; free nodes are linked by left
 	state uint32 // of the xorshift generator for priorities
 	seq   uint64
 }
 
-func newSlab[V any]() *slab[V] { return &slab[V]{nodes: make([]node[V], 1, 64), state: 2463534242} }
+func newTreaps[V any]() *treaps[V] {
+	return &treaps[V]{nodes: make([]node[V], 1, 64), state: 2463534242}
+}
 
-func (s *slab[V]) add(c Class, deadline, spare time.Duration, v V) Handle {
+func (s *treaps[V]) add(c Class, deadline, marginLimit time.Duration, v V) Handle {
 	h := s.free
 	if h != None {
 		s.free = s.nodes[h].left
@@ -42,75 +44,75 @@
 	s.state ^= s.state << 13
 	s.state ^= s.state >> 17
 	s.state ^= s.state << 5
-	s.nodes[h] = node[V]{deadline: deadline, spare: spare, seq: s.seq, heap: s.state, size: 1, class: c, v: v}
+	s.nodes[h] = node[V]{deadline: deadline, marginLimit: marginLimit, seq: s.seq, priority: s.state, size: 1, class: c, v: v}
 	return h
 }
 
-func (s *slab[V]) drop(h Handle) {
+func (s *treaps[V]) release(h Handle) {
 	s.nodes[h] = node[V]{left: s.free}
 	s.free = h
 }
 
-func (s *slab[V]) size(h Handle) int32 {
+func (s *treaps[V]) size(h Handle) int32 {
 	if h == None {
 		return 0
 	}
 	return s.nodes[h].size
 }
 
-// sum recomputes the size of h from its children.
-func (s *slab[V]) sum(h Handle) {
+// updateSize recomputes the size of h from its children.
+func (s *treaps[V]) updateSize(h Handle) {
 	n := &s.nodes[h]
 	n.size = 1 + s.size(n.left) + s.size(n.right)
 }
 
 // before reports whether a is ordered before b: by deadline, then by arrival.
-func (s *slab[V]) before(a, b Handle) bool {
+func (s *treaps[V]) before(a, b Handle) bool {
 	x, y := &s.nodes[a], &s.nodes[b]
 	return x.deadline < y.deadline || x.deadline == y.deadline && x.seq < y.seq
 }
 
 // merge joins two treaps; every node of a must be ordered before every node of b.
-func (s *slab[V]) merge(a, b Handle) Handle {
+func (s *treaps[V]) merge(a, b Handle) Handle {
 	switch {
 	case a == None:
 		return b
 	case b == None:
 		return a
-	case s.nodes[a].heap > s.nodes[b].heap:
+	case s.nodes[a].priority > s.nodes[b].priority:
 		s.nodes[a].right = s.merge(s.nodes[a].right, b)
-		s.sum(a)
+		s.updateSize(a)
 		return a
 	}
 	s.nodes[b].left = s.merge(a, s.nodes[b].left)
-	s.sum(b)
+	s.updateSize(b)
 	return b
 }
 
 // split divides a treap into the nodes before h and the rest.
-func (s *slab[V]) split(t, h Handle) (a, b Handle) {
+func (s *treaps[V]) split(t, h Handle) (a, b Handle) {
 	if t == None {
 		return None, None
 	}
 	if s.before(t, h) {
 		s.nodes[t].right, b = s.split(s.nodes[t].right, h)
-		s.sum(t)
+		s.updateSize(t)
 		return t, b
 	}
 	a, s.nodes[t].left = s.split(s.nodes[t].left, h)
-	s.sum(t)
+	s.updateSize(t)
 	return a, t
 }
 
 // insert adds h to the treap t and returns the new root.
-func (s *slab[V]) insert(t, h Handle) Handle {
+func (s *treaps[V]) insert(t, h Handle) Handle {
 	if t == None {
 		return h
 	}
-	if s.nodes[h].heap > s.nodes[t].heap {
+	if s.nodes[h].priority > s.nodes[t].priority {
 		n := &s.nodes[h]
 		n.left, n.right = s.split(t, h)
-		s.sum(h)
+		s.updateSize(h)
 		return h
 	}
 	if s.before(h, t) {
@@ -123,7 +125,7 @@
 }
 
 // remove removes h from the treap t, which must contain it, and returns the new root.
-func (s *slab[V]) remove(t, h Handle) Handle {
+func (s *treaps[V]) remove(t, h Handle) Handle {
 	if t == h {
 		return s.merge(s.nodes[t].left, s.nodes[t].right)
 	}
@@ -136,14 +138,14 @@
 	return t
 }
 
-func (s *slab[V]) first(t Handle) Handle {
+func (s *treaps[V]) first(t Handle) Handle {
 	for t != None && s.nodes[t].left != None {
 		t = s.nodes[t].left
 	}
 	return t
 }
 
-func (s *slab[V]) last(t Handle) Handle {
+func (s *treaps[V]) last(t Handle) Handle {
 	for t != None && s.nodes[t].right != None {
 		t = s.nodes[t].right
 	}
@@ -151,7 +153,7 @@
 }
 
 // rank returns the number of nodes whose deadline is d or earlier.
-func (s *slab[V]) rank(t Handle, d time.Duration) int {
+func (s *treaps[V]) rank(t Handle, d time.Duration) int {
 	k := 0
 	for t != None {
 		n := &s.nodes[t]
@@ -166,7 +168,7 @@
 }
 
 // walk calls f for each node in order.
-func (s *slab[V]) walk(t Handle, f func(Handle)) {
+func (s *treaps[V]) walk(t Handle, f func(Handle)) {
 	if t == None {
 		return
 	}
--- a/flow/route/pool_test.go
+++ b/flow/route/pool_test.go
@@ -53,7 +53,8 @@
 	return sent
 }
 
-func only(names ...string) func(string) bool {
+// oneOf returns a predicate that reports whether a target is one of the named ones.
+func oneOf(names ...string) func(string) bool {
 	m := map[string]bool{}
 	for _, n := range names {
 		m[n] = true
@@ -64,9 +65,9 @@
 func TestEjection(t *testing.T) {
 	t.Run("a target that fails everything gets a few requests and then rare probes", func(t *testing.T) {
 		i, p := is.New(t), pool(4, 8)
-		n := run(p, 0, time.Second, only("vm-1"))
+		n := run(p, 0, time.Second, oneOf("vm-1"))
 		i.True(n["vm-1"] <= 6)
-		n = run(p, time.Second, time.Minute, only("vm-1"))
+		n = run(p, time.Second, time.Minute, oneOf("vm-1"))
 		i.True(n["vm-1"] >= 4 && n["vm-1"] <= 8) // after 1, 2, 4, 8, 16 and 32 s
 		i.Equal(p.Ejected(), 1)
 	})
@@ -87,7 +88,7 @@
 	})
 	t.Run("a target that recovered gets its slots back one by one", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
-		run(p, 0, 500*time.Millisecond, only("vm-1"))
+		run(p, 0, 500*time.Millisecond, oneOf("vm-1"))
 		i.Equal(p.Slots(), 8)
 		now := 3 * time.Second
 		for p.Ejected() == 1 {
@@ -95,12 +96,12 @@
 			p.Done(now, x, route.Good, 0)
 		}
 		i.Equal(p.Free(), 9) // one slot is open to the target that came back
-		run(p, now, now+time.Second, only())
+		run(p, now, now+time.Second, oneOf())
 		i.Equal(p.Free(), 16)
 	})
 	t.Run("a request that delays probes is not the first probe", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
-		run(p, 0, 500*time.Millisecond, only("vm-1"))
+		run(p, 0, 500*time.Millisecond, oneOf("vm-1"))
 		x, _ := p.Pick(1100*time.Millisecond, "", true)
 		i.Equal(x, "vm-0")
 		x, _ = p.Pick(1200*time.Millisecond, "", false)
@@ -111,17 +112,17 @@
 // TestLastTargetsAreNotLeftEjected checks that an ejected target is used again when the last other one leaves.
 func TestLastTargetsAreNotLeftEjected(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
-	run(p, 0, 500*time.Millisecond, only("vm-1"))
+	run(p, 0, 500*time.Millisecond, oneOf("vm-1"))
 	i.Equal(p.Ejected(), 1)
 	p.Leave(500*time.Millisecond, "vm-0")
 	i.Equal(p.Free(), 8) // a failing target is better than none
 	i.Equal(p.Ejected(), 0)
 }
 
-// TestTrialIsDueThoughNoSlotIsFree checks that the probe of an ejected target does not wait for a free slot elsewhere.
-func TestTrialIsDueThoughNoSlotIsFree(t *testing.T) {
+// TestProbeIsDueWithoutFreeSlots checks that the probe of an ejected target does not wait for a free slot elsewhere.
+func TestProbeIsDueWithoutFreeSlots(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
-	run(p, 0, 500*time.Millisecond, only("vm-1"))
+	run(p, 0, 500*time.Millisecond, oneOf("vm-1"))
 	p.SetSlots("vm-0", 0)
 	i.True(!p.Ready(510 * time.Millisecond))
 	i.True(p.Ready(2 * time.Second))
@@ -133,11 +134,11 @@
 	i, p := is.New(t), pool(2, 8)
 	p.Leave(0, "vm-0")
 	set(p, time.Second, 2, 8) // the list is stale and still has the target
-	n := run(p, time.Second, 29*time.Second, only())
+	n := run(p, time.Second, 29*time.Second, oneOf())
 	i.Equal(n["vm-0"], 0)
 	set(p, 29*time.Second, 0, 8)
 	set(p, 29*time.Second, 2, 8)
-	n = run(p, 29*time.Second, 30*time.Second, only())
+	n = run(p, 29*time.Second, 30*time.Second, oneOf())
 	i.True(n["vm-0"] > 0) // the list dropped the target and has it again
 }
 
