--- a/fleet/spare/message.go
+++ b/fleet/spare/message.go
@@ -1,6 +1,7 @@
 package spare
 
-// Rule holds the settings of a pool, and of its service's profile, that the sizer needs. All counts are for this data centre.
+// Rule holds the settings of a pool, and of its service's profile, that the sizer needs. All counts are for this data
+// centre.
 type Rule struct {
 	Pool         string
 	Spare        bool    // lends its VMs to other pools and has no demand of its own.
--- a/fleet/spare/sizer.go
+++ b/fleet/spare/sizer.go
@@ -255,7 +255,8 @@
 	return float64(nowMillis-p.idleSince)*r.BufferWeight >= 2*r.MoveWeight*hourMillis
 }
 
-// moves returns the moves that are worth their cost now: at most one for each pool, the pool with the largest shortfall first.
+// moves returns the moves that are worth their cost now: at most one for each pool, the pool with the largest shortfall
+// first.
 func (s *Sizer) moves(nowMillis int64) []Cmd {
 	var l []Cmd
 	for _, r := range s.byShortage() {
