--- a/fleet/spare/layout.go
+++ b/fleet/spare/layout.go
@@ -67,8 +67,8 @@
 	l.byPool[v.Pool] = slices.DeleteFunc(slices.Clone(l.byPool[v.Pool]), func(o VM) bool { return o.Name == v.Name })
 }
 
-// pickForPool returns the VM of the pool from to move to the pool to: the one whose rack holds the fewest VMs of to and,
-// among equal ones, the most of from.
+// pickForPool returns the VM of pool "from" to move to pool "to": the one whose rack holds the fewest VMs of "to" and,
+// among equal ones, the most of "from".
 func (l *layout) pickForPool(from, to string, free func(VM) bool) (VM, bool) {
 	return bestVM(l.byPool[from], free, func(a, b VM) int {
 		return cmp.Or(
--- a/flow/route/pool.go
+++ b/flow/route/pool.go
@@ -114,7 +114,7 @@
 // Usable returns the number of targets that are listed, not ejected and not leaving.
 func (p *Pool) Usable() int { return p.usable }
 
-// Listed returns the number of targets in the last Set.
+// Listed returns the number of targets in the current list.
 func (p *Pool) Listed() int { return p.listed }
 
 // Ready reports whether Pick may find a target.
--- a/flow/route/pool_test.go
+++ b/flow/route/pool_test.go
@@ -28,7 +28,7 @@
 	p.Set(now, l)
 }
 
-// run sends one request each millisecond from from to to and counts the sends by target. Requests end two sends later,
+// run sends one request each millisecond of the span and counts the sends by target. Requests end two sends later,
 // those to bad targets with a failure.
 func run(p *route.Pool, from, to time.Duration, bad func(string) bool) map[string]int {
 	sent := map[string]int{}
