--- a/flow/queue/queue.go
+++ b/flow/queue/queue.go
@@ -177,6 +177,7 @@
 
 // Push adds a request if it can be answered by its deadline. Otherwise it returns None and by how much the estimated
 // completion exceeds the deadline, or the estimated wait if the queue is full.
+// If no other request of its class waits, it is added as long as its deadline has not passed.
 func (q *Queue[V]) Push(now time.Duration, c Class, deadline time.Duration, v V) (Handle, time.Duration) {
 	left := deadline - now
 	ahead := q.treaps.rank(q.roots[c], deadline)
