--- a/fleet/spare/message.go
+++ b/fleet/spare/message.go
@@ -39,7 +39,7 @@
 // FleetMsg replaces the list of VMs.
 type FleetMsg struct{ VMs []VM }
 
-// TickMsg reports the demand of each pool and has the sizer decide on moves; At is in Unix milliseconds.
+// TickMsg reports the demand of each pool, at a time in Unix milliseconds, and has the sizer decide on moves.
 type TickMsg struct {
 	At     int64
 	Demand map[string]Demand
@@ -58,7 +58,7 @@
 	Why          Why
 }
 
-// Why is the reason of a move.
+// Why is why a VM is moved.
 type Why string
 
 const (
