--- a/fleet/spare/sizer.go
+++ b/fleet/spare/sizer.go
@@ -8,68 +8,70 @@
 )
 
 const (
-	// DefaultReady is the time in milliseconds from a move's start until the VM serves its new pool.
+	// DefaultReady is the default time in milliseconds from a move's start until the VM serves its new pool.
 	DefaultReady = 30_000
-	// DefaultPatience is how long in milliseconds a pool may be short of its target without being overloaded.
+	// DefaultPatience is the default time in milliseconds for which a pool that is not overloaded may be short of VMs
+	// before it gets one.
 	DefaultPatience = 600_000
 
-	meanMillis   = 180_000   // time constant of the mean demand.
-	forgetMillis = 3_600_000 // time constant by which the longest burst is forgotten.
-	longMillis   = 600_000   // longest overload that counts as a burst.
-	hourMillis   = 3_600_000
-	steadyMillis = 60_000  // time for which the mean must exceed an overload bound.
-	giverMillis  = 600_000 // time for which a pool must have had idle VMs before another may take one.
-	riseShare    = 0.1     // of the need's capacity by which the mean must exceed it to raise the need.
-	fallShare    = 0.15    // of a smaller need's capacity by which the mean must stay under it to lower the need.
+	meanDecayMillis       = 180_000   // time constant of the mean demand.
+	burstDecayMillis      = 3_600_000 // time constant with which the length of the longest burst decays.
+	maxBurstMillis        = 600_000   // an overload that lasts longer is no burst.
+	hourMillis            = 3_600_000
+	overloadConfirmMillis = 60_000  // time for which the mean must overload the pool before it gets a VM.
+	donorIdleMillis       = 600_000 // time for which a pool must have had idle VMs before another pool may take one.
+	raiseMargin           = 0.1     // the need rises when the mean exceeds its capacity by more than this share.
+	lowerMargin           = 0.15    // the need falls when the mean is below a smaller need's capacity by at least this share.
 )
 
-// Sizer holds what was learned of each pool's demand.
+// Sizer estimates the need of each pool from its demand and decides on moves. It does no I/O: Update takes messages and
+// returns commands.
 type Sizer struct {
-	ready, patience int64
-	rules           []Rule
-	byName          map[string]Rule
-	vms             []VM
-	pools           map[string]*state
-	racks           *layout
-	asked           map[string]asking // the last moves, by VM, which may not show in the fleet yet.
-	looked          lookout
+	readyMillis, patienceMillis int64
+	rules                       []Rule
+	ruleByPool                  map[string]Rule
+	vms                         []VM
+	pools                       map[string]*poolState
+	layout                      *layout
+	pendingMoves                map[string]pendingMove // recent moves by VM; the list of VMs may not show them yet.
+	worstLoss                   rackLoss
 }
 
-// asking is a move that was asked for.
-type asking struct {
-	at int64
-	to string
+// pendingMove is a move that was commanded.
+type pendingMove struct {
+	requestedMillis int64
+	to              string
 }
 
-// state is what was learned of one pool.
-type state struct {
-	at      int64
-	mean    float64 // slots asked for, averaged.
-	busy    float64 // slot milliseconds spent, averaged.
-	done    float64 // requests answered, averaged.
-	over    int64   // since when demand has exceeded what the pool can run; 0 if it does not.
-	floor   float64 // least demand since then.
-	burst   float64 // longest overload that ended, in milliseconds, slowly forgotten.
-	short   int64   // since when the pool has been short of its need; 0 if it is not.
-	pressed int64   // since when the mean has overloaded the pool; 0 if it does not.
-	idle    int64   // since when the pool has had more than it needs; 0 if it has not.
-	need    int
+// poolState holds the averages of one pool's demand and its need; times are in Unix milliseconds.
+type poolState struct {
+	updatedMillis     int64
+	meanSlots         float64 // average demand in slots.
+	busySlotMillis    float64 // average per tick.
+	answered          float64 // average number of requests per tick.
+	overloadSince     int64   // start of the time in which demand has exceeded the slots; 0 if it does not.
+	overloadFloor     float64 // least demand in slots since then.
+	burstMillis       float64 // length of the longest burst, slowly decaying.
+	shortSince        int64   // start of the time in which the pool has had fewer VMs than it needs; 0 if it has not.
+	meanOverloadSince int64   // start of the time in which the mean has overloaded the pool; 0 if it does not.
+	idleSince         int64   // start of the time in which the pool has had more VMs than it needs; 0 if it has not.
+	need              int
 }
 
-// Option changes a sizer's constants.
+// Option configures a Sizer.
 type Option func(*Sizer)
 
 // WithReady sets the time in milliseconds from a move's start until the VM serves its new pool.
-func WithReady(millis int64) Option { return func(s *Sizer) { s.ready = millis } }
+func WithReady(millis int64) Option { return func(s *Sizer) { s.readyMillis = millis } }
 
-// WithPatience sets how long in milliseconds a pool may be short of its target without being overloaded.
-func WithPatience(millis int64) Option { return func(s *Sizer) { s.patience = millis } }
+// WithPatience sets the time in milliseconds for which a pool that is not overloaded may be short of VMs before it gets one.
+func WithPatience(millis int64) Option { return func(s *Sizer) { s.patienceMillis = millis } }
 
-// New returns a sizer that has learned nothing yet.
+// New returns a Sizer without pools and VMs.
 func New(opts ...Option) *Sizer {
 	s := &Sizer{
-		ready: DefaultReady, patience: DefaultPatience,
-		pools: map[string]*state{}, racks: newLayout(nil), asked: map[string]asking{},
+		readyMillis: DefaultReady, patienceMillis: DefaultPatience,
+		pools: map[string]*poolState{}, layout: newLayout(nil), pendingMoves: map[string]pendingMove{},
 	}
 	for _, o := range opts {
 		o(s)
@@ -85,184 +87,189 @@
 	return 0
 }
 
-// Held returns how many spare VMs must be held back to refill the pools after the worst loss of racks that their profiles name.
+// Held returns how many spare VMs are required to refill the pools after the worst loss of racks that their rules name.
 func (s *Sizer) Held() int {
-	lost, _ := s.worst()
+	lost, _ := s.worstRackLoss()
 	return lost
 }
 
-// Update takes one message in and returns the moves that pay.
+// Update handles one message and returns the moves that are worth their cost.
 func (s *Sizer) Update(msg Msg) []Cmd {
 	switch m := msg.(type) {
 	case RulesMsg:
-		s.rules, s.byName, s.looked.done = slices.Clone(m.Rules), map[string]Rule{}, false
+		s.rules, s.ruleByPool, s.worstLoss.valid = slices.Clone(m.Rules), map[string]Rule{}, false
 		for _, r := range m.Rules {
-			s.byName[r.Pool] = r
+			s.ruleByPool[r.Pool] = r
 		}
 		slices.SortFunc(s.rules, func(a, b Rule) int { return strings.Compare(a.Pool, b.Pool) })
 	case FleetMsg:
 		s.vms = slices.Clone(m.VMs)
-		s.lay()
+		s.rebuildLayout()
 	case TickMsg:
 		return s.tick(m)
 	}
 	return nil
 }
 
-// lay counts the VMs by pool and rack, those whose move was asked for as where they go.
-func (s *Sizer) lay() {
-	s.racks = newLayout(s.vms)
-	s.looked.done = false
+// rebuildLayout counts the VMs by pool and rack. A VM with a pending move counts for the pool that it moves to.
+func (s *Sizer) rebuildLayout() {
+	s.layout = newLayout(s.vms)
+	s.worstLoss.valid = false
 	for _, v := range s.vms {
-		if a, ok := s.asked[v.Name]; ok && v.Pool != a.to && !v.Failed {
-			s.racks.shift(v, a.to)
+		if a, ok := s.pendingMoves[v.Name]; ok && v.Pool != a.to && !v.Failed {
+			s.layout.reassign(v, a.to)
 		}
 	}
 }
 
-// forget lets go of moves that are long made, or were not made.
-func (s *Sizer) forget(at int64) {
-	n := len(s.asked)
-	for vm, a := range s.asked {
-		if at-a.at > 4*s.ready {
-			delete(s.asked, vm)
+// expirePendingMoves forgets moves that must have been made by now, or have failed.
+func (s *Sizer) expirePendingMoves(nowMillis int64) {
+	n := len(s.pendingMoves)
+	for vm, a := range s.pendingMoves {
+		if nowMillis-a.requestedMillis > 4*s.readyMillis {
+			delete(s.pendingMoves, vm)
 		}
 	}
-	if len(s.asked) < n {
-		s.lay()
+	if len(s.pendingMoves) < n {
+		s.rebuildLayout()
 	}
 }
 
 func (s *Sizer) tick(m TickMsg) []Cmd {
-	s.forget(m.At)
+	s.expirePendingMoves(m.At)
 	for _, r := range s.rules {
 		if r.Spare {
 			continue
 		}
 		p := s.pools[r.Pool]
 		if p == nil {
-			p = &state{at: m.At}
+			p = &poolState{updatedMillis: m.At}
 			s.pools[r.Pool] = p
 		}
-		p.learn(r, m.Demand[r.Pool], s.racks.alive(r.Pool), m.At)
+		p.observe(r, m.Demand[r.Pool], s.layout.serving(r.Pool), m.At)
 		need := p.need
-		p.size(r, s.ready, m.At)
-		s.looked.done = s.looked.done && need == p.need
-		p.compare(r, s.racks.have(r.Pool), m.At)
+		p.updateNeed(r, s.readyMillis, m.At)
+		s.worstLoss.valid = s.worstLoss.valid && need == p.need
+		p.updateShortage(r, s.layout.count(r.Pool), m.At)
 	}
 	return s.moves(m.At)
 }
 
-// learn takes one tick's demand in; n is the number of VMs that serve the pool.
-func (p *state) learn(r Rule, d Demand, n int, at int64) {
-	dt := float64(max(at-p.at, 0))
-	x := p.offered(d, dt)
-	p.mean += (x - p.mean) * (1 - math.Exp(-dt/meanMillis))
-	p.burst *= math.Exp(-dt / forgetMillis)
-	p.at = at
+// observe updates the averages with one tick's demand; n is the number of VMs that serve the pool.
+func (p *poolState) observe(r Rule, d Demand, n int, nowMillis int64) {
+	dt := float64(max(nowMillis-p.updatedMillis, 0))
+	x := p.offeredSlots(d, dt)
+	p.meanSlots += (x - p.meanSlots) * (1 - math.Exp(-dt/meanDecayMillis))
+	p.burstMillis *= math.Exp(-dt / burstDecayMillis)
+	p.updatedMillis = nowMillis
 	if x <= float64(n*r.Slots) {
-		if l := float64(at - p.over); p.over > 0 && l < longMillis {
-			p.burst = max(p.burst, l)
+		if l := float64(nowMillis - p.overloadSince); p.overloadSince > 0 && l < maxBurstMillis {
+			p.burstMillis = max(p.burstMillis, l)
 		}
-		p.over = 0
+		p.overloadSince = 0
 		return
 	}
-	if p.over == 0 {
-		p.over, p.floor = at, x
+	if p.overloadSince == 0 {
+		p.overloadSince, p.overloadFloor = nowMillis, x
 	}
-	p.floor = min(p.floor, x)
+	p.overloadFloor = min(p.overloadFloor, x)
 }
 
-// offered returns the slots that the requests which came would keep busy: their rate times the mean time that an
-// answered one held its slot, so that a request which waits or was turned away counts once.
-func (p *state) offered(d Demand, dt float64) float64 {
-	k := 1 - math.Exp(-dt/meanMillis)
-	p.busy += (d.Busy*dt - p.busy) * k
-	p.done += (d.Done - p.done) * k
-	if p.done <= 0 || dt <= 0 {
+// offeredSlots returns the slots that all arriving requests would keep busy: their rate times the mean time for which an
+// answered one held its slot. A request that waits or was refused thus counts once.
+func (p *poolState) offeredSlots(d Demand, dt float64) float64 {
+	k := 1 - math.Exp(-dt/meanDecayMillis)
+	p.busySlotMillis += (d.Busy*dt - p.busySlotMillis) * k
+	p.answered += (d.Done - p.answered) * k
+	if p.answered <= 0 || dt <= 0 {
 		return d.Busy + d.Queued
 	}
-	return d.Arrivals / dt * p.busy / p.done
+	return d.Arrivals / dt * p.busySlotMillis / p.answered
 }
 
-// size derives the need from the demand that lasts; it keeps the last need while the mean is near its bounds.
-func (p *state) size(r Rule, ready, at int64) {
-	one := float64(r.Slots) * use(r)
-	if p.outlasts(ready, at) {
-		p.mean = max(p.mean, p.floor)
+// updateNeed derives the need from the lasting demand, with hysteresis: the need stays while the mean is within
+// raiseMargin and lowerMargin of its capacity.
+func (p *poolState) updateNeed(r Rule, readyMillis, nowMillis int64) {
+	perVM := float64(r.Slots) * targetUse(r)
+	if p.overloadLasts(readyMillis, nowMillis) {
+		p.meanSlots = max(p.meanSlots, p.overloadFloor)
 	}
-	x := p.mean
-	up, down := vms(x/(1+riseShare), one), vms(x/(1-fallShare), one)
+	x := p.meanSlots
+	up, down := vmsFor(x/(1+raiseMargin), perVM), vmsFor(x/(1-lowerMargin), perVM)
 	p.need = max(min(max(p.need, up), down), r.MinVMs, 1)
 	if r.MaxVMs > 0 {
 		p.need = min(p.need, r.MaxVMs)
 	}
 }
 
-// vms returns how many VMs run x slots if each is to run one.
-func vms(x, one float64) int { return int(math.Ceil(x/one - 1e-9)) }
+// vmsFor returns how many VMs are needed for the given number of slots if each provides perVM.
+func vmsFor(slots, perVM float64) int { return int(math.Ceil(slots/perVM - 1e-9)) }
 
-// outlasts tells whether the running overload has outlived the time a VM needs and the bursts seen before.
-func (p *state) outlasts(ready, at int64) bool {
-	return p.over > 0 && float64(at-p.over) >= max(float64(ready), 2*p.burst)
+// overloadLasts reports whether the current overload has lasted as long as a VM takes to become ready and twice as long
+// as the longest burst.
+func (p *poolState) overloadLasts(readyMillis, nowMillis int64) bool {
+	return p.overloadSince > 0 && float64(nowMillis-p.overloadSince) >= max(float64(readyMillis), 2*p.burstMillis)
 }
 
-func use(r Rule) float64 {
+// targetUse returns the rule's target use, or 1 if it is not valid.
+func targetUse(r Rule) float64 {
 	if r.TargetUse <= 0 || r.TargetUse > 1 {
 		return 1
 	}
 	return r.TargetUse
 }
 
-// compare notes since when the pool has had too few or too many VMs.
-func (p *state) compare(r Rule, have int, at int64) {
-	p.short = since(p.short, have < p.need, at)
-	p.idle = since(p.idle, have > p.need, at)
-	bound := float64(have*r.Slots) * (1 + use(r)) / 2
-	p.pressed = since(p.pressed, p.mean > bound, at)
+// updateShortage records since when the pool has had too few or too many VMs.
+func (p *poolState) updateShortage(r Rule, have int, nowMillis int64) {
+	p.shortSince = updateSince(p.shortSince, have < p.need, nowMillis)
+	p.idleSince = updateSince(p.idleSince, have > p.need, nowMillis)
+	bound := float64(have*r.Slots) * (1 + targetUse(r)) / 2
+	p.meanOverloadSince = updateSince(p.meanOverloadSince, p.meanSlots > bound, nowMillis)
 }
 
-func since(old int64, is bool, at int64) int64 {
+// updateSince returns the time since when a condition holds: 0 if it does not hold, else the old time if there is one.
+func updateSince(old int64, is bool, nowMillis int64) int64 {
 	switch {
 	case !is:
 		return 0
 	case old == 0:
-		return at
+		return nowMillis
 	default:
 		return old
 	}
 }
 
-// isDue tells whether a shortage is worth a move now.
-func (s *Sizer) isDue(p *state, at int64) bool {
-	if p.short == 0 {
+// isDue reports whether a shortage is worth a move now.
+func (s *Sizer) isDue(p *poolState, nowMillis int64) bool {
+	if p.shortSince == 0 {
 		return false
 	}
-	return p.outlasts(s.ready, at) || p.pressed > 0 && at-p.pressed >= steadyMillis || at-p.short >= s.patience
+	return p.overloadLasts(s.readyMillis, nowMillis) || p.meanOverloadSince > 0 && nowMillis-p.meanOverloadSince >= overloadConfirmMillis || nowMillis-p.shortSince >= s.patienceMillis
 }
 
-// isIdle tells whether an idle VM has cost as much as giving it back and fetching it again.
-func isIdle(r Rule, p *state, at int64) bool {
-	if p.idle == 0 || r.BufferWeight <= 0 {
+// isIdleTooLong reports whether an idle VM has cost as much as two moves, away and back.
+func isIdleTooLong(r Rule, p *poolState, nowMillis int64) bool {
+	if p.idleSince == 0 || r.BufferWeight <= 0 {
 		return false
 	}
-	return float64(at-p.idle)*r.BufferWeight >= 2*r.MoveWeight*hourMillis
+	return float64(nowMillis-p.idleSince)*r.BufferWeight >= 2*r.MoveWeight*hourMillis
 }
 
-// moves returns the moves that pay now: one a pool and tick, the shortest pool first.
-func (s *Sizer) moves(at int64) []Cmd {
+// moves returns the moves that are worth their cost now: at most one for each pool, the pool with the largest shortfall
+// first.
+func (s *Sizer) moves(nowMillis int64) []Cmd {
 	var l []Cmd
 	for _, r := range s.byShortage() {
 		p := s.pools[r.Pool]
 		switch {
-		case s.isDue(p, at):
-			l = s.fill(l, r, at)
-		case isIdle(r, p, at):
-			l = s.giveBack(l, r, at)
+		case s.isDue(p, nowMillis):
+			l = s.fill(l, r, nowMillis)
+		case isIdleTooLong(r, p, nowMillis):
+			l = s.returnIdle(l, r, nowMillis)
 		}
 	}
 	if len(l) == 0 {
-		l = s.spread(l, at)
+		l = s.spread(l, nowMillis)
 	}
 	return l
 }
@@ -275,61 +282,64 @@
 		}
 	}
 	slices.SortStableFunc(l, func(a, b Rule) int {
-		return cmp.Compare(s.lack(b), s.lack(a))
+		return cmp.Compare(s.shortfall(b), s.shortfall(a))
 	})
 	return l
 }
 
-// lack returns the share of its need that the pool is short of; negative when it has more.
-func (s *Sizer) lack(r Rule) float64 {
+// shortfall returns the share of its need that the pool lacks; it is negative if the pool has more than it needs.
+func (s *Sizer) shortfall(r Rule) float64 {
 	n := s.pools[r.Pool].need
-	return float64(n-s.racks.have(r.Pool)) / float64(max(n, 1))
+	return float64(n-s.layout.count(r.Pool)) / float64(max(n, 1))
 }
 
-// fill brings one VM to the pool: from the spare pools, else from the pool with the most idle VMs.
-func (s *Sizer) fill(l []Cmd, r Rule, at int64) []Cmd {
+// fill moves one VM to the pool, from a spare pool if possible, otherwise from the pool with the most idle VMs.
+func (s *Sizer) fill(l []Cmd, r Rule, nowMillis int64) []Cmd {
 	why := Short
-	if s.racks.failed[r.Pool] > 0 {
+	if s.layout.failed[r.Pool] > 0 {
 		why = Lost
 	}
-	for _, from := range s.donors(r, at) {
-		if v, ok := s.racks.pick(from, r.Pool, s.isFree()); ok {
-			return s.move(l, v, r.Pool, why, at)
+	for _, from := range s.donors(r, nowMillis) {
+		if v, ok := s.layout.pickForPool(from, r.Pool, s.movable()); ok {
+			return s.move(l, v, r.Pool, why, nowMillis)
 		}
 	}
 	return l
 }
 
-// donors returns the spare pools, then, for a pool that is overloaded, pools that have had idle VMs for long, most
-// idle first.
-func (s *Sizer) donors(to Rule, at int64) []string {
-	overloaded := s.pools[to.Pool].pressed > 0 || s.pools[to.Pool].over > 0
+// donors returns the pools that may give the pool a VM: the spare pools and, if the pool is overloaded, the pools that
+// have had idle VMs for donorIdleMillis, those with the most idle VMs first.
+func (s *Sizer) donors(to Rule, nowMillis int64) []string {
+	overloaded := s.pools[to.Pool].meanOverloadSince > 0 || s.pools[to.Pool].overloadSince > 0
 	var spares, others []string
 	for _, r := range s.rules {
 		switch {
 		case r.Spare:
 			spares = append(spares, r.Pool)
-		case overloaded && r.Pool != to.Pool && s.pools[r.Pool].gives(at) && s.racks.have(r.Pool) > s.pools[r.Pool].need:
+		case overloaded && r.Pool != to.Pool && s.pools[r.Pool].isDonor(nowMillis) && s.layout.count(r.Pool) > s.pools[r.Pool].need:
 			others = append(others, r.Pool)
 		}
 	}
 	slices.SortStableFunc(others, func(a, b string) int {
-		return cmp.Compare(s.racks.have(b)-s.pools[b].need, s.racks.have(a)-s.pools[a].need)
+		return cmp.Compare(s.layout.count(b)-s.pools[b].need, s.layout.count(a)-s.pools[a].need)
 	})
 	return append(spares, others...)
 }
 
-// gives tells whether the pool has had idle VMs for long enough that another may take one.
-func (p *state) gives(at int64) bool { return p.idle > 0 && at-p.idle >= giverMillis }
+// isDonor reports whether the pool has had idle VMs for long enough that another pool may take one.
+func (p *poolState) isDonor(nowMillis int64) bool {
+	return p.idleSince > 0 && nowMillis-p.idleSince >= donorIdleMillis
+}
 
-func (s *Sizer) giveBack(l []Cmd, r Rule, at int64) []Cmd {
+// returnIdle moves one VM of the pool to the spare pool.
+func (s *Sizer) returnIdle(l []Cmd, r Rule, nowMillis int64) []Cmd {
 	to, ok := s.sparePool()
 	if !ok {
 		return l
 	}
-	if v, ok := s.racks.crowded(r.Pool, s.isFree()); ok {
-		s.pools[r.Pool].idle = at
-		return s.move(l, v, to, Idle, at)
+	if v, ok := s.layout.pickFromFullestRack(r.Pool, s.movable()); ok {
+		s.pools[r.Pool].idleSince = nowMillis
+		return s.move(l, v, to, Idle, nowMillis)
 	}
 	return l
 }
@@ -343,17 +353,17 @@
 	return "", false
 }
 
-// isFree returns a test for VMs that no recent move concerns.
-func (s *Sizer) isFree() func(VM) bool {
+// movable returns a predicate for healthy VMs in service without a current or pending move.
+func (s *Sizer) movable() func(VM) bool {
 	return func(v VM) bool {
-		_, asked := s.asked[v.Name]
-		return !v.Out && !v.Failed && !v.Moving && !asked
+		_, pending := s.pendingMoves[v.Name]
+		return !v.Out && !v.Failed && !v.Moving && !pending
 	}
 }
 
-func (s *Sizer) move(l []Cmd, v VM, to string, why Why, at int64) []Cmd {
-	s.asked[v.Name] = asking{at: at, to: to}
-	s.racks.shift(v, to)
-	s.looked.done = false
+func (s *Sizer) move(l []Cmd, v VM, to string, why Why, nowMillis int64) []Cmd {
+	s.pendingMoves[v.Name] = pendingMove{requestedMillis: nowMillis, to: to}
+	s.layout.reassign(v, to)
+	s.worstLoss.valid = false
 	return append(l, MoveCmd{VM: v.Name, From: v.Pool, To: to, Why: why})
 }
