--- a/bench/decide.go
+++ b/bench/decide.go
@@ -71,10 +71,10 @@
 	for _, d := range deployments {
 		t := spare.DayTrace(seed, d.strike)
 		a, n := spare.Replay(t, spare.New()), spare.Replay(t, spare.NewThreshold())
-		ratio := float64(a.Moves) / float64(max(1, a.Least))
+		ratio := float64(a.Moves) / float64(max(1, a.PlanMoves))
 		rows = append(rows, row{
 			what: "VM moves, " + d.name, ours: fmt.Sprintf("%d (%.2f of hindsight); late %.4f", a.Moves, ratio, a.LateShare),
-			beside: fmt.Sprintf("hindsight %d; at each threshold %d, late %.4f", a.Least, n.Moves, n.LateShare),
+			beside: fmt.Sprintf("hindsight %d; at each threshold %d, late %.4f", a.PlanMoves, n.Moves, n.LateShare),
 			aim:    fmt.Sprintf("at most %.1f of hindsight", mostOfMoves), kept: ratio <= mostOfMoves,
 		}, buffers(t, d.name))
 	}
@@ -86,12 +86,12 @@
 	var s spare.Buffer
 	for h := range hoursOfTheDay {
 		b := spare.Buffers(t.Needs(h), rackVMs, survivedRacks)
-		s.Shared, s.PerPool, s.Share = s.Shared+b.Shared, s.PerPool+b.PerPool, s.Share+b.Share
+		s.Shared, s.PerPool, s.EqualShare = s.Shared+b.Shared, s.PerPool+b.PerPool, s.EqualShare+b.EqualShare
 	}
-	ratio := float64(s.Shared) / float64(s.Share)
+	ratio := float64(s.Shared) / float64(s.EqualShare)
 	return row{
 		what: "spare VM hours that survive a rack, " + name, ours: fmt.Sprintf("%d (%.2f of naive)", s.Shared, ratio),
-		beside: fmt.Sprintf("fixed share for each pool %d; least for each pool alone %d", s.Share, s.PerPool),
+		beside: fmt.Sprintf("fixed share for each pool %d; least for each pool alone %d", s.EqualShare, s.PerPool),
 		aim:    fmt.Sprintf("at most %.1f of naive", mostOfNaive), kept: ratio <= mostOfNaive,
 	}
 }
@@ -124,15 +124,15 @@
 	a, f := place.Replay(t, place.New()), place.Replay(t, place.NewFirstFit())
 	return []row{{
 		what:   fmt.Sprintf("jobs of a night in time, %d workers", nightWorkers),
-		ours:   fmt.Sprintf("%d of %d runnable; %d failed attempts, %d with two copies", a.InTime, a.Runnable, a.Failures, a.Doubled),
+		ours:   fmt.Sprintf("%d of %d runnable; %d failed attempts, %d with two copies", a.InTime, a.Runnable, a.Failures, a.DuplicateStarts),
 		beside: fmt.Sprintf("first fit on declared sizes %d; %d failed attempts", f.InTime, f.Failures),
-		aim:    "all, none with two copies", kept: a.InTime == a.Runnable && a.Doubled == 0,
+		aim:    "all, none with two copies", kept: a.InTime == a.Runnable && a.DuplicateStarts == 0,
 	}, {
-		what: "longest wait of an urgent job, pool full of background jobs", ours: fmt.Sprintf("%d ms", a.UrgentWait),
-		beside: fmt.Sprintf("first fit %d ms", f.UrgentWait), aim: fmt.Sprintf("at most %d ms", mostUrgent), kept: a.UrgentWait <= mostUrgent,
+		what: "longest wait of an urgent job, pool full of background jobs", ours: fmt.Sprintf("%d ms", a.MaxUrgentWaitMillis),
+		beside: fmt.Sprintf("first fit %d ms", f.MaxUrgentWaitMillis), aim: fmt.Sprintf("at most %d ms", mostUrgent), kept: a.MaxUrgentWaitMillis <= mostUrgent,
 	}, {
-		what: "core hours of attempts that did not end well", ours: fmt.Sprintf("%.1f", float64(a.WastedRun)/float64(time.Hour.Milliseconds())),
-		beside: fmt.Sprintf("first fit %.1f", float64(f.WastedRun)/float64(time.Hour.Milliseconds())), aim: "below first fit", kept: a.WastedRun < f.WastedRun,
+		what: "core hours of attempts that did not end well", ours: fmt.Sprintf("%.1f", float64(a.WastedCoreMillis)/float64(time.Hour.Milliseconds())),
+		beside: fmt.Sprintf("first fit %.1f", float64(f.WastedCoreMillis)/float64(time.Hour.Milliseconds())), aim: "below first fit", kept: a.WastedCoreMillis < f.WastedCoreMillis,
 	}}
 }
 
--- a/fleet/place/message.go
+++ b/fleet/place/message.go
@@ -9,9 +9,9 @@
 
 // Worker describes one worker of the pool.
 type Worker struct {
-	Name, Rack string
-	Size       Size
-	Out        bool // takes no new task.
+	Name, Rack    string
+	Size          Size
+	Unschedulable bool // takes no new task.
 }
 
 // Job is one piece of work. Jobs of the same Kind have similar sizes and run times.
@@ -19,7 +19,7 @@
 	ID, Team, Kind string
 	Declared       Size
 	RunMillis      int64 // declared run time.
-	FinishBy       int64 // Unix milliseconds.
+	FinishByMillis int64 // Unix milliseconds.
 	Urgent         bool
 	RunOnce        bool // must never have two running copies.
 }
@@ -30,16 +30,16 @@
 	Attempt int
 }
 
-// End is how a task ended.
-type End int
+// EndState is how a task ended.
+type EndState int
 
 const (
 	// Done means that the job has finished.
-	Done End = iota
+	Done EndState = iota
 	// Failed means that the task ended with an error.
 	Failed
-	// TooBig means that the task needed more memory than it was given.
-	TooBig
+	// OutOfMemory means that the task needed more memory than it was given.
+	OutOfMemory
 	// Stopped means that the task was stopped, by command or with its worker, and runs no more.
 	Stopped
 )
@@ -56,8 +56,8 @@
 
 // SubmitMsg adds jobs; one whose ID is already known is ignored.
 type SubmitMsg struct {
-	At   int64
-	Jobs []Job
+	AtMillis int64
+	Jobs     []Job
 }
 
 // CancelMsg cancels jobs.
@@ -71,28 +71,28 @@
 
 // EndedMsg reports how a task ended.
 type EndedMsg struct {
-	At   int64
-	Task Task
-	How  End
+	AtMillis int64
+	Task     Task
+	State    EndState
 }
 
-// LapsedMsg reports that a task's lease has expired; the task may still be running.
-type LapsedMsg struct {
-	At   int64
-	Task Task
+// LeaseExpiredMsg reports that a task's lease has expired; the task may still be running.
+type LeaseExpiredMsg struct {
+	AtMillis int64
+	Task     Task
 }
 
 // TickMsg advances the time and places jobs.
-type TickMsg struct{ At int64 }
+type TickMsg struct{ AtMillis int64 }
 
-func (WorkersMsg) isMsg() {}
-func (QuotaMsg) isMsg()   {}
-func (SubmitMsg) isMsg()  {}
-func (CancelMsg) isMsg()  {}
-func (UsageMsg) isMsg()   {}
-func (EndedMsg) isMsg()   {}
-func (LapsedMsg) isMsg()  {}
-func (TickMsg) isMsg()    {}
+func (WorkersMsg) isMsg()      {}
+func (QuotaMsg) isMsg()        {}
+func (SubmitMsg) isMsg()       {}
+func (CancelMsg) isMsg()       {}
+func (UsageMsg) isMsg()        {}
+func (EndedMsg) isMsg()        {}
+func (LeaseExpiredMsg) isMsg() {}
+func (TickMsg) isMsg()         {}
 
 // Cmd is a command for the caller to carry out.
 type Cmd interface{ isCmd() }
@@ -135,10 +135,10 @@
 const (
 	// NoWorker means that no worker of the pool has the accelerators that the job asks for.
 	NoWorker Reason = "no worker has what the job asks for"
-	// Larger means that the job needs more memory than the largest worker has.
-	Larger Reason = "larger than any worker"
-	// Broken means that the job failed on several healthy workers.
-	Broken Reason = "failed on several good workers"
+	// TooLarge means that the job needs more memory than the largest worker has.
+	TooLarge Reason = "larger than any worker"
+	// RepeatedlyFailed means that the job failed on several healthy workers.
+	RepeatedlyFailed Reason = "failed on several good workers"
 )
 
 func (StartCmd) isCmd()      {}
--- a/fleet/place/naive.go
+++ b/fleet/place/naive.go
@@ -41,7 +41,7 @@
 	t.worker.reserved.Cores -= t.size.Cores
 	t.worker.reserved.MemoryMB -= t.size.MemoryMB
 	t.worker.reserved.Accelerators -= t.size.Accelerators
-	if m.How != Done {
+	if m.State != Done {
 		f.waiting = append(f.waiting, t.job)
 	}
 }
--- a/fleet/place/placer.go
+++ b/fleet/place/placer.go
@@ -57,8 +57,8 @@
 // Running returns the number of jobs with a running attempt.
 func (p *Placer) Running() int { return len(p.jobs) - p.Waiting() }
 
-// IsAside reports whether the worker is quarantined, or on probation after it.
-func (p *Placer) IsAside(worker string) bool {
+// IsQuarantined reports whether the worker is quarantined, or on probation after it.
+func (p *Placer) IsQuarantined(worker string) bool {
 	m := p.workers[worker]
 	return m != nil && m.quarantineMillis > 0
 }
@@ -71,20 +71,20 @@
 	case QuotaMsg:
 		p.quotaCores = m.Cores
 	case SubmitMsg:
-		p.nowMillis = max(p.nowMillis, m.At)
+		p.nowMillis = max(p.nowMillis, m.AtMillis)
 		return p.submit(m.Jobs)
 	case CancelMsg:
 		return p.cancel(m.Jobs)
 	case UsageMsg:
 		p.recordUsage(m)
 	case EndedMsg:
-		p.nowMillis = max(p.nowMillis, m.At)
+		p.nowMillis = max(p.nowMillis, m.AtMillis)
 		return p.taskEnded(m)
-	case LapsedMsg:
-		p.nowMillis = max(p.nowMillis, m.At)
+	case LeaseExpiredMsg:
+		p.nowMillis = max(p.nowMillis, m.AtMillis)
 		p.leaseExpired(m.Task)
 	case TickMsg:
-		p.nowMillis = max(p.nowMillis, m.At)
+		p.nowMillis = max(p.nowMillis, m.AtMillis)
 		return p.place()
 	}
 	return nil
@@ -109,7 +109,7 @@
 	p.workerNames = p.workerNames[:0]
 	for n, m := range p.workers {
 		if !listed[n] {
-			m.Out = true
+			m.Unschedulable = true
 			p.byFreeCores.remove(m)
 		}
 		if !listed[n] && len(m.tasks) == 0 {
@@ -196,7 +196,7 @@
 	}
 	e, w, k := t.job, t.worker, p.kind(t.job.Kind)
 	p.release(t)
-	if m.How == TooBig {
+	if m.State == OutOfMemory {
 		k.cores.add(max(t.peakUsage.Cores, t.size.Cores))
 		k.memory.add(memoryGrowth * t.size.MemoryMB)
 	} else if t.peakUsage.Cores > 0 {
@@ -204,20 +204,20 @@
 		k.memory.add(t.peakUsage.MemoryMB)
 	}
 	switch {
-	case m.How == Done:
-		k.run.add(float64(m.At - t.startedMillis))
+	case m.State == Done:
+		k.run.add(float64(m.AtMillis - t.startedMillis))
 		w.recordSuccess()
 		delete(p.jobs, e.ID)
 		return nil
 	case e.canceled:
 		delete(p.jobs, e.ID)
 		return nil
-	case m.How == TooBig:
+	case m.State == OutOfMemory:
 		e.insufficientMB = max(e.insufficientMB, t.size.MemoryMB)
 		if t.size.MemoryMB >= p.largestWorker.MemoryMB {
-			return p.giveUp(nil, e, Larger)
+			return p.giveUp(nil, e, TooLarge)
 		}
-	case m.How == Failed:
+	case m.State == Failed:
 		if c, givenUp := p.attributeFailure(e, w); givenUp {
 			return c
 		}
@@ -251,7 +251,7 @@
 			delete(m.failedJobs, e.ID)
 		}
 	}
-	return p.giveUp(nil, e, Broken), true
+	return p.giveUp(nil, e, RepeatedlyFailed), true
 }
 
 // leaseExpired queues a job for another attempt after its task's lease has expired. A job that must not have two running
--- a/fleet/place/placer_test.go
+++ b/fleet/place/placer_test.go
@@ -27,13 +27,13 @@
 }
 
 func job(id string, cores float64) Job {
-	return Job{ID: id, Kind: "k" + id, Team: "t", Declared: Size{Cores: cores, MemoryMB: 1000 * cores}, RunMillis: 1000, FinishBy: 100_000}
+	return Job{ID: id, Kind: "k" + id, Team: "t", Declared: Size{Cores: cores, MemoryMB: 1000 * cores}, RunMillis: 1000, FinishByMillis: 100_000}
 }
 
 // tick sends a TickMsg and returns the start commands by job.
 func tick(p *Placer, at int64) map[string]StartCmd {
 	l := map[string]StartCmd{}
-	for _, c := range p.Update(TickMsg{At: at}) {
+	for _, c := range p.Update(TickMsg{AtMillis: at}) {
 		if s, ok := c.(StartCmd); ok {
 			l[s.Task.Job] = s
 		}
@@ -52,7 +52,7 @@
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 5)}})
 		for at := int64(1); at < 3; at++ {
 			s := tick(p, at)["a"]
-			c := p.Update(EndedMsg{At: at, Task: s.Task, How: TooBig})
+			c := p.Update(EndedMsg{AtMillis: at, Task: s.Task, State: OutOfMemory})
 			is.New(t).Equal(len(c) == 1, s.Size.MemoryMB == 8000)
 		}
 		is.New(t).Equal(p.Waiting(), 0)
@@ -62,11 +62,11 @@
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 1)}})
 		var c []Cmd
 		for at := int64(1); at <= maxFailedWorkers; at++ {
-			c = p.Update(EndedMsg{At: at, Task: tick(p, at)["a"].Task, How: Failed})
+			c = p.Update(EndedMsg{AtMillis: at, Task: tick(p, at)["a"].Task, State: Failed})
 		}
-		is.New(t).Equal(c, []Cmd{GiveUpCmd{Job: "a", Reason: Broken}})
+		is.New(t).Equal(c, []Cmd{GiveUpCmd{Job: "a", Reason: RepeatedlyFailed}})
 		for i := range 5 {
-			is.New(t).True(!p.IsAside(fmt.Sprintf("w%d", i)))
+			is.New(t).True(!p.IsQuarantined(fmt.Sprintf("w%d", i)))
 		}
 	})
 	t.Run("a worker that always fails is quarantined and tried again with one job", func(t *testing.T) {
@@ -78,7 +78,7 @@
 				if s.Worker == "w0" {
 					n, how = n+1, Failed
 				}
-				p.Update(EndedMsg{At: at, Task: s.Task, How: how})
+				p.Update(EndedMsg{AtMillis: at, Task: s.Task, State: how})
 			}
 			return n
 		}
@@ -88,7 +88,7 @@
 		for at := range int64(10) {
 			failAll(at + 1)
 		}
-		is.New(t).True(p.IsAside("w0"))
+		is.New(t).True(p.IsQuarantined("w0"))
 		is.New(t).Equal(p.Waiting(), 0) // every job ran elsewhere.
 		for i := range 32 {
 			p.Update(SubmitMsg{Jobs: []Job{job(fmt.Sprint("b", i), 1)}})
@@ -101,7 +101,7 @@
 		for at := int64(1); at <= maxFailedWorkers; at++ {
 			s := tick(p, at)["a"]
 			p.workers[s.Worker].quarantineMillis = minQuarantineMillis
-			is.New(t).Equal(len(p.Update(EndedMsg{At: at, Task: s.Task, How: Failed})), 0)
+			is.New(t).Equal(len(p.Update(EndedMsg{AtMillis: at, Task: s.Task, State: Failed})), 0)
 		}
 		is.New(t).Equal(p.Waiting(), 1)
 	})
@@ -114,7 +114,7 @@
 			for _, s := range tick(p, at) {
 				is.New(t).Equal(s.Size.Cores < 2, at > minSamples)
 				p.Update(UsageMsg{Task: s.Task, Used: Size{Cores: 1, MemoryMB: 100}})
-				p.Update(EndedMsg{At: at, Task: s.Task, How: Done})
+				p.Update(EndedMsg{AtMillis: at, Task: s.Task, State: Done})
 			}
 		}
 	})
@@ -123,18 +123,18 @@
 		p.Update(SubmitMsg{Jobs: []Job{job("a", 5), job("b", 5)}})
 		s := tick(p, 1)["a"]
 		is.New(t).Equal(p.Update(CancelMsg{Jobs: []string{"a", "b"}}), []Cmd{StopCmd{Task: s.Task, Worker: "w0"}})
-		p.Update(EndedMsg{At: 2, Task: s.Task, How: Stopped})
+		p.Update(EndedMsg{AtMillis: 2, Task: s.Task, State: Stopped})
 		is.New(t).Equal(len(tick(p, 3)), 0)
 	})
 	t.Run("urgent work starts at once in a full pool", func(t *testing.T) {
 		p := newTestPlacer(2)
 		for i := range 4 {
-			p.Update(SubmitMsg{Jobs: []Job{{ID: fmt.Sprint(i), Kind: "k", Declared: Size{Cores: 4, MemoryMB: 1000}, FinishBy: 1}}})
+			p.Update(SubmitMsg{Jobs: []Job{{ID: fmt.Sprint(i), Kind: "k", Declared: Size{Cores: 4, MemoryMB: 1000}, FinishByMillis: 1}}})
 		}
 		is.New(t).Equal(len(tick(p, 1)), 4)
 		u := job("u", 2)
 		u.Urgent = true
-		p.Update(SubmitMsg{At: 2, Jobs: []Job{u}})
+		p.Update(SubmitMsg{AtMillis: 2, Jobs: []Job{u}})
 		is.New(t).Equal(len(tick(p, 2)), 1)
 	})
 	t.Run("without free memory, tasks are checkpointed before urgent work starts", func(t *testing.T) {
@@ -143,10 +143,10 @@
 		s := tick(p, 1)["a"]
 		u := job("u", 2)
 		u.Urgent = true
-		p.Update(SubmitMsg{At: 2, Jobs: []Job{u}})
-		is.New(t).Equal(p.Update(TickMsg{At: 2}), []Cmd{CheckpointCmd{Task: s.Task, Worker: "w0"}})
-		is.New(t).Equal(len(p.Update(TickMsg{At: 3})), 0) // commanded only once.
-		p.Update(EndedMsg{At: 4, Task: s.Task, How: Stopped})
+		p.Update(SubmitMsg{AtMillis: 2, Jobs: []Job{u}})
+		is.New(t).Equal(p.Update(TickMsg{AtMillis: 2}), []Cmd{CheckpointCmd{Task: s.Task, Worker: "w0"}})
+		is.New(t).Equal(len(p.Update(TickMsg{AtMillis: 3})), 0) // commanded only once.
+		p.Update(EndedMsg{AtMillis: 4, Task: s.Task, State: Stopped})
 		is.New(t).Equal(tick(p, 4)["u"].Worker, "w0")
 	})
 	t.Run("a team's quota limits its cores", func(t *testing.T) {
@@ -168,14 +168,14 @@
 		j.RunOnce = true
 		p.Update(SubmitMsg{Jobs: []Job{j, job("b", 1)}})
 		s := tick(p, 1)
-		p.Update(LapsedMsg{At: 2, Task: s["a"].Task})
-		p.Update(LapsedMsg{At: 2, Task: s["b"].Task})
+		p.Update(LeaseExpiredMsg{AtMillis: 2, Task: s["a"].Task})
+		p.Update(LeaseExpiredMsg{AtMillis: 2, Task: s["b"].Task})
 		l := tick(p, 3)
 		is.New(t).Equal(len(l), 1)
 		is.New(t).Equal(l["b"].Task.Attempt, 2)
-		p.Update(EndedMsg{At: 4, Task: s["b"].Task, How: Failed}) // a message about the former attempt is ignored.
+		p.Update(EndedMsg{AtMillis: 4, Task: s["b"].Task, State: Failed}) // a message about the former attempt is ignored.
 		is.New(t).Equal(p.Running(), 2)
-		p.Update(EndedMsg{At: 5, Task: s["a"].Task, How: Stopped})
+		p.Update(EndedMsg{AtMillis: 5, Task: s["a"].Task, State: Stopped})
 		is.New(t).Equal(tick(p, 6)["a"].Task.Attempt, 2)
 	})
 }
@@ -237,23 +237,23 @@
 				j := job(fmt.Sprint("j", len(c.runOnce)), float64(n%8+1)/2)
 				j.Kind, j.Urgent, j.RunOnce = fmt.Sprint(n%3), n%5 == 0, n%2 == 0
 				c.runOnce[j.ID] = j.RunOnce
-				c.check(p.Update(SubmitMsg{At: at, Jobs: []Job{j}}))
+				c.check(p.Update(SubmitMsg{AtMillis: at, Jobs: []Job{j}}))
 			case 3, 4:
 				if runs {
 					p.Update(UsageMsg{Task: old, Used: Size{Cores: float64(n%6) + 0.5, MemoryMB: float64(n%6)*900 + 100}})
 					delete(c.running, old)
 					c.copies[old.Job]--
-					c.check(p.Update(EndedMsg{At: at, Task: old, How: End(n / 16 % 4)}))
+					c.check(p.Update(EndedMsg{AtMillis: at, Task: old, State: EndState(n / 16 % 4)}))
 				}
 			case 5:
 				if runs && !c.runOnce[old.Job] {
 					delete(c.running, old) // the placer frees the reservation when the lease expires.
 				}
-				c.check(p.Update(LapsedMsg{At: at, Task: old}))
+				c.check(p.Update(LeaseExpiredMsg{AtMillis: at, Task: old}))
 			case 6:
 				c.check(p.Update(CancelMsg{Jobs: []string{fmt.Sprint("j", n%20)}}))
 			case 7:
-				l := p.Update(TickMsg{At: at})
+				l := p.Update(TickMsg{AtMillis: at})
 				c.check(l)
 				for _, m := range l {
 					if s, ok := m.(StartCmd); ok {
@@ -271,7 +271,7 @@
 	p := New()
 	p.Update(WorkersMsg{Workers: []Worker{{Name: "w1", Rack: "r1", Size: Size{Cores: 4, MemoryMB: 1000}}}})
 	p.Update(SubmitMsg{Jobs: []Job{{ID: "ledger", Kind: "ledger", Declared: Size{Cores: 2, MemoryMB: 500}}}})
-	for _, c := range p.Update(TickMsg{At: 1}) {
+	for _, c := range p.Update(TickMsg{AtMillis: 1}) {
 		fmt.Println(c.(StartCmd).Task.Job, c.(StartCmd).Worker)
 	}
 	// Output: ledger w1
@@ -289,10 +289,10 @@
 			b.ResetTimer()
 			for i := range b.N {
 				id := fmt.Sprint(i)
-				p.Update(SubmitMsg{Jobs: []Job{{ID: id, Kind: fmt.Sprint(i % 50), Declared: Size{Cores: float64(1 + i%8), MemoryMB: 4000}, FinishBy: int64(i)}}})
-				p.Update(TickMsg{At: int64(i)})
+				p.Update(SubmitMsg{Jobs: []Job{{ID: id, Kind: fmt.Sprint(i % 50), Declared: Size{Cores: float64(1 + i%8), MemoryMB: 4000}, FinishByMillis: int64(i)}}})
+				p.Update(TickMsg{AtMillis: int64(i)})
 				if i >= 4*n {
-					p.Update(EndedMsg{At: int64(i), Task: Task{Job: fmt.Sprint(i - 4*n), Attempt: 1}, How: Done})
+					p.Update(EndedMsg{AtMillis: int64(i), Task: Task{Job: fmt.Sprint(i - 4*n), Attempt: 1}, State: Done})
 				}
 			}
 		})
--- a/fleet/place/queue.go
+++ b/fleet/place/queue.go
@@ -21,7 +21,7 @@
 }
 
 func (q *queue) Len() int           { return len(q.jobs) }
-func (q *queue) Less(i, j int) bool { return q.jobs[i].FinishBy < q.jobs[j].FinishBy }
+func (q *queue) Less(i, j int) bool { return q.jobs[i].FinishByMillis < q.jobs[j].FinishByMillis }
 func (q *queue) Swap(i, j int)      { q.jobs[i], q.jobs[j] = q.jobs[j], q.jobs[i] }
 
 // Push implements heap.Interface.
@@ -96,5 +96,5 @@
 
 // startBy returns the latest time at which the job can start and still finish in time by its estimated run time.
 func (p *Placer) startBy(e *jobState) int64 {
-	return e.FinishBy - p.kind(e.Kind).runMillis(e.RunMillis)
+	return e.FinishByMillis - p.kind(e.Kind).runMillis(e.RunMillis)
 }
--- a/fleet/place/replay.go
+++ b/fleet/place/replay.go
@@ -17,20 +17,20 @@
 // TraceJob is a job with its real size and run time and whether it can succeed.
 type TraceJob struct {
 	Job
-	At          int64
-	True        Size
-	TrueRun     int64
-	Broken      bool  // fails on every worker.
-	Undoable    bool  // no worker of the pool can run it.
-	savedMillis int64 // run time that the last checkpoint saved.
+	SubmitMillis  int64
+	TrueSize      Size
+	TrueRunMillis int64
+	Broken        bool  // fails on every worker.
+	Unrunnable    bool  // no worker of the pool can run it.
+	savedMillis   int64 // run time that the last checkpoint saved.
 }
 
 // Trace is the load of one pool over a night.
 type Trace struct {
-	Workers []Worker
-	Broken  map[string]bool // workers that fail everything.
-	Jobs    []TraceJob
-	Until   int64
+	Workers       []Worker
+	BrokenWorkers map[string]bool // workers that fail everything.
+	Jobs          []TraceJob
+	UntilMillis   int64
 }
 
 // Policy places jobs in a replay.
@@ -40,30 +40,30 @@
 
 // Result holds the measurements of a replay.
 type Result struct {
-	Finished   int
-	InTime     int
-	Runnable   int // jobs that can succeed on some worker.
-	Failures   int // attempts that failed.
-	Starts     int
-	WastedRun  int64 // core milliseconds in attempts that failed.
-	UrgentWait int64 // longest time until the first start of an urgent job, in milliseconds.
-	Doubled    int   // starts of a job while another attempt at it was running.
+	Finished            int
+	InTime              int
+	Runnable            int // jobs that can succeed on some worker.
+	Failures            int // attempts that failed.
+	Starts              int
+	WastedCoreMillis    int64 // core milliseconds in attempts that failed.
+	MaxUrgentWaitMillis int64 // longest time until the first start of an urgent job, in milliseconds.
+	DuplicateStarts     int   // starts of a job while another attempt at it was running.
 }
 
 // NightTrace returns a random night: kinds of jobs whose real sizes and run times are from a quarter to three times the
 // declared ones, some broken jobs and workers, some jobs that no worker can run, and urgent jobs that find the pool full.
 func NightTrace(seed int64, workers, jobs int) Trace {
 	r := rand.New(rand.NewSource(seed))
-	t := Trace{Broken: map[string]bool{}, Until: 5 * hourMillis}
+	t := Trace{BrokenWorkers: map[string]bool{}, UntilMillis: 5 * hourMillis}
 	for i := range workers {
 		w := Worker{Name: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%d", i/4), Size: Size{Cores: 32, MemoryMB: 65_536}}
 		t.Workers = append(t.Workers, w)
-		t.Broken[w.Name] = r.Intn(25) == 0
+		t.BrokenWorkers[w.Name] = r.Intn(25) == 0
 	}
 	for i := range jobs {
 		t.Jobs = append(t.Jobs, nightJob(r, i, jobs))
 	}
-	slices.SortStableFunc(t.Jobs, func(a, b TraceJob) int { return int(a.At - b.At) })
+	slices.SortStableFunc(t.Jobs, func(a, b TraceJob) int { return int(a.SubmitMillis - b.SubmitMillis) })
 	return t
 }
 
@@ -74,22 +74,22 @@
 	d := Size{Cores: float64(2 + k), MemoryMB: float64(2048 * (1 + k%4))}
 	j := TraceJob{Job: Job{
 		ID: fmt.Sprintf("job%05d", i), Kind: fmt.Sprintf("kind%d", k), Team: fmt.Sprintf("team%d", r.Intn(5)),
-		Declared: d, RunMillis: 120_000, FinishBy: hourMillis + r.Int63n(4*hourMillis), RunOnce: r.Intn(4) == 0,
+		Declared: d, RunMillis: 120_000, FinishByMillis: hourMillis + r.Int63n(4*hourMillis), RunOnce: r.Intn(4) == 0,
 	}}
 	noise := 0.85 + 0.3*r.Float64()
-	j.True = Size{Cores: d.Cores * size * noise, MemoryMB: d.MemoryMB * size * noise}
-	j.TrueRun = int64(120_000 * run * noise)
+	j.TrueSize = Size{Cores: d.Cores * size * noise, MemoryMB: d.MemoryMB * size * noise}
+	j.TrueRunMillis = int64(120_000 * run * noise)
 	switch {
 	case r.Intn(50) == 0:
 		j.Broken = true
 	case r.Intn(100) == 0:
-		j.Undoable, j.Declared.Accelerators = true, 1
+		j.Unrunnable, j.Declared.Accelerators = true, 1
 	case r.Intn(50) == 0:
 		j.Urgent, j.Kind = true, "urgent"
-		j.True = Size{Cores: 2, MemoryMB: 1024}
-		j.Declared, j.TrueRun = j.True, 20_000
-		j.At = r.Int63n(2 * hourMillis)
-		j.FinishBy = j.At + 60_000
+		j.TrueSize = Size{Cores: 2, MemoryMB: 1024}
+		j.Declared, j.TrueRunMillis = j.TrueSize, 20_000
+		j.SubmitMillis = r.Int63n(2 * hourMillis)
+		j.FinishByMillis = j.SubmitMillis + 60_000
 	}
 	return j
 }
@@ -122,21 +122,21 @@
 	for i := range t.Jobs {
 		j := t.Jobs[i]
 		r.jobs[j.ID] = &j
-		if !j.Broken && !j.Undoable {
+		if !j.Broken && !j.Unrunnable {
 			r.result.Runnable++
 		}
 	}
 	next := 0
-	for r.nowMillis = 0; r.nowMillis < t.Until; r.nowMillis += replayTickMillis {
+	for r.nowMillis = 0; r.nowMillis < t.UntilMillis; r.nowMillis += replayTickMillis {
 		var l []Job
-		for ; next < len(t.Jobs) && t.Jobs[next].At <= r.nowMillis; next++ {
+		for ; next < len(t.Jobs) && t.Jobs[next].SubmitMillis <= r.nowMillis; next++ {
 			l = append(l, t.Jobs[next].Job)
 		}
 		if len(l) > 0 {
-			r.apply(p.Update(SubmitMsg{At: r.nowMillis, Jobs: l}))
+			r.apply(p.Update(SubmitMsg{AtMillis: r.nowMillis, Jobs: l}))
 		}
 		r.advance()
-		r.apply(p.Update(TickMsg{At: r.nowMillis}))
+		r.apply(p.Update(TickMsg{AtMillis: r.nowMillis}))
 	}
 	return r.result
 }
@@ -159,7 +159,7 @@
 			continue
 		}
 		if (r.nowMillis-v.startMillis)%replayUsageMillis == 0 && r.nowMillis > v.startMillis {
-			r.policy.Update(UsageMsg{Task: v.Task, Used: v.job.True})
+			r.policy.Update(UsageMsg{Task: v.Task, Used: v.job.TrueSize})
 		}
 		left = append(left, v)
 	}
@@ -168,40 +168,40 @@
 
 func (v *attempt) cores() float64 {
 	if v.throttled {
-		return v.job.True.Cores * throttledShare
+		return v.job.TrueSize.Cores * throttledShare
 	}
-	return v.job.True.Cores
+	return v.job.TrueSize.Cores
 }
 
 // outcome returns whether and how the attempt has ended.
-func (r *replay) outcome(v *attempt) (End, bool) {
+func (r *replay) outcome(v *attempt) (EndState, bool) {
 	age := r.nowMillis - v.startMillis
 	switch {
 	case v.stopAtMillis > 0 && r.nowMillis >= v.stopAtMillis:
 		return Stopped, true
-	case (v.job.Broken || r.trace.Broken[v.worker]) && age >= replayFailMillis:
+	case (v.job.Broken || r.trace.BrokenWorkers[v.worker]) && age >= replayFailMillis:
 		return Failed, true
-	case v.job.True.MemoryMB > v.reserved.MemoryMB && age >= v.job.TrueRun/10:
-		return TooBig, true
+	case v.job.TrueSize.MemoryMB > v.reserved.MemoryMB && age >= v.job.TrueRunMillis/10:
+		return OutOfMemory, true
 	default:
 		return Done, v.leftMillis <= 0
 	}
 }
 
-func (r *replay) finish(v *attempt, how End) {
+func (r *replay) finish(v *attempt, how EndState) {
 	switch how {
 	case Done:
 		r.result.Finished++
-		if r.nowMillis <= v.job.FinishBy {
+		if r.nowMillis <= v.job.FinishByMillis {
 			r.result.InTime++
 		}
 	case Stopped:
-		v.job.savedMillis = max(0, v.job.TrueRun-v.leftMillis)
+		v.job.savedMillis = max(0, v.job.TrueRunMillis-v.leftMillis)
 	default:
 		r.result.Failures++
-		r.result.WastedRun += int64(float64(r.nowMillis-v.startMillis) * v.job.True.Cores)
+		r.result.WastedCoreMillis += int64(float64(r.nowMillis-v.startMillis) * v.job.TrueSize.Cores)
 	}
-	r.apply(r.policy.Update(EndedMsg{At: r.nowMillis, Task: v.Task, How: how}))
+	r.apply(r.policy.Update(EndedMsg{AtMillis: r.nowMillis, Task: v.Task, State: how}))
 }
 
 func (r *replay) apply(l []Cmd) {
@@ -224,15 +224,15 @@
 	r.result.Starts++
 	for _, v := range r.running {
 		if v.Job == c.Task.Job {
-			r.result.Doubled++
+			r.result.DuplicateStarts++
 		}
 	}
 	if j.Urgent && !r.startedUrgent[j.ID] {
 		r.startedUrgent[j.ID] = true
-		r.result.UrgentWait = max(r.result.UrgentWait, r.nowMillis-j.At)
+		r.result.MaxUrgentWaitMillis = max(r.result.MaxUrgentWaitMillis, r.nowMillis-j.SubmitMillis)
 	}
 	r.running = append(r.running, &attempt{
-		Task: c.Task, job: j, worker: c.Worker, reserved: c.Size, startMillis: r.nowMillis, leftMillis: j.TrueRun - j.savedMillis,
+		Task: c.Task, job: j, worker: c.Worker, reserved: c.Size, startMillis: r.nowMillis, leftMillis: j.TrueRunMillis - j.savedMillis,
 	})
 }
 
--- a/fleet/place/replay_test.go
+++ b/fleet/place/replay_test.go
@@ -12,7 +12,7 @@
 	t.Logf("placer    %+v", a)
 	t.Logf("first fit %+v", b)
 	is.New(t).True(a.InTime > b.InTime)
-	is.New(t).Equal(a.Doubled, 0)
-	is.New(t).True(a.UrgentWait <= 1500)
-	is.New(t).True(a.WastedRun < b.WastedRun)
+	is.New(t).Equal(a.DuplicateStarts, 0)
+	is.New(t).True(a.MaxUrgentWaitMillis <= 1500)
+	is.New(t).True(a.WastedCoreMillis < b.WastedCoreMillis)
 }
--- a/fleet/place/worker.go
+++ b/fleet/place/worker.go
@@ -56,7 +56,7 @@
 // acceptsTask reports whether the worker may be given a task now. After its quarantine, a worker gets one task at a time
 // until one succeeds.
 func (m *workerState) acceptsTask(nowMillis int64) bool {
-	return !m.Out && (m.quarantineMillis == 0 || nowMillis >= m.quarantinedUntil && len(m.tasks) == 0)
+	return !m.Unschedulable && (m.quarantineMillis == 0 || nowMillis >= m.quarantinedUntil && len(m.tasks) == 0)
 }
 
 // recordFailure records that the job failed on the worker, and quarantines the worker after several such jobs.
--- a/fleet/spare/buffer.go
+++ b/fleet/spare/buffer.go
@@ -5,9 +5,9 @@
 // Buffer compares three ways to hold spare VMs, so that each pool keeps what it needs after the loss of any racks. It has
 // the total number of spare VMs for each.
 type Buffer struct {
-	Shared  int // held once for all pools and lent to those that lose VMs.
-	PerPool int // held by each pool for itself, each the least number that is enough.
-	Share   int // held by each pool for itself, the same share of the need in all pools.
+	Shared     int // held once for all pools and lent to those that lose VMs.
+	PerPool    int // held by each pool for itself, each the least number that is enough.
+	EqualShare int // held by each pool for itself, the same share of the need in all pools.
 }
 
 // Buffers returns the spare VMs that pools with the given needs require to survive the loss of lost racks. A rack holds
@@ -26,7 +26,7 @@
 		share = max(share, float64(extra[i])/float64(max(n, 1)))
 	}
 	for _, n := range needs {
-		b.Share += vmsFor(share*float64(n), 1)
+		b.EqualShare += vmsFor(share*float64(n), 1)
 	}
 	for b.Shared < total && !survivesWith(needs, b.Shared, perRack, lost) {
 		b.Shared++
--- a/fleet/spare/layout.go
+++ b/fleet/spare/layout.go
@@ -33,7 +33,7 @@
 		case v.Failed:
 			l.failed[v.Pool]++
 			continue
-		case v.Out:
+		case v.Unavailable:
 			l.unavailable[v.Pool]++
 		}
 		l.add(v.Pool, v.Rack, 1)
--- a/fleet/spare/message.go
+++ b/fleet/spare/message.go
@@ -17,7 +17,7 @@
 // VM is one VM of the data centre. The Pool of a moving VM is the one that it moves to.
 type VM struct {
 	Name, Pool, Rack string
-	Out              bool // draining or rebooting: takes no new work now but will serve again.
+	Unavailable      bool // draining or rebooting: takes no new work now but will serve again.
 	Failed           bool // down; it is not known whether it will serve again.
 	Moving           bool // being moved to another pool.
 }
@@ -41,8 +41,8 @@
 
 // TickMsg reports the demand of each pool, at a time in Unix milliseconds, and has the sizer decide on moves.
 type TickMsg struct {
-	At     int64
-	Demand map[string]Demand
+	AtMillis int64
+	Demand   map[string]Demand
 }
 
 func (RulesMsg) isMsg() {}
@@ -55,21 +55,21 @@
 // MoveCmd drains the VM and moves it to another pool.
 type MoveCmd struct {
 	VM, From, To string
-	Why          Why
+	Reason       Reason
 }
 
-// Why is why a VM is moved.
-type Why string
+// Reason is why a VM is moved.
+type Reason string
 
 const (
 	// Short means that the pool has too few VMs for its lasting demand.
-	Short Why = "short"
+	Short Reason = "short"
 	// Lost means that the pool has too few VMs because some of its own have failed.
-	Lost Why = "lost"
+	Lost Reason = "lost"
 	// Spread means that the pool would not survive the loss of a rack.
-	Spread Why = "spread"
+	Spread Reason = "spread"
 	// Idle means that the pool returns a VM that it no longer needs.
-	Idle Why = "idle"
+	Idle Reason = "idle"
 )
 
 func (MoveCmd) isCmd() {}
--- a/fleet/spare/naive.go
+++ b/fleet/spare/naive.go
@@ -16,11 +16,11 @@
 		return n.sizer.Update(msg)
 	}
 	s := n.sizer
-	s.expirePendingMoves(t.At)
+	s.expirePendingMoves(t.AtMillis)
 	for _, r := range s.rules {
 		d := t.Demand[r.Pool]
 		need := int(math.Ceil((d.Busy + d.Queued) / (float64(r.Slots) * targetUse(r))))
-		s.pools[r.Pool] = &poolState{need: max(need, r.MinVMs), overloadSince: t.At, idleSince: 1}
+		s.pools[r.Pool] = &poolState{need: max(need, r.MinVMs), overloadSince: t.AtMillis, idleSince: 1}
 		if r.MaxVMs > 0 {
 			s.pools[r.Pool].need = min(s.pools[r.Pool].need, r.MaxVMs)
 		}
@@ -29,9 +29,9 @@
 	for _, r := range s.byShortage() {
 		switch have := s.layout.count(r.Pool); {
 		case have < s.pools[r.Pool].need:
-			l = s.fill(l, r, t.At)
+			l = s.fill(l, r, t.AtMillis)
 		case have > s.pools[r.Pool].need:
-			l = s.returnIdle(l, r, t.At)
+			l = s.returnIdle(l, r, t.AtMillis)
 		}
 	}
 	return l
--- a/fleet/spare/replay.go
+++ b/fleet/spare/replay.go
@@ -25,17 +25,17 @@
 
 // Failure is the outage of one VM, or of all VMs of a rack, for a span of time.
 type Failure struct {
-	VM, Rack  string
-	At, Until int64
+	VM, Rack                string
+	FromMillis, UntilMillis int64
 }
 
 // Trace is the demand and the failures of one data centre over a day.
 type Trace struct {
-	Pools    []PoolTrace
-	VMs      []VM
-	Failures []Failure
-	Turns    bool // the pools take turns with bursts of demand and have little demand otherwise.
-	Seed     int64
+	Pools             []PoolTrace
+	VMs               []VM
+	Failures          []Failure
+	AlternatingBursts bool // the pools take turns with bursts of demand and have little demand otherwise.
+	Seed              int64
 }
 
 // Policy decides on moves in a replay.
@@ -45,12 +45,12 @@
 
 // Result holds the measurements of a replay.
 type Result struct {
-	Moves      int
-	LateShare  float64 // share of the demand that the pools could not run in time.
-	HeldHours  float64 // VM hours in pools beyond the need for the hour's mean demand.
-	Least      int     // moves of the plan of least cost in hindsight.
-	LeastHours float64 // VM hours beyond the need in that plan.
-	Whys       map[Why]int
+	Moves         int
+	LateShare     float64 // share of the demand that the pools could not run in time.
+	ExcessHours   float64 // VM hours in pools beyond the need for the hour's mean demand.
+	PlanMoves     int     // moves of the plan of least cost in hindsight.
+	PlanIdleHours float64 // VM hours beyond the need in that plan.
+	MovesByReason map[Reason]int
 }
 
 // DayTrace returns a random day of one deployment: five pools and a spare pool in one of three data centres. With strike,
@@ -59,7 +59,7 @@
 // have 0.3 times theirs from 20 to 6 h.
 func DayTrace(seed int64, strike bool) Trace {
 	r := rand.New(rand.NewSource(seed))
-	t := Trace{Turns: true, Seed: seed}
+	t := Trace{AlternatingBursts: true, Seed: seed}
 	names := []string{"orders", "routes", "batches", "ledgers", "checks"}
 	for i, n := range names {
 		p := PoolTrace{VMs: 3 + i%2, Rule: Rule{
@@ -116,10 +116,10 @@
 func (t *Trace) fail(r *rand.Rand) {
 	for range 3 {
 		at := r.Int63n(dayMillis)
-		t.Failures = append(t.Failures, Failure{VM: t.VMs[r.Intn(len(t.VMs))].Name, At: at, Until: at + 120_000 + r.Int63n(1_200_000)})
+		t.Failures = append(t.Failures, Failure{VM: t.VMs[r.Intn(len(t.VMs))].Name, FromMillis: at, UntilMillis: at + 120_000 + r.Int63n(1_200_000)})
 	}
 	at := 8*hourMillis + r.Int63n(8*hourMillis)
-	t.Failures = append(t.Failures, Failure{Rack: t.VMs[r.Intn(len(t.VMs))].Rack, At: at, Until: at + hourMillis})
+	t.Failures = append(t.Failures, Failure{Rack: t.VMs[r.Intn(len(t.VMs))].Rack, FromMillis: at, UntilMillis: at + hourMillis})
 }
 
 // Demand returns the demand of pool i in slots at a time of the day in milliseconds.
@@ -135,7 +135,7 @@
 	}
 	m := t.Pools[i].Hours[at/hourMillis%24]
 	switch {
-	case !t.Turns:
+	case !t.AlternatingBursts:
 		return m
 	case int(at/burstTurnMillis)%n == i:
 		return m * burstFactor
@@ -165,7 +165,7 @@
 func Replay(t Trace, p Policy) Result {
 	r := &replay{
 		trace: t, vms: slices.Clone(t.VMs), moving: map[string]arrival{}, queued: make([]float64, len(t.Pools)),
-		result: Result{Whys: map[Why]int{}},
+		result: Result{MovesByReason: map[Reason]int{}},
 	}
 	rules := make([]Rule, len(t.Pools))
 	for i, q := range t.Pools {
@@ -179,12 +179,12 @@
 			seen = slices.Clone(r.vms)
 			p.Update(FleetMsg{VMs: seen})
 		}
-		for _, c := range p.Update(TickMsg{At: at, Demand: r.serve(at)}) {
+		for _, c := range p.Update(TickMsg{AtMillis: at, Demand: r.serve(at)}) {
 			r.move(c.(MoveCmd), at)
 		}
 	}
 	r.result.LateShare = r.lateSlots / r.offeredSlots
-	r.result.Least, r.result.LeastHours = t.leastCostPlan()
+	r.result.PlanMoves, r.result.PlanIdleHours = t.leastCostPlan()
 	return r.result
 }
 
@@ -193,11 +193,11 @@
 	for i := range r.vms {
 		v := &r.vms[i]
 		v.Failed = slices.ContainsFunc(r.trace.Failures, func(f Failure) bool {
-			return (f.VM == v.Name || f.Rack == v.Rack) && at >= f.At && at < f.Until
+			return (f.VM == v.Name || f.Rack == v.Rack) && at >= f.FromMillis && at < f.UntilMillis
 		})
 		if a, ok := r.moving[v.Name]; ok && at >= a.readyMillis {
 			delete(r.moving, v.Name)
-			v.Pool, v.Moving, v.Out = a.pool, false, false
+			v.Pool, v.Moving, v.Unavailable = a.pool, false, false
 		}
 	}
 }
@@ -224,7 +224,7 @@
 		r.queued[i] = min(total-busy, maxWaitSeconds*room)
 		r.offeredSlots += x
 		r.lateSlots += total - busy - r.queued[i]
-		r.result.HeldHours += float64(max(0, have-p.needAt(at))) * replayTickMillis / hourMillis
+		r.result.ExcessHours += float64(max(0, have-p.needAt(at))) * replayTickMillis / hourMillis
 		d[p.Rule.Pool] = Demand{Busy: busy, Queued: r.queued[i], Arrivals: x, Done: busy}
 	}
 	return d
@@ -235,11 +235,11 @@
 	if i < 0 || r.vms[i].Moving || r.vms[i].Pool != c.From {
 		return
 	}
-	r.vms[i].Moving, r.vms[i].Out = true, true
+	r.vms[i].Moving, r.vms[i].Unavailable = true, true
 	r.vms[i].Pool = c.To
-	r.moving[c.VM] = arrival{readyMillis: at + DefaultReady, pool: c.To}
+	r.moving[c.VM] = arrival{readyMillis: at + DefaultReadyMillis, pool: c.To}
 	r.result.Moves++
-	r.result.Whys[c.Why]++
+	r.result.MovesByReason[c.Reason]++
 }
 
 // needAt returns how many VMs the mean demand of the hour needs.
--- a/fleet/spare/sizer.go
+++ b/fleet/spare/sizer.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// DefaultReady is the default time in milliseconds from a move's start until the VM serves its new pool.
-	DefaultReady = 30_000
-	// DefaultPatience is the default time in milliseconds for which a pool that is not overloaded may be short of VMs
+	// DefaultReadyMillis is the default time in milliseconds from a move's start until the VM serves its new pool.
+	DefaultReadyMillis = 30_000
+	// DefaultPatienceMillis is the default time in milliseconds for which a pool that is not overloaded may be short of VMs
 	// before it gets one.
-	DefaultPatience = 600_000
+	DefaultPatienceMillis = 600_000
 
 	meanDecayMillis       = 180_000   // time constant of the mean demand.
 	burstDecayMillis      = 3_600_000 // time constant with which the length of the longest burst decays.
@@ -70,7 +70,7 @@
 // New returns a Sizer without pools and VMs.
 func New(opts ...Option) *Sizer {
 	s := &Sizer{
-		readyMillis: DefaultReady, patienceMillis: DefaultPatience,
+		readyMillis: DefaultReadyMillis, patienceMillis: DefaultPatienceMillis,
 		pools: map[string]*poolState{}, layout: newLayout(nil), pendingMoves: map[string]pendingMove{},
 	}
 	for _, o := range opts {
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// Held returns how many spare VMs are required to refill the pools after the worst loss of racks that their rules name.
-func (s *Sizer) Held() int {
+// RequiredSpares returns how many spare VMs are required to refill the pools after the worst loss of racks that their rules name.
+func (s *Sizer) RequiredSpares() int {
 	lost, _ := s.worstRackLoss()
 	return lost
 }
@@ -136,23 +136,23 @@
 }
 
 func (s *Sizer) tick(m TickMsg) []Cmd {
-	s.expirePendingMoves(m.At)
+	s.expirePendingMoves(m.AtMillis)
 	for _, r := range s.rules {
 		if r.Spare {
 			continue
 		}
 		p := s.pools[r.Pool]
 		if p == nil {
-			p = &poolState{updatedMillis: m.At}
+			p = &poolState{updatedMillis: m.AtMillis}
 			s.pools[r.Pool] = p
 		}
-		p.observe(r, m.Demand[r.Pool], s.layout.serving(r.Pool), m.At)
+		p.observe(r, m.Demand[r.Pool], s.layout.serving(r.Pool), m.AtMillis)
 		need := p.need
-		p.updateNeed(r, s.readyMillis, m.At)
+		p.updateNeed(r, s.readyMillis, m.AtMillis)
 		s.worstLoss.valid = s.worstLoss.valid && need == p.need
-		p.updateShortage(r, s.layout.count(r.Pool), m.At)
+		p.updateShortage(r, s.layout.count(r.Pool), m.AtMillis)
 	}
-	return s.moves(m.At)
+	return s.moves(m.AtMillis)
 }
 
 // observe updates the averages with one tick's demand; n is the number of VMs that serve the pool.
@@ -357,13 +357,13 @@
 func (s *Sizer) movable() func(VM) bool {
 	return func(v VM) bool {
 		_, pending := s.pendingMoves[v.Name]
-		return !v.Out && !v.Failed && !v.Moving && !pending
+		return !v.Unavailable && !v.Failed && !v.Moving && !pending
 	}
 }
 
-func (s *Sizer) move(l []Cmd, v VM, to string, why Why, nowMillis int64) []Cmd {
+func (s *Sizer) move(l []Cmd, v VM, to string, why Reason, nowMillis int64) []Cmd {
 	s.pendingMoves[v.Name] = pendingMove{requestedMillis: nowMillis, to: to}
 	s.layout.reassign(v, to)
 	s.worstLoss.valid = false
-	return append(l, MoveCmd{VM: v.Name, From: v.Pool, To: to, Why: why})
+	return append(l, MoveCmd{VM: v.Name, From: v.Pool, To: to, Reason: why})
 }
--- a/fleet/spare/sizer_test.go
+++ b/fleet/spare/sizer_test.go
@@ -36,7 +36,7 @@
 	var l []MoveCmd
 	for at := from * 1000; at < (from+seconds)*1000; at += 1000 {
 		d := map[string]Demand{"orders": {Busy: orders, Arrivals: orders, Done: orders}, "checks": {Busy: checks, Arrivals: checks, Done: checks}}
-		for _, c := range p.Update(TickMsg{At: at, Demand: d}) {
+		for _, c := range p.Update(TickMsg{AtMillis: at, Demand: d}) {
 			m := c.(MoveCmd)
 			l = append(l, m)
 			if i := slices.IndexFunc(v, func(o VM) bool { return o.Name == m.VM }); i >= 0 {
@@ -48,11 +48,11 @@
 	return l
 }
 
-func checkReasons(t *testing.T, l []MoveCmd, want ...Why) {
+func checkReasons(t *testing.T, l []MoveCmd, want ...Reason) {
 	t.Helper()
-	var got []Why
+	var got []Reason
 	for _, m := range l {
-		got = append(got, m.Why)
+		got = append(got, m.Reason)
 	}
 	is.New(t).Equal(got, want)
 }
@@ -89,7 +89,7 @@
 		s, _ := begin()
 		for at := int64(901); at < 1500; at++ {
 			d := map[string]Demand{"orders": {Busy: 14, Queued: 40, Arrivals: 14, Done: 14}, "checks": {Busy: 14, Arrivals: 14, Done: 14}}
-			is.New(t).Equal(len(s.Update(TickMsg{At: at * 1000, Demand: d})), 0)
+			is.New(t).Equal(len(s.Update(TickMsg{AtMillis: at * 1000, Demand: d})), 0)
 		}
 	})
 	t.Run("a failed VM is replaced after a while", func(t *testing.T) {
@@ -101,7 +101,7 @@
 	})
 	t.Run("a VM that reboots is not replaced", func(t *testing.T) {
 		s, v := begin()
-		v[0].Out, v[1].Out = true, true
+		v[0].Unavailable, v[1].Unavailable = true, true
 		s.Update(FleetMsg{VMs: v})
 		checkReasons(t, drive(s, v, 901, 700, 8, 14))
 	})
@@ -119,7 +119,7 @@
 		s.Update(FleetMsg{VMs: v})
 		l := drive(s, v, 901, 40, 14, 14)
 		is.New(t).True(len(l) > 0)
-		is.New(t).True(l[0].Why == Spread && l[0].VM == "vm8")
+		is.New(t).True(l[0].Reason == Spread && l[0].VM == "vm8")
 	})
 }
 
@@ -173,7 +173,7 @@
 			n++
 		}
 	}
-	if strict && m.To != "office" && m.Why != Spread && n > 5 {
+	if strict && m.To != "office" && m.Reason != Spread && n > 5 {
 		t.Fatalf("move %+v brings pool %s above its MaxVMs", m, m.To)
 	}
 }
@@ -185,7 +185,7 @@
 	s.Update(FleetMsg{VMs: vms})
 	drive(s, vms, 1, 600, 14, 14)
 	for _, m := range drive(s, vms, 601, 60, 26, 14) {
-		fmt.Println(m.VM, m.From, m.To, m.Why)
+		fmt.Println(m.VM, m.From, m.To, m.Reason)
 	}
 	// Output: vm6 office orders short
 }
@@ -207,7 +207,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				s.Update(FleetMsg{VMs: l})
-				s.Update(TickMsg{At: int64(i) * 1000, Demand: d})
+				s.Update(TickMsg{AtMillis: int64(i) * 1000, Demand: d})
 			}
 		})
 	}
--- a/flow/queue/queue.go
+++ b/flow/queue/queue.go
@@ -60,8 +60,8 @@
 
 type settings struct{ capacity int }
 
-// WithBound sets how many requests may wait.
-func WithBound(n int) Option { return func(s *settings) { s.capacity = n } }
+// WithCapacity sets how many requests may wait.
+func WithCapacity(n int) Option { return func(s *settings) { s.capacity = n } }
 
 // New returns an empty Queue without slots.
 func New[V any](opts ...Option) *Queue[V] {
@@ -92,15 +92,15 @@
 // Waiting returns the number of waiting requests of class c.
 func (q *Queue[V]) Waiting(c Class) int { return int(q.treaps.size(q.roots[c])) }
 
-// Pressing returns the number of waiting requests that should start at once: urgent and normal ones, and as many
+// DueNow returns the number of waiting requests that should start at once: urgent and normal ones, and as many
 // background ones as the unused part of the reserve can serve.
-func (q *Queue[V]) Pressing() int {
+func (q *Queue[V]) DueNow() int {
 	b := min(q.Waiting(Background), q.reserve-q.running[Background])
 	return q.Waiting(Urgent) + q.Waiting(Normal) + max(0, b)
 }
 
-// Yielding returns the number of running background requests in excess of the reserve.
-func (q *Queue[V]) Yielding() int { return max(0, q.running[Background]-q.reserve) }
+// OverReserve returns the number of running background requests in excess of the reserve.
+func (q *Queue[V]) OverReserve() int { return max(0, q.running[Background]-q.reserve) }
 
 // Arrived records the arrival of a request of class c, whether it is queued or not.
 func (q *Queue[V]) Arrived(now time.Duration, c Class) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// Mean returns the mean service time of all classes, or 0 if none has been recorded yet.
-func (q *Queue[V]) Mean() time.Duration { return seconds(q.allTimes.mean) }
+// MeanServiceTime returns the mean service time of all classes, or 0 if none has been recorded yet.
+func (q *Queue[V]) MeanServiceTime() time.Duration { return seconds(q.allTimes.mean) }
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
@@ -166,8 +166,8 @@
 	return max(n, minSlots)
 }
 
-// Wait estimates how long a request of class c waits if the given number of requests of its class are ahead of it.
-func (q *Queue[V]) Wait(now time.Duration, c Class, ahead int) time.Duration {
+// EstimateWait estimates how long a request of class c waits if the given number of requests of its class are ahead of it.
+func (q *Queue[V]) EstimateWait(now time.Duration, c Class, ahead int) time.Duration {
 	w := float64(ahead+1) * q.times(c).mean / q.slotsFor(now, c)
 	if c != Urgent {
 		w += float64(q.Waiting(Urgent)) * q.times(Urgent).mean / max(float64(q.slots), minSlots)
@@ -181,17 +181,17 @@
 func (q *Queue[V]) Push(now time.Duration, c Class, deadline time.Duration, v V) (Handle, time.Duration) {
 	left := deadline - now
 	ahead := q.treaps.rank(q.roots[c], deadline)
-	if excess := q.Wait(now, c, ahead) + q.need(c, marginLimit(left)) - left; excess > 0 && (q.roots[c] != None || left <= 0) {
+	if excess := q.EstimateWait(now, c, ahead) + q.need(c, marginLimit(left)) - left; excess > 0 && (q.roots[c] != None || left <= 0) {
 		return None, excess
 	}
 	if q.Len() >= q.capacity && !q.evict(now, c) {
-		return None, q.Wait(now, c, ahead)
+		return None, q.EstimateWait(now, c, ahead)
 	}
 	return q.insert(now, c, deadline, v), 0
 }
 
-// PushBack adds a request without checking its deadline or the queue's limit. It is for requests that were admitted before.
-func (q *Queue[V]) PushBack(now time.Duration, c Class, deadline time.Duration, v V) Handle {
+// Requeue adds a request without checking its deadline or the queue's limit. It is for requests that were admitted before.
+func (q *Queue[V]) Requeue(now time.Duration, c Class, deadline time.Duration, v V) Handle {
 	return q.insert(now, c, deadline, v)
 }
 
--- a/flow/queue/queue_test.go
+++ b/flow/queue/queue_test.go
@@ -99,7 +99,7 @@
 		i.True(!d[0].Late())
 	})
 	t.Run("an urgent request evicts the last background one from a full queue", func(t *testing.T) {
-		i, q := is.New(t), queue.New[int](queue.WithBound(2))
+		i, q := is.New(t), queue.New[int](queue.WithCapacity(2))
 		q.SetSlots(0, 1)
 		for k := range 3 {
 			q.Push(0, queue.Background, time.Hour+time.Duration(k), k)
@@ -119,11 +119,11 @@
 	q.Push(0, queue.Urgent, time.Second, 20)
 	q.Push(0, queue.Normal, time.Second, 21)
 	q.Sweep(0)
-	i.Equal(q.Pressing(), 2) // the background requests still have time
+	i.Equal(q.DueNow(), 2) // the background requests still have time
 	q.Sweep(9 * time.Second)
-	i.True(q.Pressing() > 2)
+	i.True(q.DueNow() > 2)
 	q.Started(queue.Background)
-	i.Equal(q.Yielding(), 0)
+	i.Equal(q.OverReserve(), 0)
 }
 
 // compete runs background requests against a steady load of normal ones that takes all slots. It returns the number of
--- a/flow/route/example_test.go
+++ b/flow/route/example_test.go
@@ -8,13 +8,13 @@
 
 func ExamplePool() {
 	p := route.New()
-	p.Set(0, []route.Target{route.NewTarget("vm-1", "rack-1", 1), route.NewTarget("vm-2", "rack-2", 1)})
+	p.SetTargets(0, []route.Target{route.NewTarget("vm-1", "rack-1", 1), route.NewTarget("vm-2", "rack-2", 1)})
 	a, _ := p.Pick(0, "", false)
 	b, _ := p.Pick(0, "", false)
 	_, ok := p.Pick(0, "", false)
 	fmt.Println(a, b, ok)
-	p.Leave(0, a)
-	p.Done(0, a, route.Good, 0)
+	p.MarkLeaving(0, a)
+	p.Done(0, a, route.Succeeded, 0)
 	_, ok = p.Pick(0, "", false)
 	fmt.Println(ok)
 	// Output:
--- a/flow/route/outcome.go
+++ b/flow/route/outcome.go
@@ -10,16 +10,16 @@
 type Outcome uint8
 
 const (
-	// Good means that the target answered.
-	Good Outcome = iota
-	// Bad means that the target failed.
-	Bad
-	// Full means that the target refused because its slots were taken.
-	Full
+	// Succeeded means that the target answered.
+	Succeeded Outcome = iota
+	// Failed means that the target failed.
+	Failed
+	// Refused means that the target refused because its slots were taken.
+	Refused
 	// Lost means that no answer came; the target may still be running the request.
 	Lost
-	// Mute means that the result says nothing about the target.
-	Mute
+	// Inconclusive means that the result says nothing about the target.
+	Inconclusive
 )
 
 const (
@@ -46,11 +46,11 @@
 		p.releaseSlot(i)
 	}
 	switch {
-	case o == Good:
+	case o == Succeeded:
 		p.recordSuccess(i)
-	case o == Bad || o == Lost:
+	case o == Failed || o == Lost:
 		p.recordFailure(now, i)
-	case o == Full:
+	case o == Refused:
 		p.recordRefusal(now, i)
 	case n.probing:
 		n.probing = false
@@ -134,8 +134,8 @@
 	p.lostRequests = slices.Insert(p.lostRequests, k, lostRequest{till, i})
 }
 
-// Pass releases the slots of lost requests whose time has run out by now.
-func (p *Pool) Pass(now time.Duration) {
+// Advance releases the slots of lost requests whose time has run out by now.
+func (p *Pool) Advance(now time.Duration) {
 	k := 0
 	for ; k < len(p.lostRequests) && p.lostRequests[k].until <= now; k++ {
 		i := p.lostRequests[k].target
@@ -201,9 +201,9 @@
 
 const minProbeInterval = 50 * time.Millisecond
 
-// Leave stops new requests to a target that reported that it is leaving. It lasts until the target has been dropped from
+// MarkLeaving stops new requests to a target that reported that it is leaving. It lasts until the target has been dropped from
 // the list, or for a limited time if the target stays listed.
-func (p *Pool) Leave(now time.Duration, name string) {
+func (p *Pool) MarkLeaving(now time.Duration, name string) {
 	if i, ok := p.indexByName[name]; ok {
 		p.update(i, func(n *targetState) { n.leavingUntil = now + leavingTimeout })
 		p.nextReadmit = min(p.nextReadmit, now+leavingTimeout)
--- a/flow/route/pool.go
+++ b/flow/route/pool.go
@@ -125,9 +125,9 @@
 // Ejected returns the number of ejected targets.
 func (p *Pool) Ejected() int { return p.ejected }
 
-// Set replaces the list of targets. A target that stays keeps its state; one that is dropped is kept until its requests
+// SetTargets replaces the list of targets. A target that stays keeps its state; one that is dropped is kept until its requests
 // are done.
-func (p *Pool) Set(now time.Duration, targets []Target) {
+func (p *Pool) SetTargets(now time.Duration, targets []Target) {
 	for i := range p.targets {
 		if p.targets[i].listed {
 			p.update(i, func(n *targetState) { n.listed = false })
--- a/flow/route/pool_test.go
+++ b/flow/route/pool_test.go
@@ -25,7 +25,7 @@
 	for i := range n {
 		l = append(l, route.NewTarget(fmt.Sprint("vm-", i), fmt.Sprint("rack-", i/2), slots))
 	}
-	p.Set(now, l)
+	p.SetTargets(now, l)
 }
 
 // run sends one request each millisecond of the span and counts the sends by target. Requests end two sends later,
@@ -39,16 +39,16 @@
 			out = append(out, t)
 		}
 		for len(out) > 2 {
-			o := route.Good
+			o := route.Succeeded
 			if bad(out[0]) {
-				o = route.Bad
+				o = route.Failed
 			}
 			p.Done(now, out[0], o, 0)
 			out = out[1:]
 		}
 	}
 	for _, t := range out {
-		p.Done(to, t, route.Mute, 0)
+		p.Done(to, t, route.Inconclusive, 0)
 	}
 	return sent
 }
@@ -93,7 +93,7 @@
 		now := 3 * time.Second
 		for p.Ejected() == 1 {
 			x, _ := p.Pick(now, "", false)
-			p.Done(now, x, route.Good, 0)
+			p.Done(now, x, route.Succeeded, 0)
 		}
 		i.Equal(p.Free(), 9) // one slot is open to the target that came back
 		run(p, now, now+time.Second, oneOf())
@@ -114,7 +114,7 @@
 	i, p := is.New(t), pool(2, 8)
 	run(p, 0, 500*time.Millisecond, oneOf("vm-1"))
 	i.Equal(p.Ejected(), 1)
-	p.Leave(500*time.Millisecond, "vm-0")
+	p.MarkLeaving(500*time.Millisecond, "vm-0")
 	i.Equal(p.Free(), 8) // a failing target is better than none
 	i.Equal(p.Ejected(), 0)
 }
@@ -132,7 +132,7 @@
 
 func TestLeaving(t *testing.T) {
 	i, p := is.New(t), pool(2, 8)
-	p.Leave(0, "vm-0")
+	p.MarkLeaving(0, "vm-0")
 	set(p, time.Second, 2, 8) // the list is stale and still has the target
 	n := run(p, time.Second, 29*time.Second, oneOf())
 	i.Equal(n["vm-0"], 0)
@@ -152,10 +152,10 @@
 	m := map[string]int{}
 	p.Taken(m)
 	i.Equal(m["vm-0"], 1)
-	p.Done(0, x, route.Good, 0) // a second Done for the same request does nothing
+	p.Done(0, x, route.Succeeded, 0) // a second Done for the same request does nothing
 	i.Equal(p.Busy(), 0)
 	i.Equal(p.Free(), 0)
-	p.Pass(time.Second)
+	p.Advance(time.Second)
 	_, ok = p.Pick(time.Second, "", false)
 	i.True(ok)
 }
@@ -168,20 +168,20 @@
 			x, _ = p.Pick(0, "", false)
 		}
 		for range 5 {
-			p.Done(0, x, route.Full, 0)
+			p.Done(0, x, route.Refused, 0)
 		}
 		i.Equal(p.Free(), 0) // it accepted three
 		i.Equal(p.Ejected(), 0)
-		p.Done(0, x, route.Good, 0)
+		p.Done(0, x, route.Succeeded, 0)
 		i.Equal(p.Free(), 2) // the answered request's slot and one that the success opened
 	})
 	t.Run("a target that refuses while it has no request of this pool is ejected", func(t *testing.T) {
 		i, p := is.New(t), pool(2, 8)
 		for range 200 {
 			x, _ := p.Pick(0, "", false)
-			o := route.Good
+			o := route.Succeeded
 			if x == "vm-0" {
-				o = route.Full
+				o = route.Refused
 			}
 			p.Done(0, x, o, 0)
 		}
@@ -213,12 +213,12 @@
 			m[n] = &struct{ slots, out int }{slots: k}
 			l = append(l, route.NewTarget(n, fmt.Sprint(i%3), k))
 		}
-		p.Set(0, l)
+		p.SetTargets(0, l)
 		var out []string
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "act") == 0 && len(out) > 0 {
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "done")
-				p.Done(0, out[i], route.Good, 0)
+				p.Done(0, out[i], route.Succeeded, 0)
 				m[out[i]].out--
 				out = append(out[:i], out[i+1:]...)
 				continue
--- a/flow/sched/sched.go
+++ b/flow/sched/sched.go
@@ -57,7 +57,7 @@
 	}
 	return &Scheduler{
 		service: service, urgentStart: c.urgentStart, targetsGoneAt: -noTargetGrace,
-		gate: admit.New(), queue: queue.New[*request](queue.WithBound(c.maxQueued)),
+		gate: admit.New(), queue: queue.New[*request](queue.WithCapacity(c.maxQueued)),
 		pool:        route.New(route.WithMaxEjected(c.maxEjected)),
 		retryBudget: retry.New(retry.WithShare(c.retryShare), retry.WithBurst(c.retryBurst)),
 		requests:    map[ID]*request{}, meters: newMeters(),
@@ -110,7 +110,7 @@
 		s.started, s.epoch = true, t
 	}
 	s.now = max(s.now, t.Sub(s.epoch))
-	s.pool.Pass(s.now)
+	s.pool.Advance(s.now)
 }
 
 // arrive sends, queues or refuses a new request. It ignores an id that is in use.
@@ -164,7 +164,7 @@
 
 // capacity returns the number of requests per second that the usable slots can answer, 0 if unknown.
 func (s *Scheduler) capacity() float64 {
-	m := s.queue.Mean()
+	m := s.queue.MeanServiceTime()
 	if m <= 0 {
 		return 0
 	}
@@ -218,31 +218,31 @@
 // recordOutcome reports the outcome of a send to the pool and the queue.
 func (s *Scheduler) recordOutcome(r *request, m *DoneMsg) {
 	var took time.Duration
-	o := route.Bad
+	o := route.Failed
 	switch {
 	case m.Result == Answered:
-		o, took = route.Good, s.now-r.sentAt
+		o, took = route.Succeeded, s.now-r.sentAt
 		if !r.ended && s.now <= r.deadline {
 			s.meters.goodput.add(s.now)
 		}
 	case m.Result == Unknown:
 		o = route.Lost
 	case m.Result == NotSent, m.Leaving, r.ended:
-		o = route.Mute
+		o = route.Inconclusive
 	case m.Result == NotRun:
-		o = route.Full
+		o = route.Refused
 	}
 	s.queue.Finished(r.class, took)
-	s.pool.Done(s.now, m.Target, o, s.queue.Mean())
+	s.pool.Done(s.now, m.Target, o, s.queue.MeanServiceTime())
 	if m.Leaving {
-		s.pool.Leave(s.now, m.Target)
+		s.pool.MarkLeaving(s.now, m.Target)
 	}
 	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
 // retryOrEnd queues a request for another send, or ends it if it is too late or may not be retried.
 func (s *Scheduler) retryOrEnd(r *request, m *DoneMsg) {
-	if r.deadline-s.now < s.queue.Mean() || r.deadline <= s.now {
+	if r.deadline-s.now < s.queue.MeanServiceTime() || r.deadline <= s.now {
 		s.end(r, deadlineReason(m.Result), 0)
 		return
 	}
@@ -252,7 +252,7 @@
 	case retry.Exhausted:
 		s.end(r, budgetSpentReason(m.Result), minRetryAfter)
 	default:
-		r.queueHandle = s.queue.PushBack(s.now, r.class, r.deadline, r)
+		r.queueHandle = s.queue.Requeue(s.now, r.class, r.deadline, r)
 	}
 }
 
@@ -276,7 +276,7 @@
 	for _, x := range l {
 		t = append(t, route.NewTarget(x.name, x.rack, s.usableSlots(x)))
 	}
-	s.pool.Set(s.now, t)
+	s.pool.SetTargets(s.now, t)
 	s.queue.SetSlots(s.now, s.pool.Slots())
 }
 
--- a/flow/sched/send.go
+++ b/flow/sched/send.go
@@ -55,7 +55,7 @@
 		return 0
 	}
 	n := s.pool.Slots()
-	if n < 2 || float64(n)*s.urgentStart.Seconds() >= minSlotReleases*s.queue.Mean().Seconds() {
+	if n < 2 || float64(n)*s.urgentStart.Seconds() >= minSlotReleases*s.queue.MeanServiceTime().Seconds() {
 		return 0
 	}
 	return 1
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, r := range s.unplaced {
-		r.queueHandle = s.queue.PushBack(s.now, r.class, r.deadline, r)
+		r.queueHandle = s.queue.Requeue(s.now, r.class, r.deadline, r)
 	}
 	s.unplaced = s.unplaced[:0]
 	s.endShed()
@@ -93,7 +93,7 @@
 		if d.Late() {
 			reason = ReasonDeadline
 		}
-		s.shed(d.Value(), reason, s.queue.Mean())
+		s.shed(d.Value(), reason, s.queue.MeanServiceTime())
 	}
 }
 
--- a/flow/sched/stats.go
+++ b/flow/sched/stats.go
@@ -64,11 +64,11 @@
 func (s *Scheduler) Stats() Stats {
 	t := Stats{
 		busy: s.pool.Busy(), idle: s.pool.Free(), slots: s.pool.Slots(),
-		demand: s.queue.Pressing(), reclaimable: s.queue.Yielding(), urgentReserve: s.urgentReserve(queue.Normal),
+		demand: s.queue.DueNow(), reclaimable: s.queue.OverReserve(), urgentReserve: s.urgentReserve(queue.Normal),
 		targets: s.pool.Usable(), ejected: s.pool.Ejected(),
 		ended:    maps.Clone(s.meters.ended),
 		arrivals: s.meters.arrivals.rate(s.now), goodput: s.meters.goodput.rate(s.now),
-		serviceTime: s.queue.Mean(),
+		serviceTime: s.queue.MeanServiceTime(),
 	}
 	for c := range t.queued {
 		t.queued[c] = s.queue.Waiting(queue.Class(c))
--- a/node/jobs/act.go
+++ b/node/jobs/act.go
@@ -31,7 +31,7 @@
 	n := min(len(starts), maxWritesPerStep)
 	t.executeAll(ctx, starts[:n])
 	for _, c := range starts[n:] { // too many for one step: the placer places them again in the next one.
-		t.feed(c.pool, place.EndedMsg{At: nowMillis(), Task: taskOf(c.Cmd), How: place.Stopped})
+		t.feed(c.pool, place.EndedMsg{AtMillis: nowMillis(), Task: taskOf(c.Cmd), State: place.Stopped})
 	}
 }
 
@@ -124,7 +124,7 @@
 	r.Lease, r.Fence, r.StartedMillis = int64(t.taskLease), int64(t.fence), nowMillis()
 	rev, err := t.writeRecord(ctx, j, r)
 	if err != nil {
-		return func() { t.feed(r.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: c.Task, How: place.Stopped}) }
+		return func() { t.feed(r.Spec.Pool, place.EndedMsg{AtMillis: nowMillis(), Task: c.Task, State: place.Stopped}) }
 	}
 	if t.held() {
 		err = t.platform.Run(ctx, tasks.RunRequest{
--- a/node/jobs/record.go
+++ b/node/jobs/record.go
@@ -96,7 +96,7 @@
 // job returns the spec in the placer's form.
 func (s Spec) job() place.Job {
 	return place.Job{
-		ID: s.ID, Team: s.Team, Kind: s.Kind, RunMillis: s.RunMillis, FinishBy: s.FinishBy, Urgent: s.Urgent, RunOnce: s.RunOnce,
+		ID: s.ID, Team: s.Team, Kind: s.Kind, RunMillis: s.RunMillis, FinishByMillis: s.FinishBy, Urgent: s.Urgent, RunOnce: s.RunOnce,
 		Declared: place.Size{Cores: s.Cores, MemoryMB: s.MemoryMB, Accelerators: s.Accelerators},
 	}
 }
--- a/node/jobs/step.go
+++ b/node/jobs/step.go
@@ -35,7 +35,7 @@
 	}
 	t.checkpointAndGiveUp()
 	for pool := range t.placers {
-		t.feed(pool, place.TickMsg{At: nowMillis()})
+		t.feed(pool, place.TickMsg{AtMillis: nowMillis()})
 	}
 	t.executePending(ctx)
 	t.writeDirtyRecords(ctx)
@@ -213,8 +213,8 @@
 }
 
 // endByState gives the placer's outcome for each state of an ended task.
-var endByState = map[tasks.State]place.End{
-	tasks.Done: place.Done, tasks.Failed: place.Failed, tasks.TooBig: place.TooBig, tasks.Stopped: place.Stopped,
+var endByState = map[tasks.State]place.EndState{
+	tasks.Done: place.Done, tasks.Failed: place.Failed, tasks.TooBig: place.OutOfMemory, tasks.Stopped: place.Stopped,
 }
 
 // finish updates the job's record after its recorded attempt has ended, and passes the outcome to the placer.
@@ -230,7 +230,7 @@
 	}
 	t.log.Info().Str("step", "runJobs").Str("job", j.record.Spec.ID).Int("attempt", j.record.Attempt).
 		Str("peer", j.record.Worker).Str("how", string(s)).Msg("taskEnded")
-	t.feed(j.record.Spec.Pool, place.EndedMsg{At: nowMillis(), Task: j.task(), How: endByState[s]})
+	t.feed(j.record.Spec.Pool, place.EndedMsg{AtMillis: nowMillis(), Task: j.task(), State: endByState[s]})
 }
 
 // updateWorkers reads the platform's list of VMs and passes each pool's workers to its placer.
@@ -247,7 +247,7 @@
 		}
 		t.leavingWorkers[v.ID()] = v.State() == hosts.Leaving
 		t.workersByPool[v.Pool()] = append(t.workersByPool[v.Pool()], place.Worker{
-			Name: v.ID(), Rack: v.Rack(), Out: v.State() != hosts.Live,
+			Name: v.ID(), Rack: v.Rack(), Unschedulable: v.State() != hosts.Live,
 			Size: place.Size{Cores: float64(v.Cores()), MemoryMB: float64(v.MemoryMB()), Accelerators: v.Accelerators()},
 		})
 	}
--- a/node/jobs/takeover.go
+++ b/node/jobs/takeover.go
@@ -103,15 +103,15 @@
 	for s, l := range jobs {
 		p := t.placer(s.pool)
 		p.Update(place.WorkersMsg{Workers: []place.Worker{{Name: s.worker, Size: size[s]}}})
-		p.Update(place.SubmitMsg{At: nowMillis(), Jobs: l})
-		p.Update(place.TickMsg{At: nowMillis()})
+		p.Update(place.SubmitMsg{AtMillis: nowMillis(), Jobs: l})
+		p.Update(place.TickMsg{AtMillis: nowMillis()})
 	}
 }
 
 // submit submits the job, and its cancellation, to the placer. The placer already knows jobs that were taken over.
 func (t *term) submit(j *job) {
 	pool := j.record.Spec.Pool
-	t.feed(pool, place.SubmitMsg{At: nowMillis(), Jobs: []place.Job{j.record.Spec.job()}})
+	t.feed(pool, place.SubmitMsg{AtMillis: nowMillis(), Jobs: []place.Job{j.record.Spec.job()}})
 	if j.record.CancelRequested {
 		t.feed(pool, place.CancelMsg{Jobs: []string{j.record.Spec.ID}})
 	}
--- a/node/leader/publish.go
+++ b/node/leader/publish.go
@@ -106,9 +106,9 @@
 	}
 	t.sizer.Update(t.fleetMsg())
 	m := wave.MoveMsg{At: at.UnixMilli()}
-	for _, c := range t.sizer.Update(spare.TickMsg{At: at.UnixMilli(), Demand: t.demandByPool()}) {
+	for _, c := range t.sizer.Update(spare.TickMsg{AtMillis: at.UnixMilli(), Demand: t.demandByPool()}) {
 		if c, ok := c.(spare.MoveCmd); ok {
-			t.log.Info().Str("step", "size").Str("peer", c.VM).Str("from", c.From).Str("to", c.To).Str("why", string(c.Why)).Msg("move")
+			t.log.Info().Str("step", "size").Str("peer", c.VM).Str("from", c.From).Str("to", c.To).Str("why", string(c.Reason)).Msg("move")
 			m.Moves = append(m.Moves, wave.Move{VM: c.VM, From: c.From, To: c.To})
 		}
 	}
@@ -124,7 +124,7 @@
 	for v := range t.planner.Table().All() {
 		m.VMs = append(m.VMs, spare.VM{
 			Name: v.VM, Pool: cmp.Or(v.MoveTo, v.Pool), Rack: v.Rack, Moving: v.MoveTo != "",
-			Out: v.State != pool.Serving && v.State != pool.Failed, Failed: v.State == pool.Failed,
+			Unavailable: v.State != pool.Serving && v.State != pool.Failed, Failed: v.State == pool.Failed,
 		})
 	}
 	return m
