--- a/node/conns/answer.go
+++ b/node/conns/answer.go
@@ -23,7 +23,7 @@
 	if err := readHeader(r, a); err != nil {
 		return err
 	}
-	if a.SkipBody || bodiless(a.StatusCode()) {
+	if a.SkipBody || hasNoBody(a.StatusCode()) {
 		return nil
 	}
 	n := a.Header.ContentLength()
@@ -51,6 +51,6 @@
 	return errInterim
 }
 
-func bodiless(status int) bool {
+func hasNoBody(status int) bool {
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
--- a/node/conns/conns.go
+++ b/node/conns/conns.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	defaultIdle      = 2 * time.Second
-	defaultConnect   = time.Second
-	defaultMaxAnswer = 8 << 20     // bytes
-	bufferSize       = 4 << 10     // bytes
-	lately           = time.Second // within which a connection must have answered to carry what cannot be repeated
+	defaultIdle             = 2 * time.Second
+	defaultConnect          = time.Second
+	defaultMaxAnswer        = 8 << 20     // bytes
+	bufferSize              = 4 << 10     // bytes
+	unrepeatableIdleTimeout = time.Second // within which a connection must have answered to carry what cannot be repeated
 )
 
 // MarkHeader carries the request's id to the target, which repeats it in its answer.
@@ -33,26 +33,26 @@
 
 // Pool is the set of connections to one target; it is safe for concurrent use.
 type Pool struct {
-	addr      string
-	idle      time.Duration
-	connect   time.Duration
-	maxAnswer int
-	dialer    net.Dialer
+	addr           string
+	idleTimeout    time.Duration
+	connectTimeout time.Duration
+	maxAnswer      int
+	dialer         net.Dialer
 
-	mu     sync.Mutex
-	free   []*conn // used last at the end
-	open   map[*conn]struct{}
-	closed bool
+	mu        sync.Mutex
+	idleConns []*conn // used last at the end
+	openConns map[*conn]struct{}
+	closed    bool
 }
 
 // Option changes a Pool when it is made.
 type Option func(*Pool)
 
 // WithIdle sets how long a connection may rest before it is closed instead of used.
-func WithIdle(d time.Duration) Option { return func(p *Pool) { p.idle = d } }
+func WithIdle(d time.Duration) Option { return func(p *Pool) { p.idleTimeout = d } }
 
 // WithConnect sets the longest wait for a new connection.
-func WithConnect(d time.Duration) Option { return func(p *Pool) { p.connect = d } }
+func WithConnect(d time.Duration) Option { return func(p *Pool) { p.connectTimeout = d } }
 
 // WithMaxAnswer sets the largest answer body in bytes.
 func WithMaxAnswer(n int) Option { return func(p *Pool) { p.maxAnswer = n } }
@@ -60,8 +60,8 @@
 // New returns a pool of connections to the target at addr, which is host:port.
 func New(addr string, opts ...Option) *Pool {
 	p := &Pool{
-		addr: addr, idle: defaultIdle, connect: defaultConnect, maxAnswer: defaultMaxAnswer,
-		open: make(map[*conn]struct{}),
+		addr: addr, idleTimeout: defaultIdle, connectTimeout: defaultConnect, maxAnswer: defaultMaxAnswer,
+		openConns: make(map[*conn]struct{}),
 	}
 	for _, o := range opts {
 		o(p)
@@ -72,11 +72,11 @@
 // conn is one connection with its buffers.
 type conn struct {
 	net.Conn
-	r       *bufio.Reader
-	w       *bufio.Writer
-	written int64
-	last    time.Time
-	probe   *probe
+	r         *bufio.Reader
+	w         *bufio.Writer
+	written   int64
+	idleSince time.Time
+	probe     *probe
 }
 
 // Write counts the bytes that have left.
@@ -91,39 +91,39 @@
 //
 // The error wraps ErrNotSent or ErrLost; after an error, a holds nothing.
 func (p *Pool) Send(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time, once bool) error {
-	rest := p.idle
+	maxIdle := p.idleTimeout
 	if once {
-		rest = min(rest, lately)
+		maxIdle = min(maxIdle, unrepeatableIdleTimeout)
 	}
-	c, err := p.take(ctx, deadline, rest)
+	c, err := p.get(ctx, deadline, maxIdle)
 	if err != nil {
 		return err
 	}
-	if err = p.exchange(c, q, a, deadline); err != nil {
-		p.drop(c)
-		p.suspect()
+	if err = p.roundTrip(c, q, a, deadline); err != nil {
+		p.discard(c)
+		p.closeIdle()
 		a.Reset()
 		return err
 	}
 	if a.ConnectionClose() {
-		p.drop(c)
+		p.discard(c)
 		return nil
 	}
 	p.put(c)
 	return nil
 }
 
-// suspect closes the resting connections after one was lost, since what lost track of it may have lost track of them.
-func (p *Pool) suspect() {
+// closeIdle closes the resting connections after one was lost, since what lost track of it may have lost track of them.
+func (p *Pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.free {
-		p.forget(c)
+	for _, c := range p.idleConns {
+		p.closeLocked(c)
 	}
-	p.free = p.free[:0]
+	p.idleConns = p.idleConns[:0]
 }
 
-func (p *Pool) exchange(c *conn, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time) error {
+func (p *Pool) roundTrip(c *conn, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time) error {
 	c.written = 0
 	if err := c.SetDeadline(deadline); err != nil {
 		return eris.Wrapf(ErrNotSent, "step=deadline peer=%s: %v", p.addr, err)
@@ -139,7 +139,7 @@
 	if err := readWhole(c.r, a, p.maxAnswer); err != nil {
 		return eris.Wrapf(ErrLost, "step=read peer=%s: %v", p.addr, err)
 	}
-	return p.check(c, q, a)
+	return p.checkAnswer(c, q, a)
 }
 
 func (p *Pool) writeError(c *conn, err error) error {
@@ -149,54 +149,54 @@
 	return eris.Wrapf(ErrLost, "step=write peer=%s: %v", p.addr, err)
 }
 
-// check refuses an answer that is not provably the whole answer to q.
-func (p *Pool) check(c *conn, q *fasthttp.Request, a *fasthttp.Response) error {
+// checkAnswer refuses an answer that is not provably the whole answer to q.
+func (p *Pool) checkAnswer(c *conn, q *fasthttp.Request, a *fasthttp.Response) error {
 	if c.r.Buffered() > 0 {
 		return eris.Wrapf(ErrLost, "step=read peer=%s: answer is longer than it declares", p.addr)
 	}
-	mark := a.Header.Peek(MarkHeader)
-	if len(mark) > 0 && string(mark) != string(q.Header.Peek(MarkHeader)) {
-		return eris.Wrapf(ErrLost, "step=read peer=%s: answer carries the mark of another request", p.addr)
+	id := a.Header.Peek(MarkHeader)
+	if len(id) > 0 && string(id) != string(q.Header.Peek(MarkHeader)) {
+		return eris.Wrapf(ErrLost, "step=read peer=%s: answer carries the id of another request", p.addr)
 	}
 	return nil
 }
 
-// take returns a connection that has rested less than rest, or a new one.
-func (p *Pool) take(ctx context.Context, deadline time.Time, rest time.Duration) (*conn, error) {
+// get returns a connection that has rested less than rest, or a new one.
+func (p *Pool) get(ctx context.Context, deadline time.Time, maxIdle time.Duration) (*conn, error) {
 	now := time.Now()
 	for {
-		c, err := p.pop()
+		c, err := p.popIdle()
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
 			return p.dial(ctx, now, deadline)
 		}
-		if now.Sub(c.last) < rest && c.quiet() {
+		if now.Sub(c.idleSince) < maxIdle && c.reusable() {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-func (p *Pool) pop() (*conn, error) {
+func (p *Pool) popIdle() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, eris.Wrapf(ErrNotSent, "step=take peer=%s: %v", p.addr, ErrClosed)
 	}
-	n := len(p.free)
+	n := len(p.idleConns)
 	if n == 0 {
 		return nil, nil
 	}
-	c := p.free[n-1]
-	p.free[n-1] = nil
-	p.free = p.free[:n-1]
+	c := p.idleConns[n-1]
+	p.idleConns[n-1] = nil
+	p.idleConns = p.idleConns[:n-1]
 	return c, nil
 }
 
 func (p *Pool) dial(ctx context.Context, now, deadline time.Time) (*conn, error) {
-	limit := now.Add(p.connect)
+	limit := now.Add(p.connectTimeout)
 	if deadline.Before(limit) {
 		limit = deadline
 	}
@@ -215,30 +215,30 @@
 		_ = n.Close()
 		return nil, eris.Wrapf(ErrNotSent, "step=connect peer=%s: %v", p.addr, ErrClosed)
 	}
-	p.open[c] = struct{}{}
+	p.openConns[c] = struct{}{}
 	return c, nil
 }
 
 func (p *Pool) put(c *conn) {
-	c.last = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		p.forget(c)
+		p.closeLocked(c)
 		return
 	}
-	p.free = append(p.free, c)
+	p.idleConns = append(p.idleConns, c)
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c)
+	p.closeLocked(c)
 }
 
-// forget closes c; p.mu is held.
-func (p *Pool) forget(c *conn) {
-	delete(p.open, c)
+// closeLocked closes c; p.mu is held.
+func (p *Pool) closeLocked(c *conn) {
+	delete(p.openConns, c)
 	_ = c.Close()
 }
 
@@ -247,18 +247,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for n < len(p.free) && now.Sub(p.free[n].last) >= p.idle {
-		p.forget(p.free[n])
+	for n < len(p.idleConns) && now.Sub(p.idleConns[n].idleSince) >= p.idleTimeout {
+		p.closeLocked(p.idleConns[n])
 		n++
 	}
-	p.free = append(p.free[:0], p.free[n:]...)
+	p.idleConns = append(p.idleConns[:0], p.idleConns[n:]...)
 }
 
 // Open returns the number of open connections.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.open)
+	return len(p.openConns)
 }
 
 // Close closes the resting connections; one that is in use is closed when its request has ended.
@@ -266,8 +266,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, c := range p.free {
-		p.forget(c)
+	for _, c := range p.idleConns {
+		p.closeLocked(c)
 	}
-	p.free = nil
+	p.idleConns = nil
 }
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -19,8 +19,8 @@
 // script is what a peer does with the n-th request of a connection.
 type script func(c net.Conn, r *bufio.Reader, n int) error
 
-// peer listens and runs s on every connection until the test ends.
-func peer(t *testing.T, s script) string {
+// startPeer listens and runs s on every connection until the test ends.
+func startPeer(t *testing.T, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,12 +61,12 @@
 	}
 }
 
-func send(p *Pool, mark string, wait time.Duration) (string, error) {
+func send(p *Pool, id string, wait time.Duration) (string, error) {
 	var q fasthttp.Request
 	var a fasthttp.Response
 	q.Header.SetMethod("POST")
 	q.SetRequestURI("http://t/x")
-	q.Header.Set(MarkHeader, mark)
+	q.Header.Set(MarkHeader, id)
 	q.SetBodyString("order")
 	err := p.Send(context.Background(), &q, &a, time.Now().Add(wait), true)
 	return string(a.Body()), err
@@ -89,7 +89,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			a := peer(t, func(n net.Conn, r *bufio.Reader, k int) error {
+			a := startPeer(t, func(n net.Conn, r *bufio.Reader, k int) error {
 				_ = reply(c.raw)(n, r, k)
 				if c.want != nil {
 					return io.EOF
@@ -124,7 +124,7 @@
 	i := is.New(t)
 	closed := make(chan struct{})
 	runs := 0
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
 		runs++
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		_ = c.Close()
@@ -140,17 +140,17 @@
 		<-closed
 		i.NoErr(g.Wait())
 		i.NoErr(err)
-		waitNotQuiet(p)
+		waitUntilNotReusable(p)
 		i.Equal(runs, k+1) // each request ran exactly once
 	}
 }
 
-// waitNotQuiet returns when every resting connection shows that its peer closed it.
-func waitNotQuiet(p *Pool) {
+// waitUntilNotReusable returns when every resting connection shows that its peer closed it.
+func waitUntilNotReusable(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.free {
-		for c.quiet() {
+	for _, c := range p.idleConns {
+		for c.reusable() {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -159,7 +159,7 @@
 func TestLateAnswerIsNeverReadByTheNextRequest(t *testing.T) {
 	i := is.New(t)
 	late := make(chan struct{})
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n == 0 {
 			select {
 			case <-late:
@@ -185,13 +185,13 @@
 	i := is.New(t)
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	var stalled atomic.Bool
-	together := make(chan struct{}, resting)
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	together := make(chan struct{}, idleCount)
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
 			return nil // an old connection goes silent; the next read waits for good
 		}
 		together <- struct{}{}
-		for len(together) < resting && !stalled.Load() {
+		for len(together) < idleCount && !stalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := io.WriteString(c, whole)
@@ -200,11 +200,11 @@
 	p := New(a)
 	defer p.Close()
 	var g errgroup.Group
-	for range resting {
+	for range idleCount {
 		g.Go(func() error { _, err := send(p, "m", 5*time.Second); return err })
 	}
 	i.NoErr(g.Wait())
-	i.Equal(p.Open(), resting)
+	i.Equal(p.Open(), idleCount)
 	stalled.Store(true)
 	for len(together) > 0 {
 		<-together
@@ -215,8 +215,8 @@
 	i.NoErr(err) // on a new connection
 }
 
-// resting is the number of connections that rest before they are stalled.
-const resting = 4
+// idleCount is the number of connections that rest before they are stalled.
+const idleCount = 4
 
 func BenchmarkSend(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/conns/quiet.go
+++ b/node/conns/probe.go
@@ -8,7 +8,7 @@
 // probe looks at a connection's socket without taking anything from it.
 type probe struct {
 	raw  syscall.RawConn
-	look func(fd uintptr) bool
+	peek func(fd uintptr) bool
 	n    int
 	err  error
 }
@@ -24,7 +24,7 @@
 		return nil
 	}
 	p := &probe{raw: r}
-	p.look = func(fd uintptr) bool {
+	p.peek = func(fd uintptr) bool {
 		var b [1]byte
 		p.n, _, p.err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
@@ -32,18 +32,18 @@
 	return p
 }
 
-// waits reports whether the socket is open and holds nothing to be read.
-func (p *probe) waits() bool {
-	if err := p.raw.Read(p.look); err != nil {
+// openAndEmpty reports whether the socket is open and holds nothing to be read.
+func (p *probe) openAndEmpty() bool {
+	if err := p.raw.Read(p.peek); err != nil {
 		return false
 	}
 	return p.n < 0 && (p.err == syscall.EAGAIN || p.err == syscall.EWOULDBLOCK)
 }
 
-// quiet reports whether the connection is open and nothing waits to be read on it.
+// reusable reports whether the connection is open and nothing waits to be read on it.
 //
-// A connection that the other side has closed, or that holds a late answer, is not quiet.
-func (c *conn) quiet() bool { return c.probe == nil || c.probe.waits() }
+// A connection that the other side has closed, or that holds a late answer, is not reusable.
+func (c *conn) reusable() bool { return c.probe == nil || c.probe.openAndEmpty() }
 
 // Gone reports whether the other side of c has closed it, without taking anything from it.
 func Gone(c net.Conn) bool {
@@ -51,5 +51,5 @@
 	if p == nil {
 		return false
 	}
-	return !p.waits() && p.n <= 0
+	return !p.openAndEmpty() && p.n <= 0
 }
--- a/node/relay/joiner_test.go
+++ b/node/relay/batcher_test.go
@@ -13,10 +13,10 @@
 )
 
 // TestJoiner holds that each request gets its own answer, also when others leave, and that no flight is lost.
-func TestJoiner(t *testing.T) {
+func TestBatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i, r, calls := is.New(t), rand.New(rand.NewPCG(1, 1)), 0
-		j := newJoiner[int, int](2, 8)
+		j := newBatcher[int, int](2, 8)
 		echo := func(l []int) ([]int, error) {
 			time.Sleep(10 * time.Millisecond)
 			j.mu.Lock()
@@ -26,10 +26,10 @@
 		}
 		g := errgroup.Group{}
 		for k := range 400 {
-			start, patience := time.Duration(r.IntN(200))*time.Millisecond, time.Duration(1+r.IntN(40))*time.Millisecond
+			start, timeout := time.Duration(r.IntN(200))*time.Millisecond, time.Duration(1+r.IntN(40))*time.Millisecond
 			g.Go(func() error {
 				time.Sleep(start)
-				c, end := context.WithTimeout(t.Context(), patience)
+				c, end := context.WithTimeout(t.Context(), timeout)
 				defer end()
 				if a, err := j.do(c, k, echo); err == nil && a != k {
 					return errors.New("another request's answer")
@@ -38,16 +38,16 @@
 			})
 		}
 		i.NoErr(g.Wait())
-		i.Equal(j.free, 2)
-		i.Equal(len(j.wait), 0)
+		i.Equal(j.freeCalls, 2)
+		i.Equal(len(j.waiting), 0)
 		i.True(calls < 200)
 	})
 }
 
 // TestJoinerHandsOn holds that a flight handed to one who leaves goes on.
-func TestJoinerHandsOn(t *testing.T) {
-	j, r := newJoiner[int, int](0, 8), &ride[int, int]{lead: make(chan bool, 1)}
+func TestBatcherCancelledLead(t *testing.T) {
+	j, r := newBatcher[int, int](0, 8), &batchItem[int, int]{lead: make(chan bool, 1)}
 	r.lead <- true
-	j.leave(r)
-	is.New(t).Equal(j.free, 1)
+	j.cancel(r)
+	is.New(t).Equal(j.freeCalls, 1)
 }
--- a/node/relay/bench_test.go
+++ b/node/relay/bench_test.go
@@ -40,7 +40,7 @@
 	b.SetParallelism(10)
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			id := n.nextBench()
+			id := n.nextBenchKey()
 			t, err := n.Take(n.ctx, id, body, "1")
 			if err != nil {
 				b.Error(err)
@@ -51,7 +51,7 @@
 	})
 }
 
-func (n *node) nextBench() string { return fmt.Sprint("east/p", n.bench.Add(1)) }
+func (n *node) nextBenchKey() string { return fmt.Sprint("east/p", n.benchKeys.Add(1)) }
 
 // BenchmarkBeatSize tells the bytes of a beat with 51 services and lists of drained VMs.
 func BenchmarkBeatSize(b *testing.B) {
@@ -76,18 +76,18 @@
 	}
 }
 
-// counted counts the bytes of a connection.
-type counted struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	out, in *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	c.out.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(int64(n))
 	return n, err
@@ -100,7 +100,7 @@
 	var out, in atomic.Int64
 	c := NewClient(WithDial(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		d, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return counted{Conn: d, out: &out, in: &in}, err
+		return countingConn{Conn: d, out: &out, in: &in}, err
 	}))
 	defer c.Close()
 	q := &BeatRequest{
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -59,11 +59,11 @@
 	c.store.down.Store(false)
 	var l []*node
 	for _, n := range c.nodes {
-		c.wires.hush(n.self.Addr, false)
+		c.network.silence(n.self.Addr, false)
 		l = append(l, n)
 	}
 	time.Sleep(time.Minute)
-	if !agreed(l) {
+	if !haveSameRoster(l) {
 		c.inForce(l...)
 	}
 	time.Sleep(ledger.Remember)
@@ -82,24 +82,24 @@
 		n.kill()
 		c.nodes[e] = c.start(e)
 	case k < 4:
-		c.wires.hush(n.self.Addr, true)
+		c.network.silence(n.self.Addr, true)
 	case k < 8:
-		c.wires.hush(n.self.Addr, false)
+		c.network.silence(n.self.Addr, false)
 	case k < 9:
-		c.wires.forget()
+		c.network.silenceOpenConns()
 	case k < 11:
 		c.store.down.Store(!c.store.down.Load())
 	default:
 		key, fate, wait := fmt.Sprint("east/", c.r.IntN(80)), c.r.IntN(10), time.Duration(c.r.IntN(400))*time.Millisecond
 		c.group.Go(func() error {
-			c.copy(n, key, fate, wait)
+			c.runCopy(n, key, fate, wait)
 			return nil
 		})
 	}
 }
 
-// copy claims a key at n, runs it if it may, and settles it, unless n dies first.
-func (c *chaos) copy(n *node, key string, fate int, wait time.Duration) {
+// runCopy claims a key at n, runs it if it may, and settles it, unless n dies first.
+func (c *chaos) runCopy(n *node, key string, fate int, wait time.Duration) {
 	c.mu.Lock()
 	c.copies++
 	id := fmt.Sprint("copy", c.copies)
--- a/node/relay/errors.go
+++ b/node/relay/errors.go
@@ -16,7 +16,9 @@
 	ErrCall = eris.New("relay: call failed")
 )
 
-func fail(step, peer string, err error) error { return eris.Wrapf(err, "relay %s peer=%s", step, peer) }
+func wrapErr(step, peer string, err error) error {
+	return eris.Wrapf(err, "relay %s peer=%s", step, peer)
+}
 
 // RepeatError reports that another copy of the key was claimed before.
 type RepeatError struct{ record ledger.Record }
@@ -43,15 +45,15 @@
 
 // RefusedError reports that the copy may not be sent; it has not been.
 type RefusedError struct {
-	reason ledger.Reason
-	notRun bool
-	retry  time.Duration
-	peer   string
+	reason     ledger.Reason
+	notRun     bool
+	retryAfter time.Duration
+	peer       string
 }
 
 // Error tells step, peer and reason.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("relay claim peer=%s: %s, notRun=%t, retryAfter=%s", e.peer, e.reason, e.notRun, e.retry)
+	return fmt.Sprintf("relay claim peer=%s: %s, notRun=%t, retryAfter=%s", e.peer, e.reason, e.notRun, e.retryAfter)
 }
 
 // Reason returns why the copy was refused.
@@ -63,7 +65,7 @@
 func (e *RefusedError) NotRun() bool { return e.notRun }
 
 // RetryAfter returns when to come back.
-func (e *RefusedError) RetryAfter() time.Duration { return e.retry }
+func (e *RefusedError) RetryAfter() time.Duration { return e.retryAfter }
 
 // Step returns the step at which the request ended.
 func (e *RefusedError) Step() string { return "claim" }
--- a/node/relay/fleet_test.go
+++ b/node/relay/fleet_test.go
@@ -24,90 +24,90 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quiet is a Carrier that carries nothing but a number.
-type quiet struct {
+// fakeState is a Carrier that carries nothing but a number.
+type fakeState struct {
 	mu      sync.Mutex
 	applied int64
 }
 
-func (q *quiet) Applied() int64 {
+func (q *fakeState) Applied() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.applied
 }
 
-func (q *quiet) Since(n int64) ([][]byte, []byte) {
+func (q *fakeState) Since(n int64) ([][]byte, []byte) {
 	return [][]byte{{byte(n + 1)}}, nil
 }
 
-func (q *quiet) Offer(changes [][]byte, _ []byte) {
+func (q *fakeState) Offer(changes [][]byte, _ []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.applied = max(q.applied, int64(changes[0][0]))
 }
 
-func (q *quiet) Report() Report { return Report{Loads: []*ServiceLoad{{Service: "s", Busy: 1}}} }
+func (q *fakeState) Report() Report { return Report{Loads: []*ServiceLoad{{Service: "s", Busy: 1}}} }
 
 // node is one life of an entry.
 type node struct {
 	*Keeper
-	beater *Beater
-	conf   *quiet
-	bench  atomic.Int64
-	ctx    context.Context
-	end    func()
-	group  *errgroup.Group
+	beater    *Beater
+	conf      *fakeState
+	benchKeys atomic.Int64
+	ctx       context.Context
+	end       func()
+	group     *errgroup.Group
 }
 
 func (n *node) kill() {
 	n.end()
 }
 
-type lender struct{}
+type fakeLender struct{}
 
-func (lender) Borrow(_ context.Context, r *BorrowRequest) (*BorrowReply, error) {
+func (fakeLender) Borrow(_ context.Context, r *BorrowRequest) (*BorrowReply, error) {
 	return &BorrowReply{Grants: []*Grant{{Target: r.GetService(), Slots: r.GetSlots(), Id: 7}}}, nil
 }
 
-func (lender) Return(context.Context, *ReturnRequest) (*ReturnReply, error) {
+func (fakeLender) Return(context.Context, *ReturnRequest) (*ReturnReply, error) {
 	return &ReturnReply{}, nil
 }
 
-// wires is a network in memory whose connections can go silent, so that a whole fleet runs under synctest.
-type wires struct {
-	mu        sync.Mutex
-	listeners map[string]chan net.Conn
-	silent    map[string]bool // addresses to which nothing arrives any more
-	dials     int
-	deaf      int // connections up to this one carry nothing any more
+// network is a network in memory whose connections can go silent, so that a whole fleet runs under synctest.
+type network struct {
+	mu         sync.Mutex
+	listeners  map[string]chan net.Conn
+	silent     map[string]bool // addresses to which nothing arrives any more
+	dials      int
+	silentUpTo int // connections up to this one carry nothing any more
 }
 
-type wire struct {
+type networkConn struct {
 	net.Conn
-	w    *wires
-	addr string
-	dial int
+	network *network
+	addr    string
+	number  int
 }
 
-func (c wire) Write(b []byte) (int, error) {
-	c.w.mu.Lock()
-	s := c.w.silent[c.addr] || c.dial <= c.w.deaf
-	c.w.mu.Unlock()
+func (c networkConn) Write(b []byte) (int, error) {
+	c.network.mu.Lock()
+	s := c.network.silent[c.addr] || c.number <= c.network.silentUpTo
+	c.network.mu.Unlock()
 	if s {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-type ear struct {
-	w     *wires
+type networkListener struct {
+	w     *network
 	addr  string
 	conns chan net.Conn
 	end   chan struct{}
 	once  sync.Once
 }
 
-func (e *ear) Accept() (net.Conn, error) {
+func (e *networkListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-e.conns:
 		return c, nil
@@ -116,7 +116,7 @@
 	}
 }
 
-func (e *ear) Close() error {
+func (e *networkListener) Close() error {
 	e.once.Do(func() {
 		close(e.end)
 		e.w.mu.Lock()
@@ -126,17 +126,17 @@
 	return nil
 }
 
-func (e *ear) Addr() net.Addr { return &net.UnixAddr{Name: e.addr} }
+func (e *networkListener) Addr() net.Addr { return &net.UnixAddr{Name: e.addr} }
 
-func (w *wires) listen(addr string) net.Listener {
+func (w *network) listen(addr string) net.Listener {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := &ear{w: w, addr: addr, conns: make(chan net.Conn, 64), end: make(chan struct{})}
+	e := &networkListener{w: w, addr: addr, conns: make(chan net.Conn, 64), end: make(chan struct{})}
 	w.listeners[addr] = e.conns
 	return e
 }
 
-func (w *wires) dial(_ context.Context, _, addr string) (net.Conn, error) {
+func (w *network) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l, ok := w.listeners[addr]
@@ -146,29 +146,29 @@
 	a, b := net.Pipe()
 	l <- b
 	w.dials++
-	return wire{Conn: a, w: w, addr: addr, dial: w.dials}, nil
+	return networkConn{Conn: a, network: w, addr: addr, number: w.dials}, nil
 }
 
-func (w *wires) hush(addr string, s bool) {
+func (w *network) silence(addr string, s bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent[addr] = s
 }
 
-// forget lets every open connection go silent for good, while new ones work.
-func (w *wires) forget() {
+// silenceOpenConns lets every open connection go silent for good, while new ones work.
+func (w *network) silenceOpenConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = w.dials
+	w.silentUpTo = w.dials
 }
 
-// service is the platform's service, whose reads can fail.
-type service struct {
+// flakyStore is the platform's flakyStore, whose reads can fail.
+type flakyStore struct {
 	keyval.Store
 	down atomic.Bool
 }
 
-func (s *service) Get(ctx context.Context, key string) (keyval.Item, error) {
+func (s *flakyStore) Get(ctx context.Context, key string) (keyval.Item, error) {
 	if s.down.Load() {
 		return keyval.Item{}, keyval.ErrDown
 	}
@@ -177,36 +177,36 @@
 
 // fleet is the entries of one data centre.
 type fleet struct {
-	t     testing.TB
-	store *service
-	wires *wires
-	addrs []Address
-	nodes []*node
-	lives int64
+	t               testing.TB
+	store           *flakyStore
+	network         *network
+	addrs           []Address
+	nodes           []*node
+	lastIncarnation int64
 }
 
 func newFleet(t testing.TB) *fleet {
-	return &fleet{t: t, store: &service{Store: keyval.NewMemory()}, wires: &wires{listeners: map[string]chan net.Conn{}, silent: map[string]bool{}}}
+	return &fleet{t: t, store: &flakyStore{Store: keyval.NewMemory()}, network: &network{listeners: map[string]chan net.Conn{}, silent: map[string]bool{}}}
 }
 
 // start begins a life of an entry.
 func (f *fleet) start(entry string) *node {
-	f.lives++
-	addr := fmt.Sprintf("%s-%d:1", entry, f.lives)
-	return f.serve(entry, "east", f.wires.listen(addr), addr, NewClient(WithDial(f.wires.dial)))
+	f.lastIncarnation++
+	addr := fmt.Sprintf("%s-%d:1", entry, f.lastIncarnation)
+	return f.serve(entry, "east", f.network.listen(addr), addr, NewClient(WithDial(f.network.dial)))
 }
 
 // startAt begins a life of an entry of a data centre on the machine's loopback.
 func (f *fleet) startAt(entry, dataCentre string) *node {
 	l, err := (&net.ListenConfig{}).Listen(f.t.Context(), "tcp", "127.0.0.1:0")
 	is.New(f.t).NoErr(err)
-	f.lives++
+	f.lastIncarnation++
 	return f.serve(entry, dataCentre, l, l.Addr().String(), NewClient())
 }
 
 func (f *fleet) serve(entry, dataCentre string, l net.Listener, addr string, c *Client) *node {
-	m := ledger.Member{Entry: entry, Addr: addr, Incarnation: f.lives}
-	n := &node{Keeper: NewKeeper(m, dataCentre, []string{"east", "west"}, f.store, c), conf: &quiet{}}
+	m := ledger.Member{Entry: entry, Addr: addr, Incarnation: f.lastIncarnation}
+	n := &node{Keeper: NewKeeper(m, dataCentre, []string{"east", "west"}, f.store, c), conf: &fakeState{}}
 	n.beater = NewBeater(n.Keeper, c, n.conf, WithLeader(func() string { return "b" }))
 	f.addrs = append(f.addrs, NewAddress(entry, m.Addr, dataCentre))
 	f.nodes = append(f.nodes, n)
@@ -218,15 +218,15 @@
 	g.Go(func() error { return n.Run(x) })
 	g.Go(func() error { return n.beater.Run(x) })
 	g.Go(func() error {
-		return NewServer(Service{n.Keeper, n.beater, lender{}}, WithStopWithin(time.Second)).Serve(x, l)
+		return NewServer(Service{n.Keeper, n.beater, fakeLender{}}, WithStopWithin(time.Second)).Serve(x, l)
 	})
 	n.ctx, n.group, n.end = x, g, func() { end(); _ = g.Wait(); c.Close() }
 	f.t.Cleanup(n.kill)
 	return n
 }
 
-// gone tells the entry that started last and lives what the platform's list says; the others learn it from beats.
-func (f *fleet) gone(l ...string) {
+// reportGone tells the entry that started last and lives what the platform's list says; the others learn it from beats.
+func (f *fleet) reportGone(l ...string) {
 	for _, n := range slices.Backward(f.nodes) {
 		if n.ctx.Err() == nil {
 			n.Gone(l)
@@ -239,7 +239,7 @@
 func (f *fleet) inForce(l ...*node) {
 	f.t.Helper()
 	for range 4000 {
-		if agreed(l) {
+		if haveSameRoster(l) {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -250,7 +250,7 @@
 	f.t.Fatal("no roster in force")
 }
 
-func agreed(l []*node) bool {
+func haveSameRoster(l []*node) bool {
 	for _, n := range l {
 		r := n.Roster(n.dataCentre)
 		if len(r.Members()) != len(l) || n.Holding() != r.Number() || r.Number() != l[0].Holding() {
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	tickEvery    = 200 * time.Millisecond
-	confirmBatch = 10_000 // claims that share one read
+	tickInterval    = 200 * time.Millisecond
+	confirmBatchMax = 10_000 // claims that share one read
 )
 
 // Keeper runs the ledger for one entry: it holds records for its data centre and claims keys for the entry's requests.
@@ -28,21 +28,21 @@
 	now         func() time.Time
 	bookOptions []ledger.BookOption
 
-	mu         sync.Mutex
-	book       *ledger.Book
-	membership *ledger.Membership
-	rosters    map[string]ledger.Roster
-	written    keyval.Revision // of the own roster's key as last read
-	stored     int64           // number of the roster that the service holds
-	read       bool            // whether the service's roster has been read
-	changed    func()          // told after a new roster or state
+	mu            sync.Mutex
+	book          *ledger.Book
+	membership    *ledger.Membership
+	rosters       map[string]ledger.Roster
+	storeRevision keyval.Revision // of the own roster's key as last read
+	storedNumber  int64           // number of the roster that the service holds
+	storeRead     bool            // whether the service's roster has been read
+	onChange      func()          // told after a new roster or state
 
-	adopted chan struct{}
-	asks    chan string // data centres whose roster is to be read
-	settles *outbox
-	// confirms join the requests that wait for a read of a data centre's roster.
-	confirms map[string]*joiner[struct{}, int64]
-	lease    storeLease
+	rosterAdopted   chan struct{}
+	refreshRequests chan string // data centres whose roster is to be read
+	outbox          *outbox
+	// confirmBatchers join the requests that wait for a read of a data centre's roster.
+	confirmBatchers map[string]*batcher[struct{}, int64]
+	lease           storeLease
 }
 
 // KeeperOption changes a new Keeper.
@@ -61,16 +61,16 @@
 	k := &Keeper{
 		self: self, dataCentre: dataCentre, dataCentres: dataCentres, store: s, client: c, log: zerolog.Nop(), now: time.Now,
 		membership: ledger.NewMembership(self, dataCentre), rosters: map[string]ledger.Roster{},
-		adopted: make(chan struct{}, 1), asks: make(chan string, len(dataCentres)), changed: func() {},
+		rosterAdopted: make(chan struct{}, 1), refreshRequests: make(chan string, len(dataCentres)), onChange: func() {},
 	}
 	for _, f := range o {
 		f(k)
 	}
 	k.book = ledger.NewBook(self, k.bookOptions...)
-	k.settles = newOutbox(k)
-	k.confirms = map[string]*joiner[struct{}, int64]{}
+	k.outbox = newOutbox(k)
+	k.confirmBatchers = map[string]*batcher[struct{}, int64]{}
 	for _, d := range dataCentres {
-		k.confirms[d] = newJoiner[struct{}, int64](1, confirmBatch)
+		k.confirmBatchers[d] = newBatcher[struct{}, int64](1, confirmBatchMax)
 	}
 	return k
 }
@@ -78,11 +78,11 @@
 // Run keeps rosters and records until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
-	g.Go(func() error { return k.watch(c) })
-	g.Go(func() error { return k.readOthers(c) })
-	g.Go(func() error { return k.tick(c) })
-	g.Go(func() error { return k.pull(c) })
-	g.Go(func() error { return k.settles.run(c) })
+	g.Go(func() error { return k.watchLoop(c) })
+	g.Go(func() error { return k.refreshLoop(c) })
+	g.Go(func() error { return k.tickLoop(c) })
+	g.Go(func() error { return k.pullLoop(c) })
+	g.Go(func() error { return k.outbox.run(c) })
 	return g.Wait()
 }
 
@@ -122,13 +122,13 @@
 	}
 	r, err := ledger.ParseRoster(doc)
 	if err != nil {
-		return fail("roster", "", err)
+		return wrapErr("roster", "", err)
 	}
-	k.adopt(r)
+	k.adoptRoster(r)
 	return nil
 }
 
-func (k *Keeper) adopt(r ledger.Roster) {
+func (k *Keeper) adoptRoster(r ledger.Roster) {
 	k.mu.Lock()
 	if r.Number() <= k.rosters[r.DataCentre()].Number() {
 		k.mu.Unlock()
@@ -141,14 +141,14 @@
 		k.membership.Adopt(m)
 		k.book.Adopt(m)
 	}
-	f := k.changed
+	f := k.onChange
 	k.mu.Unlock()
 	if !own {
 		return
 	}
 	k.log.Info().Str("step", "roster").Int64("number", r.Number()).Int("members", len(r.Members())).Msg("adopted")
 	select {
-	case k.adopted <- struct{}{}:
+	case k.rosterAdopted <- struct{}{}:
 	default:
 	}
 	f()
@@ -156,7 +156,7 @@
 
 // Claim implements Relay.
 func (k *Keeper) Claim(_ context.Context, r *ClaimRequest) (*ClaimReply, error) {
-	o := toReply(k.claimHere(ledger.ClaimMsg{
+	o := toReply(k.claimLocal(ledger.ClaimMsg{
 		ID: ledger.NewID(r.GetKey()), Roster: r.GetRoster(), Attempt: ledger.NewAttempt(r.GetAttempt()), Digest: ledger.NewDigest(r.GetDigest()),
 	}))
 	own := k.Roster(k.dataCentre)
@@ -165,12 +165,12 @@
 	case own.Number() > r.GetRoster():
 		o.RosterDocument = own.Marshal()
 	case own.Number() < r.GetRoster():
-		k.ask(k.dataCentre)
+		k.requestRefresh(k.dataCentre)
 	}
 	return o, nil
 }
 
-func (k *Keeper) claimHere(m ledger.ClaimMsg) ledger.ClaimReply {
+func (k *Keeper) claimLocal(m ledger.ClaimMsg) ledger.ClaimReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m.Now = k.now()
@@ -179,14 +179,14 @@
 
 // Settle implements Relay.
 func (k *Keeper) Settle(_ context.Context, r *SettleRequest) (*SettleReply, error) {
-	k.settleHere(ledger.Record{
+	k.settleLocal(ledger.Record{
 		ID: ledger.NewID(r.GetKey()), Attempt: ledger.NewAttempt(r.GetAttempt()), Phase: fromPhase(r.GetPhase()),
 		Status: int(r.GetStatus()), ContentType: r.GetContentType(), Answer: r.GetAnswer(), Kept: r.GetKept(),
 	})
 	return &SettleReply{Roster: k.Roster(k.dataCentre).Number()}, nil
 }
 
-func (k *Keeper) settleHere(r ledger.Record) {
+func (k *Keeper) settleLocal(r ledger.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.book.Settle(ledger.SettleMsg{Now: k.now(), Record: r})
@@ -231,23 +231,23 @@
 func (k *Keeper) Leave(ctx context.Context) error {
 	k.mu.Lock()
 	k.membership.Stop()
-	f := k.changed
+	f := k.onChange
 	k.mu.Unlock()
 	f()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	for !k.left() {
+	for !k.handedOver() {
 		select {
 		case <-ctx.Done():
-			return fail("leave", k.self.Entry, ctx.Err())
+			return wrapErr("leave", k.self.Entry, ctx.Err())
 		case <-t.C:
 		}
 	}
-	return k.settles.drain(ctx)
+	return k.outbox.drain(ctx)
 }
 
-// left reports whether no other entry needs this one's records any more.
-func (k *Keeper) left() bool {
+// handedOver reports whether no other entry needs this one's records any more.
+func (k *Keeper) handedOver() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r := k.rosters[k.dataCentre]
@@ -259,15 +259,15 @@
 	return !in && k.membership.Complete()
 }
 
-// hear notes what another entry of the data centre said.
-func (k *Keeper) hear(m ledger.BeatMsg) {
+// recordBeat notes what another entry of the data centre said.
+func (k *Keeper) recordBeat(m ledger.BeatMsg) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.Beat(m)
 }
 
-// missing returns the members that this entry has not heard, and those that the platform's list says are gone.
-func (k *Keeper) missing() (unheard, gone []string) {
+// unheardAndGone returns the members that this entry has not heard, and those that the platform's list says are gone.
+func (k *Keeper) unheardAndGone() (unheard, gone []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
@@ -283,6 +283,6 @@
 // Wait returns when this entry holds a roster, or when ctx ends.
 func (k *Keeper) Wait(ctx context.Context) {
 	for k.Holding() == 0 && ctx.Err() == nil {
-		pause(ctx, tickEvery/4)
+		sleep(ctx, tickInterval/4)
 	}
 }
--- a/node/relay/keeper_test.go
+++ b/node/relay/keeper_test.go
@@ -66,8 +66,8 @@
 	t.Settle(ledger.Answered, 200, "text/plain", []byte("answer of "+key))
 }
 
-// inBubble runs a case with a fleet of the entries in a bubble whose time is not the machine's.
-func inBubble(t *testing.T, name string, entries []string, f func(*is.I, *fleet, []*node)) {
+// inVirtualTime runs a case with a fleet of the entries in a bubble whose time is not the machine's.
+func inVirtualTime(t *testing.T, name string, entries []string, f func(*is.I, *fleet, []*node)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			w := newFleet(t)
@@ -83,58 +83,58 @@
 
 func TestKeeper(t *testing.T) {
 	three := []string{"a", "b", "c"}
-	inBubble(t, "a holder dies between claim and settle", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a holder dies between claim and settle", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		k := granted(i, n[0], key, "1")
 		n[1].kill()
 		answer(k, key)
-		f.gone("b")
+		f.reportGone("b")
 		f.inForce(n[0], n[2])
 		time.Sleep(2 * time.Second)
 		keptAnswer(i, n[0], key, "2")
 		keptAnswer(i, n[2], key, "3")
 	})
-	inBubble(t, "the claimant dies before it settles", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "the claimant dies before it settles", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		granted(i, n[0], key, "1")
 		n[0].kill()
 		repeated(i, n[1], key, "2", ledger.Claimed)
-		f.gone("a")
+		f.reportGone("a")
 		f.inForce(n[1], n[2])
 		repeated(i, n[2], key, "3", ledger.Claimed)
 	})
-	inBubble(t, "a copy that did not run leaves the key free", three, func(i *is.I, _ *fleet, n []*node) {
+	inVirtualTime(t, "a copy that did not run leaves the key free", three, func(i *is.I, _ *fleet, n []*node) {
 		granted(i, n[0], "east/x", "1").Settle(ledger.NotRun, 0, "", nil)
 		time.Sleep(time.Second)
-		i.NoErr(n[0].settles.drain(n[0].ctx))
-		i.Equal(n[0].settles.dropped, 0)
+		i.NoErr(n[0].outbox.drain(n[0].ctx))
+		i.Equal(n[0].outbox.dropped, 0)
 		granted(i, n[1], "east/x", "2")
 		repeated(i, n[2], "east/x", "3", ledger.Claimed)
 	})
-	inBubble(t, "another request under the key", three, func(i *is.I, _ *fleet, n []*node) {
+	inVirtualTime(t, "another request under the key", three, func(i *is.I, _ *fleet, n []*node) {
 		granted(i, n[0], "east/x", "1")
 		_, err := n[1].Take(n[1].ctx, "east/x", []byte("other"), "2")
 		var r *RefusedError
 		i.True(errors.As(err, &r))
 		i.Equal(r.Reason(), ledger.OtherRequest)
 	})
-	inBubble(t, "a planned stop waits until the records are handed over", three, func(i *is.I, f *fleet, n []*node) {
-		f.wires.hush(n[1].self.Addr, true)
-		f.wires.hush(n[2].self.Addr, true) // a can pull from nobody
+	inVirtualTime(t, "a planned stop waits until the records are handed over", three, func(i *is.I, f *fleet, n []*node) {
+		f.network.silence(n[1].self.Addr, true)
+		f.network.silence(n[2].self.Addr, true) // a can pull from nobody
 		c, end := context.WithTimeout(n[1].ctx, 3*time.Second)
 		defer end()
 		i.True(errors.Is(n[1].Leave(c), context.DeadlineExceeded))
 		_, in := n[0].Roster("east").Member("b")
 		i.True(!in)
 	})
-	inBubble(t, "a planned stop hands over first", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a planned stop hands over first", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		answer(granted(i, n[0], key, "1"), key)
 		time.Sleep(time.Second)
 		i.NoErr(n[1].Leave(n[1].ctx))
 		n[1].kill()
 		n[2].kill() // the other holder dies at once
-		f.gone("c")
+		f.reportGone("c")
 		f.inForce(n[0])
 		keptAnswer(i, n[0], key, "2")
 	})
@@ -142,7 +142,7 @@
 
 func TestKeeperLosses(t *testing.T) {
 	three := []string{"a", "b", "c"}
-	inBubble(t, "a holder that cannot be reached is removed when unheard", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a holder that cannot be reached is removed when unheard", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		n[1].kill()
 		start := time.Now()
@@ -154,13 +154,13 @@
 		f.inForce(n[0], n[2])
 		granted(i, n[0], key, "2")
 	})
-	inBubble(t, "both holders die", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "both holders die", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		granted(i, n[0], key, "1")
 		n[1].kill()
 		n[2].kill()
 		refused(i, n[0], key, "2", ledger.Unreachable, false)
-		f.gone("b", "c")
+		f.reportGone("b", "c")
 		f.inForce(n[0])
 		refused(i, n[0], key, "3", ledger.Lost, false)
 		time.Sleep(ledger.Remember - 15*time.Second)
@@ -168,7 +168,7 @@
 		time.Sleep(20 * time.Second)
 		granted(i, n[0], key, "5")
 	})
-	inBubble(t, "an entry restarts with nothing", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "an entry restarts with nothing", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		answer(granted(i, n[0], key, "1"), key)
 		time.Sleep(time.Second)
@@ -176,23 +176,23 @@
 		b := f.start("b")
 		f.inForce(n[0], b, n[2])
 		n[2].kill()
-		f.gone("c")
+		f.reportGone("c")
 		f.inForce(n[0], b)
 		keptAnswer(i, b, key, "2")
 	})
-	inBubble(t, "a lone entry uses the platform's service", []string{"a"}, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a lone entry uses the platform's service", []string{"a"}, func(i *is.I, f *fleet, n []*node) {
 		granted(i, n[0], "east/x", "1")
 		granted(i, n[0], "east/y", "1").Settle(ledger.NotRun, 0, "", nil)
 		time.Sleep(time.Second)
 		n[0].kill()
 		b, c := f.start("b"), f.start("c")
-		f.gone("a")
+		f.reportGone("a")
 		f.inForce(b, c)
 		repeated(i, b, "east/x", "2", ledger.Claimed)
 		granted(i, c, "east/y", "2")
 		repeated(i, b, "east/y", "3", ledger.Claimed)
 	})
-	inBubble(t, "records end after their time", three, func(i *is.I, _ *fleet, n []*node) {
+	inVirtualTime(t, "records end after their time", three, func(i *is.I, _ *fleet, n []*node) {
 		answer(granted(i, n[0], "east/x", "1"), "east/x")
 		time.Sleep(ledger.Remember - time.Second)
 		keptAnswer(i, n[1], "east/x", "2")
@@ -202,23 +202,23 @@
 }
 
 func TestSilentPeer(t *testing.T) {
-	inBubble(t, "connections that go silent", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "connections that go silent", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		f.wires.hush(n[1].self.Addr, true)
+		f.network.silence(n[1].self.Addr, true)
 		start := time.Now()
 		refused(i, n[0], key, "1", ledger.Unreachable, true)
 		i.True(time.Since(start) <= ledger.ClaimWithin)
 		time.Sleep(time.Second)
 		start = time.Now()
 		refused(i, n[0], key, "2", ledger.Unreachable, true)
-		i.True(time.Since(start) <= callWithin) // the circuit is open
-		f.wires.hush(n[1].self.Addr, false)
+		i.True(time.Since(start) <= callTimeout) // the circuit is open
+		f.network.silence(n[1].self.Addr, false)
 		time.Sleep(3 * time.Second)
 		for _, k := range keysHeldBy(n[0], "b", "c", 4) {
 			granted(i, n[0], k, "3") // the circuit is closed again
 		}
 	})
-	inBubble(t, "open connections that go silent while new ones work", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "open connections that go silent while new ones work", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
 		g := errgroup.Group{}
 		for range 8 { // so that several connections are open
 			g.Go(func() error {
@@ -227,7 +227,7 @@
 			})
 		}
 		i.NoErr(g.Wait())
-		f.wires.forget()
+		f.network.silenceOpenConns()
 		granted(i, n[0], keyHeldBy(n[0], "b", "c"), "1")
 	})
 }
@@ -241,9 +241,9 @@
 	k := granted(i, a, key, "1")
 	b.kill()
 	answer(k, key)
-	f.gone("b")
+	f.reportGone("b")
 	f.inForce(a, c)
-	i.NoErr(a.settles.drain(a.ctx))
+	i.NoErr(a.outbox.drain(a.ctx))
 	keptAnswer(i, c, key, "2")
 	keptAnswer(i, a, key, "3")
 }
@@ -254,7 +254,7 @@
 	f.inForce(a)
 	f.inForce(b, c)
 	i := is.New(t)
-	i.NoErr(a.refresh(a.ctx, "west"))
+	i.NoErr(a.refreshRoster(a.ctx, "west"))
 	k := granted(i, a, "west/x", "1")
 	answer(k, "west/x")
 	for {
@@ -274,7 +274,7 @@
 }
 
 func TestBeats(t *testing.T) {
-	inBubble(t, "changes pass from entry to entry", []string{"a", "b"}, func(i *is.I, _ *fleet, n []*node) {
+	inVirtualTime(t, "changes pass from entry to entry", []string{"a", "b"}, func(i *is.I, _ *fleet, n []*node) {
 		n[0].conf.Offer([][]byte{{1}}, nil)
 		n[0].beater.Kick()
 		synctest.Wait()
@@ -284,7 +284,7 @@
 		i.Equal(h[0].Address().Entry(), "a")
 		i.Equal(h[0].Applied(), int64(1))
 	})
-	inBubble(t, "loads go to the leader alone", []string{"a", "b", "c"}, func(i *is.I, _ *fleet, n []*node) {
+	inVirtualTime(t, "loads go to the leader alone", []string{"a", "b", "c"}, func(i *is.I, _ *fleet, n []*node) {
 		time.Sleep(5 * time.Second)
 		for k, p := range n[1].beater.Heard() { // b leads
 			i.Equal(len(p.Loads()), 1)
@@ -292,10 +292,10 @@
 			i.Equal(len(n[2*k].beater.Heard()[0].Loads()), 0)
 		}
 	})
-	inBubble(t, "a claim ends with its caller", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a claim ends with its caller", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		f.wires.hush(n[1].self.Addr, true)
-		f.wires.hush(n[2].self.Addr, true)
+		f.network.silence(n[1].self.Addr, true)
+		f.network.silence(n[2].self.Addr, true)
 		c, end := context.WithTimeout(n[0].ctx, 100*time.Millisecond)
 		defer end()
 		_, err := n[0].Take(c, key, body, "1")
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	outboxMax      = 65_536 // jobs
-	outboxAnswers  = 8 << 20
-	settleLinger   = 5 * time.Millisecond
-	settleAgain    = 500 * time.Millisecond
-	settleWithin   = 5 * time.Minute
-	settleBatch    = 256       // jobs in one call
-	settleBytes    = 512 << 10 // answers in one call
-	settleCallsMax = 16
+	outboxMax            = 65_536 // jobs
+	outboxAnswerBytesMax = 8 << 20
+	settleBatchDelay     = 5 * time.Millisecond
+	settleRetryInterval  = 500 * time.Millisecond
+	settleTimeout        = 5 * time.Minute
+	settleBatchMax       = 256       // jobs in one call
+	settleBatchBytesMax  = 512 << 10 // answers in one call
+	settleConcurrency    = 16
 )
 
-// job tells the holders of a key what became of one copy.
-type job struct {
-	out          *outbox
+// settlement tells the holders of a key what became of one copy.
+type settlement struct {
+	outbox       *outbox
 	home         string
 	key, attempt string
 	record       ledger.Record
 	holders      []ledger.Member // that were asked
-	store        bool            // whether the platform's service may have the key
-	told         []string        // entries that have it
-	missed       bool            // whether someone who must know could not be told in this round
-	until        time.Time
+	mayBeStored  bool            // whether the platform's service may have the key
+	confirmed    []string        // entries that have it
+	needsRetry   bool            // whether someone who must know could not be told in this round
+	deadline     time.Time
 }
 
 // outbox is the jobs that have not reached all holders yet.
@@ -41,34 +41,34 @@
 	k    *Keeper
 	wake chan struct{}
 
-	mu      sync.Mutex
-	jobs    []*job // to be done now
-	later   []*job // to be done again
-	waiting int
-	bytes   int // of the answers that wait
-	dropped int
+	mu          sync.Mutex
+	pending     []*settlement // to be done now
+	retries     []*settlement // to be done again
+	unfinished  int
+	answerBytes int // of the answers that wait
+	dropped     int
 }
 
 func newOutbox(k *Keeper) *outbox { return &outbox{k: k, wake: make(chan struct{}, 1)} }
 
-// send hands the job over; when too many wait it is dropped, which leaves its key claimed until that lapses.
-func (j *job) send() {
-	o := j.out
-	j.until = o.k.now().Add(settleWithin)
-	j.here()
+// enqueue hands the job over; when too many wait it is dropped, which leaves its key claimed until that lapses.
+func (j *settlement) enqueue() {
+	o := j.outbox
+	j.deadline = o.k.now().Add(settleTimeout)
+	j.settleLocal()
 	o.mu.Lock()
-	full := o.waiting >= outboxMax
-	if o.bytes+len(j.record.Answer) > outboxAnswers {
+	full := o.unfinished >= outboxMax
+	if o.answerBytes+len(j.record.Answer) > outboxAnswerBytesMax {
 		j.record.Kept, j.record.Answer = false, nil
 	}
-	o.waiting++
-	o.bytes += len(j.record.Answer)
+	o.unfinished++
+	o.answerBytes += len(j.record.Answer)
 	if !full {
-		o.jobs = append(o.jobs, j)
+		o.pending = append(o.pending, j)
 	}
 	o.mu.Unlock()
 	if full {
-		o.end(j, true)
+		o.finish(j, true)
 		return
 	}
 	select {
@@ -77,20 +77,20 @@
 	}
 }
 
-// here settles at this very entry at once.
-func (j *job) here() {
-	k := j.out.k
+// settleLocal settles at this very entry at once.
+func (j *settlement) settleLocal() {
+	k := j.outbox.k
 	if j.home != k.dataCentre || !slices.Contains(j.holders, k.self) {
 		return
 	}
-	k.settleHere(j.record)
-	j.told = append(j.told, k.self.Entry)
+	k.settleLocal(j.record)
+	j.confirmed = append(j.confirmed, k.self.Entry)
 }
 
-func (o *outbox) end(j *job, dropped bool) {
+func (o *outbox) finish(j *settlement, dropped bool) {
 	o.mu.Lock()
-	o.waiting--
-	o.bytes -= len(j.record.Answer)
+	o.unfinished--
+	o.answerBytes -= len(j.record.Answer)
 	if dropped {
 		o.dropped++
 	}
@@ -103,7 +103,7 @@
 // run performs the jobs, many at a time, until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
-	g.Go(func() error { return o.repeat(c) })
+	g.Go(func() error { return o.retryLoop(c) })
 	g.Go(func() error {
 		for {
 			select {
@@ -111,24 +111,24 @@
 				return nil
 			case <-o.wake:
 			}
-			pause(c, settleLinger)
+			sleep(c, settleBatchDelay)
 			o.mu.Lock()
-			l := o.jobs
-			o.jobs = nil
+			l := o.pending
+			o.pending = nil
 			o.mu.Unlock()
-			o.do(c, l)
+			o.deliver(c, l)
 		}
 	})
 	return g.Wait()
 }
 
-// repeat hands the jobs that failed back.
-func (o *outbox) repeat(ctx context.Context) error {
+// retryLoop hands the jobs that failed back.
+func (o *outbox) retryLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, settleAgain)
+		sleep(ctx, settleRetryInterval)
 		o.mu.Lock()
-		if len(o.later) > 0 {
-			o.jobs, o.later = append(o.jobs, o.later...), nil
+		if len(o.retries) > 0 {
+			o.pending, o.retries = append(o.pending, o.retries...), nil
 			select {
 			case o.wake <- struct{}{}:
 			default:
@@ -139,89 +139,89 @@
 	return nil
 }
 
-// parcel is what one call tells one holder.
-type parcel struct {
-	to    ledger.Member
-	jobs  []*job
-	bytes int
-	known int64 // newest roster that the holder knows
-	err   error
+// settleBatch is what one call tells one holder.
+type settleBatch struct {
+	to          ledger.Member
+	settlements []*settlement
+	bytes       int
+	roster      int64 // newest roster that the holder knows
+	err         error
 }
 
-// do tells the holders of all jobs, one call at a time for each holder.
-func (o *outbox) do(ctx context.Context, l []*job) {
-	rounds := map[ledger.Member][]*parcel{}
+// deliver tells the holders of all jobs, one call at a time for each holder.
+func (o *outbox) deliver(ctx context.Context, l []*settlement) {
+	batches := map[ledger.Member][]*settleBatch{}
 	for _, j := range l {
-		j.missed = false
-		for _, m := range j.lacking() {
-			rounds[m] = pack(rounds[m], m, j)
+		j.needsRetry = false
+		for _, m := range j.remainingHolders() {
+			batches[m] = addToBatches(batches[m], m, j)
 		}
 	}
-	all := make([][]*parcel, 0, len(rounds))
-	for _, p := range rounds {
+	all := make([][]*settleBatch, 0, len(batches))
+	for _, p := range batches {
 		all = append(all, p)
 	}
-	each(ctx, settleCallsMax, all, func(c context.Context, l []*parcel) {
+	forEach(ctx, settleConcurrency, all, func(c context.Context, l []*settleBatch) {
 		for _, p := range l {
-			p.deliver(c, o.k.client)
+			p.send(c, o.k.client)
 		}
 	})
 	for _, p := range all {
 		for _, q := range p {
-			o.note(q)
+			o.recordResult(q)
 		}
 	}
-	o.sort(ctx, l)
+	o.finishOrRetry(ctx, l)
 }
 
-func pack(l []*parcel, m ledger.Member, j *job) []*parcel {
+func addToBatches(l []*settleBatch, m ledger.Member, j *settlement) []*settleBatch {
 	n := len(j.record.Answer)
-	if len(l) == 0 || len(l[len(l)-1].jobs) >= settleBatch || l[len(l)-1].bytes+n > settleBytes {
-		l = append(l, &parcel{to: m})
+	if len(l) == 0 || len(l[len(l)-1].settlements) >= settleBatchMax || l[len(l)-1].bytes+n > settleBatchBytesMax {
+		l = append(l, &settleBatch{to: m})
 	}
 	p := l[len(l)-1]
-	p.jobs = append(p.jobs, j)
+	p.settlements = append(p.settlements, j)
 	p.bytes += n
 	return l
 }
 
-func (p *parcel) deliver(ctx context.Context, c *Client) {
-	l := make([]*SettleRequest, len(p.jobs))
-	for i, j := range p.jobs {
+func (p *settleBatch) send(ctx context.Context, c *Client) {
+	l := make([]*SettleRequest, len(p.settlements))
+	for i, j := range p.settlements {
 		l[i] = j.request()
 	}
-	p.known, p.err = c.Settle(ctx, p.to.Addr, l)
+	p.roster, p.err = c.Settle(ctx, p.to.Addr, l)
 }
 
-// note tells the jobs of a parcel how it went.
-func (o *outbox) note(p *parcel) {
-	for _, j := range p.jobs {
+// recordResult tells the jobs of a parcel how it went.
+func (o *outbox) recordResult(p *settleBatch) {
+	for _, j := range p.settlements {
 		r := o.k.Roster(j.home)
 		if p.err == nil {
-			j.told = append(j.told, p.to.Entry)
-			j.missed = j.missed || p.known > r.Number()
+			j.confirmed = append(j.confirmed, p.to.Entry)
+			j.needsRetry = j.needsRetry || p.roster > r.Number()
 		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // one that has left has been pulled from or is gone
-			j.missed = true
+			j.needsRetry = true
 		}
 	}
 }
 
-// sort ends the jobs that are done or out of time and keeps the others for later.
-func (o *outbox) sort(ctx context.Context, l []*job) {
+// finishOrRetry ends the jobs that are done or out of time and keeps the others for later.
+func (o *outbox) finishOrRetry(ctx context.Context, l []*settlement) {
 	now := o.k.now()
 	for _, j := range l {
-		if j.store && j.record.Phase == ledger.NotRun && !o.k.unstoreKey(ctx, j.home, j.record) {
-			j.missed = true
+		if j.mayBeStored && j.record.Phase == ledger.NotRun && !o.k.deleteKey(ctx, j.home, j.record) {
+			j.needsRetry = true
 		}
 		switch {
-		case !j.missed:
-			o.end(j, false)
-		case now.After(j.until):
-			o.end(j, true)
+		case !j.needsRetry:
+			o.finish(j, false)
+		case now.After(j.deadline):
+			o.finish(j, true)
 		default:
-			o.k.ask(j.home)
+			o.k.requestRefresh(j.home)
 			o.mu.Lock()
-			o.later = append(o.later, j)
+			o.retries = append(o.retries, j)
 			o.mu.Unlock()
 		}
 	}
@@ -229,11 +229,11 @@
 
 // drain waits until no job is left.
 func (o *outbox) drain(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		o.mu.Lock()
-		n := o.waiting
+		n := o.unfinished
 		o.mu.Unlock()
 		if n == 0 {
 			return nil
@@ -246,9 +246,9 @@
 	}
 }
 
-// lacking returns the holders of now and those that were asked, but for those that have been told.
-func (j *job) lacking() []ledger.Member {
-	r := j.out.k.Roster(j.home)
+// remainingHolders returns the holders of now and those that were asked, but for those that have been told.
+func (j *settlement) remainingHolders() []ledger.Member {
+	r := j.outbox.k.Roster(j.home)
 	l := slices.Clone(j.holders)
 	f, s := r.HoldersOf(j.record.ID)
 	for _, e := range []string{f, s} {
@@ -256,10 +256,10 @@
 			l = append(l, m)
 		}
 	}
-	return slices.DeleteFunc(l, func(m ledger.Member) bool { return slices.Contains(j.told, m.Entry) })
+	return slices.DeleteFunc(l, func(m ledger.Member) bool { return slices.Contains(j.confirmed, m.Entry) })
 }
 
-func (j *job) request() *SettleRequest {
+func (j *settlement) request() *SettleRequest {
 	return &SettleRequest{
 		Key: j.key, Attempt: j.attempt, Phase: Phase(j.record.Phase), Status: int32(j.record.Status),
 		Answer: j.record.Answer, Kept: j.record.Kept, ContentType: j.record.ContentType,
--- a/node/relay/peer.go
+++ b/node/relay/peer.go
@@ -27,13 +27,13 @@
 type Peer struct {
 	address                   Address
 	incarnation               int64
-	at                        time.Time
+	heardAt                   time.Time
 	applied, roster, holding  int64
 	stopping                  bool
 	loads                     []*ServiceLoad
 	drained, leaving, failing []string
 	unheard, gone             []string
-	reported                  time.Time
+	loadsReportedAt           time.Time
 }
 
 // Address returns who and where the peer is.
@@ -43,10 +43,10 @@
 func (p Peer) Incarnation() int64 { return p.incarnation }
 
 // At returns when the peer was last heard.
-func (p Peer) At() time.Time { return p.at }
+func (p Peer) At() time.Time { return p.heardAt }
 
 // Reported returns when the peer last reported its loads.
-func (p Peer) Reported() time.Time { return p.reported }
+func (p Peer) Reported() time.Time { return p.loadsReportedAt }
 
 // Applied returns the newest configuration change in force at the peer.
 func (p Peer) Applied() int64 { return p.applied }
@@ -77,7 +77,7 @@
 }
 
 func (p Peer) beatMsg() ledger.BeatMsg {
-	return ledger.BeatMsg{Now: p.at, Member: p.member(), Holding: p.holding, Stopping: p.stopping, Unheard: p.unheard, Gone: p.gone}
+	return ledger.BeatMsg{Now: p.heardAt, Member: p.member(), Holding: p.holding, Stopping: p.stopping, Unheard: p.unheard, Gone: p.gone}
 }
 
 func (p *Peer) fromRequest(r *BeatRequest) {
@@ -85,7 +85,7 @@
 	p.unheard, p.gone, p.leaving = r.GetUnheard(), r.GetGone(), r.GetLeaving()
 	p.drained, p.failing = r.GetDrained(), r.GetFailing()
 	if !r.GetNoLoads() {
-		p.loads, p.reported = r.GetLoads(), p.at
+		p.loads, p.loadsReportedAt = r.GetLoads(), p.heardAt
 	}
 }
 
--- a/node/relay/roster.go
+++ b/node/relay/roster.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	rosterWatchFor   = 30 * time.Second
-	rosterAgain      = time.Second
-	rosterAgainMax   = 8 * time.Second
-	othersEvery      = 60 * time.Second
-	unreachedAfter   = 5 * time.Second
-	pullEvery        = 100 * time.Millisecond
-	pullTasks        = 8
-	storeCallsWithin = 2 * time.Second
+	rosterWatchTimeout    = 30 * time.Second
+	rosterRetryDelay      = time.Second
+	rosterRetryDelayMax   = 8 * time.Second
+	rosterRefreshInterval = 60 * time.Second
+	unreachableAfter      = 5 * time.Second
+	pullInterval          = 100 * time.Millisecond
+	pullConcurrency       = 8
+	rosterStoreTimeout    = 2 * time.Second
 )
 
 func rosterKey(dataCentre string) string { return "dc/" + dataCentre + "/roster" }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -31,47 +31,47 @@
 	}
 }
 
-// ask wants a data centre's roster read from the service soon.
-func (k *Keeper) ask(dataCentre string) {
+// requestRefresh wants a data centre's roster read from the service soon.
+func (k *Keeper) requestRefresh(dataCentre string) {
 	select {
-	case k.asks <- dataCentre:
+	case k.refreshRequests <- dataCentre:
 	default:
 	}
 }
 
-// watch follows the own roster in the platform's service, more slowly while the service is down.
-func (k *Keeper) watch(ctx context.Context) error {
-	wait := rosterAgain
+// watchLoop follows the own roster in the platform's service, more slowly while the service is down.
+func (k *Keeper) watchLoop(ctx context.Context) error {
+	wait := rosterRetryDelay
 	for ctx.Err() == nil {
 		start := k.now()
-		k.follow(ctx)
-		if wait *= 2; k.now().Sub(start) > rosterAgainMax {
-			wait = rosterAgain
+		k.watchUntilError(ctx)
+		if wait *= 2; k.now().Sub(start) > rosterRetryDelayMax {
+			wait = rosterRetryDelay
 		}
-		wait = min(wait, rosterAgainMax)
-		pause(ctx, wait/2+rand.N(wait/2))
+		wait = min(wait, rosterRetryDelayMax)
+		sleep(ctx, wait/2+rand.N(wait/2))
 	}
 	return nil
 }
 
-// follow reads and watches the own roster until a call fails.
-func (k *Keeper) follow(ctx context.Context) {
+// watchUntilError reads and watches the own roster until a call fails.
+func (k *Keeper) watchUntilError(ctx context.Context) {
 	key := rosterKey(k.dataCentre)
 	_, rev, err := k.store.List(ctx, key, "", 1)
 	if err == nil {
-		err = k.refresh(ctx, k.dataCentre)
+		err = k.refreshRoster(ctx, k.dataCentre)
 	}
 	for err == nil && ctx.Err() == nil {
 		var e []keyval.Event
-		if e, rev, err = k.store.Watch(ctx, key, rev, rosterWatchFor); err == nil && len(e) > 0 {
-			err = k.refresh(ctx, k.dataCentre)
+		if e, rev, err = k.store.Watch(ctx, key, rev, rosterWatchTimeout); err == nil && len(e) > 0 {
+			err = k.refreshRoster(ctx, k.dataCentre)
 		}
 	}
 }
 
-// refresh reads a data centre's roster from the service.
-func (k *Keeper) refresh(ctx context.Context, dataCentre string) error {
-	t, end := context.WithTimeout(ctx, storeCallsWithin)
+// refreshRoster reads a data centre's roster from the service.
+func (k *Keeper) refreshRoster(ctx context.Context, dataCentre string) error {
+	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
 	i, err := k.store.Get(t, rosterKey(dataCentre))
 	if err != nil {
@@ -85,76 +85,76 @@
 			return nil
 		}
 		n = r.Number()
-		k.adopt(r)
+		k.adoptRoster(r)
 	}
 	if dataCentre == k.dataCentre {
 		k.mu.Lock()
-		k.written, k.stored, k.read = i.Rev(), n, true
+		k.storeRevision, k.storedNumber, k.storeRead = i.Rev(), n, true
 		k.mu.Unlock()
 	}
 	return nil
 }
 
-// readOthers reads the other data centres' rosters now and then, and any roster when it is asked for.
-func (k *Keeper) readOthers(ctx context.Context) error {
+// refreshLoop reads the other data centres' rosters now and then, and any roster when it is asked for.
+func (k *Keeper) refreshLoop(ctx context.Context) error {
 	for _, d := range k.dataCentres {
 		if d != k.dataCentre {
-			_ = k.refresh(ctx, d)
+			_ = k.refreshRoster(ctx, d)
 		}
 	}
-	t := time.NewTicker(othersEvery + rand.N(othersEvery/4))
+	t := time.NewTicker(rosterRefreshInterval + rand.N(rosterRefreshInterval/4))
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-k.asks:
-			_ = k.refresh(ctx, d)
-			pause(ctx, rosterAgain)
+		case d := <-k.refreshRequests:
+			_ = k.refreshRoster(ctx, d)
+			sleep(ctx, rosterRetryDelay)
 		case <-t.C:
 			for _, d := range k.dataCentres {
-				_ = k.refresh(ctx, d)
+				_ = k.refreshRoster(ctx, d)
 			}
 		}
 	}
 }
 
-// tick lets time pass for records and membership, and proposes rosters.
-func (k *Keeper) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+// tickLoop lets time pass for records and membership, and proposes rosters.
+func (k *Keeper) tickLoop(ctx context.Context) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			k.step(ctx)
+			k.tick(ctx)
 		}
 	}
 }
 
-func (k *Keeper) step(ctx context.Context) {
+func (k *Keeper) tick(ctx context.Context) {
 	k.mu.Lock()
 	now := k.now()
 	k.book.Tick(ledger.TickMsg{Now: now})
-	k.tellGone(now)
+	k.markGone(now)
 	k.membership.Beat(k.ownBeat(now))
 	var doc []byte
 	r := k.rosters[k.dataCentre]
 	switch {
-	case !k.read:
-		k.ask(k.dataCentre)
-	case k.stored < r.Number():
+	case !k.storeRead:
+		k.requestRefresh(k.dataCentre)
+	case k.storedNumber < r.Number():
 		doc = r.Marshal() // the service came back older than this entry
-	case k.stored == r.Number():
+	case k.storedNumber == r.Number():
 		if p := k.membership.Tick(ledger.TickMsg{Now: now}); len(p) > 0 {
 			doc = p[0].Roster.Marshal()
 		}
 	}
-	rev := k.written
+	rev := k.storeRevision
 	k.mu.Unlock()
 	if doc != nil {
-		k.propose(ctx, doc, rev)
+		k.proposeRoster(ctx, doc, rev)
 	}
 }
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// tellGone tells the records which former holders are gone.
-func (k *Keeper) tellGone(now time.Time) {
+// markGone tells the records which former holders are gone.
+func (k *Keeper) markGone(now time.Time) {
 	r := k.rosters[k.dataCentre]
 	for _, l := range [][]ledger.Member{r.Previous(), k.book.Lost()} {
 		for _, m := range l {
@@ -176,41 +176,41 @@
 	}
 }
 
-func (k *Keeper) propose(ctx context.Context, doc []byte, rev keyval.Revision) {
-	t, end := context.WithTimeout(ctx, storeCallsWithin)
+func (k *Keeper) proposeRoster(ctx context.Context, doc []byte, rev keyval.Revision) {
+	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
 	_, err := k.store.Put(t, rosterKey(k.dataCentre), doc, rev, 0)
 	if err != nil {
 		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("proposal not written")
 	}
 	k.mu.Lock()
-	k.read = false // the write's answer may be lost; what the service holds counts
+	k.storeRead = false // the write's answer may be lost; what the service holds counts
 	k.mu.Unlock()
-	if k.refresh(ctx, k.dataCentre) != nil {
-		k.ask(k.dataCentre)
+	if k.refreshRoster(ctx, k.dataCentre) != nil {
+		k.requestRefresh(k.dataCentre)
 	}
 }
 
-// pull fetches the records of keys that this entry now holds from those that held them before.
-func (k *Keeper) pull(ctx context.Context) error {
-	since, number := time.Time{}, int64(0)
+// pullLoop fetches the records of keys that this entry now holds from those that held them before.
+func (k *Keeper) pullLoop(ctx context.Context) error {
+	pulledSince, rosterNumber := time.Time{}, int64(0)
 	for {
 		k.mu.Lock()
 		cmds, now := k.book.Pulls(), k.now()
-		if n := k.book.Roster().Number(); n != number {
-			number, since = n, now
+		if n := k.book.Roster().Number(); n != rosterNumber {
+			rosterNumber, pulledSince = n, now
 		}
-		late := now.Sub(since) > unreachedAfter
+		overdue := now.Sub(pulledSince) > unreachableAfter
 		k.mu.Unlock()
-		each(ctx, pullTasks, cmds, func(c context.Context, p ledger.PullCmd) { k.pullFrom(c, p, late) })
-		d := pullEvery
+		forEach(ctx, pullConcurrency, cmds, func(c context.Context, p ledger.PullCmd) { k.pullFrom(c, p, overdue) })
+		d := pullInterval
 		if len(cmds) == 0 {
-			d = tickEvery * 10
+			d = tickInterval * 10
 		}
 		t, end := context.WithTimeout(ctx, d)
 		select {
 		case <-t.Done():
-		case <-k.adopted:
+		case <-k.rosterAdopted:
 		}
 		end()
 		if ctx.Err() != nil {
@@ -220,7 +220,7 @@
 }
 
 // pullFrom pulls every page from one source, or notes that it does not answer.
-func (k *Keeper) pullFrom(ctx context.Context, p ledger.PullCmd, late bool) {
+func (k *Keeper) pullFrom(ctx context.Context, p ledger.PullCmd, overdue bool) {
 	q := &RecordsRequest{Entry: k.self.Entry, Roster: p.Roster, Newcomer: p.Newcomer, RosterDocument: k.Roster(k.dataCentre).Marshal()}
 	for {
 		a, err := k.client.Records(ctx, p.From.Addr, q)
@@ -230,29 +230,29 @@
 			g, err = fromPage(a, now)
 		}
 		if err != nil || !g.Complete {
-			if late {
+			if overdue {
 				k.mu.Lock()
 				k.book.Unreached(ledger.UnreachedMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry})
 				k.mu.Unlock()
 			}
 			return
 		}
-		if !k.take(ledger.PulledMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
+		if !k.applyPage(ledger.PulledMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
 			return
 		}
 		q.After = g.After
 	}
 }
 
-// take hands a page to the book and reports whether there are more; when the roster comes into force peers are told.
-func (k *Keeper) take(m ledger.PulledMsg) bool {
+// applyPage hands a page to the book and reports whether there are more; when the roster comes into force peers are told.
+func (k *Keeper) applyPage(m ledger.PulledMsg) bool {
 	k.mu.Lock()
-	was := k.book.Holding()
+	before := k.book.Holding()
 	k.book.Pulled(m)
-	is, f := k.book.Holding(), k.changed
+	after, f := k.book.Holding(), k.onChange
 	k.mu.Unlock()
-	if is != was {
-		k.log.Info().Str("step", "handover").Int64("number", is).Msg("in force")
+	if after != before {
+		k.log.Info().Str("step", "handover").Int64("number", after).Msg("in force")
 		f()
 	}
 	return m.Page.More
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -14,9 +14,9 @@
 var _ Relay = Service{}
 
 const (
-	headerWithin = 5 * time.Second
-	stopWithin   = 5 * time.Second
-	requestMax   = 4 << 20 // bytes
+	headerTimeout   = 5 * time.Second
+	stopTimeout     = 5 * time.Second
+	maxRequestBytes = 4 << 20 // bytes
 )
 
 // Lender is the entry's side of slot loans.
@@ -34,22 +34,22 @@
 
 // Server answers other entries.
 type Server struct {
-	http *http.Server
-	stop time.Duration
+	http        *http.Server
+	stopTimeout time.Duration
 }
 
 // ServerOption changes a new Server.
 type ServerOption func(*Server)
 
 // WithStopWithin bounds the time that requests in flight have when the server stops.
-func WithStopWithin(d time.Duration) ServerOption { return func(s *Server) { s.stop = d } }
+func WithStopWithin(d time.Duration) ServerOption { return func(s *Server) { s.stopTimeout = d } }
 
 // NewServer returns a server of h.
 func NewServer(h Relay, o ...ServerOption) *Server {
-	s := &Server{stop: stopWithin, http: &http.Server{
-		Handler:           http.MaxBytesHandler(undated(NewRelayServer(h)), requestMax),
-		ReadHeaderTimeout: headerWithin,
-		IdleTimeout:       2 * idleFor,
+	s := &Server{stopTimeout: stopTimeout, http: &http.Server{
+		Handler:           http.MaxBytesHandler(withoutDate(NewRelayServer(h)), maxRequestBytes),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       2 * idleTimeout,
 	}}
 	for _, f := range o {
 		f(s)
@@ -57,8 +57,8 @@
 	return s
 }
 
-// undated leaves out the date, which no entry reads.
-func undated(h http.Handler) http.Handler {
+// withoutDate leaves out the date, which no entry reads.
+func withoutDate(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
 		h.ServeHTTP(w, r)
@@ -70,13 +70,13 @@
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			return fail("serve", l.Addr().String(), err)
+			return wrapErr("serve", l.Addr().String(), err)
 		}
 		return nil
 	})
 	g.Go(func() error {
 		<-c.Done()
-		t, end := context.WithTimeout(context.WithoutCancel(ctx), s.stop)
+		t, end := context.WithTimeout(context.WithoutCancel(ctx), s.stopTimeout)
 		defer end()
 		if err := s.http.Shutdown(t); err != nil {
 			return eris.Wrap(errors.Join(err, s.http.Close()), "relay stop")
--- a/node/relay/store.go
+++ b/node/relay/store.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	storeWithin = 500 * time.Millisecond
-	// confirmEvery spaces the reads that confirm a roster.
-	confirmEvery = 25 * time.Millisecond
-	// storeLeaseFor is the life of a lease under which keys are created; each is used for the first half of it.
-	storeLeaseFor = 2 * ledger.Remember
+	storeTimeout = 500 * time.Millisecond
+	// confirmDelay spaces the reads that confirm a roster.
+	confirmDelay = 25 * time.Millisecond
+	// storeLeaseTTL is the life of a lease under which keys are created; each is used for the first half of it.
+	storeLeaseTTL = 2 * ledger.Remember
 )
 
 // keyDocument is what the platform's service holds of a key.
@@ -28,12 +28,12 @@
 
 // storeLease is the lease under which this entry creates keys.
 type storeLease struct {
-	mu      sync.Mutex
-	id      keyval.LeaseID
-	granted time.Time
+	mu        sync.Mutex
+	id        keyval.LeaseID
+	grantedAt time.Time
 }
 
-func (k *Keeper) keyOf(dataCentre string, id ledger.ID) string {
+func (k *Keeper) keyPath(dataCentre string, id ledger.ID) string {
 	return "dc/" + dataCentre + "/keys/" + id.String()
 }
 
@@ -43,23 +43,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := k.now()
-	if l.id != 0 && now.Sub(l.granted) < storeLeaseFor-ledger.Remember {
+	if l.id != 0 && now.Sub(l.grantedAt) < storeLeaseTTL-ledger.Remember {
 		return l.id, nil
 	}
-	id, err := k.store.Grant(ctx, storeLeaseFor)
+	id, err := k.store.Grant(ctx, storeLeaseTTL)
 	if err != nil {
 		return 0, err
 	}
-	l.id, l.granted = id, now
+	l.id, l.grantedAt = id, now
 	return id, nil
 }
 
-// storeKey creates the key in the platform's service for this copy only.
-func (k *Keeper) storeKey(ctx context.Context, a *attempt) ledger.Msg {
-	t, end := context.WithTimeout(ctx, storeWithin)
+// createKey creates the key in the platform's service for this copy only.
+func (k *Keeper) createKey(ctx context.Context, a *attempt) ledger.Msg {
+	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
 	m := ledger.StoreMsg{Outcome: ledger.StoreFailed}
-	key := k.keyOf(a.home, a.id)
+	key := k.keyPath(a.home, a.id)
 	l, err := k.currentLease(t)
 	if err == nil {
 		_, err = k.store.Put(t, key, mustJSON(keyDocument{Attempt: uint64(a.attempt), Digest: uint64(a.digest)}), keyval.Absent, l)
@@ -68,14 +68,14 @@
 	case err == nil:
 		m.Outcome = ledger.StoreMade
 	case errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnknown):
-		m.Outcome, m.Record = k.readKey(t, key, a)
+		m.Outcome, m.Record = k.resolveWrite(t, key, a)
 	}
 	m.Now = k.now()
 	return m
 }
 
-// readKey settles a write that did not say whether it made the key.
-func (k *Keeper) readKey(ctx context.Context, key string, a *attempt) (ledger.StoreOutcome, ledger.Record) {
+// resolveWrite settles a write that did not say whether it made the key.
+func (k *Keeper) resolveWrite(ctx context.Context, key string, a *attempt) (ledger.StoreOutcome, ledger.Record) {
 	i, err := k.store.Get(ctx, key)
 	var d keyDocument
 	if err != nil || !i.Found() || json.Unmarshal(i.Value(), &d) != nil {
@@ -87,11 +87,11 @@
 	return ledger.StoreTaken, ledger.Record{ID: a.id, Attempt: ledger.Attempt(d.Attempt), Digest: ledger.Digest(d.Digest), Phase: ledger.Claimed}
 }
 
-// unstoreKey removes the key if it is this copy's, and reports whether it is gone.
-func (k *Keeper) unstoreKey(ctx context.Context, home string, r ledger.Record) bool {
-	t, end := context.WithTimeout(ctx, storeWithin)
+// deleteKey removes the key if it is this copy's, and reports whether it is gone.
+func (k *Keeper) deleteKey(ctx context.Context, home string, r ledger.Record) bool {
+	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
-	key := k.keyOf(home, r.ID)
+	key := k.keyPath(home, r.ID)
 	i, err := k.store.Get(t, key)
 	if err != nil {
 		return false
@@ -103,15 +103,15 @@
 	return k.store.Delete(t, key, i.Rev()) == nil
 }
 
-// confirm returns the number of the roster that the platform's service holds now, or zero; many that ask share one read.
-func (k *Keeper) confirm(ctx context.Context, dataCentre string) int64 {
-	j, ok := k.confirms[dataCentre]
+// confirmRoster returns the number of the roster that the platform's service holds now, or zero; many that ask share one read.
+func (k *Keeper) confirmRoster(ctx context.Context, dataCentre string) int64 {
+	j, ok := k.confirmBatchers[dataCentre]
 	if !ok {
 		return 0
 	}
 	n, err := j.do(ctx, struct{}{}, func(l []struct{}) ([]int64, error) {
-		pause(ctx, confirmEvery)
-		t, end := context.WithTimeout(context.WithoutCancel(ctx), storeWithin)
+		sleep(ctx, confirmDelay)
+		t, end := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 		defer end()
 		i, err := k.store.Get(t, rosterKey(dataCentre))
 		if err != nil {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return nil, err
 		}
-		k.adopt(r)
+		k.adoptRoster(r)
 		return slices.Repeat([]int64{r.Number()}, len(l)), nil
 	})
 	if err != nil {
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -8,28 +8,28 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// sendWithin is how long after the claim a send may begin.
-const sendWithin = 5 * time.Second
+// sendWindow is how long after the claim a send may begin.
+const sendWindow = 5 * time.Second
 
 // Ticket allows one copy of a keyed request to be sent, and tells the holders what became of it.
 type Ticket struct {
-	job   *job
-	until time.Time
+	settlement *settlement
+	sendBy     time.Time
 }
 
 // Until returns the time after which the copy must not be sent any more.
-func (t *Ticket) Until() time.Time { return t.until }
+func (t *Ticket) Until() time.Time { return t.sendBy }
 
 // Settle tells the holders, in the background, what became of the copy; it copies answer and may be called once.
 //
 // The phase is Answered, Unknown or NotRun; a whole answer of up to ledger.MaxAnswer bytes is kept for repeats.
 func (t *Ticket) Settle(p ledger.Phase, status int, contentType string, answer []byte) {
-	j := t.job
+	j := t.settlement
 	j.record.Phase, j.record.Status = p, status
 	if p == ledger.Answered && len(answer) <= ledger.MaxAnswer {
 		j.record.Kept, j.record.ContentType, j.record.Answer = true, contentType, bytes.Clone(answer)
 	}
-	j.send()
+	j.enqueue()
 }
 
 // attempt is one copy on its way through its claim.
@@ -60,9 +60,9 @@
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case ledger.GoCmd:
-				return &Ticket{job: a.job(c.Holders, c.Store), until: start.Add(sendWithin)}, nil
+				return &Ticket{settlement: a.newSettlement(c.Holders, c.Store), sendBy: start.Add(sendWindow)}, nil
 			case ledger.RefuseCmd:
-				return nil, a.refused(c)
+				return nil, a.refusal(c)
 			case ledger.RepeatCmd:
 				return nil, &RepeatError{record: c.Record}
 			case ledger.ReleaseCmd:
@@ -78,18 +78,18 @@
 	}
 }
 
-func (a *attempt) refused(c ledger.RefuseCmd) error {
+func (a *attempt) refusal(c ledger.RefuseCmd) error {
 	if c.Reason != ledger.OtherRequest {
-		a.k.ask(a.home)
+		a.k.requestRefresh(a.home)
 	}
-	return &RefusedError{reason: c.Reason, notRun: c.NotRun, retry: c.RetryAfter, peer: c.Holder}
+	return &RefusedError{reason: c.Reason, notRun: c.NotRun, retryAfter: c.RetryAfter, peer: c.Holder}
 }
 
 // perform does what takes time and returns its outcome.
 func (a *attempt) perform(ctx context.Context, c ledger.Cmd) ledger.Msg {
 	switch c := c.(type) {
 	case ledger.AskCmd:
-		return a.ask(ctx, c)
+		return a.askHolder(ctx, c)
 	case ledger.WaitCmd:
 		t := time.NewTimer(c.For)
 		defer t.Stop()
@@ -99,15 +99,15 @@
 		}
 		return ledger.FailMsg{Now: a.k.now(), Roster: a.k.Roster(a.home)}
 	case ledger.ConfirmCmd:
-		return ledger.ConfirmMsg{Number: a.k.confirm(ctx, a.home)}
+		return ledger.ConfirmMsg{Number: a.k.confirmRoster(ctx, a.home)}
 	default:
-		return a.k.storeKey(ctx, a)
+		return a.k.createKey(ctx, a)
 	}
 }
 
-func (a *attempt) ask(ctx context.Context, c ledger.AskCmd) ledger.Msg {
+func (a *attempt) askHolder(ctx context.Context, c ledger.AskCmd) ledger.Msg {
 	if c.Holder.Is(a.k.self) {
-		r := a.k.claimHere(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
+		r := a.k.claimLocal(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
 		return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 	}
 	a.request.Roster = c.Roster
@@ -126,14 +126,14 @@
 }
 
 func (a *attempt) release(c ledger.ReleaseCmd) {
-	j := a.job(c.Holders, c.Store)
+	j := a.newSettlement(c.Holders, c.Store)
 	j.record.Phase = ledger.NotRun
-	j.send()
+	j.enqueue()
 }
 
-func (a *attempt) job(holders []ledger.Member, store bool) *job {
-	return &job{
-		out: a.k.settles, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, store: store,
+func (a *attempt) newSettlement(holders []ledger.Member, store bool) *settlement {
+	return &settlement{
+		outbox: a.k.outbox, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, mayBeStored: store,
 		record: ledger.Record{ID: a.id, Attempt: a.attempt, Digest: a.digest},
 	}
 }
