--- a/node/conns/answer.go
+++ b/node/conns/answer.go
@@ -9,8 +9,8 @@
 
 const (
 	lengthChunked = -1 // fasthttp's content length of a chunked body
-	lengthByClose = -2 // fasthttp's content length of a body that ends with its connection
-	maxInterim    = 8  // interim answers before the final one
+	lengthByClose = -2 // fasthttp's content length of a body that ends when the connection is closed
+	maxInterim    = 8  // interim (1xx) answers before the final one
 )
 
 var (
@@ -18,7 +18,8 @@
 	errInterim  = eris.New("too many interim answers")
 )
 
-// readWhole reads one answer whose end is declared; a body that ends with its connection is refused.
+// readWhole reads one answer with a declared length or chunked encoding. A body that ends when the connection is closed is
+// rejected, because it may have been cut.
 func readWhole(r *bufio.Reader, a *fasthttp.Response, limit int) error {
 	if err := readHeader(r, a); err != nil {
 		return err
@@ -39,6 +40,7 @@
 	return nil
 }
 
+// readHeader reads the header of the final answer and skips interim ones.
 func readHeader(r *bufio.Reader, a *fasthttp.Response) error {
 	for range maxInterim {
 		if err := a.Header.Read(r); err != nil {
@@ -51,6 +53,7 @@
 	return errInterim
 }
 
+// hasNoBody reports whether answers with the status never have a body.
 func hasNoBody(status int) bool {
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
--- a/node/conns/conns.go
+++ b/node/conns/conns.go
@@ -12,26 +12,27 @@
 )
 
 var (
-	// ErrNotSent reports that no byte of the request left.
+	// ErrNotSent reports that no byte of the request was sent.
 	ErrNotSent = eris.New("conns: not sent")
-	// ErrLost reports that the request left, wholly or in part, and that no whole answer of its own came back.
+	// ErrLost reports that at least a part of the request was sent, and that no whole answer to it was received.
 	ErrLost = eris.New("conns: answer lost")
 	// ErrClosed reports that the pool is closed; nothing was sent.
 	ErrClosed = eris.New("conns: closed")
 )
 
 const (
-	defaultIdle             = 2 * time.Second
-	defaultConnect          = time.Second
-	defaultMaxAnswer        = 8 << 20     // bytes
-	bufferSize              = 4 << 10     // bytes
-	unrepeatableIdleTimeout = time.Second // within which a connection must have answered to carry what cannot be repeated
+	defaultIdle      = 2 * time.Second
+	defaultConnect   = time.Second
+	defaultMaxAnswer = 8 << 20 // bytes
+	bufferSize       = 4 << 10 // bytes
+	// unrepeatableIdleTimeout is how long a connection may have been idle and still carry a request that cannot be repeated.
+	unrepeatableIdleTimeout = time.Second
 )
 
-// MarkHeader carries the request's id to the target, which repeats it in its answer.
+// MarkHeader is the header that carries the id of a request to the target, which repeats it in the answer.
 const MarkHeader = "Burdock-Request"
 
-// Pool is the set of connections to one target; it is safe for concurrent use.
+// Pool holds the connections to one target; it is safe for concurrent use.
 type Pool struct {
 	addr           string
 	idleTimeout    time.Duration
@@ -40,21 +41,21 @@
 	dialer         net.Dialer
 
 	mu        sync.Mutex
-	idleConns []*conn // used last at the end
+	idleConns []*conn // the most recently used at the end
 	openConns map[*conn]struct{}
 	closed    bool
 }
 
-// Option changes a Pool when it is made.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithIdle sets how long a connection may rest before it is closed instead of used.
+// WithIdle sets how long a connection may be idle; after that it is closed instead of used.
 func WithIdle(d time.Duration) Option { return func(p *Pool) { p.idleTimeout = d } }
 
-// WithConnect sets the longest wait for a new connection.
+// WithConnect sets the timeout of opening a connection.
 func WithConnect(d time.Duration) Option { return func(p *Pool) { p.connectTimeout = d } }
 
-// WithMaxAnswer sets the largest answer body in bytes.
+// WithMaxAnswer sets the largest accepted answer body in bytes.
 func WithMaxAnswer(n int) Option { return func(p *Pool) { p.maxAnswer = n } }
 
 // New returns a pool of connections to the target at addr, which is host:port.
@@ -74,22 +75,22 @@
 	net.Conn
 	r         *bufio.Reader
 	w         *bufio.Writer
-	written   int64
-	idleSince time.Time
-	probe     *probe
+	written   int64     // bytes of the current request that were sent
+	idleSince time.Time // when the connection last became idle
+	probe     *probe    // nil if the connection has no socket
 }
 
-// Write counts the bytes that have left.
+// Write writes b and counts the bytes that were sent.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written += int64(n)
 	return n, err
 }
 
-// Send writes q once and reads the whole answer into a by the deadline; once means that q cannot be repeated, so that it goes
-// only on a connection that is new or has answered lately.
+// Send writes q once and reads the whole answer into a by the deadline. once means that q cannot be repeated; it then uses only a
+// connection that is new or has answered within the last second.
 //
-// The error wraps ErrNotSent or ErrLost; after an error, a holds nothing.
+// The error wraps ErrNotSent or ErrLost; after an error a is empty.
 func (p *Pool) Send(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time, once bool) error {
 	maxIdle := p.idleTimeout
 	if once {
@@ -113,7 +114,8 @@
 	return nil
 }
 
-// closeIdle closes the resting connections after one was lost, since what lost track of it may have lost track of them.
+// closeIdle closes all idle connections after one has failed, because whatever lost the state of that
+// connection may have lost the state of the others too.
 func (p *Pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,6 +125,7 @@
 	p.idleConns = p.idleConns[:0]
 }
 
+// roundTrip sends q on c and reads its answer.
 func (p *Pool) roundTrip(c *conn, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time) error {
 	c.written = 0
 	if err := c.SetDeadline(deadline); err != nil {
@@ -142,6 +145,7 @@
 	return p.checkAnswer(c, q, a)
 }
 
+// writeError returns ErrNotSent or ErrLost for a failed write, depending on whether any byte was sent.
 func (p *Pool) writeError(c *conn, err error) error {
 	if c.written == 0 {
 		return eris.Wrapf(ErrNotSent, "step=write peer=%s: %v", p.addr, err)
@@ -149,7 +153,7 @@
 	return eris.Wrapf(ErrLost, "step=write peer=%s: %v", p.addr, err)
 }
 
-// checkAnswer refuses an answer that is not provably the whole answer to q.
+// checkAnswer returns an error if the answer is longer than declared or carries the id of another request.
 func (p *Pool) checkAnswer(c *conn, q *fasthttp.Request, a *fasthttp.Response) error {
 	if c.r.Buffered() > 0 {
 		return eris.Wrapf(ErrLost, "step=read peer=%s: answer is longer than it declares", p.addr)
@@ -161,7 +165,7 @@
 	return nil
 }
 
-// get returns a connection that has rested less than rest, or a new one.
+// get returns a connection that has been idle for less than maxIdle, or a new one.
 func (p *Pool) get(ctx context.Context, deadline time.Time, maxIdle time.Duration) (*conn, error) {
 	now := time.Now()
 	for {
@@ -179,6 +183,7 @@
 	}
 }
 
+// popIdle removes and returns the most recently used idle connection, or nil if there is none.
 func (p *Pool) popIdle() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,6 +200,7 @@
 	return c, nil
 }
 
+// dial opens a connection by the deadline and within connectTimeout after now.
 func (p *Pool) dial(ctx context.Context, now, deadline time.Time) (*conn, error) {
 	limit := now.Add(p.connectTimeout)
 	if deadline.Before(limit) {
@@ -219,6 +225,7 @@
 	return c, nil
 }
 
+// put returns c to the idle connections.
 func (p *Pool) put(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -230,19 +237,20 @@
 	p.idleConns = append(p.idleConns, c)
 }
 
+// discard closes c and removes it from the pool.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(c)
 }
 
-// closeLocked closes c; p.mu is held.
+// closeLocked closes c and removes it from openConns; p.mu is held.
 func (p *Pool) closeLocked(c *conn) {
 	delete(p.openConns, c)
 	_ = c.Close()
 }
 
-// Reap closes connections that have rested too long.
+// Reap closes the connections that have been idle for longer than the pool allows.
 func (p *Pool) Reap(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,7 +269,7 @@
 	return len(p.openConns)
 }
 
-// Close closes the resting connections; one that is in use is closed when its request has ended.
+// Close closes the idle connections; a connection in use is closed when its request ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -16,10 +16,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script is what a peer does with the n-th request of a connection.
+// script handles the n-th request of a connection on the side of the target.
 type script func(c net.Conn, r *bufio.Reader, n int) error
 
-// startPeer listens and runs s on every connection until the test ends.
+// startPeer listens on loopback and runs s for every request until the test ends; it returns the address.
 func startPeer(t *testing.T, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +103,7 @@
 			if err == nil {
 				i.Equal(body, "ok")
 			} else {
-				i.Equal(body, "") // nothing of a broken answer is passed on
+				i.Equal(body, "") // no part of a broken answer is returned
 				i.Equal(p.Open(), 0)
 			}
 		})
@@ -145,7 +145,7 @@
 	}
 }
 
-// waitUntilNotReusable returns when every resting connection shows that its peer closed it.
+// waitUntilNotReusable returns when the pool sees that the peer has closed every idle connection.
 func waitUntilNotReusable(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,15 +172,16 @@
 	p := New(a)
 	defer p.Close()
 	_, err := send(p, "one", 50*time.Millisecond)
-	i.True(errors.Is(err, ErrLost)) // gave up while the target still ran it
-	i.Equal(p.Open(), 0)            // and never uses that connection again
+	i.True(errors.Is(err, ErrLost)) // the deadline passed while the target still ran it
+	i.Equal(p.Open(), 0)            // the connection is not used again
 	close(late)
 	body, err := send(p, "two", 5*time.Second)
-	i.True(errors.Is(err, ErrLost)) // the target's wrong mark is not passed on
+	i.True(errors.Is(err, ErrLost)) // an answer with the id of another request is rejected
 	i.Equal(body, "")
 }
 
-// TestSilentConnectionsCostOneRequest stalls every open connection while new ones work.
+// TestSilentConnectionsCostOneRequest guards against a second lost request when all open connections go silent while new ones work:
+// the first failure must close the idle connections.
 func TestSilentConnectionsCostOneRequest(t *testing.T) {
 	i := is.New(t)
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -188,7 +189,7 @@
 	together := make(chan struct{}, idleCount)
 	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
-			return nil // an old connection goes silent; the next read waits for good
+			return nil // an old connection goes silent: it reads requests and never answers
 		}
 		together <- struct{}{}
 		for len(together) < idleCount && !stalled.Load() {
@@ -215,7 +216,7 @@
 	i.NoErr(err) // on a new connection
 }
 
-// idleCount is the number of connections that rest before they are stalled.
+// idleCount is the number of idle connections before they go silent.
 const idleCount = 4
 
 func BenchmarkSend(b *testing.B) {
--- a/node/conns/doc.go
+++ b/node/conns/doc.go
@@ -1,5 +1,5 @@
-// Package conns keeps the connections of an entry to one target and sends one request on one of them, at most once.
+// Package conns holds the connections of an entry to one target, and sends each request at most once.
 //
-// A Pool never sends anything again by itself. Send tells apart what certainly did not leave from what may have run,
-// so that the caller decides what may be sent again.
+// A Pool does not retry. The error of Send says whether the request was certainly not sent or may have run, so that the caller can
+// decide whether to send it again.
 package conns
--- a/node/conns/probe.go
+++ b/node/conns/probe.go
@@ -5,15 +5,15 @@
 	"syscall"
 )
 
-// probe looks at a connection's socket without taking anything from it.
+// probe checks the state of a connection's socket without consuming data.
 type probe struct {
 	raw  syscall.RawConn
 	peek func(fd uintptr) bool
-	n    int
+	n    int // result of the last peek
 	err  error
 }
 
-// newProbe returns a probe of c, or nil when c has no socket.
+// newProbe returns a probe of c, or nil if c has no socket.
 func newProbe(c net.Conn) *probe {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -32,7 +32,7 @@
 	return p
 }
 
-// openAndEmpty reports whether the socket is open and holds nothing to be read.
+// openAndEmpty reports whether the socket is open and has no data to read.
 func (p *probe) openAndEmpty() bool {
 	if err := p.raw.Read(p.peek); err != nil {
 		return false
@@ -40,12 +40,12 @@
 	return p.n < 0 && (p.err == syscall.EAGAIN || p.err == syscall.EWOULDBLOCK)
 }
 
-// reusable reports whether the connection is open and nothing waits to be read on it.
+// reusable reports whether the connection is open and has no unread data.
 //
 // A connection that the other side has closed, or that holds a late answer, is not reusable.
 func (c *conn) reusable() bool { return c.probe == nil || c.probe.openAndEmpty() }
 
-// Gone reports whether the other side of c has closed it, without taking anything from it.
+// Gone reports whether the other side of c has closed it, without consuming data.
 func Gone(c net.Conn) bool {
 	p := newProbe(c)
 	if p == nil {
--- a/node/relay/batcher.go
+++ b/node/relay/batcher.go
@@ -5,30 +5,32 @@
 	"sync"
 )
 
-// batcher joins requests that come while others are under way into one call; the first of them performs the call for all.
+// batcher combines requests that arrive while calls are under way into one call, which one of the requests performs for all.
 //
-// It owns no goroutine: a request that finds a free flight leads at once, and one that ends a flight hands it on.
+// It starts no goroutine: a request that finds a free call runs a batch at once, and after a batch the first waiting request runs
+// the next one.
 type batcher[Q, A any] struct {
 	maxBatch int
 
 	mu        sync.Mutex
-	freeCalls int
+	freeCalls int // number of further calls that may start now
 	waiting   []*batchItem[Q, A]
 }
 
-// batchItem is one request on its way.
+// batchItem is one request with its result.
 type batchItem[Q, A any] struct {
 	request Q
 	answer  A
 	err     error
-	lead    chan bool // true: lead the next flight; false: the answer is here
+	lead    chan bool // true: run the next batch; false: the result is set
 }
 
-func newBatcher[Q, A any](flights, batch int) *batcher[Q, A] {
-	return &batcher[Q, A]{freeCalls: flights, maxBatch: batch}
+func newBatcher[Q, A any](concurrency, maxBatch int) *batcher[Q, A] {
+	return &batcher[Q, A]{freeCalls: concurrency, maxBatch: maxBatch}
 }
 
-// do returns f's answer to q; f gets the requests that have come together and must bound its own time.
+// do returns the answer to q. f receives the combined requests, returns their answers in the same order, and must bound its own
+// time. The call of a batch goes on when one of its requests is cancelled.
 func (j *batcher[Q, A]) do(ctx context.Context, q Q, f func([]Q) ([]A, error)) (A, error) {
 	r := &batchItem[Q, A]{request: q, lead: make(chan bool, 1)}
 	j.mu.Lock()
@@ -53,7 +55,7 @@
 	}
 }
 
-// runBatch performs one flight with r and those that wait, then hands it on.
+// runBatch calls f for r and the waiting requests, then lets the next batch start.
 func (j *batcher[Q, A]) runBatch(r *batchItem[Q, A], f func([]Q) ([]A, error)) {
 	l := j.takeBatch(r)
 	q := make([]Q, len(l))
@@ -74,7 +76,7 @@
 	j.mu.Unlock()
 }
 
-// takeBatch takes r and the first that wait.
+// takeBatch removes r and the longest waiting requests from the queue, at most maxBatch in all.
 func (j *batcher[Q, A]) takeBatch(r *batchItem[Q, A]) []*batchItem[Q, A] {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -93,7 +95,7 @@
 	return l
 }
 
-// startNext lets the first that waits lead, or frees the flight.
+// startNext lets the first waiting request run the next batch, or frees the call; j.mu is held.
 func (j *batcher[Q, A]) startNext() {
 	if len(j.waiting) == 0 {
 		j.freeCalls++
@@ -104,7 +106,7 @@
 	r.lead <- true
 }
 
-// cancel takes r out when its caller has gone; a flight that was handed to it goes on to the next.
+// cancel removes r after its context has ended; if r was to run the next batch, another request does.
 func (j *batcher[Q, A]) cancel(r *batchItem[Q, A]) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -119,6 +121,6 @@
 		if lead {
 			j.startNext()
 		}
-	default: // under way; its answer is dropped
+	default: // its batch is running; the answer is discarded
 	}
 }
--- a/node/relay/batcher_test.go
+++ b/node/relay/batcher_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// TestJoiner holds that each request gets its own answer, also when others leave, and that no flight is lost.
+// TestBatcher checks that each request gets its own answer and that no call is lost, also when requests are cancelled.
 func TestBatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i, r, calls := is.New(t), rand.New(rand.NewPCG(1, 1)), 0
@@ -44,7 +44,7 @@
 	})
 }
 
-// TestJoinerHandsOn holds that a flight handed to one who leaves goes on.
+// TestBatcherCancelledLead checks that the next batch is not lost when the request that should run it is cancelled.
 func TestBatcherCancelledLead(t *testing.T) {
 	j, r := newBatcher[int, int](0, 8), &batchItem[int, int]{lead: make(chan bool, 1)}
 	r.lead <- true
--- a/node/relay/beater.go
+++ b/node/relay/beater.go
@@ -13,38 +13,40 @@
 
 const (
 	beatInterval = 500 * time.Millisecond
-	// beatFanoutMin is the least number of peers of the own data centre that one round beats; rounds take turns.
+	// beatFanoutMin is the least number of peers of the local data centre that receive a beat in one round.
 	beatFanoutMin = 2
-	// beatRotationRounds is the number of rounds in which every peer of the own data centre has had its turn, whatever their number.
+	// beatRotationRounds is the number of rounds after which every peer of the local data centre has received a beat, however many
+	// there are; the fanout grows with their number.
 	beatRotationRounds = 10
-	remoteBeatRounds   = 2 // rounds between beats to another data centre
-	loadReportRounds   = 4 // rounds between reports of loads to a leader
+	remoteBeatRounds   = 2 // rounds between beats to other data centres
+	loadReportRounds   = 4 // rounds between reports of loads to the leader
 	openCircuitRounds  = 4 // rounds between beats to a peer whose circuit is open
 	beatConcurrency    = 16
-	// unlistedPeerTTL is how long a peer that no list names is remembered.
+	// unlistedPeerTTL is how long a peer is remembered after its last beat; entries that are listed still receive beats.
 	unlistedPeerTTL = 30 * time.Second
 )
 
-// Report is what an entry says of its services and VMs in a beat to its own data centre.
+// Report is the part of a beat that goes only to entries of the local data centre: the state of services and VMs.
 type Report struct {
 	Loads                     []*ServiceLoad
 	Drained, Leaving, Failing []string
 	Members                   []byte // delta of the membership document, from the leader
 }
 
-// Carrier is the entry's side of beats.
+// Carrier provides the local state that beats send, and takes configuration changes from peers.
 type Carrier interface {
-	// Applied returns the newest configuration change in force.
+	// Applied returns the number of the newest configuration change in force.
 	Applied() int64
-	// Since returns the changes after n in order, or a whole document when they are no longer held; few enough for one beat.
+	// Since returns the changes after change n in order, few enough for one beat, or a whole document when those changes are no
+	// longer held.
 	Since(n int64) (changes [][]byte, snapshot []byte)
-	// Offer takes changes or a document from a peer.
+	// Offer passes on changes, or a whole document, received from a peer.
 	Offer(changes [][]byte, snapshot []byte)
-	// Report returns what to tell entries of the own data centre.
+	// Report returns the state to send to entries of the local data centre.
 	Report() Report
 }
 
-// Beater tells the other entries what this one knows and remembers what they say.
+// Beater exchanges heartbeats with the other entries and remembers what each one last reported.
 type Beater struct {
 	keeper   *Keeper
 	client   *Client
@@ -55,26 +57,28 @@
 
 	mu      sync.Mutex
 	entries []Address
-	peers   map[string]Peer
+	peers   map[string]Peer // by entry id
 	round   int
 
-	kicks      chan struct{}
-	aheadPeers chan Address // peers that have newer changes
+	kicks      chan struct{} // requests to beat to the local data centre at once
+	aheadPeers chan Address  // peers with newer configuration changes; a beat to them returns the changes
 }
 
-// BeaterOption changes a new Beater.
+// BeaterOption configures a Beater.
 type BeaterOption func(*Beater)
 
 // WithEvery sets the time between rounds of beats.
 func WithEvery(d time.Duration) BeaterOption { return func(b *Beater) { b.interval = d } }
 
-// WithLeader names the entry that leads the data centre; loads then go to it alone, every fourth round, and to all while the name is empty.
+// WithLeader sets how the leader of the local data centre is found. Loads go to the leader alone, every fourth round, and to all
+// local entries while f returns an empty name.
 func WithLeader(f func() string) BeaterOption { return func(b *Beater) { b.leader = f } }
 
-// OnBeat is called after each beat that comes in, with the sender and its delta of the membership document; it must not block.
+// OnBeat sets a function that is called after each received beat, with the sender and its delta of the membership document. It
+// must not block.
 func OnBeat(f func(p Peer, members []byte)) BeaterOption { return func(b *Beater) { b.onBeat = f } }
 
-// NewBeater returns the beater of the keeper's entry.
+// NewBeater returns the beater of the keeper's entry. It beats at once when the keeper's roster or state changes.
 func NewBeater(k *Keeper, c *Client, r Carrier, o ...BeaterOption) *Beater {
 	b := &Beater{
 		keeper: k, client: c, state: r, interval: beatInterval, leader: func() string { return "" }, onBeat: func(Peer, []byte) {},
@@ -89,14 +93,14 @@
 	return b
 }
 
-// Know replaces the list of entries of all data centres, as the platform gives it.
+// Know replaces the list of known entries of all data centres.
 func (b *Beater) Know(l []Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = slices.Clone(l)
 }
 
-// Kick beats to the own data centre at once, because something has changed.
+// Kick sends a beat to the entries of the local data centre at once, because the state to report has changed. It does not block.
 func (b *Beater) Kick() {
 	select {
 	case b.kicks <- struct{}{}:
@@ -104,7 +108,7 @@
 	}
 }
 
-// Heard returns what the other entries last said, in order of their ids.
+// Heard returns what the other entries last reported, sorted by their ids.
 func (b *Beater) Heard() []Peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +120,7 @@
 	return l
 }
 
-// Run beats until ctx ends.
+// Run sends beats until ctx ends.
 func (b *Beater) Run(ctx context.Context) error {
 	t := time.NewTicker(b.interval)
 	defer t.Stop()
@@ -136,7 +140,8 @@
 	}
 }
 
-// send beats each of l, with one request for all of the own data centre, and one with loads for those that need them.
+// send beats to each of l. The entries of the local data centre share one request; a second one with loads goes to those that are
+// due for them.
 func (b *Beater) send(ctx context.Context, l []Address) {
 	leader := b.leader()
 	full := b.localRequest()
@@ -157,7 +162,7 @@
 	})
 }
 
-// loadsDue loadsDue whether a leader is told loads in this round.
+// loadsDue reports whether the leader gets a report of loads in this round.
 func (b *Beater) loadsDue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -192,6 +197,7 @@
 	return o, nil
 }
 
+// beat sends q to one entry and applies its reply; a failed call is ignored.
 func (b *Beater) beat(ctx context.Context, a Address, q *BeatRequest) {
 	o, err := b.client.Beat(ctx, a.addr, q)
 	if err != nil {
@@ -206,7 +212,7 @@
 	}
 }
 
-// request returns what an entry of any data centre is told.
+// request returns the part of a beat that goes to entries of every data centre.
 func (b *Beater) request(dataCentre string) *BeatRequest {
 	k := b.keeper
 	return &BeatRequest{
@@ -216,7 +222,7 @@
 	}
 }
 
-// localRequest returns what the entries of the own data centre are told.
+// localRequest returns the beat for entries of the local data centre.
 func (b *Beater) localRequest() *BeatRequest {
 	q, r := b.request(b.keeper.dataCentre), b.state.Report()
 	q.Loads, q.Drained, q.Leaving, q.Failing, q.Members = r.Loads, r.Drained, r.Leaving, r.Failing, r.Members
@@ -224,7 +230,7 @@
 	return q
 }
 
-// recordPeer remembers what a peer said; word of an earlier life than the newest known is dropped.
+// recordPeer stores what a peer reported; a report from an earlier incarnation than the newest known one is dropped.
 func (b *Beater) recordPeer(a Address, incarnation int64, f func(*Peer)) Peer {
 	k := b.keeper
 	now := k.now()
@@ -247,7 +253,7 @@
 	return p
 }
 
-// localPeers returns every other entry of the own data centre, each address once.
+// localPeers returns every other entry of the local data centre, each address once, and forgets peers that were not heard for long.
 func (b *Beater) localPeers() []Address {
 	k := b.keeper
 	all := map[string]Address{}
@@ -274,13 +280,15 @@
 	return sortedByAddr(all)
 }
 
+// sortedByAddr returns the addresses of m in order.
 func sortedByAddr(m map[string]Address) []Address {
 	l := slices.Collect(maps.Values(m))
 	slices.SortFunc(l, func(x, y Address) int { return strings.Compare(x.addr, y.addr) })
 	return l
 }
 
-// nextTargets returns whom the next round beats: some of the own data centre, the leader when it is due, and one other data centre's entry.
+// nextTargets returns the entries that the next round beats: some of the local data centre, the leader when a report of loads is due,
+// and every second round one of another data centre.
 func (b *Beater) nextTargets() []Address {
 	local, leader := b.localPeers(), b.leader()
 	b.mu.Lock()
@@ -306,7 +314,7 @@
 	return slices.DeleteFunc(l, func(a Address) bool { return n%openCircuitRounds != 0 && b.client.Open(a.addr) })
 }
 
-// rotate returns the n-th group of k of l.
+// rotate returns the n-th group of k elements of l, wrapping around at its end.
 func rotate(l []Address, n, k int) []Address {
 	if len(l) <= k {
 		return slices.Clone(l)
--- a/node/relay/bench_test.go
+++ b/node/relay/bench_test.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// benchFleet is three entries over loopback and a key prefix.
+// benchFleet starts three entries on loopback and waits until their roster is in force.
 func benchFleet(b *testing.B) []*node {
 	f := newFleet(b)
 	l := []*node{f.startAt("a", "east"), f.startAt("b", "east"), f.startAt("c", "east")}
@@ -21,7 +21,7 @@
 	return l
 }
 
-// BenchmarkTake tells the time of a claim at two holders over loopback, the claimant being one of them for two keys in three.
+// BenchmarkTake measures one claim at a time at two holders over loopback; the claimant is itself a holder of two keys in three.
 func BenchmarkTake(b *testing.B) {
 	n := benchFleet(b)[0]
 	b.ReportAllocs()
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkTakeParallel does the same from many requests at once.
+// BenchmarkTakeParallel measures concurrent claims.
 func BenchmarkTakeParallel(b *testing.B) {
 	n := benchFleet(b)[0]
 	b.SetParallelism(10)
@@ -53,7 +53,7 @@
 
 func (n *node) nextBenchKey() string { return fmt.Sprint("east/p", n.benchKeys.Add(1)) }
 
-// BenchmarkBeatSize tells the bytes of a beat with 51 services and lists of drained VMs.
+// BenchmarkBeatSize reports the bytes of a beat with the loads of 51 services and with lists of drained VMs.
 func BenchmarkBeatSize(b *testing.B) {
 	for _, vms := range []int{-1, 0, 20, 200} {
 		b.Run(fmt.Sprint(vms, " drained"), func(b *testing.B) {
@@ -61,7 +61,7 @@
 				Entry: "entry-east-17", DataCentre: "east", Incarnation: 1 << 60, Applied: 16_000, Roster: 3 << 40, Holding: 3 << 40,
 				PeerRoster: 3 << 40, Addr: "10.20.30.40:7101",
 			}
-			for s := range 51 * min(vms+1, 1) { // none in the smallest beat
+			for s := range 51 * min(vms+1, 1) { // no loads for vms = -1
 				q.Loads = append(q.Loads, &ServiceLoad{Service: fmt.Sprint("service-", s), Busy: 70, Queued: 12, Idle: 10, Arrivals: 31.5})
 			}
 			for v := range max(vms, 0) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes sent and received on a connection.
 type countingConn struct {
 	net.Conn
 	out, in *atomic.Int64
@@ -93,7 +93,7 @@
 	return n, err
 }
 
-// BenchmarkBeatWire tells the bytes of a beat without loads and of its answer, with what HTTP adds, and its time.
+// BenchmarkBeatWire measures a beat without loads over HTTP: its time, and the bytes of request and reply with their headers.
 func BenchmarkBeatWire(b *testing.B) {
 	f := newFleet(b)
 	n := f.startAt("entry-east-17", "east")
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -14,7 +14,8 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// chaos is a fleet whose entries die, restart, go silent and lose the service while copies of few keys come in.
+// chaos is a fleet with faults: entries crash, restart and go silent, and the platform's service fails, while copies of requests with few
+// keys arrive.
 type chaos struct {
 	*fleet
 	r     *rand.Rand
@@ -29,7 +30,7 @@
 	repeats int
 }
 
-// TestChaos holds, with the real runner, that no key runs twice and no "not run" is untrue.
+// TestChaos checks that no key runs twice and that every "not run" is true, with the whole package under random faults.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -53,8 +54,8 @@
 	}
 }
 
-// heal ends all failures and holds that within a minute every entry holds one roster, and every fresh key is claimed
-// when the time of keys that two dead entries held is over.
+// heal ends all faults and checks that all entries agree on one roster within a minute. Then it waits until keys whose holders all died
+// can be claimed again, and checks that every entry can claim a new key.
 func (c *chaos) heal() {
 	c.store.down.Store(false)
 	var l []*node
@@ -74,6 +75,7 @@
 	}
 }
 
+// step injects a random fault or sends a copy of a request.
 func (c *chaos) step() {
 	e := string(rune('a' + c.r.IntN(4)))
 	n := c.nodes[e]
@@ -98,7 +100,7 @@
 	}
 }
 
-// runCopy claims a key at n, runs it if it may, and settles it, unless n dies first.
+// runCopy claims the key at n, runs the copy if it is granted, and settles it unless n crashes first.
 func (c *chaos) runCopy(n *node, key string, fate int, wait time.Duration) {
 	c.mu.Lock()
 	c.copies++
--- a/node/relay/client.go
+++ b/node/relay/client.go
@@ -17,38 +17,38 @@
 	dialTimeout      = 250 * time.Millisecond
 	keepAlive        = 15 * time.Second
 	idleTimeout      = 30 * time.Second
-	maxIdlePerPeer   = 64 // connections
-	circuitThreshold = 3  // failures in a row
-	probeInterval    = 500 * time.Millisecond
+	maxIdlePerPeer   = 64                     // connections
+	circuitThreshold = 3                      // consecutive failures that open the circuit
+	probeInterval    = 500 * time.Millisecond // between calls to a peer whose circuit is open
 	unusedPeerTTL    = 10 * time.Minute
-	claimConcurrency = 2   // calls to one peer that carry claims at a time
+	claimConcurrency = 2   // concurrent calls to one peer that carry claims
 	claimBatchMax    = 256 // claims in one call
 )
 
-// Client calls other entries, each call once, with a bound on its time and a circuit for each peer.
+// Client calls other entries. It does not retry, bounds the time of each call, and has a circuit breaker for each peer.
 type Client struct {
 	callTimeout time.Duration
 	dial        DialFunc
 	now         func() time.Time
 
 	mu      sync.Mutex
-	peers   map[string]*peerClient
-	sweptAt time.Time
+	peers   map[string]*peerClient // by address
+	sweptAt time.Time              // when unused peers were last removed
 }
 
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ClientOption changes a new Client.
+// ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithCallWithin bounds the time of one call whose context has no earlier deadline.
+// WithCallWithin sets the timeout of a call; an earlier deadline of its context applies too.
 func WithCallWithin(d time.Duration) ClientOption { return func(c *Client) { c.callTimeout = d } }
 
 // WithDial sets how connections are opened.
 func WithDial(f DialFunc) ClientOption { return func(c *Client) { c.dial = f } }
 
-// NewClient returns a client of other entries.
+// NewClient returns a client for calls to other entries.
 func NewClient(o ...ClientOption) *Client {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	c := &Client{callTimeout: callTimeout, dial: d.DialContext, now: time.Now, peers: map[string]*peerClient{}}
@@ -58,7 +58,7 @@
 	return c
 }
 
-// Close drops the unused connections of all peers.
+// Close closes the idle connections to all peers.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,21 +67,22 @@
 	}
 }
 
-// Open reports whether the circuit of the peer at addr is open, so that calls to it fail at once.
+// Open reports whether the peer's circuit is open, so that calls to it fail at once.
 func (c *Client) Open(addr string) bool { return c.peer(addr).isOpen() }
 
-// Beat tells the peer at addr the state of this entry; it goes out also when the circuit is open.
+// Beat sends this entry's state to the peer at addr, also when the circuit is open.
 func (c *Client) Beat(ctx context.Context, addr string, r *BeatRequest) (*BeatReply, error) {
 	return call(ctx, c, callOptions{name: "beat", force: true}, addr, r, Relay.Beat)
 }
 
-// Claim asks the holder at addr to record a claim.
+// Claim asks the holder at addr to grant a claim; concurrent claims to one holder share calls.
 func (c *Client) Claim(ctx context.Context, addr string, r *ClaimRequest) (*ClaimReply, error) {
 	return c.peer(addr).claims.do(ctx, r, func(l []*ClaimRequest) ([]*ClaimReply, error) {
 		return c.claimAll(context.WithoutCancel(ctx), addr, l)
 	})
 }
 
+// claimAll sends the claims to the holder at addr in one call.
 func (c *Client) claimAll(ctx context.Context, addr string, l []*ClaimRequest) ([]*ClaimReply, error) {
 	if len(l) == 1 {
 		a, err := call(ctx, c, callOptions{name: "claim"}, addr, l[0], Relay.Claim)
@@ -94,34 +95,36 @@
 	return a.GetClaims(), err
 }
 
-// Settle tells the holder at addr what became of claims, and returns the newest roster that it knows.
+// Settle delivers settlements to the holder at addr, and returns the number of the newest roster that the holder knows.
 func (c *Client) Settle(ctx context.Context, addr string, l []*SettleRequest) (roster int64, err error) {
 	a, err := call(ctx, c, callOptions{name: "settle"}, addr, &BatchRequest{Settles: l}, Relay.Batch)
 	return a.GetRoster(), err
 }
 
-// Records pulls a page of records from the entry at addr.
+// Records fetches a page of records from the entry at addr, also when the circuit is open.
 func (c *Client) Records(ctx context.Context, addr string, r *RecordsRequest) (*RecordsReply, error) {
 	return call(ctx, c, callOptions{name: "records", timeout: recordsTimeout, force: true}, addr, r, Relay.Records)
 }
 
-// Borrow asks the entry at addr for slots that it leaves idle.
+// Borrow asks the entry at addr to lend idle slots of targets.
 func (c *Client) Borrow(ctx context.Context, addr string, r *BorrowRequest) (*BorrowReply, error) {
 	return call(ctx, c, callOptions{name: "borrow"}, addr, r, Relay.Borrow)
 }
 
-// Return gives slots back to the entry at addr.
+// Return gives borrowed slots back to the entry at addr.
 func (c *Client) Return(ctx context.Context, addr string, r *ReturnRequest) (*ReturnReply, error) {
 	return call(ctx, c, callOptions{name: "return"}, addr, r, Relay.Return)
 }
 
-// callOptions is what a call is for; a zero bound is the client's, and force makes it go out also with the circuit open.
+// callOptions are the options of one call. A zero timeout stands for the client's own; force sends the call even if the circuit is
+// open.
 type callOptions struct {
 	name    string
 	timeout time.Duration
 	force   bool
 }
 
+// call performs f with the peer at addr and updates the peer's circuit.
 func call[Q, A any](ctx context.Context, c *Client, s callOptions, addr string, q Q, f func(Relay, context.Context, Q) (A, error)) (A, error) {
 	var none A
 	l := c.peer(addr)
@@ -142,6 +145,7 @@
 	return a, nil
 }
 
+// peer returns the client of the peer at addr, and creates it if needed.
 func (c *Client) peer(addr string) *peerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +160,7 @@
 	return l
 }
 
-// sweep forgets peers that nobody has called for long.
+// sweep removes peers that have not been called for unusedPeerTTL; c.mu is held.
 func (c *Client) sweep(now time.Time) {
 	if now.Sub(c.sweptAt) < unusedPeerTTL {
 		return
@@ -170,17 +174,17 @@
 	}
 }
 
-// peerClient is the way to one peer.
+// peerClient holds the connections and the circuit breaker of one peer.
 type peerClient struct {
 	relay     Relay
 	transport *http.Transport
 	now       func() time.Time
 	claims    *batcher[*ClaimRequest, *ClaimReply]
-	usedAt    time.Time // guarded by Client.mu
+	usedAt    time.Time // last call; guarded by Client.mu
 
 	mu       sync.Mutex
-	failures int
-	probedAt time.Time
+	failures int       // consecutive failed calls
+	probedAt time.Time // last call that was let through the open circuit, or when it opened
 }
 
 func newPeerClient(addr string, dial DialFunc, now func() time.Time) *peerClient {
@@ -196,10 +200,10 @@
 	}
 }
 
-// headerTrimmer leaves out headers that no entry reads, which would be most of a beat.
+// headerTrimmer removes HTTP headers that no entry reads; they would be most of the bytes of a beat.
 type headerTrimmer struct{ next http.RoundTripper }
 
-// RoundTrip implements http.RoundTripper; the request is the client's own and used once.
+// RoundTrip implements http.RoundTripper. It changes r, which is safe because the client makes each request itself and sends it once.
 func (s headerTrimmer) RoundTrip(r *http.Request) (*http.Response, error) {
 	r.Header.Del("Accept")
 	r.Header.Del("Twirp-Version")
@@ -207,13 +211,14 @@
 	return s.next.RoundTrip(r)
 }
 
+// isOpen reports whether the circuit is open.
 func (l *peerClient) isOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failures >= circuitThreshold
 }
 
-// allow reports whether a call may go out; with the circuit open one call in probeEvery may.
+// allow reports whether a call may be sent. While the circuit is open, one call per probeInterval is allowed.
 func (l *peerClient) allow(force bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,7 +232,8 @@
 	return false
 }
 
-// recordFailure counts a failure unless the caller itself ended the call, and drops idle connections, which may be as silent.
+// recordFailure counts a failed call, unless the caller cancelled it. It also closes the idle connections, because they may have
+// gone silent for the same reason.
 func (l *peerClient) recordFailure(cancelled bool) {
 	if cancelled {
 		return
@@ -241,13 +247,14 @@
 	l.transport.CloseIdleConnections()
 }
 
+// recordSuccess closes the circuit.
 func (l *peerClient) recordSuccess() {
 	l.mu.Lock()
 	l.failures = 0
 	l.mu.Unlock()
 }
 
-// forEach runs f for every element in a group of at most n and waits for all.
+// forEach calls f for every element of l, at most n at a time, and waits for all calls.
 func forEach[T any](ctx context.Context, n int, l []T, f func(context.Context, T)) {
 	g := errgroup.Group{}
 	g.SetLimit(n)
--- a/node/relay/codec.go
+++ b/node/relay/codec.go
@@ -9,6 +9,7 @@
 	"burdockreach.dev/flow/ledger"
 )
 
+// toRecord and the functions below convert between the types of package ledger and those of the protocol.
 func toRecord(r ledger.Record) *Record {
 	return &Record{
 		Key: r.ID.String(), AttemptHash: uint64(r.Attempt), DigestHash: uint64(r.Digest), Phase: Phase(r.Phase),
@@ -25,7 +26,7 @@
 	}, err
 }
 
-// fromPhase takes a phase that it does not know for unknown, which forbids a second run.
+// fromPhase converts a phase; a value that it does not know becomes ledger.Unknown, which forbids a second run.
 func fromPhase(p Phase) ledger.Phase {
 	if p < Phase_PHASE_NONE || p > Phase_PHASE_NOT_RUN {
 		return ledger.Unknown
@@ -57,7 +58,7 @@
 }
 
 func toLapse(l ledger.Lapse, now time.Time) *Lapse {
-	m, _ := json.Marshal(l.Members) // only strings and numbers
+	m, _ := json.Marshal(l.Members) // cannot fail: only strings and numbers
 	o, _ := json.Marshal(l.Lost)
 	w := &Lapse{Roster: l.Roster, Members: m, Lost: o}
 	if !l.Until.IsZero() {
--- a/node/relay/doc.go
+++ b/node/relay/doc.go
@@ -1,5 +1,6 @@
-// Package relay carries what entries tell each other: beats, claims of keyed requests, handovers and slot loans.
+// Package relay is the protocol between entries: beats, claims and settlements of keyed requests, handover of records, and loans of
+// slots.
 //
-// A Client calls other entries, a Server answers them, a Keeper runs package ledger for one entry, and a Beater tells the
-// other entries what this one knows. Lock order: Keeper.mu, then Beater.mu, then Client.mu; no lock is held over a call.
+// A Client calls other entries and a Server answers them. A Keeper runs package ledger for one entry, and a Beater exchanges
+// heartbeats. Lock order: Keeper.mu, then Beater.mu, then Client.mu; no lock is held during a call.
 package relay
--- a/node/relay/example_test.go
+++ b/node/relay/example_test.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// A lone entry claims a key for the first copy of a request; the second copy gets the first one's answer.
+// A single entry claims a key for the first copy of a request; the second copy gets the answer of the first one.
 func ExampleKeeper() {
 	ctx, end := context.WithCancel(context.Background())
 	c := relay.NewClient()
--- a/node/relay/fleet_test.go
+++ b/node/relay/fleet_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeState is a Carrier that carries nothing but a number.
+// fakeState is a Carrier with one configuration number and fixed loads.
 type fakeState struct {
 	mu      sync.Mutex
 	applied int64
@@ -48,12 +48,12 @@
 
 func (q *fakeState) Report() Report { return Report{Loads: []*ServiceLoad{{Service: "s", Busy: 1}}} }
 
-// node is one life of an entry.
+// node is one incarnation of an entry.
 type node struct {
 	*Keeper
 	beater    *Beater
 	conf      *fakeState
-	benchKeys atomic.Int64
+	benchKeys atomic.Int64 // number of keys that nextBenchKey has returned
 	ctx       context.Context
 	end       func()
 	group     *errgroup.Group
@@ -63,6 +63,7 @@
 	n.end()
 }
 
+// fakeLender grants every request to borrow.
 type fakeLender struct{}
 
 func (fakeLender) Borrow(_ context.Context, r *BorrowRequest) (*BorrowReply, error) {
@@ -73,20 +74,21 @@
 	return &ReturnReply{}, nil
 }
 
-// network is a network in memory whose connections can go silent, so that a whole fleet runs under synctest.
+// network is an in-memory network whose connections can go silent, so that a whole fleet can run under synctest.
 type network struct {
 	mu         sync.Mutex
 	listeners  map[string]chan net.Conn
-	silent     map[string]bool // addresses to which nothing arrives any more
-	dials      int
-	silentUpTo int // connections up to this one carry nothing any more
+	silent     map[string]bool // addresses to which no data arrives any more
+	dials      int             // connections opened so far
+	silentUpTo int             // connections with this number or a lower one carry no data any more
 }
 
+// networkConn is the client side of a connection; writes are discarded while it is silent.
 type networkConn struct {
 	net.Conn
 	network *network
 	addr    string
-	number  int
+	number  int // in the order of dials
 }
 
 func (c networkConn) Write(b []byte) (int, error) {
@@ -99,6 +101,7 @@
 	return c.Conn.Write(b)
 }
 
+// networkListener accepts the connections to one address.
 type networkListener struct {
 	w     *network
 	addr  string
@@ -149,20 +152,21 @@
 	return networkConn{Conn: a, network: w, addr: addr, number: w.dials}, nil
 }
 
+// silence discards all data sent to addr while s is true.
 func (w *network) silence(addr string, s bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent[addr] = s
 }
 
-// silenceOpenConns lets every open connection go silent for good, while new ones work.
+// silenceOpenConns makes every open connection silent; connections opened later work.
 func (w *network) silenceOpenConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silentUpTo = w.dials
 }
 
-// flakyStore is the platform's flakyStore, whose reads can fail.
+// flakyStore is the platform's service; its reads fail while down is set.
 type flakyStore struct {
 	keyval.Store
 	down atomic.Bool
@@ -175,7 +179,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// fleet is the entries of one data centre.
+// fleet is the entries of a test and what they share.
 type fleet struct {
 	t               testing.TB
 	store           *flakyStore
@@ -189,14 +193,14 @@
 	return &fleet{t: t, store: &flakyStore{Store: keyval.NewMemory()}, network: &network{listeners: map[string]chan net.Conn{}, silent: map[string]bool{}}}
 }
 
-// start begins a life of an entry.
+// start starts an incarnation of an entry on the in-memory network.
 func (f *fleet) start(entry string) *node {
 	f.lastIncarnation++
 	addr := fmt.Sprintf("%s-%d:1", entry, f.lastIncarnation)
 	return f.serve(entry, "east", f.network.listen(addr), addr, NewClient(WithDial(f.network.dial)))
 }
 
-// startAt begins a life of an entry of a data centre on the machine's loopback.
+// startAt starts an incarnation of an entry of a data centre on loopback.
 func (f *fleet) startAt(entry, dataCentre string) *node {
 	l, err := (&net.ListenConfig{}).Listen(f.t.Context(), "tcp", "127.0.0.1:0")
 	is.New(f.t).NoErr(err)
@@ -204,6 +208,7 @@
 	return f.serve(entry, dataCentre, l, l.Addr().String(), NewClient())
 }
 
+// serve runs an entry with its server on l until it is killed or the test ends.
 func (f *fleet) serve(entry, dataCentre string, l net.Listener, addr string, c *Client) *node {
 	m := ledger.Member{Entry: entry, Addr: addr, Incarnation: f.lastIncarnation}
 	n := &node{Keeper: NewKeeper(m, dataCentre, []string{"east", "west"}, f.store, c), conf: &fakeState{}}
@@ -225,7 +230,7 @@
 	return n
 }
 
-// reportGone tells the entry that started last and lives what the platform's list says; the others learn it from beats.
+// reportGone gives the platform's list of gone entries to the live entry that was started last; the others learn it from beats.
 func (f *fleet) reportGone(l ...string) {
 	for _, n := range slices.Backward(f.nodes) {
 		if n.ctx.Err() == nil {
@@ -235,7 +240,7 @@
 	}
 }
 
-// inForce waits until all nodes hold one roster of just them.
+// inForce waits until the nodes hold one roster with exactly them as members.
 func (f *fleet) inForce(l ...*node) {
 	f.t.Helper()
 	for range 4000 {
@@ -250,6 +255,7 @@
 	f.t.Fatal("no roster in force")
 }
 
+// haveSameRoster reports whether one roster with len(l) members is in force at all of l.
 func haveSameRoster(l []*node) bool {
 	for _, n := range l {
 		r := n.Roster(n.dataCentre)
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -17,7 +17,8 @@
 	confirmBatchMax = 10_000 // claims that share one read
 )
 
-// Keeper runs the ledger for one entry: it holds records for its data centre and claims keys for the entry's requests.
+// Keeper runs package ledger for one entry: it holds records of its data centre's keys and claims keys for the entry's own
+// requests.
 type Keeper struct {
 	self        ledger.Member
 	dataCentre  string
@@ -32,31 +33,31 @@
 	book          *ledger.Book
 	membership    *ledger.Membership
 	rosters       map[string]ledger.Roster
-	storeRevision keyval.Revision // of the own roster's key as last read
-	storedNumber  int64           // number of the roster that the service holds
-	storeRead     bool            // whether the service's roster has been read
-	onChange      func()          // told after a new roster or state
+	storeRevision keyval.Revision // revision of the local roster's key at the last read
+	storedNumber  int64           // number of the local roster that the platform's service held at the last read
+	storeRead     bool            // whether storeRevision and storedNumber are up to date; false before the first read and after a write
+	onChange      func()          // called after a change of the local roster or of its state
 
-	rosterAdopted   chan struct{}
-	refreshRequests chan string // data centres whose roster is to be read
+	rosterAdopted   chan struct{} // wakes pullLoop after a new local roster
+	refreshRequests chan string   // data centres whose roster should be read soon
 	outbox          *outbox
-	// confirmBatchers join the requests that wait for a read of a data centre's roster.
+	// confirmBatchers combine concurrent confirmations of each data centre's roster into one read.
 	confirmBatchers map[string]*batcher[struct{}, int64]
 	lease           storeLease
 }
 
-// KeeperOption changes a new Keeper.
+// KeeperOption configures a Keeper.
 type KeeperOption func(*Keeper)
 
-// WithLog sets the log.
+// WithLog sets the logger; the default discards everything.
 func WithLog(l zerolog.Logger) KeeperOption { return func(k *Keeper) { k.log = l } }
 
-// WithBook passes options on to the entry's records.
+// WithBook sets options of the entry's ledger.Book.
 func WithBook(o ...ledger.BookOption) KeeperOption {
 	return func(k *Keeper) { k.bookOptions = append(k.bookOptions, o...) }
 }
 
-// NewKeeper returns the keeper of one life of an entry; dataCentres are all that the fleet has.
+// NewKeeper returns the keeper of the entry self; dataCentres lists all data centres of the fleet.
 func NewKeeper(self ledger.Member, dataCentre string, dataCentres []string, s keyval.Store, c *Client, o ...KeeperOption) *Keeper {
 	k := &Keeper{
 		self: self, dataCentre: dataCentre, dataCentres: dataCentres, store: s, client: c, log: zerolog.Nop(), now: time.Now,
@@ -75,7 +76,7 @@
 	return k
 }
 
-// Run keeps rosters and records until ctx ends.
+// Run watches rosters, pulls records and delivers settlements until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.watchLoop(c) })
@@ -86,36 +87,36 @@
 	return g.Wait()
 }
 
-// Roster returns the newest roster known of a data centre; its number is zero if none is.
+// Roster returns the newest known roster of a data centre; its number is zero if none is known.
 func (k *Keeper) Roster(dataCentre string) ledger.Roster {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rosters[dataCentre]
 }
 
-// Holding returns the number of the newest roster in force at this entry.
+// Holding returns the number of the newest roster that is in force at this entry, or zero.
 func (k *Keeper) Holding() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Holding()
 }
 
-// Len returns the number of records held and the bytes of kept answers.
+// Len returns the number of records and the bytes of stored answers.
 func (k *Keeper) Len() (records, answerBytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Len(), k.book.AnswerBytes()
 }
 
-// Gone tells which entries the platform's list says are gone for good; one entry that reads the list is enough, and it may
-// be the leader, because beats pass it on. What it said counts for 30 s.
+// Gone sets the entries that have left the fleet according to the platform's list. It is valid for 30 s. One entry that reads the
+// list is enough, for example the leader, because beats carry the result to the others.
 func (k *Keeper) Gone(entries []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.VMs(ledger.VMsMsg{Now: k.now(), Gone: entries})
 }
 
-// Learn takes up a roster document if it is newer than the one known of its data centre.
+// Learn adopts a roster document if it is newer than the known roster of its data centre; an empty document is ignored.
 func (k *Keeper) Learn(doc []byte) error {
 	if len(doc) == 0 {
 		return nil
@@ -128,6 +129,7 @@
 	return nil
 }
 
+// adoptRoster stores r if it is newer than the known roster of its data centre.
 func (k *Keeper) adoptRoster(r ledger.Roster) {
 	k.mu.Lock()
 	if r.Number() <= k.rosters[r.DataCentre()].Number() {
@@ -227,7 +229,8 @@
 	return o, nil
 }
 
-// Leave takes this entry out of the roster and returns when the others hold its records, or with ctx's error.
+// Leave removes this entry from the roster. It returns when the others hold its records and its settlements are delivered, or
+// with ctx's error.
 func (k *Keeper) Leave(ctx context.Context) error {
 	k.mu.Lock()
 	k.membership.Stop()
@@ -246,7 +249,7 @@
 	return k.outbox.drain(ctx)
 }
 
-// handedOver reports whether no other entry needs this one's records any more.
+// handedOver reports whether no other entry needs this entry's records any more.
 func (k *Keeper) handedOver() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -259,14 +262,14 @@
 	return !in && k.membership.Complete()
 }
 
-// recordBeat notes what another entry of the data centre said.
+// recordBeat passes the beat of another entry of the data centre to the membership.
 func (k *Keeper) recordBeat(m ledger.BeatMsg) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.Beat(m)
 }
 
-// unheardAndGone returns the members that this entry has not heard, and those that the platform's list says are gone.
+// unheardAndGone returns the members that this entry has not heard, and those that are gone according to the platform's list.
 func (k *Keeper) unheardAndGone() (unheard, gone []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -280,7 +283,7 @@
 	return k.membership.Stopping()
 }
 
-// Wait returns when this entry holds a roster, or when ctx ends.
+// Wait returns when a roster is in force at this entry, or when ctx ends.
 func (k *Keeper) Wait(ctx context.Context) {
 	for k.Holding() == 0 && ctx.Err() == nil {
 		sleep(ctx, tickInterval/4)
--- a/node/relay/keeper_test.go
+++ b/node/relay/keeper_test.go
@@ -16,7 +16,7 @@
 
 var body = []byte("digest of a request")
 
-// keysHeldBy returns keys of the east that just these entries hold.
+// keysHeldBy returns keys of the data centre east whose holders are exactly a and b.
 func keysHeldBy(n *node, a, b string, count int) (l []string) {
 	r := n.Roster("east")
 	for k := 0; len(l) < count; k++ {
@@ -66,7 +66,7 @@
 	t.Settle(ledger.Answered, 200, "text/plain", []byte("answer of "+key))
 }
 
-// inVirtualTime runs a case with a fleet of the entries in a bubble whose time is not the machine's.
+// inVirtualTime runs a case with a fleet of the entries under synctest.
 func inVirtualTime(t *testing.T, name string, entries []string, f func(*is.I, *fleet, []*node)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -120,7 +120,7 @@
 	})
 	inVirtualTime(t, "a planned stop waits until the records are handed over", three, func(i *is.I, f *fleet, n []*node) {
 		f.network.silence(n[1].self.Addr, true)
-		f.network.silence(n[2].self.Addr, true) // a can pull from nobody
+		f.network.silence(n[2].self.Addr, true) // a cannot pull records from any entry
 		c, end := context.WithTimeout(n[1].ctx, 3*time.Second)
 		defer end()
 		i.True(errors.Is(n[1].Leave(c), context.DeadlineExceeded))
@@ -133,7 +133,7 @@
 		time.Sleep(time.Second)
 		i.NoErr(n[1].Leave(n[1].ctx))
 		n[1].kill()
-		n[2].kill() // the other holder dies at once
+		n[2].kill() // the other holder crashes right after
 		f.reportGone("c")
 		f.inForce(n[0])
 		keptAnswer(i, n[0], key, "2")
@@ -149,7 +149,7 @@
 		refused(i, n[0], key, "1", ledger.Unreachable, true)
 		i.True(time.Since(start) < time.Second)
 		f.store.down.Store(true)
-		refused(i, n[0], key, "1b", ledger.Unreachable, false) // no one confirms that the holder is one still
+		refused(i, n[0], key, "1b", ledger.Unreachable, false) // the roster cannot be confirmed, so the holder that answered may have been replaced
 		f.store.down.Store(false)
 		f.inForce(n[0], n[2])
 		granted(i, n[0], key, "2")
@@ -232,7 +232,7 @@
 	})
 }
 
-// TestLoopback kills a real server between claim and settlement.
+// TestLoopback stops a holder with a real server between claim and settlement; the answer must still reach the other holders.
 func TestLoopback(t *testing.T) {
 	f, i := newFleet(t), is.New(t)
 	a, b, c := f.startAt("a", "east"), f.startAt("b", "east"), f.startAt("c", "east")
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -13,45 +13,48 @@
 )
 
 const (
-	outboxMax            = 65_536 // jobs
-	outboxAnswerBytesMax = 8 << 20
-	settleBatchDelay     = 5 * time.Millisecond
-	settleRetryInterval  = 500 * time.Millisecond
-	settleTimeout        = 5 * time.Minute
-	settleBatchMax       = 256       // jobs in one call
-	settleBatchBytesMax  = 512 << 10 // answers in one call
-	settleConcurrency    = 16
+	outboxMax            = 65_536  // settlements
+	outboxAnswerBytesMax = 8 << 20 // bytes of answers in unfinished settlements
+	// settleBatchDelay is the wait before a delivery, so that settlements can share calls.
+	settleBatchDelay    = 5 * time.Millisecond
+	settleRetryInterval = 500 * time.Millisecond
+	// settleTimeout is how long delivery of a settlement is retried before it is dropped.
+	settleTimeout       = 5 * time.Minute
+	settleBatchMax      = 256       // settlements in one call
+	settleBatchBytesMax = 512 << 10 // bytes of answers in one call
+	settleConcurrency   = 16
 )
 
-// settlement tells the holders of a key what became of one copy.
+// settlement is the outcome of one copy, to be delivered to the holders of its key.
 type settlement struct {
 	outbox       *outbox
-	home         string
+	home         string // data centre whose entries remember the key
 	key, attempt string
 	record       ledger.Record
-	holders      []ledger.Member // that were asked
+	holders      []ledger.Member // holders that were asked to grant the claim
 	mayBeStored  bool            // whether the platform's service may have the key
-	confirmed    []string        // entries that have it
-	needsRetry   bool            // whether someone who must know could not be told in this round
+	confirmed    []string        // ids of entries that have the settlement
+	needsRetry   bool            // whether delivery to a required holder or to the service failed in this round
 	deadline     time.Time
 }
 
-// outbox is the jobs that have not reached all holders yet.
+// outbox holds the settlements that have not reached all holders yet.
 type outbox struct {
 	k    *Keeper
 	wake chan struct{}
 
 	mu          sync.Mutex
-	pending     []*settlement // to be done now
-	retries     []*settlement // to be done again
-	unfinished  int
-	answerBytes int // of the answers that wait
+	pending     []*settlement // to be delivered in the next round
+	retries     []*settlement // to be delivered again after settleRetryInterval
+	unfinished  int           // number of settlements not yet delivered or dropped
+	answerBytes int           // bytes of the answers in unfinished settlements
 	dropped     int
 }
 
 func newOutbox(k *Keeper) *outbox { return &outbox{k: k, wake: make(chan struct{}, 1)} }
 
-// enqueue hands the job over; when too many wait it is dropped, which leaves its key claimed until that lapses.
+// enqueue queues the settlement for delivery. When the outbox is full the settlement is dropped, and its key stays claimed until
+// the record lapses; when there is no room for its answer, only the answer is dropped.
 func (j *settlement) enqueue() {
 	o := j.outbox
 	j.deadline = o.k.now().Add(settleTimeout)
@@ -77,7 +80,7 @@
 	}
 }
 
-// settleLocal settles at this very entry at once.
+// settleLocal records the settlement at once if this entry is itself a holder.
 func (j *settlement) settleLocal() {
 	k := j.outbox.k
 	if j.home != k.dataCentre || !slices.Contains(j.holders, k.self) {
@@ -87,6 +90,7 @@
 	j.confirmed = append(j.confirmed, k.self.Entry)
 }
 
+// finish removes the settlement from the counts; dropped means that not every holder has it.
 func (o *outbox) finish(j *settlement, dropped bool) {
 	o.mu.Lock()
 	o.unfinished--
@@ -100,7 +104,7 @@
 	}
 }
 
-// run performs the jobs, many at a time, until ctx ends.
+// run delivers settlements in batches until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error { return o.retryLoop(c) })
@@ -122,7 +126,7 @@
 	return g.Wait()
 }
 
-// retryLoop hands the jobs that failed back.
+// retryLoop returns settlements that need a retry to the pending ones.
 func (o *outbox) retryLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, settleRetryInterval)
@@ -139,16 +143,16 @@
 	return nil
 }
 
-// settleBatch is what one call tells one holder.
+// settleBatch is the settlements that one call delivers to one holder.
 type settleBatch struct {
 	to          ledger.Member
 	settlements []*settlement
 	bytes       int
-	roster      int64 // newest roster that the holder knows
+	roster      int64 // newest roster number that the holder knows
 	err         error
 }
 
-// deliver tells the holders of all jobs, one call at a time for each holder.
+// deliver sends the settlements to their holders: concurrently to several holders, one call at a time to each.
 func (o *outbox) deliver(ctx context.Context, l []*settlement) {
 	batches := map[ledger.Member][]*settleBatch{}
 	for _, j := range l {
@@ -174,6 +178,7 @@
 	o.finishOrRetry(ctx, l)
 }
 
+// addToBatches adds j to the last batch for holder m, or to a new one when that is full.
 func addToBatches(l []*settleBatch, m ledger.Member, j *settlement) []*settleBatch {
 	n := len(j.record.Answer)
 	if len(l) == 0 || len(l[len(l)-1].settlements) >= settleBatchMax || l[len(l)-1].bytes+n > settleBatchBytesMax {
@@ -193,20 +198,20 @@
 	p.roster, p.err = c.Settle(ctx, p.to.Addr, l)
 }
 
-// recordResult tells the jobs of a parcel how it went.
+// recordResult updates a batch's settlements with the result of its call.
 func (o *outbox) recordResult(p *settleBatch) {
 	for _, j := range p.settlements {
 		r := o.k.Roster(j.home)
 		if p.err == nil {
 			j.confirmed = append(j.confirmed, p.to.Entry)
 			j.needsRetry = j.needsRetry || p.roster > r.Number()
-		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // one that has left has been pulled from or is gone
+		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // a holder that left the roster needs no retry: its records were pulled or it is gone
 			j.needsRetry = true
 		}
 	}
 }
 
-// finishOrRetry ends the jobs that are done or out of time and keeps the others for later.
+// finishOrRetry finishes the settlements that are delivered or have reached their deadline, and queues the others for a retry.
 func (o *outbox) finishOrRetry(ctx context.Context, l []*settlement) {
 	now := o.k.now()
 	for _, j := range l {
@@ -227,7 +232,7 @@
 	}
 }
 
-// drain waits until no job is left.
+// drain waits until no settlement is left or ctx ends.
 func (o *outbox) drain(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -246,7 +251,7 @@
 	}
 }
 
-// remainingHolders returns the holders of now and those that were asked, but for those that have been told.
+// remainingHolders returns the current holders and those that were asked, except those that have confirmed.
 func (j *settlement) remainingHolders() []ledger.Member {
 	r := j.outbox.k.Roster(j.home)
 	l := slices.Clone(j.holders)
--- a/node/relay/peer.go
+++ b/node/relay/peer.go
@@ -6,10 +6,10 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// Address tells where an entry listens to its peers.
+// Address is the address at which an entry listens to its peers.
 type Address struct{ entry, addr, dataCentre string }
 
-// NewAddress returns the address of an entry, as host:port.
+// NewAddress returns the address of an entry; addr is host:port.
 func NewAddress(entry, addr, dataCentre string) Address {
 	return Address{entry: entry, addr: addr, dataCentre: dataCentre}
 }
@@ -17,29 +17,29 @@
 // Entry returns the entry's id.
 func (a Address) Entry() string { return a.entry }
 
-// Addr returns host:port.
+// Addr returns the address as host:port.
 func (a Address) Addr() string { return a.addr }
 
 // DataCentre returns the entry's data centre.
 func (a Address) DataCentre() string { return a.dataCentre }
 
-// Peer is what another entry last said of itself.
+// Peer is the state that another entry last reported.
 type Peer struct {
 	address                   Address
 	incarnation               int64
-	heardAt                   time.Time
+	heardAt                   time.Time // last beat or reply
 	applied, roster, holding  int64
 	stopping                  bool
 	loads                     []*ServiceLoad
 	drained, leaving, failing []string
 	unheard, gone             []string
-	loadsReportedAt           time.Time
+	loadsReportedAt           time.Time // last beat with loads
 }
 
-// Address returns who and where the peer is.
+// Address returns the id, the address and the data centre of the peer.
 func (p Peer) Address() Address { return p.address }
 
-// Incarnation returns the number of the peer's life; a restarted entry has a higher one.
+// Incarnation returns the number of the peer's current start; a restarted entry has a higher one.
 func (p Peer) Incarnation() int64 { return p.incarnation }
 
 // At returns when the peer was last heard.
@@ -48,7 +48,7 @@
 // Reported returns when the peer last reported its loads.
 func (p Peer) Reported() time.Time { return p.loadsReportedAt }
 
-// Applied returns the newest configuration change in force at the peer.
+// Applied returns the number of the newest configuration change in force at the peer.
 func (p Peer) Applied() int64 { return p.applied }
 
 // Roster returns the number of the roster that the peer uses.
@@ -57,19 +57,19 @@
 // Holding returns the number of the newest roster in force at the peer.
 func (p Peer) Holding() int64 { return p.holding }
 
-// Stopping reports whether the peer is about to leave.
+// Stopping reports whether the peer is about to stop.
 func (p Peer) Stopping() bool { return p.stopping }
 
-// Loads returns the use of each service's slots at the peer; the caller must not change it.
+// Loads returns the use of each service's slots at the peer; callers must not modify it.
 func (p Peer) Loads() []*ServiceLoad { return p.loads }
 
-// Drained returns the VMs that the peer sends nothing to, with nothing in flight; the caller must not change it.
+// Drained returns the VMs to which the peer sends nothing and has no requests in flight; callers must not modify it.
 func (p Peer) Drained() []string { return p.drained }
 
-// Leaving returns the VMs that the peer knows to be leaving; the caller must not change it.
+// Leaving returns the VMs that are leaving as far as the peer knows; callers must not modify it.
 func (p Peer) Leaving() []string { return p.leaving }
 
-// Failing returns the VMs that fail everything the peer sends; the caller must not change it.
+// Failing returns the VMs that fail every request of the peer; callers must not modify it.
 func (p Peer) Failing() []string { return p.failing }
 
 func (p Peer) member() ledger.Member {
--- a/node/relay/relay.twirp.go
+++ b/node/relay/relay.twirp.go
@@ -33,24 +33,24 @@
 // Relay Interface
 // ===============
 
-// Relay is what an entry offers to the other entries.
+// Relay is the service that entries offer to each other.
 type Relay interface {
-	// Beat exchanges what two entries know, and carries changes that the caller lacks.
+	// Beat exchanges the states of two entries; the reply carries configuration changes that the caller lacks.
 	Beat(context.Context, *BeatRequest) (*BeatReply, error)
 
-	// Claim asks a holder to record that a keyed request is about to be sent.
+	// Claim asks a holder to record that a copy of a keyed request is about to be sent.
 	Claim(context.Context, *ClaimRequest) (*ClaimReply, error)
 
-	// Settle tells a holder what became of a claimed request.
+	// Settle reports the outcome of a claimed request to a holder.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 
-	// Batch carries several claims and settlements at once.
+	// Batch carries several claims and settlements in one call.
 	Batch(context.Context, *BatchRequest) (*BatchReply, error)
 
-	// Records hands over the records of keys that the caller now holds.
+	// Records returns the records of keys that the caller holds under a new roster.
 	Records(context.Context, *RecordsRequest) (*RecordsReply, error)
 
-	// Borrow asks for slots of targets that the lender leaves idle.
+	// Borrow asks the receiver to lend idle slots of its targets.
 	Borrow(context.Context, *BorrowRequest) (*BorrowReply, error)
 
 	// Return gives borrowed slots back.
--- a/node/relay/roster.go
+++ b/node/relay/roster.go
@@ -10,18 +10,25 @@
 )
 
 const (
-	rosterWatchTimeout    = 30 * time.Second
-	rosterRetryDelay      = time.Second
-	rosterRetryDelayMax   = 8 * time.Second
+	// rosterWatchTimeout bounds one watch of the local roster.
+	rosterWatchTimeout = 30 * time.Second
+	// rosterRetryDelay is the base delay before the local roster is watched again after an error, and the pause between
+	// reads that were requested.
+	rosterRetryDelay    = time.Second
+	rosterRetryDelayMax = 8 * time.Second
+	// rosterRefreshInterval is the time between reads of all rosters; up to a quarter is added at random.
 	rosterRefreshInterval = 60 * time.Second
-	unreachableAfter      = 5 * time.Second
-	pullInterval          = 100 * time.Millisecond
-	pullConcurrency       = 8
-	rosterStoreTimeout    = 2 * time.Second
+	// unreachableAfter is how long records are pulled under a roster before a source that does not answer counts as unreachable.
+	unreachableAfter = 5 * time.Second
+	pullInterval     = 100 * time.Millisecond
+	pullConcurrency  = 8
+	// rosterStoreTimeout bounds one read or write of a roster.
+	rosterStoreTimeout = 2 * time.Second
 )
 
 func rosterKey(dataCentre string) string { return "dc/" + dataCentre + "/roster" }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -31,7 +38,7 @@
 	}
 }
 
-// requestRefresh wants a data centre's roster read from the service soon.
+// requestRefresh asks refreshLoop to read a data centre's roster soon; it does not block and drops the request when too many wait.
 func (k *Keeper) requestRefresh(dataCentre string) {
 	select {
 	case k.refreshRequests <- dataCentre:
@@ -39,7 +46,7 @@
 	}
 }
 
-// watchLoop follows the own roster in the platform's service, more slowly while the service is down.
+// watchLoop watches the local roster in the platform's service until ctx ends, with a growing, random delay while the service is down.
 func (k *Keeper) watchLoop(ctx context.Context) error {
 	wait := rosterRetryDelay
 	for ctx.Err() == nil {
@@ -54,7 +61,7 @@
 	return nil
 }
 
-// watchUntilError reads and watches the own roster until a call fails.
+// watchUntilError reads the local roster and watches it until a call fails.
 func (k *Keeper) watchUntilError(ctx context.Context) {
 	key := rosterKey(k.dataCentre)
 	_, rev, err := k.store.List(ctx, key, "", 1)
@@ -69,7 +76,7 @@
 	}
 }
 
-// refreshRoster reads a data centre's roster from the service.
+// refreshRoster reads a data centre's roster from the platform's service and adopts it if it is newer.
 func (k *Keeper) refreshRoster(ctx context.Context, dataCentre string) error {
 	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
@@ -95,7 +102,7 @@
 	return nil
 }
 
-// refreshLoop reads the other data centres' rosters now and then, and any roster when it is asked for.
+// refreshLoop reads the other data centres' rosters at the start, all rosters periodically, and any roster on request.
 func (k *Keeper) refreshLoop(ctx context.Context) error {
 	for _, d := range k.dataCentres {
 		if d != k.dataCentre {
@@ -119,7 +126,7 @@
 	}
 }
 
-// tickLoop lets time pass for records and membership, and proposes rosters.
+// tickLoop calls tick periodically until ctx ends.
 func (k *Keeper) tickLoop(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -133,6 +140,8 @@
 	}
 }
 
+// tick advances records and membership to the present, and proposes a roster when the membership wants a change or the
+// service holds an older roster than this entry.
 func (k *Keeper) tick(ctx context.Context) {
 	k.mu.Lock()
 	now := k.now()
@@ -145,7 +154,7 @@
 	case !k.storeRead:
 		k.requestRefresh(k.dataCentre)
 	case k.storedNumber < r.Number():
-		doc = r.Marshal() // the service came back older than this entry
+		doc = r.Marshal() // the service was restored to an older state: write the newer roster back
 	case k.storedNumber == r.Number():
 		if p := k.membership.Tick(ledger.TickMsg{Now: now}); len(p) > 0 {
 			doc = p[0].Roster.Marshal()
@@ -158,13 +167,14 @@
 	}
 }
 
+// ownBeat returns what this entry reports of itself to its own membership.
 func (k *Keeper) ownBeat(now time.Time) ledger.BeatMsg {
 	return ledger.BeatMsg{
 		Now: now, Member: k.self, Holding: k.book.Holding(), Stopping: k.membership.Stopping(), Unheard: k.membership.Unheard(now),
 	}
 }
 
-// markGone tells the records which former holders are gone.
+// markGone marks former holders in the records as gone once the membership is certain of it.
 func (k *Keeper) markGone(now time.Time) {
 	r := k.rosters[k.dataCentre]
 	for _, l := range [][]ledger.Member{r.Previous(), k.book.Lost()} {
@@ -176,6 +186,7 @@
 	}
 }
 
+// proposeRoster writes the roster document if the stored one still has the revision rev, and then reads the roster back.
 func (k *Keeper) proposeRoster(ctx context.Context, doc []byte, rev keyval.Revision) {
 	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
@@ -184,14 +195,14 @@
 		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("proposal not written")
 	}
 	k.mu.Lock()
-	k.storeRead = false // the write's answer may be lost; what the service holds counts
+	k.storeRead = false // the answer may be lost although the write took effect, so read the roster again
 	k.mu.Unlock()
 	if k.refreshRoster(ctx, k.dataCentre) != nil {
 		k.requestRefresh(k.dataCentre)
 	}
 }
 
-// pullLoop fetches the records of keys that this entry now holds from those that held them before.
+// pullLoop pulls the records of keys that this entry holds under a new roster from their former holders.
 func (k *Keeper) pullLoop(ctx context.Context) error {
 	pulledSince, rosterNumber := time.Time{}, int64(0)
 	for {
@@ -219,7 +230,7 @@
 	}
 }
 
-// pullFrom pulls every page from one source, or notes that it does not answer.
+// pullFrom pulls all pages from one source. If that fails and overdue is set, it marks the source as unreachable.
 func (k *Keeper) pullFrom(ctx context.Context, p ledger.PullCmd, overdue bool) {
 	q := &RecordsRequest{Entry: k.self.Entry, Roster: p.Roster, Newcomer: p.Newcomer, RosterDocument: k.Roster(k.dataCentre).Marshal()}
 	for {
@@ -244,7 +255,8 @@
 	}
 }
 
-// applyPage hands a page to the book and reports whether there are more; when the roster comes into force peers are told.
+// applyPage adds a page to the records and reports whether more pages follow. If that brings the roster into force, peers are
+// notified.
 func (k *Keeper) applyPage(m ledger.PulledMsg) bool {
 	k.mu.Lock()
 	before := k.book.Holding()
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -16,35 +16,35 @@
 const (
 	headerTimeout   = 5 * time.Second
 	stopTimeout     = 5 * time.Second
-	maxRequestBytes = 4 << 20 // bytes
+	maxRequestBytes = 4 << 20
 )
 
-// Lender is the entry's side of slot loans.
+// Lender handles the peers' requests to borrow and return slots.
 type Lender interface {
 	Borrow(context.Context, *BorrowRequest) (*BorrowReply, error)
 	Return(context.Context, *ReturnRequest) (*ReturnReply, error)
 }
 
-// Service joins what an entry offers to the other entries.
+// Service combines the handlers of the Relay protocol.
 type Service struct {
 	*Keeper
 	*Beater
 	Lender
 }
 
-// Server answers other entries.
+// Server serves the Relay protocol to other entries.
 type Server struct {
 	http        *http.Server
 	stopTimeout time.Duration
 }
 
-// ServerOption changes a new Server.
+// ServerOption configures a Server.
 type ServerOption func(*Server)
 
-// WithStopWithin bounds the time that requests in flight have when the server stops.
+// WithStopWithin sets how long requests in flight may take to finish when the server stops.
 func WithStopWithin(d time.Duration) ServerOption { return func(s *Server) { s.stopTimeout = d } }
 
-// NewServer returns a server of h.
+// NewServer returns a server that passes calls to h.
 func NewServer(h Relay, o ...ServerOption) *Server {
 	s := &Server{stopTimeout: stopTimeout, http: &http.Server{
 		Handler:           http.MaxBytesHandler(withoutDate(NewRelayServer(h)), maxRequestBytes),
@@ -57,7 +57,7 @@
 	return s
 }
 
-// withoutDate leaves out the date, which no entry reads.
+// withoutDate omits the Date header, which no entry reads.
 func withoutDate(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
@@ -65,7 +65,7 @@
 	})
 }
 
-// Serve answers on l until ctx ends, then lets the requests in flight finish.
+// Serve accepts connections on l until ctx ends, then waits for the requests in flight.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error {
--- a/node/relay/store.go
+++ b/node/relay/store.go
@@ -13,31 +13,34 @@
 )
 
 const (
+	// storeTimeout bounds the calls to the platform's service for one key or for one confirmation of a roster.
 	storeTimeout = 500 * time.Millisecond
-	// confirmDelay spaces the reads that confirm a roster.
+	// confirmDelay is the wait before a read that confirms a roster; requests that arrive meanwhile share the read.
 	confirmDelay = 25 * time.Millisecond
-	// storeLeaseTTL is the life of a lease under which keys are created; each is used for the first half of it.
+	// storeLeaseTTL is the lifetime of a lease under which keys are created. New keys use a lease only during its first half,
+	// so that each key lasts at least ledger.Remember.
 	storeLeaseTTL = 2 * ledger.Remember
 )
 
-// keyDocument is what the platform's service holds of a key.
+// keyDocument is the value of a key in the platform's service.
 type keyDocument struct {
 	Attempt uint64 `json:"attempt"`
 	Digest  uint64 `json:"digest"`
 }
 
-// storeLease is the lease under which this entry creates keys.
+// storeLease is the lease in the platform's service under which this entry creates keys.
 type storeLease struct {
 	mu        sync.Mutex
 	id        keyval.LeaseID
 	grantedAt time.Time
 }
 
+// keyPath returns the name under which the platform's service stores a key of the data centre.
 func (k *Keeper) keyPath(dataCentre string, id ledger.ID) string {
 	return "dc/" + dataCentre + "/keys/" + id.String()
 }
 
-// currentLease returns a lease that lasts for at least ledger.Remember from now.
+// currentLease returns a lease that lasts at least ledger.Remember from now, and grants a new one if needed.
 func (k *Keeper) currentLease(ctx context.Context) (keyval.LeaseID, error) {
 	l := &k.lease
 	l.mu.Lock()
@@ -54,7 +57,7 @@
 	return id, nil
 }
 
-// createKey creates the key in the platform's service for this copy only.
+// createKey creates the key in the platform's service on behalf of this copy; an existing key is not overwritten.
 func (k *Keeper) createKey(ctx context.Context, a *attempt) ledger.Msg {
 	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
@@ -74,7 +77,7 @@
 	return m
 }
 
-// resolveWrite settles a write that did not say whether it made the key.
+// resolveWrite reads the key back after a create that conflicted or whose outcome is unknown.
 func (k *Keeper) resolveWrite(ctx context.Context, key string, a *attempt) (ledger.StoreOutcome, ledger.Record) {
 	i, err := k.store.Get(ctx, key)
 	var d keyDocument
@@ -87,7 +90,7 @@
 	return ledger.StoreTaken, ledger.Record{ID: a.id, Attempt: ledger.Attempt(d.Attempt), Digest: ledger.Digest(d.Digest), Phase: ledger.Claimed}
 }
 
-// deleteKey removes the key if it is this copy's, and reports whether it is gone.
+// deleteKey deletes the key if this copy created it, and reports whether no key of this copy is left.
 func (k *Keeper) deleteKey(ctx context.Context, home string, r ledger.Record) bool {
 	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
@@ -103,7 +106,8 @@
 	return k.store.Delete(t, key, i.Rev()) == nil
 }
 
-// confirmRoster returns the number of the roster that the platform's service holds now, or zero; many that ask share one read.
+// confirmRoster returns the number of the roster that the platform's service holds now, or zero if it cannot be read.
+// Concurrent calls for one data centre share a read.
 func (k *Keeper) confirmRoster(ctx context.Context, dataCentre string) int64 {
 	j, ok := k.confirmBatchers[dataCentre]
 	if !ok {
@@ -133,7 +137,7 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only strings and numbers
+		panic(err) // the documents contain only strings and numbers
 	}
 	return b
 }
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -8,21 +8,21 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// sendWindow is how long after the claim a send may begin.
+// sendWindow is how long after the start of its claim a copy may be sent.
 const sendWindow = 5 * time.Second
 
-// Ticket allows one copy of a keyed request to be sent, and tells the holders what became of it.
+// Ticket permits one copy of a keyed request to be sent, and delivers its outcome to the holders of the key.
 type Ticket struct {
 	settlement *settlement
 	sendBy     time.Time
 }
 
-// Until returns the time after which the copy must not be sent any more.
+// Until returns the time after which the copy must not be sent.
 func (t *Ticket) Until() time.Time { return t.sendBy }
 
-// Settle tells the holders, in the background, what became of the copy; it copies answer and may be called once.
+// Settle delivers the outcome of the copy to the holders, in the background. It copies answer and may be called once.
 //
-// The phase is Answered, Unknown or NotRun; a whole answer of up to ledger.MaxAnswer bytes is kept for repeats.
+// The phase p is Answered, Unknown or NotRun; an answer of up to ledger.MaxAnswer bytes is stored for later copies.
 func (t *Ticket) Settle(p ledger.Phase, status int, contentType string, answer []byte) {
 	j := t.settlement
 	j.record.Phase, j.record.Status = p, status
@@ -32,10 +32,10 @@
 	j.enqueue()
 }
 
-// attempt is one copy on its way through its claim.
+// attempt is the claim of one copy while it is being made.
 type attempt struct {
 	k       *Keeper
-	home    string
+	home    string // data centre whose entries remember the key
 	request *ClaimRequest
 	id      ledger.ID
 	digest  ledger.Digest
@@ -43,9 +43,9 @@
 	claim   *ledger.Claim
 }
 
-// Take claims key for one copy of a request; the attempt's id must be unique and digest tells the request's contents.
+// Take claims key for one copy of a request. attemptID must be unique to the copy, and digest identifies the contents of the request.
 //
-// The error is a *RepeatError when another copy was claimed before, or a *RefusedError; the copy must then not be sent.
+// The error is a *RepeatError if another copy has claimed the key, or a *RefusedError. After an error the copy must not be sent.
 func (k *Keeper) Take(ctx context.Context, key string, digest []byte, attemptID string) (*Ticket, error) {
 	a := &attempt{
 		k: k, home: ledger.Home(key, k.dataCentres), id: ledger.NewID(key),
@@ -78,6 +78,8 @@
 	}
 }
 
+// refusal returns the error of a refused claim. Unless the key was used for another request, it also requests a refresh of
+// the roster.
 func (a *attempt) refusal(c ledger.RefuseCmd) error {
 	if c.Reason != ledger.OtherRequest {
 		a.k.requestRefresh(a.home)
@@ -85,7 +87,7 @@
 	return &RefusedError{reason: c.Reason, notRun: c.NotRun, retryAfter: c.RetryAfter, peer: c.Holder}
 }
 
-// perform does what takes time and returns its outcome.
+// perform carries out a command that takes time and returns its result.
 func (a *attempt) perform(ctx context.Context, c ledger.Cmd) ledger.Msg {
 	switch c := c.(type) {
 	case ledger.AskCmd:
@@ -105,6 +107,7 @@
 	}
 }
 
+// askHolder asks a holder for the claim: this entry directly, another one by a call.
 func (a *attempt) askHolder(ctx context.Context, c ledger.AskCmd) ledger.Msg {
 	if c.Holder.Is(a.k.self) {
 		r := a.k.claimLocal(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
@@ -125,12 +128,14 @@
 	return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 }
 
+// release tells the holders that the copy is not run, so that the key is free again.
 func (a *attempt) release(c ledger.ReleaseCmd) {
 	j := a.newSettlement(c.Holders, c.Store)
 	j.record.Phase = ledger.NotRun
 	j.enqueue()
 }
 
+// newSettlement returns a settlement of the copy without an outcome.
 func (a *attempt) newSettlement(holders []ledger.Member, store bool) *settlement {
 	return &settlement{
 		outbox: a.k.outbox, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, mayBeStored: store,
