--- a/node/conns/answer.go
+++ b/node/conns/answer.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	errNoLength = eris.New("answer declares no length, so that a cut one cannot be told from a whole one")
+	errNoLength = eris.New("answer declares no length, so a truncated one cannot be detected")
 	errInterim  = eris.New("too many interim answers")
 )
 
--- a/node/conns/conns.go
+++ b/node/conns/conns.go
@@ -13,11 +13,11 @@
 
 var (
 	// ErrNotSent reports that no byte of the request was sent.
-	ErrNotSent = eris.New("conns: not sent")
+	ErrNotSent = eris.New("conns: request not sent")
 	// ErrLost reports that at least a part of the request was sent, and that no whole answer to it was received.
 	ErrLost = eris.New("conns: answer lost")
 	// ErrClosed reports that the pool is closed; nothing was sent.
-	ErrClosed = eris.New("conns: closed")
+	ErrClosed = eris.New("conns: pool is closed")
 )
 
 const (
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// closeIdle closes all idle connections after one has failed, because whatever lost the state of that
-// connection may have lost the state of the others too.
+// closeIdle closes all idle connections after a connection has failed, because whatever lost the state of that one may have lost
+// the state of the others too.
 func (p *Pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -82,9 +82,9 @@
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", nil},
 		{"longer than declared", whole + "more", ErrLost},
 		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"chunks cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
+		{"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
 		{"no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"foreign mark", strings.Replace(whole, ": m", ": other", 1), ErrLost},
+		{"id of another request", strings.Replace(whole, ": m", ": other", 1), ErrLost},
 		{"no answer", "", ErrLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -186,13 +186,13 @@
 	i := is.New(t)
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	var stalled atomic.Bool
-	together := make(chan struct{}, idleCount)
+	arrived := make(chan struct{}, idleCount)
 	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
 			return nil // an old connection goes silent: it reads requests and never answers
 		}
-		together <- struct{}{}
-		for len(together) < idleCount && !stalled.Load() {
+		arrived <- struct{}{}
+		for len(arrived) < idleCount && !stalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := io.WriteString(c, whole)
@@ -207,8 +207,8 @@
 	i.NoErr(g.Wait())
 	i.Equal(p.Open(), idleCount)
 	stalled.Store(true)
-	for len(together) > 0 {
-		<-together
+	for len(arrived) > 0 {
+		<-arrived
 	}
 	_, err := send(p, "m", 50*time.Millisecond)
 	i.True(errors.Is(err, ErrLost))
--- a/node/relay/beater.go
+++ b/node/relay/beater.go
@@ -60,8 +60,8 @@
 	peers   map[string]Peer // by entry id
 	round   int
 
-	kicks      chan struct{} // requests to beat to the local data centre at once
-	aheadPeers chan Address  // peers with newer configuration changes; a beat to them returns the changes
+	beatRequests chan struct{} // requests to beat to the local data centre at once
+	aheadPeers   chan Address  // peers with newer configuration changes; a beat to them returns the changes
 }
 
 // BeaterOption configures a Beater.
@@ -82,7 +82,7 @@
 func NewBeater(k *Keeper, c *Client, r Carrier, o ...BeaterOption) *Beater {
 	b := &Beater{
 		keeper: k, client: c, state: r, interval: beatInterval, leader: func() string { return "" }, onBeat: func(Peer, []byte) {},
-		peers: map[string]Peer{}, kicks: make(chan struct{}, 1), aheadPeers: make(chan Address, 8),
+		peers: map[string]Peer{}, beatRequests: make(chan struct{}, 1), aheadPeers: make(chan Address, 8),
 	}
 	for _, f := range o {
 		f(b)
@@ -103,7 +103,7 @@
 // Kick sends a beat to the entries of the local data centre at once, because the state to report has changed. It does not block.
 func (b *Beater) Kick() {
 	select {
-	case b.kicks <- struct{}{}:
+	case b.beatRequests <- struct{}{}:
 	default:
 	}
 }
@@ -131,7 +131,7 @@
 			return nil
 		case <-t.C:
 			l = b.nextTargets()
-		case <-b.kicks:
+		case <-b.beatRequests:
 			l = b.localPeers()
 		case a := <-b.aheadPeers:
 			l = []Address{a}
@@ -140,7 +140,7 @@
 	}
 }
 
-// send beats to each of l. The entries of the local data centre share one request; a second one with loads goes to those that are
+// send sends a beat to each of l. The entries of the local data centre share one request; a second one with loads goes to those that are
 // due for them.
 func (b *Beater) send(ctx context.Context, l []Address) {
 	leader := b.leader()
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -47,7 +47,7 @@
 				c.heal()
 				t.Logf("granted %d, refused %d, repeats %d", c.granted, c.refused, c.repeats)
 				if c.granted < 30 {
-					t.Fatal("too few copies were sent for the run to say anything")
+					t.Fatal("fewer than 30 copies were granted, too few for a meaningful run")
 				}
 			})
 		})
@@ -118,7 +118,7 @@
 	case errors.As(err, &no):
 		c.refused++
 		if no.NotRun() && recent && !last.After(start) {
-			c.t.Errorf("%s of %s told not run, though it ran %s before", id, key, start.Sub(last))
+			c.t.Errorf("%s of %s was reported as not run, although it ran %s before", id, key, start.Sub(last))
 		}
 	case errors.As(err, &again):
 		c.repeats++
@@ -130,7 +130,7 @@
 	default:
 		c.granted++
 		if ran && time.Since(last) < ledger.Remember-ledger.ClaimWithin {
-			c.t.Errorf("%s of %s ran at %s, though it ran %s ago", id, key, n.self.Entry, time.Since(last))
+			c.t.Errorf("%s of %s ran at %s, although the key ran %s ago", id, key, n.self.Entry, time.Since(last))
 		}
 		c.ran[key] = time.Now()
 		c.mu.Unlock()
--- a/node/relay/client.go
+++ b/node/relay/client.go
@@ -90,7 +90,7 @@
 	}
 	a, err := call(ctx, c, callOptions{name: "claim"}, addr, &BatchRequest{Claims: l}, Relay.Batch)
 	if err == nil && len(a.GetClaims()) != len(l) {
-		err = wrapErr("claim", addr, eris.Wrap(ErrCall, "answers do not match the claims"))
+		err = wrapErr("claim", addr, eris.Wrap(ErrCall, "number of answers differs from number of claims"))
 	}
 	return a.GetClaims(), err
 }
@@ -119,7 +119,7 @@
 // callOptions are the options of one call. A zero timeout stands for the client's own; force sends the call even if the circuit is
 // open.
 type callOptions struct {
-	name    string
+	name    string // step in errors
 	timeout time.Duration
 	force   bool
 }
--- a/node/relay/codec.go
+++ b/node/relay/codec.go
@@ -70,10 +70,10 @@
 func fromLapse(w *Lapse, now time.Time) (ledger.Lapse, error) {
 	l := ledger.Lapse{Roster: w.GetRoster()}
 	if err := json.Unmarshal(w.GetMembers(), &l.Members); err != nil {
-		return l, eris.Wrap(err, "relay: lapse's members")
+		return l, eris.Wrap(err, "relay: decode the members of a lapse")
 	}
 	if err := json.Unmarshal(w.GetLost(), &l.Lost); err != nil {
-		return l, eris.Wrap(err, "relay: lapse's lost members")
+		return l, eris.Wrap(err, "relay: decode the lost members of a lapse")
 	}
 	if m := w.GetLeftMillis(); m > 0 {
 		l.Until = now.Add(time.Duration(m) * time.Millisecond)
--- a/node/relay/fleet_test.go
+++ b/node/relay/fleet_test.go
@@ -52,7 +52,7 @@
 type node struct {
 	*Keeper
 	beater    *Beater
-	conf      *fakeState
+	state     *fakeState
 	benchKeys atomic.Int64 // number of keys that nextBenchKey has returned
 	ctx       context.Context
 	end       func()
@@ -211,8 +211,8 @@
 // serve runs an entry with its server on l until it is killed or the test ends.
 func (f *fleet) serve(entry, dataCentre string, l net.Listener, addr string, c *Client) *node {
 	m := ledger.Member{Entry: entry, Addr: addr, Incarnation: f.lastIncarnation}
-	n := &node{Keeper: NewKeeper(m, dataCentre, []string{"east", "west"}, f.store, c), conf: &fakeState{}}
-	n.beater = NewBeater(n.Keeper, c, n.conf, WithLeader(func() string { return "b" }))
+	n := &node{Keeper: NewKeeper(m, dataCentre, []string{"east", "west"}, f.store, c), state: &fakeState{}}
+	n.beater = NewBeater(n.Keeper, c, n.state, WithLeader(func() string { return "b" }))
 	f.addrs = append(f.addrs, NewAddress(entry, m.Addr, dataCentre))
 	f.nodes = append(f.nodes, n)
 	for _, o := range f.nodes {
@@ -252,7 +252,7 @@
 	for _, n := range l {
 		f.t.Logf("%s holds %x of %v", n.self.Entry, n.Holding(), n.Roster(n.dataCentre))
 	}
-	f.t.Fatal("no roster in force")
+	f.t.Fatal("the nodes do not agree on a roster")
 }
 
 // haveSameRoster reports whether one roster with len(l) members is in force at all of l.
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -108,7 +108,7 @@
 	return k.book.Len(), k.book.AnswerBytes()
 }
 
-// Gone sets the entries that have left the fleet according to the platform's list. It is valid for 30 s. One entry that reads the
+// Gone sets the entries that have left the fleet according to the platform's list. The list is valid for 30 s. One entry that reads the
 // list is enough, for example the leader, because beats carry the result to the others.
 func (k *Keeper) Gone(entries []string) {
 	k.mu.Lock()
--- a/node/relay/keeper_test.go
+++ b/node/relay/keeper_test.go
@@ -30,14 +30,14 @@
 
 func keyHeldBy(n *node, a, b string) string { return keysHeldBy(n, a, b, 1)[0] }
 
-func granted(i *is.I, n *node, key, attempt string) *Ticket {
+func wantGranted(i *is.I, n *node, key, attempt string) *Ticket {
 	i.Helper()
 	t, err := n.Take(n.ctx, key, body, attempt)
 	i.NoErr(err)
 	return t
 }
 
-func repeated(i *is.I, n *node, key, attempt string, p ledger.Phase) *RepeatError {
+func wantRepeated(i *is.I, n *node, key, attempt string, p ledger.Phase) *RepeatError {
 	i.Helper()
 	_, err := n.Take(n.ctx, key, body, attempt)
 	var r *RepeatError
@@ -46,7 +46,7 @@
 	return r
 }
 
-func refused(i *is.I, n *node, key, attempt string, why ledger.Reason, notRun bool) {
+func wantRefused(i *is.I, n *node, key, attempt string, why ledger.Reason, notRun bool) {
 	i.Helper()
 	_, err := n.Take(n.ctx, key, body, attempt)
 	var r *RefusedError
@@ -55,14 +55,14 @@
 	i.Equal(r.NotRun(), notRun)
 }
 
-func keptAnswer(i *is.I, n *node, key, attempt string) {
+func wantStoredAnswer(i *is.I, n *node, key, attempt string) {
 	i.Helper()
-	a, ok := repeated(i, n, key, attempt, ledger.Answered).Answer()
+	a, ok := wantRepeated(i, n, key, attempt, ledger.Answered).Answer()
 	i.True(ok)
 	i.Equal(string(a), "answer of "+key)
 }
 
-func answer(t *Ticket, key string) {
+func settleAnswered(t *Ticket, key string) {
 	t.Settle(ledger.Answered, 200, "text/plain", []byte("answer of "+key))
 }
 
@@ -85,34 +85,34 @@
 	three := []string{"a", "b", "c"}
 	inVirtualTime(t, "a holder dies between claim and settle", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		k := granted(i, n[0], key, "1")
+		k := wantGranted(i, n[0], key, "1")
 		n[1].kill()
-		answer(k, key)
+		settleAnswered(k, key)
 		f.reportGone("b")
 		f.inForce(n[0], n[2])
 		time.Sleep(2 * time.Second)
-		keptAnswer(i, n[0], key, "2")
-		keptAnswer(i, n[2], key, "3")
+		wantStoredAnswer(i, n[0], key, "2")
+		wantStoredAnswer(i, n[2], key, "3")
 	})
 	inVirtualTime(t, "the claimant dies before it settles", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		granted(i, n[0], key, "1")
+		wantGranted(i, n[0], key, "1")
 		n[0].kill()
-		repeated(i, n[1], key, "2", ledger.Claimed)
+		wantRepeated(i, n[1], key, "2", ledger.Claimed)
 		f.reportGone("a")
 		f.inForce(n[1], n[2])
-		repeated(i, n[2], key, "3", ledger.Claimed)
+		wantRepeated(i, n[2], key, "3", ledger.Claimed)
 	})
 	inVirtualTime(t, "a copy that did not run leaves the key free", three, func(i *is.I, _ *fleet, n []*node) {
-		granted(i, n[0], "east/x", "1").Settle(ledger.NotRun, 0, "", nil)
+		wantGranted(i, n[0], "east/x", "1").Settle(ledger.NotRun, 0, "", nil)
 		time.Sleep(time.Second)
 		i.NoErr(n[0].outbox.drain(n[0].ctx))
 		i.Equal(n[0].outbox.dropped, 0)
-		granted(i, n[1], "east/x", "2")
-		repeated(i, n[2], "east/x", "3", ledger.Claimed)
+		wantGranted(i, n[1], "east/x", "2")
+		wantRepeated(i, n[2], "east/x", "3", ledger.Claimed)
 	})
 	inVirtualTime(t, "another request under the key", three, func(i *is.I, _ *fleet, n []*node) {
-		granted(i, n[0], "east/x", "1")
+		wantGranted(i, n[0], "east/x", "1")
 		_, err := n[1].Take(n[1].ctx, "east/x", []byte("other"), "2")
 		var r *RefusedError
 		i.True(errors.As(err, &r))
@@ -129,14 +129,14 @@
 	})
 	inVirtualTime(t, "a planned stop hands over first", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		answer(granted(i, n[0], key, "1"), key)
+		settleAnswered(wantGranted(i, n[0], key, "1"), key)
 		time.Sleep(time.Second)
 		i.NoErr(n[1].Leave(n[1].ctx))
 		n[1].kill()
 		n[2].kill() // the other holder crashes right after
 		f.reportGone("c")
 		f.inForce(n[0])
-		keptAnswer(i, n[0], key, "2")
+		wantStoredAnswer(i, n[0], key, "2")
 	})
 }
 
@@ -146,31 +146,31 @@
 		key := keyHeldBy(n[0], "b", "c")
 		n[1].kill()
 		start := time.Now()
-		refused(i, n[0], key, "1", ledger.Unreachable, true)
+		wantRefused(i, n[0], key, "1", ledger.Unreachable, true)
 		i.True(time.Since(start) < time.Second)
 		f.store.down.Store(true)
-		refused(i, n[0], key, "1b", ledger.Unreachable, false) // the roster cannot be confirmed, so the holder that answered may have been replaced
+		wantRefused(i, n[0], key, "1b", ledger.Unreachable, false) // the roster cannot be confirmed, so the holder that answered may have been replaced
 		f.store.down.Store(false)
 		f.inForce(n[0], n[2])
-		granted(i, n[0], key, "2")
+		wantGranted(i, n[0], key, "2")
 	})
 	inVirtualTime(t, "both holders die", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		granted(i, n[0], key, "1")
+		wantGranted(i, n[0], key, "1")
 		n[1].kill()
 		n[2].kill()
-		refused(i, n[0], key, "2", ledger.Unreachable, false)
+		wantRefused(i, n[0], key, "2", ledger.Unreachable, false)
 		f.reportGone("b", "c")
 		f.inForce(n[0])
-		refused(i, n[0], key, "3", ledger.Lost, false)
+		wantRefused(i, n[0], key, "3", ledger.Lost, false)
 		time.Sleep(ledger.Remember - 15*time.Second)
-		refused(i, n[0], key, "4", ledger.Lost, false)
+		wantRefused(i, n[0], key, "4", ledger.Lost, false)
 		time.Sleep(20 * time.Second)
-		granted(i, n[0], key, "5")
+		wantGranted(i, n[0], key, "5")
 	})
-	inVirtualTime(t, "an entry restarts with nothing", three, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "an entry restarts without records", three, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
-		answer(granted(i, n[0], key, "1"), key)
+		settleAnswered(wantGranted(i, n[0], key, "1"), key)
 		time.Sleep(time.Second)
 		n[1].kill()
 		b := f.start("b")
@@ -178,26 +178,26 @@
 		n[2].kill()
 		f.reportGone("c")
 		f.inForce(n[0], b)
-		keptAnswer(i, b, key, "2")
+		wantStoredAnswer(i, b, key, "2")
 	})
 	inVirtualTime(t, "a lone entry uses the platform's service", []string{"a"}, func(i *is.I, f *fleet, n []*node) {
-		granted(i, n[0], "east/x", "1")
-		granted(i, n[0], "east/y", "1").Settle(ledger.NotRun, 0, "", nil)
+		wantGranted(i, n[0], "east/x", "1")
+		wantGranted(i, n[0], "east/y", "1").Settle(ledger.NotRun, 0, "", nil)
 		time.Sleep(time.Second)
 		n[0].kill()
 		b, c := f.start("b"), f.start("c")
 		f.reportGone("a")
 		f.inForce(b, c)
-		repeated(i, b, "east/x", "2", ledger.Claimed)
-		granted(i, c, "east/y", "2")
-		repeated(i, b, "east/y", "3", ledger.Claimed)
+		wantRepeated(i, b, "east/x", "2", ledger.Claimed)
+		wantGranted(i, c, "east/y", "2")
+		wantRepeated(i, b, "east/y", "3", ledger.Claimed)
 	})
 	inVirtualTime(t, "records end after their time", three, func(i *is.I, _ *fleet, n []*node) {
-		answer(granted(i, n[0], "east/x", "1"), "east/x")
+		settleAnswered(wantGranted(i, n[0], "east/x", "1"), "east/x")
 		time.Sleep(ledger.Remember - time.Second)
-		keptAnswer(i, n[1], "east/x", "2")
+		wantStoredAnswer(i, n[1], "east/x", "2")
 		time.Sleep(3 * time.Second)
-		granted(i, n[1], "east/x", "3")
+		wantGranted(i, n[1], "east/x", "3")
 	})
 }
 
@@ -206,16 +206,16 @@
 		key := keyHeldBy(n[0], "b", "c")
 		f.network.silence(n[1].self.Addr, true)
 		start := time.Now()
-		refused(i, n[0], key, "1", ledger.Unreachable, true)
+		wantRefused(i, n[0], key, "1", ledger.Unreachable, true)
 		i.True(time.Since(start) <= ledger.ClaimWithin)
 		time.Sleep(time.Second)
 		start = time.Now()
-		refused(i, n[0], key, "2", ledger.Unreachable, true)
+		wantRefused(i, n[0], key, "2", ledger.Unreachable, true)
 		i.True(time.Since(start) <= callTimeout) // the circuit is open
 		f.network.silence(n[1].self.Addr, false)
 		time.Sleep(3 * time.Second)
 		for _, k := range keysHeldBy(n[0], "b", "c", 4) {
-			granted(i, n[0], k, "3") // the circuit is closed again
+			wantGranted(i, n[0], k, "3") // the circuit is closed again
 		}
 	})
 	inVirtualTime(t, "open connections that go silent while new ones work", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
@@ -228,7 +228,7 @@
 		}
 		i.NoErr(g.Wait())
 		f.network.silenceOpenConns()
-		granted(i, n[0], keyHeldBy(n[0], "b", "c"), "1")
+		wantGranted(i, n[0], keyHeldBy(n[0], "b", "c"), "1")
 	})
 }
 
@@ -238,14 +238,14 @@
 	a, b, c := f.startAt("a", "east"), f.startAt("b", "east"), f.startAt("c", "east")
 	f.inForce(a, b, c)
 	key := keyHeldBy(a, "b", "c")
-	k := granted(i, a, key, "1")
+	k := wantGranted(i, a, key, "1")
 	b.kill()
-	answer(k, key)
+	settleAnswered(k, key)
 	f.reportGone("b")
 	f.inForce(a, c)
 	i.NoErr(a.outbox.drain(a.ctx))
-	keptAnswer(i, c, key, "2")
-	keptAnswer(i, a, key, "3")
+	wantStoredAnswer(i, c, key, "2")
+	wantStoredAnswer(i, a, key, "3")
 }
 
 func TestOtherDataCentre(t *testing.T) {
@@ -255,8 +255,8 @@
 	f.inForce(b, c)
 	i := is.New(t)
 	i.NoErr(a.refreshRoster(a.ctx, "west"))
-	k := granted(i, a, "west/x", "1")
-	answer(k, "west/x")
+	k := wantGranted(i, a, "west/x", "1")
+	settleAnswered(k, "west/x")
 	for {
 		_, err := b.Take(b.ctx, "west/x", body, "2")
 		var r *RepeatError
@@ -275,10 +275,10 @@
 
 func TestBeats(t *testing.T) {
 	inVirtualTime(t, "changes pass from entry to entry", []string{"a", "b"}, func(i *is.I, _ *fleet, n []*node) {
-		n[0].conf.Offer([][]byte{{1}}, nil)
+		n[0].state.Offer([][]byte{{1}}, nil)
 		n[0].beater.Kick()
 		synctest.Wait()
-		i.Equal(n[1].conf.Applied(), int64(1))
+		i.Equal(n[1].state.Applied(), int64(1))
 		h := n[1].beater.Heard()
 		i.Equal(len(h), 1)
 		i.Equal(h[0].Address().Entry(), "a")
@@ -292,7 +292,7 @@
 			i.Equal(len(n[2*k].beater.Heard()[0].Loads()), 0)
 		}
 	})
-	inVirtualTime(t, "a claim ends with its caller", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
+	inVirtualTime(t, "a claim ends when its caller cancels it", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
 		key := keyHeldBy(n[0], "b", "c")
 		f.network.silence(n[1].self.Addr, true)
 		f.network.silence(n[2].self.Addr, true)
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -100,7 +100,7 @@
 	}
 	o.mu.Unlock()
 	if dropped {
-		o.k.log.Warn().Str("step", "settle").Str("key", j.record.ID.String()).Msg("holders not told")
+		o.k.log.Warn().Str("step", "settle").Str("key", j.record.ID.String()).Msg("settlement dropped")
 	}
 }
 
@@ -205,7 +205,7 @@
 		if p.err == nil {
 			j.confirmed = append(j.confirmed, p.to.Entry)
 			j.needsRetry = j.needsRetry || p.roster > r.Number()
-		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // a holder that left the roster needs no retry: its records were pulled or it is gone
+		} else if m, in := r.Member(p.to.Entry); in && m.Is(p.to) { // one that left has been pulled from or is gone
 			j.needsRetry = true
 		}
 	}
@@ -245,7 +245,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "relay settle: %d left", n)
+			return eris.Wrapf(ctx.Err(), "relay settle: %d settlements left", n)
 		case <-t.C:
 		}
 	}
--- a/node/relay/roster.go
+++ b/node/relay/roster.go
@@ -192,7 +192,7 @@
 	defer end()
 	_, err := k.store.Put(t, rosterKey(k.dataCentre), doc, rev, 0)
 	if err != nil {
-		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("proposal not written")
+		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("roster proposal not written")
 	}
 	k.mu.Lock()
 	k.storeRead = false // the answer may be lost although the write took effect, so read the roster again
@@ -264,7 +264,7 @@
 	after, f := k.book.Holding(), k.onChange
 	k.mu.Unlock()
 	if after != before {
-		k.log.Info().Str("step", "handover").Int64("number", after).Msg("in force")
+		k.log.Info().Str("step", "handover").Int64("number", after).Msg("roster in force")
 		f()
 	}
 	return m.Page.More
