--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -14,8 +14,8 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// chaos is a fleet with faults: entries crash, restart and go silent, and the platform's service fails, while copies of requests with few
-// keys arrive.
+// chaos is a fleet with faults: entries crash, restart and go silent, and the platform's service fails, while copies of
+// requests with few distinct keys arrive.
 type chaos struct {
 	*fleet
 	r     *rand.Rand
--- a/node/relay/client.go
+++ b/node/relay/client.go
@@ -42,7 +42,7 @@
 // ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithCallWithin sets the timeout of a call; an earlier deadline of its context applies too.
+// WithCallWithin sets the timeout of all calls except Records; an earlier deadline of the context applies too.
 func WithCallWithin(d time.Duration) ClientOption { return func(c *Client) { c.callTimeout = d } }
 
 // WithDial sets how connections are opened.
--- a/node/relay/fleet_test.go
+++ b/node/relay/fleet_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeState is a Carrier with one configuration number and fixed loads.
+// fakeState provides the state for beats: one configuration number and fixed loads.
 type fakeState struct {
 	mu      sync.Mutex
 	applied int64
