--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script is what a peer does with the n-th request of a connection.
+// script handles the n-th request of a connection on the side of the target.
 type script func(c net.Conn, r *bufio.Reader, n int) error
 
-// peer listens and runs s on every connection until the test ends.
-func peer(t *testing.T, s script) string {
+// startPeer listens on loopback and runs s for every request until the test ends; it returns the address.
+func startPeer(t *testing.T, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,12 +61,12 @@
 	}
 }
 
-func send(p *Pool, mark string, wait time.Duration) (string, error) {
+func send(p *Pool, id string, wait time.Duration) (string, error) {
 	var q fasthttp.Request
 	var a fasthttp.Response
 	q.Header.SetMethod("POST")
 	q.SetRequestURI("http://t/x")
-	q.Header.Set(MarkHeader, mark)
+	q.Header.Set(MarkHeader, id)
 	q.SetBodyString("order")
 	err := p.Send(context.Background(), &q, &a, time.Now().Add(wait), true)
 	return string(a.Body()), err
@@ -82,14 +82,14 @@
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", nil},
 		{"longer than declared", whole + "more", ErrLost},
 		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"chunks cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
+		{"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
 		{"no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"foreign mark", strings.Replace(whole, ": m", ": other", 1), ErrLost},
+		{"id of another request", strings.Replace(whole, ": m", ": other", 1), ErrLost},
 		{"no answer", "", ErrLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			a := peer(t, func(n net.Conn, r *bufio.Reader, k int) error {
+			a := startPeer(t, func(n net.Conn, r *bufio.Reader, k int) error {
 				_ = reply(c.raw)(n, r, k)
 				if c.want != nil {
 					return io.EOF
@@ -103,7 +103,7 @@
 			if err == nil {
 				i.Equal(body, "ok")
 			} else {
-				i.Equal(body, "") // nothing of a broken answer is passed on
+				i.Equal(body, "") // no part of a broken answer is returned
 				i.Equal(p.Open(), 0)
 			}
 		})
@@ -124,7 +124,7 @@
 	i := is.New(t)
 	closed := make(chan struct{})
 	runs := 0
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
 		runs++
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		_ = c.Close()
@@ -140,17 +140,17 @@
 		<-closed
 		i.NoErr(g.Wait())
 		i.NoErr(err)
-		waitNotQuiet(p)
+		waitUntilNotReusable(p)
 		i.Equal(runs, k+1) // each request ran exactly once
 	}
 }
 
-// waitNotQuiet returns when every resting connection shows that its peer closed it.
-func waitNotQuiet(p *Pool) {
+// waitUntilNotReusable returns when the pool sees that the peer has closed every idle connection.
+func waitUntilNotReusable(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.free {
-		for c.quiet() {
+	for _, c := range p.idleConns {
+		for c.reusable() {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -159,7 +159,7 @@
 func TestLateAnswerIsNeverReadByTheNextRequest(t *testing.T) {
 	i := is.New(t)
 	late := make(chan struct{})
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n == 0 {
 			select {
 			case <-late:
@@ -172,26 +172,27 @@
 	p := New(a)
 	defer p.Close()
 	_, err := send(p, "one", 50*time.Millisecond)
-	i.True(errors.Is(err, ErrLost)) // gave up while the target still ran it
-	i.Equal(p.Open(), 0)            // and never uses that connection again
+	i.True(errors.Is(err, ErrLost)) // the deadline passed while the target still ran it
+	i.Equal(p.Open(), 0)            // the connection is not used again
 	close(late)
 	body, err := send(p, "two", 5*time.Second)
-	i.True(errors.Is(err, ErrLost)) // the target's wrong mark is not passed on
+	i.True(errors.Is(err, ErrLost)) // an answer with the id of another request is rejected
 	i.Equal(body, "")
 }
 
-// TestSilentConnectionsCostOneRequest stalls every open connection while new ones work.
+// TestSilentConnectionsCostOneRequest guards against a second lost request when all open connections go silent while new ones work:
+// the first failure must close the idle connections.
 func TestSilentConnectionsCostOneRequest(t *testing.T) {
 	i := is.New(t)
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	var stalled atomic.Bool
-	together := make(chan struct{}, resting)
-	a := peer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	arrived := make(chan struct{}, idleCount)
+	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
-			return nil // an old connection goes silent; the next read waits for good
+			return nil // an old connection goes silent: it reads requests and never answers
 		}
-		together <- struct{}{}
-		for len(together) < resting && !stalled.Load() {
+		arrived <- struct{}{}
+		for len(arrived) < idleCount && !stalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := io.WriteString(c, whole)
@@ -200,14 +201,14 @@
 	p := New(a)
 	defer p.Close()
 	var g errgroup.Group
-	for range resting {
+	for range idleCount {
 		g.Go(func() error { _, err := send(p, "m", 5*time.Second); return err })
 	}
 	i.NoErr(g.Wait())
-	i.Equal(p.Open(), resting)
+	i.Equal(p.Open(), idleCount)
 	stalled.Store(true)
-	for len(together) > 0 {
-		<-together
+	for len(arrived) > 0 {
+		<-arrived
 	}
 	_, err := send(p, "m", 50*time.Millisecond)
 	i.True(errors.Is(err, ErrLost))
@@ -215,8 +216,8 @@
 	i.NoErr(err) // on a new connection
 }
 
-// resting is the number of connections that rest before they are stalled.
-const resting = 4
+// idleCount is the number of idle connections before they go silent.
+const idleCount = 4
 
 func BenchmarkSend(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/conns/quiet.go
+++ b/node/conns/probe.go
@@ -5,15 +5,15 @@
 	"syscall"
 )
 
-// probe looks at a connection's socket without taking anything from it.
+// probe checks the state of a connection's socket without consuming data.
 type probe struct {
 	raw  syscall.RawConn
-	look func(fd uintptr) bool
-	n    int
+	peek func(fd uintptr) bool
+	n    int // result of the last peek
 	err  error
 }
 
-// newProbe returns a probe of c, or nil when c has no socket.
+// newProbe returns a probe of c, or nil if c has no socket.
 func newProbe(c net.Conn) *probe {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -24,7 +24,7 @@
 		return nil
 	}
 	p := &probe{raw: r}
-	p.look = func(fd uintptr) bool {
+	p.peek = func(fd uintptr) bool {
 		var b [1]byte
 		p.n, _, p.err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
@@ -32,24 +32,24 @@
 	return p
 }
 
-// waits reports whether the socket is open and holds nothing to be read.
-func (p *probe) waits() bool {
-	if err := p.raw.Read(p.look); err != nil {
+// openAndEmpty reports whether the socket is open and has no data to read.
+func (p *probe) openAndEmpty() bool {
+	if err := p.raw.Read(p.peek); err != nil {
 		return false
 	}
 	return p.n < 0 && (p.err == syscall.EAGAIN || p.err == syscall.EWOULDBLOCK)
 }
 
-// quiet reports whether the connection is open and nothing waits to be read on it.
+// reusable reports whether the connection is open and has no unread data.
 //
-// A connection that the other side has closed, or that holds a late answer, is not quiet.
-func (c *conn) quiet() bool { return c.probe == nil || c.probe.waits() }
+// A connection that the other side has closed, or that holds a late answer, is not reusable.
+func (c *conn) reusable() bool { return c.probe == nil || c.probe.openAndEmpty() }
 
-// Gone reports whether the other side of c has closed it, without taking anything from it.
+// Gone reports whether the other side of c has closed it, without consuming data.
 func Gone(c net.Conn) bool {
 	p := newProbe(c)
 	if p == nil {
 		return false
 	}
-	return !p.waits() && p.n <= 0
+	return !p.openAndEmpty() && p.n <= 0
 }
--- a/node/relay/beater.go
+++ b/node/relay/beater.go
@@ -12,113 +12,117 @@
 )
 
 const (
-	beatEvery = 500 * time.Millisecond
-	// beatFan is the least number of peers of the own data centre that one round beats; rounds take turns.
-	beatFan = 2
-	// beatTurns is the number of rounds in which every peer of the own data centre has had its turn, whatever their number.
-	beatTurns    = 10
-	farRounds    = 2 // rounds between beats to another data centre
-	reportRounds = 4 // rounds between reports of loads to a leader
-	openRounds   = 4 // rounds between beats to a peer whose circuit is open
-	beatTasks    = 16
-	// heardFor is how long a peer that no list names is remembered.
-	heardFor = 30 * time.Second
+	beatInterval = 500 * time.Millisecond
+	// beatFanoutMin is the least number of peers of the local data centre that receive a beat in one round.
+	beatFanoutMin = 2
+	// beatRotationRounds is the number of rounds after which every peer of the local data centre has received a beat, however many
+	// there are; the fanout grows with their number.
+	beatRotationRounds = 10
+	remoteBeatRounds   = 2 // rounds between beats to other data centres
+	loadReportRounds   = 4 // rounds between reports of loads to the leader
+	openCircuitRounds  = 4 // rounds between beats to a peer whose circuit is open
+	beatConcurrency    = 16
+	// unlistedPeerTTL is how long a peer is remembered after its last beat; entries that are listed still receive beats.
+	unlistedPeerTTL = 30 * time.Second
 )
 
-// Report is what an entry says of its services and VMs in a beat to its own data centre.
+// Report is the part of a beat that goes only to entries of the local data centre: the state of services and VMs.
 type Report struct {
 	Loads                     []*ServiceLoad
 	Drained, Leaving, Failing []string
 	Members                   []byte // delta of the membership document, from the leader
 }
 
-// Carrier is the entry's side of beats.
+// Carrier provides the local state that beats send, and takes configuration changes from peers.
 type Carrier interface {
-	// Applied returns the newest configuration change in force.
+	// Applied returns the number of the newest configuration change in force.
 	Applied() int64
-	// Since returns the changes after n in order, or a whole document when they are no longer held; few enough for one beat.
+	// Since returns the changes after change n in order, few enough for one beat, or a whole document when those changes are no
+	// longer held.
 	Since(n int64) (changes [][]byte, snapshot []byte)
-	// Offer takes changes or a document from a peer.
+	// Offer passes on changes, or a whole document, received from a peer.
 	Offer(changes [][]byte, snapshot []byte)
-	// Report returns what to tell entries of the own data centre.
+	// Report returns the state to send to entries of the local data centre.
 	Report() Report
 }
 
-// Beater tells the other entries what this one knows and remembers what they say.
+// Beater exchanges heartbeats with the other entries and remembers what each one last reported.
 type Beater struct {
-	keeper  *Keeper
-	client  *Client
-	carrier Carrier
-	every   time.Duration
-	leader  func() string
-	onBeat  func(Peer, []byte)
+	keeper   *Keeper
+	client   *Client
+	state    Carrier
+	interval time.Duration
+	leader   func() string
+	onBeat   func(Peer, []byte)
 
-	mu    sync.Mutex
-	known []Address
-	heard map[string]Peer
-	round int
+	mu      sync.Mutex
+	entries []Address
+	peers   map[string]Peer // by entry id
+	round   int
 
-	kicks chan struct{}
-	backs chan Address // peers that have newer changes
+	beatRequests chan struct{} // requests to beat to the local data centre at once
+	aheadPeers   chan Address  // peers with newer configuration changes; a beat to them returns the changes
 }
 
-// BeaterOption changes a new Beater.
+// BeaterOption configures a Beater.
 type BeaterOption func(*Beater)
 
 // WithEvery sets the time between rounds of beats.
-func WithEvery(d time.Duration) BeaterOption { return func(b *Beater) { b.every = d } }
+func WithEvery(d time.Duration) BeaterOption { return func(b *Beater) { b.interval = d } }
 
-// WithLeader names the entry that leads the data centre; loads then go to it alone, every fourth round, and to all while the name is empty.
+// WithLeader sets how the leader of the local data centre is found. Loads go to the leader alone, every fourth round, and to all
+// local entries while f returns an empty name.
 func WithLeader(f func() string) BeaterOption { return func(b *Beater) { b.leader = f } }
 
-// OnBeat is called after each beat that comes in, with the sender and its delta of the membership document; it must not block.
+// OnBeat sets a function that is called after each received beat, with the sender and its delta of the membership document. It
+// must not block.
 func OnBeat(f func(p Peer, members []byte)) BeaterOption { return func(b *Beater) { b.onBeat = f } }
 
-// NewBeater returns the beater of the keeper's entry.
+// NewBeater returns the beater of the keeper's entry. It beats at once when the keeper's roster or state changes.
 func NewBeater(k *Keeper, c *Client, r Carrier, o ...BeaterOption) *Beater {
 	b := &Beater{
-		keeper: k, client: c, carrier: r, every: beatEvery, leader: func() string { return "" }, onBeat: func(Peer, []byte) {},
-		heard: map[string]Peer{}, kicks: make(chan struct{}, 1), backs: make(chan Address, 8),
+		keeper: k, client: c, state: r, interval: beatInterval, leader: func() string { return "" }, onBeat: func(Peer, []byte) {},
+		peers: map[string]Peer{}, beatRequests: make(chan struct{}, 1), aheadPeers: make(chan Address, 8),
 	}
 	for _, f := range o {
 		f(b)
 	}
 	k.mu.Lock()
-	k.changed = b.Kick
+	k.onChange = b.Kick
 	k.mu.Unlock()
 	return b
 }
 
-// Know replaces the list of entries of all data centres, as the platform gives it.
+// Know replaces the list of known entries of all data centres.
 func (b *Beater) Know(l []Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = slices.Clone(l)
+	b.entries = slices.Clone(l)
 }
 
-// Kick beats to the own data centre at once, because something has changed.
+// Kick sends a beat to the entries of the local data centre at once, because the state to report has changed. It does not block.
 func (b *Beater) Kick() {
 	select {
-	case b.kicks <- struct{}{}:
+	case b.beatRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Heard returns what the other entries last said, in order of their ids.
+// Heard returns what the other entries last reported, sorted by their ids.
 func (b *Beater) Heard() []Peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := make([]Peer, 0, len(b.heard))
-	for _, p := range b.heard {
+	l := make([]Peer, 0, len(b.peers))
+	for _, p := range b.peers {
 		l = append(l, p)
 	}
 	slices.SortFunc(l, func(x, y Peer) int { return strings.Compare(x.address.entry, y.address.entry) })
 	return l
 }
 
-// Run beats until ctx ends.
+// Run sends beats until ctx ends.
 func (b *Beater) Run(ctx context.Context) error {
-	t := time.NewTicker(b.every)
+	t := time.NewTicker(b.interval)
 	defer t.Stop()
 	for {
 		var l []Address
@@ -126,65 +130,66 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			l = b.targets()
-		case <-b.kicks:
-			l = b.near()
-		case a := <-b.backs:
+			l = b.nextTargets()
+		case <-b.beatRequests:
+			l = b.localPeers()
+		case a := <-b.aheadPeers:
 			l = []Address{a}
 		}
 		b.send(ctx, l)
 	}
 }
 
-// send beats each of l, with one request for all of the own data centre, and one with loads for those that need them.
+// send sends a beat to each of l. The entries of the local data centre share one request; a second one with loads goes to those that are
+// due for them.
 func (b *Beater) send(ctx context.Context, l []Address) {
-	lead := b.leader()
-	full := b.nearRequest()
-	near := full
-	if lead != "" {
-		near = proto.CloneOf(full)
-		near.Loads, near.NoLoads = nil, true
+	leader := b.leader()
+	full := b.localRequest()
+	withoutLoads := full
+	if leader != "" {
+		withoutLoads = proto.CloneOf(full)
+		withoutLoads.Loads, withoutLoads.NoLoads = nil, true
 	}
-	each(ctx, beatTasks, l, func(c context.Context, a Address) {
+	forEach(ctx, beatConcurrency, l, func(c context.Context, a Address) {
 		switch {
 		case a.dataCentre != b.keeper.dataCentre:
 			b.beat(c, a, b.request(a.dataCentre))
-		case a.entry == lead && b.reports():
+		case a.entry == leader && b.loadsDue():
 			b.beat(c, a, full)
 		default:
-			b.beat(c, a, near)
+			b.beat(c, a, withoutLoads)
 		}
 	})
 }
 
-// reports reports whether a leader is told loads in this round.
-func (b *Beater) reports() bool {
+// loadsDue reports whether the leader gets a report of loads in this round.
+func (b *Beater) loadsDue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.round%reportRounds == 0
+	return b.round%loadReportRounds == 0
 }
 
 // Beat implements Relay.
 func (b *Beater) Beat(_ context.Context, r *BeatRequest) (*BeatReply, error) {
-	p := b.note(NewAddress(r.GetEntry(), r.GetAddr(), r.GetDataCentre()), r.GetIncarnation(), func(p *Peer) { p.fromRequest(r) })
+	p := b.recordPeer(NewAddress(r.GetEntry(), r.GetAddr(), r.GetDataCentre()), r.GetIncarnation(), func(p *Peer) { p.fromRequest(r) })
 	k := b.keeper
 	own := k.Roster(k.dataCentre)
 	if r.GetDataCentre() == k.dataCentre && r.GetRoster() > own.Number() {
-		k.ask(k.dataCentre)
+		k.requestRefresh(k.dataCentre)
 	}
 	o := &BeatReply{
-		Entry: k.self.Entry, DataCentre: k.dataCentre, Incarnation: k.self.Incarnation, Applied: b.carrier.Applied(), Roster: own.Number(),
-		Holding: k.Holding(), Stopping: k.stopping(), Leaving: b.carrier.Report().Leaving,
+		Entry: k.self.Entry, DataCentre: k.dataCentre, Incarnation: k.self.Incarnation, Applied: b.state.Applied(), Roster: own.Number(),
+		Holding: k.Holding(), Stopping: k.stopping(), Leaving: b.state.Report().Leaving,
 	}
 	if own.Number() > r.GetPeerRoster() {
 		o.RosterDocument = own.Marshal()
 	}
 	switch {
 	case o.Applied > r.GetApplied():
-		o.Changes, o.Snapshot = b.carrier.Since(r.GetApplied())
+		o.Changes, o.Snapshot = b.state.Since(r.GetApplied())
 	case o.Applied < r.GetApplied():
 		select {
-		case b.backs <- p.address:
+		case b.aheadPeers <- p.address:
 		default:
 		}
 	}
@@ -192,44 +197,45 @@
 	return o, nil
 }
 
+// beat sends q to one entry and applies its reply; a failed call is ignored.
 func (b *Beater) beat(ctx context.Context, a Address, q *BeatRequest) {
 	o, err := b.client.Beat(ctx, a.addr, q)
 	if err != nil {
 		return
 	}
-	b.note(NewAddress(o.GetEntry(), a.addr, o.GetDataCentre()), o.GetIncarnation(), func(p *Peer) { p.fromReply(o) })
+	b.recordPeer(NewAddress(o.GetEntry(), a.addr, o.GetDataCentre()), o.GetIncarnation(), func(p *Peer) { p.fromReply(o) })
 	if len(o.GetChanges()) > 0 || len(o.GetSnapshot()) > 0 {
-		b.carrier.Offer(o.GetChanges(), o.GetSnapshot())
+		b.state.Offer(o.GetChanges(), o.GetSnapshot())
 	}
 	if err := b.keeper.Learn(o.GetRosterDocument()); err != nil {
 		b.keeper.log.Warn().Err(err).Str("step", "beat").Str("peer", a.entry).Msg("roster unreadable")
 	}
 }
 
-// request returns what an entry of any data centre is told.
+// request returns the part of a beat that goes to entries of every data centre.
 func (b *Beater) request(dataCentre string) *BeatRequest {
 	k := b.keeper
 	return &BeatRequest{
 		Entry: k.self.Entry, DataCentre: k.dataCentre, Incarnation: k.self.Incarnation, Addr: k.self.Addr,
-		Applied: b.carrier.Applied(), Roster: k.Roster(k.dataCentre).Number(), Holding: k.Holding(),
+		Applied: b.state.Applied(), Roster: k.Roster(k.dataCentre).Number(), Holding: k.Holding(),
 		PeerRoster: k.Roster(dataCentre).Number(), Stopping: k.stopping(),
 	}
 }
 
-// nearRequest returns what the entries of the own data centre are told.
-func (b *Beater) nearRequest() *BeatRequest {
-	q, r := b.request(b.keeper.dataCentre), b.carrier.Report()
+// localRequest returns the beat for entries of the local data centre.
+func (b *Beater) localRequest() *BeatRequest {
+	q, r := b.request(b.keeper.dataCentre), b.state.Report()
 	q.Loads, q.Drained, q.Leaving, q.Failing, q.Members = r.Loads, r.Drained, r.Leaving, r.Failing, r.Members
-	q.Unheard, q.Gone = b.keeper.missing()
+	q.Unheard, q.Gone = b.keeper.unheardAndGone()
 	return q
 }
 
-// note remembers what a peer said; word of an earlier life than the newest known is dropped.
-func (b *Beater) note(a Address, incarnation int64, f func(*Peer)) Peer {
+// recordPeer stores what a peer reported; a report from an earlier incarnation than the newest known one is dropped.
+func (b *Beater) recordPeer(a Address, incarnation int64, f func(*Peer)) Peer {
 	k := b.keeper
 	now := k.now()
 	b.mu.Lock()
-	p := b.heard[a.entry]
+	p := b.peers[a.entry]
 	if p.incarnation > incarnation || a.entry == "" || a.entry == k.self.Entry {
 		b.mu.Unlock()
 		return p
@@ -237,24 +243,24 @@
 	if p.incarnation != incarnation {
 		p = Peer{}
 	}
-	p.address, p.incarnation, p.at = a, incarnation, now
+	p.address, p.incarnation, p.heardAt = a, incarnation, now
 	f(&p)
-	b.heard[a.entry] = p
+	b.peers[a.entry] = p
 	b.mu.Unlock()
 	if a.dataCentre == k.dataCentre {
-		k.hear(p.beatMsg())
+		k.recordBeat(p.beatMsg())
 	}
 	return p
 }
 
-// near returns every other entry of the own data centre, each address once.
-func (b *Beater) near() []Address {
+// localPeers returns every other entry of the local data centre, each address once, and forgets peers that were not heard for long.
+func (b *Beater) localPeers() []Address {
 	k := b.keeper
 	all := map[string]Address{}
 	r := k.Roster(k.dataCentre)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, a := range b.known {
+	for _, a := range b.entries {
 		if a.dataCentre == k.dataCentre {
 			all[a.addr] = a
 		}
@@ -263,51 +269,53 @@
 		all[m.Addr] = NewAddress(m.Entry, m.Addr, k.dataCentre)
 	}
 	now := k.now()
-	for e, p := range b.heard {
-		if now.Sub(p.at) > heardFor {
-			delete(b.heard, e)
+	for e, p := range b.peers {
+		if now.Sub(p.heardAt) > unlistedPeerTTL {
+			delete(b.peers, e)
 		} else if p.address.dataCentre == k.dataCentre {
 			all[p.address.addr] = p.address
 		}
 	}
 	delete(all, k.self.Addr)
-	return ordered(all)
+	return sortedByAddr(all)
 }
 
-func ordered(m map[string]Address) []Address {
+// sortedByAddr returns the addresses of m in order.
+func sortedByAddr(m map[string]Address) []Address {
 	l := slices.Collect(maps.Values(m))
 	slices.SortFunc(l, func(x, y Address) int { return strings.Compare(x.addr, y.addr) })
 	return l
 }
 
-// targets returns whom the next round beats: some of the own data centre, the leader when it is due, and one other data centre's entry.
-func (b *Beater) targets() []Address {
-	near, lead := b.near(), b.leader()
+// nextTargets returns the entries that the next round beats: some of the local data centre, the leader when a report of loads is due,
+// and every second round one of another data centre.
+func (b *Beater) nextTargets() []Address {
+	local, leader := b.localPeers(), b.leader()
 	b.mu.Lock()
 	b.round++
 	n := b.round
-	far := map[string][]Address{}
-	for _, a := range b.known {
+	remote := map[string][]Address{}
+	for _, a := range b.entries {
 		if a.dataCentre != b.keeper.dataCentre {
-			far[a.dataCentre] = append(far[a.dataCentre], a)
+			remote[a.dataCentre] = append(remote[a.dataCentre], a)
 		}
 	}
 	b.mu.Unlock()
-	l := turn(near, n, max(beatFan, (len(near)+beatTurns-1)/beatTurns))
-	due := func(a Address) bool { return a.entry == lead }
-	if i := slices.IndexFunc(near, due); i >= 0 && n%reportRounds == 0 && !slices.ContainsFunc(l, due) {
-		l = append(l, near[i])
+	l := rotate(local, n, max(beatFanoutMin, (len(local)+beatRotationRounds-1)/beatRotationRounds))
+	isLeader := func(a Address) bool { return a.entry == leader }
+	if i := slices.IndexFunc(local, isLeader); i >= 0 && n%loadReportRounds == 0 && !slices.ContainsFunc(l, isLeader) {
+		l = append(l, local[i])
 	}
-	if n%farRounds == 0 && len(far) > 0 {
-		k := n / farRounds
-		d := slices.Sorted(maps.Keys(far))
-		l = append(l, turn(far[d[k%len(d)]], k/len(d), 1)...)
+	if n%remoteBeatRounds == 0 && len(remote) > 0 {
+		k := n / remoteBeatRounds
+		d := slices.Sorted(maps.Keys(remote))
+		l = append(l, rotate(remote[d[k%len(d)]], k/len(d), 1)...)
 	}
-	return slices.DeleteFunc(l, func(a Address) bool { return n%openRounds != 0 && b.client.Open(a.addr) })
+	return slices.DeleteFunc(l, func(a Address) bool { return n%openCircuitRounds != 0 && b.client.Open(a.addr) })
 }
 
-// turn returns the n-th group of k of l.
-func turn(l []Address, n, k int) []Address {
+// rotate returns the n-th group of k elements of l, wrapping around at its end.
+func rotate(l []Address, n, k int) []Address {
 	if len(l) <= k {
 		return slices.Clone(l)
 	}
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -14,7 +14,8 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// chaos is a fleet whose entries die, restart, go silent and lose the service while copies of few keys come in.
+// chaos is a fleet with faults: entries crash, restart and go silent, and the platform's service fails, while copies of
+// requests with few distinct keys arrive.
 type chaos struct {
 	*fleet
 	r     *rand.Rand
@@ -29,7 +30,7 @@
 	repeats int
 }
 
-// TestChaos holds, with the real runner, that no key runs twice and no "not run" is untrue.
+// TestChaos checks that no key runs twice and that every "not run" is true, with the whole package under random faults.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -46,24 +47,24 @@
 				c.heal()
 				t.Logf("granted %d, refused %d, repeats %d", c.granted, c.refused, c.repeats)
 				if c.granted < 30 {
-					t.Fatal("too few copies were sent for the run to say anything")
+					t.Fatal("fewer than 30 copies were granted, too few for a meaningful run")
 				}
 			})
 		})
 	}
 }
 
-// heal ends all failures and holds that within a minute every entry holds one roster, and every fresh key is claimed
-// when the time of keys that two dead entries held is over.
+// heal ends all faults and checks that all entries agree on one roster within a minute. Then it waits until keys whose holders all died
+// can be claimed again, and checks that every entry can claim a new key.
 func (c *chaos) heal() {
 	c.store.down.Store(false)
 	var l []*node
 	for _, n := range c.nodes {
-		c.wires.hush(n.self.Addr, false)
+		c.network.silence(n.self.Addr, false)
 		l = append(l, n)
 	}
 	time.Sleep(time.Minute)
-	if !agreed(l) {
+	if !haveSameRoster(l) {
 		c.inForce(l...)
 	}
 	time.Sleep(ledger.RecordTTL)
@@ -74,6 +75,7 @@
 	}
 }
 
+// step injects a random fault or sends a copy of a request.
 func (c *chaos) step() {
 	e := string(rune('a' + c.r.IntN(4)))
 	n := c.nodes[e]
@@ -82,24 +84,24 @@
 		n.kill()
 		c.nodes[e] = c.start(e)
 	case k < 4:
-		c.wires.hush(n.self.Addr, true)
+		c.network.silence(n.self.Addr, true)
 	case k < 8:
-		c.wires.hush(n.self.Addr, false)
+		c.network.silence(n.self.Addr, false)
 	case k < 9:
-		c.wires.forget()
+		c.network.silenceOpenConns()
 	case k < 11:
 		c.store.down.Store(!c.store.down.Load())
 	default:
 		key, fate, wait := fmt.Sprint("east/", c.r.IntN(80)), c.r.IntN(10), time.Duration(c.r.IntN(400))*time.Millisecond
 		c.group.Go(func() error {
-			c.copy(n, key, fate, wait)
+			c.runCopy(n, key, fate, wait)
 			return nil
 		})
 	}
 }
 
-// copy claims a key at n, runs it if it may, and settles it, unless n dies first.
-func (c *chaos) copy(n *node, key string, fate int, wait time.Duration) {
+// runCopy claims the key at n, runs the copy if it is granted, and settles it unless n crashes first.
+func (c *chaos) runCopy(n *node, key string, fate int, wait time.Duration) {
 	c.mu.Lock()
 	c.copies++
 	id := fmt.Sprint("copy", c.copies)
@@ -116,7 +118,7 @@
 	case errors.As(err, &no):
 		c.refused++
 		if no.NotRun() && recent && !last.After(start) {
-			c.t.Errorf("%s of %s told not run, though it ran %s before", id, key, start.Sub(last))
+			c.t.Errorf("%s of %s was reported as not run, although it ran %s before", id, key, start.Sub(last))
 		}
 	case errors.As(err, &again):
 		c.repeats++
@@ -128,7 +130,7 @@
 	default:
 		c.granted++
 		if ran && time.Since(last) < ledger.RecordTTL-ledger.ClaimTimeout {
-			c.t.Errorf("%s of %s ran at %s, though it ran %s ago", id, key, n.self.Entry, time.Since(last))
+			c.t.Errorf("%s of %s ran at %s, although the key ran %s ago", id, key, n.self.Entry, time.Since(last))
 		}
 		c.ran[key] = time.Now()
 		c.mu.Unlock()
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	tickEvery    = 200 * time.Millisecond
-	confirmBatch = 10_000 // claims that share one read
+	tickInterval    = 200 * time.Millisecond
+	confirmBatchMax = 10_000 // claims that share one read
 )
 
-// Keeper runs the ledger for one entry: it holds records for its data centre and claims keys for the entry's requests.
+// Keeper runs package ledger for one entry: it holds records of its data centre's keys and claims keys for the entry's own
+// requests.
 type Keeper struct {
 	self        ledger.Member
 	dataCentre  string
@@ -28,107 +29,108 @@
 	now         func() time.Time
 	bookOptions []ledger.BookOption
 
-	mu         sync.Mutex
-	book       *ledger.Book
-	membership *ledger.Membership
-	rosters    map[string]ledger.Roster
-	written    keyval.Revision // of the own roster's key as last read
-	stored     int64           // number of the roster that the service holds
-	read       bool            // whether the service's roster has been read
-	changed    func()          // told after a new roster or state
+	mu            sync.Mutex
+	book          *ledger.Book
+	membership    *ledger.Membership
+	rosters       map[string]ledger.Roster
+	storeRevision keyval.Revision // revision of the local roster's key at the last read
+	storedNumber  int64           // number of the local roster that the platform's service held at the last read
+	storeRead     bool            // whether storeRevision and storedNumber are up to date; false before the first read and after a write
+	onChange      func()          // called after a change of the local roster or of its state
 
-	adopted chan struct{}
-	asks    chan string // data centres whose roster is to be read
-	settles *outbox
-	// confirms join the requests that wait for a read of a data centre's roster.
-	confirms map[string]*joiner[struct{}, int64]
-	lease    storeLease
+	rosterAdopted   chan struct{} // wakes pullLoop after a new local roster
+	refreshRequests chan string   // data centres whose roster should be read soon
+	outbox          *outbox
+	// confirmBatchers combine concurrent confirmations of each data centre's roster into one read.
+	confirmBatchers map[string]*batcher[struct{}, int64]
+	lease           storeLease
 }
 
-// KeeperOption changes a new Keeper.
+// KeeperOption configures a Keeper.
 type KeeperOption func(*Keeper)
 
-// WithLog sets the log.
+// WithLog sets the logger; the default discards everything.
 func WithLog(l zerolog.Logger) KeeperOption { return func(k *Keeper) { k.log = l } }
 
-// WithBook passes options on to the entry's records.
+// WithBook sets options of the entry's ledger.Book.
 func WithBook(o ...ledger.BookOption) KeeperOption {
 	return func(k *Keeper) { k.bookOptions = append(k.bookOptions, o...) }
 }
 
-// NewKeeper returns the keeper of one life of an entry; dataCentres are all that the fleet has.
+// NewKeeper returns the keeper of the entry self; dataCentres lists all data centres of the fleet.
 func NewKeeper(self ledger.Member, dataCentre string, dataCentres []string, s keyval.Store, c *Client, o ...KeeperOption) *Keeper {
 	k := &Keeper{
 		self: self, dataCentre: dataCentre, dataCentres: dataCentres, store: s, client: c, log: zerolog.Nop(), now: time.Now,
 		membership: ledger.NewMembership(self, dataCentre), rosters: map[string]ledger.Roster{},
-		adopted: make(chan struct{}, 1), asks: make(chan string, len(dataCentres)), changed: func() {},
+		rosterAdopted: make(chan struct{}, 1), refreshRequests: make(chan string, len(dataCentres)), onChange: func() {},
 	}
 	for _, f := range o {
 		f(k)
 	}
 	k.book = ledger.NewBook(self, k.bookOptions...)
-	k.settles = newOutbox(k)
-	k.confirms = map[string]*joiner[struct{}, int64]{}
+	k.outbox = newOutbox(k)
+	k.confirmBatchers = map[string]*batcher[struct{}, int64]{}
 	for _, d := range dataCentres {
-		k.confirms[d] = newJoiner[struct{}, int64](1, confirmBatch)
+		k.confirmBatchers[d] = newBatcher[struct{}, int64](1, confirmBatchMax)
 	}
 	return k
 }
 
-// Run keeps rosters and records until ctx ends.
+// Run watches rosters, pulls records and delivers settlements until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
-	g.Go(func() error { return k.watch(c) })
-	g.Go(func() error { return k.readOthers(c) })
-	g.Go(func() error { return k.tick(c) })
-	g.Go(func() error { return k.pull(c) })
-	g.Go(func() error { return k.settles.run(c) })
+	g.Go(func() error { return k.watchLoop(c) })
+	g.Go(func() error { return k.refreshLoop(c) })
+	g.Go(func() error { return k.tickLoop(c) })
+	g.Go(func() error { return k.pullLoop(c) })
+	g.Go(func() error { return k.outbox.run(c) })
 	return g.Wait()
 }
 
-// Roster returns the newest roster known of a data centre; its number is zero if none is.
+// Roster returns the newest known roster of a data centre; its number is zero if none is known.
 func (k *Keeper) Roster(dataCentre string) ledger.Roster {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rosters[dataCentre]
 }
 
-// Holding returns the number of the newest roster in force at this entry.
+// Holding returns the number of the newest roster that is in force at this entry, or zero.
 func (k *Keeper) Holding() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.ActiveRoster()
 }
 
-// Len returns the number of records held and the bytes of kept answers.
+// Len returns the number of records and the bytes of stored answers.
 func (k *Keeper) Len() (records, answerBytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Len(), k.book.AnswerBytes()
 }
 
-// Gone tells which entries the platform's list says are gone for good; one entry that reads the list is enough, and it may
-// be the leader, because beats pass it on. What it said counts for 30 s.
+// Gone sets the entries that have left the fleet according to the platform's list. The list is valid for 30 s. One entry that reads the
+// list is enough, for example the leader, because beats carry the result to the others.
 func (k *Keeper) Gone(entries []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.UpdateVMList(ledger.VMListMsg{Now: k.now(), Gone: entries})
 }
 
-// Learn takes up a roster document if it is newer than the one known of its data centre.
+// Learn adopts a roster document if it is newer than the known roster of its data centre; an empty document is ignored.
 func (k *Keeper) Learn(doc []byte) error {
 	if len(doc) == 0 {
 		return nil
 	}
 	r, err := ledger.ParseRoster(doc)
 	if err != nil {
-		return fail("roster", "", err)
+		return wrapErr("roster", "", err)
 	}
-	k.adopt(r)
+	k.adoptRoster(r)
 	return nil
 }
 
-func (k *Keeper) adopt(r ledger.Roster) {
+// adoptRoster stores r if it is newer than the known roster of its data centre.
+func (k *Keeper) adoptRoster(r ledger.Roster) {
 	k.mu.Lock()
 	if r.Number() <= k.rosters[r.DataCentre()].Number() {
 		k.mu.Unlock()
@@ -141,14 +143,14 @@
 		k.membership.Adopt(m)
 		k.book.Adopt(m)
 	}
-	f := k.changed
+	f := k.onChange
 	k.mu.Unlock()
 	if !own {
 		return
 	}
 	k.log.Info().Str("step", "roster").Int64("number", r.Number()).Int("members", len(r.Members())).Msg("adopted")
 	select {
-	case k.adopted <- struct{}{}:
+	case k.rosterAdopted <- struct{}{}:
 	default:
 	}
 	f()
@@ -156,7 +158,7 @@
 
 // Claim implements Relay.
 func (k *Keeper) Claim(_ context.Context, r *ClaimRequest) (*ClaimReply, error) {
-	o := toReply(k.claimHere(ledger.ClaimMsg{
+	o := toReply(k.claimLocal(ledger.ClaimMsg{
 		ID: ledger.NewID(r.GetKey()), Roster: r.GetRoster(), Attempt: ledger.NewAttempt(r.GetAttempt()), Digest: ledger.NewDigest(r.GetDigest()),
 	}))
 	own := k.Roster(k.dataCentre)
@@ -165,12 +167,12 @@
 	case own.Number() > r.GetRoster():
 		o.RosterDocument = own.Marshal()
 	case own.Number() < r.GetRoster():
-		k.ask(k.dataCentre)
+		k.requestRefresh(k.dataCentre)
 	}
 	return o, nil
 }
 
-func (k *Keeper) claimHere(m ledger.ClaimMsg) ledger.ClaimReply {
+func (k *Keeper) claimLocal(m ledger.ClaimMsg) ledger.ClaimReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m.Now = k.now()
@@ -179,14 +181,14 @@
 
 // Settle implements Relay.
 func (k *Keeper) Settle(_ context.Context, r *SettleRequest) (*SettleReply, error) {
-	k.settleHere(ledger.Record{
+	k.settleLocal(ledger.Record{
 		ID: ledger.NewID(r.GetKey()), Attempt: ledger.NewAttempt(r.GetAttempt()), Phase: fromPhase(r.GetPhase()),
 		Status: int(r.GetStatus()), ContentType: r.GetContentType(), Answer: r.GetAnswer(), HasAnswer: r.GetKept(),
 	})
 	return &SettleReply{Roster: k.Roster(k.dataCentre).Number()}, nil
 }
 
-func (k *Keeper) settleHere(r ledger.Record) {
+func (k *Keeper) settleLocal(r ledger.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.book.Settle(ledger.SettleMsg{Now: k.now(), Record: r})
@@ -227,27 +229,28 @@
 	return o, nil
 }
 
-// Leave takes this entry out of the roster and returns when the others hold its records, or with ctx's error.
+// Leave removes this entry from the roster. It returns when the others hold its records and its settlements are delivered, or
+// with ctx's error.
 func (k *Keeper) Leave(ctx context.Context) error {
 	k.mu.Lock()
 	k.membership.Leave()
-	f := k.changed
+	f := k.onChange
 	k.mu.Unlock()
 	f()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	for !k.left() {
+	for !k.handedOver() {
 		select {
 		case <-ctx.Done():
-			return fail("leave", k.self.Entry, ctx.Err())
+			return wrapErr("leave", k.self.Entry, ctx.Err())
 		case <-t.C:
 		}
 	}
-	return k.settles.drain(ctx)
+	return k.outbox.drain(ctx)
 }
 
-// left reports whether no other entry needs this one's records any more.
-func (k *Keeper) left() bool {
+// handedOver reports whether no other entry needs this entry's records any more.
+func (k *Keeper) handedOver() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r := k.rosters[k.dataCentre]
@@ -259,15 +262,15 @@
 	return !in && k.membership.ActiveEverywhere()
 }
 
-// hear notes what another entry of the data centre said.
-func (k *Keeper) hear(m ledger.HeartbeatMsg) {
+// recordBeat passes the beat of another entry of the data centre to the membership.
+func (k *Keeper) recordBeat(m ledger.HeartbeatMsg) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.Heartbeat(m)
 }
 
-// missing returns the members that this entry has not heard, and those that the platform's list says are gone.
-func (k *Keeper) missing() (unheard, gone []string) {
+// unheardAndGone returns the members that this entry has not heard, and those that are gone according to the platform's list.
+func (k *Keeper) unheardAndGone() (unheard, gone []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
@@ -280,9 +283,9 @@
 	return k.membership.Leaving()
 }
 
-// Wait returns when this entry holds a roster, or when ctx ends.
+// Wait returns when a roster is in force at this entry, or when ctx ends.
 func (k *Keeper) Wait(ctx context.Context) {
 	for k.Holding() == 0 && ctx.Err() == nil {
-		pause(ctx, tickEvery/4)
+		sleep(ctx, tickInterval/4)
 	}
 }
--- a/node/relay/roster.go
+++ b/node/relay/roster.go
@@ -10,19 +10,26 @@
 )
 
 const (
-	rosterWatchFor   = 30 * time.Second
-	rosterAgain      = time.Second
-	rosterAgainMax   = 8 * time.Second
-	othersEvery      = 60 * time.Second
-	unreachedAfter   = 5 * time.Second
-	pullEvery        = 100 * time.Millisecond
-	pullTasks        = 8
-	storeCallsWithin = 2 * time.Second
+	// rosterWatchTimeout bounds one watch of the local roster.
+	rosterWatchTimeout = 30 * time.Second
+	// rosterRetryDelay is the base delay before the local roster is watched again after an error, and the pause between
+	// reads that were requested.
+	rosterRetryDelay    = time.Second
+	rosterRetryDelayMax = 8 * time.Second
+	// rosterRefreshInterval is the time between reads of all rosters; up to a quarter is added at random.
+	rosterRefreshInterval = 60 * time.Second
+	// unreachableAfter is how long records are pulled under a roster before a source that does not answer counts as unreachable.
+	unreachableAfter = 5 * time.Second
+	pullInterval     = 100 * time.Millisecond
+	pullConcurrency  = 8
+	// rosterStoreTimeout bounds one read or write of a roster.
+	rosterStoreTimeout = 2 * time.Second
 )
 
 func rosterKey(dataCentre string) string { return "dc/" + dataCentre + "/roster" }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -31,47 +38,47 @@
 	}
 }
 
-// ask wants a data centre's roster read from the service soon.
-func (k *Keeper) ask(dataCentre string) {
+// requestRefresh asks refreshLoop to read a data centre's roster soon; it does not block and drops the request when too many wait.
+func (k *Keeper) requestRefresh(dataCentre string) {
 	select {
-	case k.asks <- dataCentre:
+	case k.refreshRequests <- dataCentre:
 	default:
 	}
 }
 
-// watch follows the own roster in the platform's service, more slowly while the service is down.
-func (k *Keeper) watch(ctx context.Context) error {
-	wait := rosterAgain
+// watchLoop watches the local roster in the platform's service until ctx ends, with a growing, random delay while the service is down.
+func (k *Keeper) watchLoop(ctx context.Context) error {
+	wait := rosterRetryDelay
 	for ctx.Err() == nil {
 		start := k.now()
-		k.follow(ctx)
-		if wait *= 2; k.now().Sub(start) > rosterAgainMax {
-			wait = rosterAgain
+		k.watchUntilError(ctx)
+		if wait *= 2; k.now().Sub(start) > rosterRetryDelayMax {
+			wait = rosterRetryDelay
 		}
-		wait = min(wait, rosterAgainMax)
-		pause(ctx, wait/2+rand.N(wait/2))
+		wait = min(wait, rosterRetryDelayMax)
+		sleep(ctx, wait/2+rand.N(wait/2))
 	}
 	return nil
 }
 
-// follow reads and watches the own roster until a call fails.
-func (k *Keeper) follow(ctx context.Context) {
+// watchUntilError reads the local roster and watches it until a call fails.
+func (k *Keeper) watchUntilError(ctx context.Context) {
 	key := rosterKey(k.dataCentre)
 	_, rev, err := k.store.List(ctx, key, "", 1)
 	if err == nil {
-		err = k.refresh(ctx, k.dataCentre)
+		err = k.refreshRoster(ctx, k.dataCentre)
 	}
 	for err == nil && ctx.Err() == nil {
 		var e []keyval.Event
-		if e, rev, err = k.store.Watch(ctx, key, rev, rosterWatchFor); err == nil && len(e) > 0 {
-			err = k.refresh(ctx, k.dataCentre)
+		if e, rev, err = k.store.Watch(ctx, key, rev, rosterWatchTimeout); err == nil && len(e) > 0 {
+			err = k.refreshRoster(ctx, k.dataCentre)
 		}
 	}
 }
 
-// refresh reads a data centre's roster from the service.
-func (k *Keeper) refresh(ctx context.Context, dataCentre string) error {
-	t, end := context.WithTimeout(ctx, storeCallsWithin)
+// refreshRoster reads a data centre's roster from the platform's service and adopts it if it is newer.
+func (k *Keeper) refreshRoster(ctx context.Context, dataCentre string) error {
+	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
 	i, err := k.store.Get(t, rosterKey(dataCentre))
 	if err != nil {
@@ -85,87 +92,90 @@
 			return nil
 		}
 		n = r.Number()
-		k.adopt(r)
+		k.adoptRoster(r)
 	}
 	if dataCentre == k.dataCentre {
 		k.mu.Lock()
-		k.written, k.stored, k.read = i.Rev(), n, true
+		k.storeRevision, k.storedNumber, k.storeRead = i.Rev(), n, true
 		k.mu.Unlock()
 	}
 	return nil
 }
 
-// readOthers reads the other data centres' rosters now and then, and any roster when it is asked for.
-func (k *Keeper) readOthers(ctx context.Context) error {
+// refreshLoop reads the other data centres' rosters at the start, all rosters periodically, and any roster on request.
+func (k *Keeper) refreshLoop(ctx context.Context) error {
 	for _, d := range k.dataCentres {
 		if d != k.dataCentre {
-			_ = k.refresh(ctx, d)
+			_ = k.refreshRoster(ctx, d)
 		}
 	}
-	t := time.NewTicker(othersEvery + rand.N(othersEvery/4))
+	t := time.NewTicker(rosterRefreshInterval + rand.N(rosterRefreshInterval/4))
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-k.asks:
-			_ = k.refresh(ctx, d)
-			pause(ctx, rosterAgain)
+		case d := <-k.refreshRequests:
+			_ = k.refreshRoster(ctx, d)
+			sleep(ctx, rosterRetryDelay)
 		case <-t.C:
 			for _, d := range k.dataCentres {
-				_ = k.refresh(ctx, d)
+				_ = k.refreshRoster(ctx, d)
 			}
 		}
 	}
 }
 
-// tick lets time pass for records and membership, and proposes rosters.
-func (k *Keeper) tick(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+// tickLoop calls tick periodically until ctx ends.
+func (k *Keeper) tickLoop(ctx context.Context) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			k.step(ctx)
+			k.tick(ctx)
 		}
 	}
 }
 
-func (k *Keeper) step(ctx context.Context) {
+// tick advances records and membership to the present, and proposes a roster when the membership wants a change or the
+// service holds an older roster than this entry.
+func (k *Keeper) tick(ctx context.Context) {
 	k.mu.Lock()
 	now := k.now()
 	k.book.Tick(ledger.TickMsg{Now: now})
-	k.tellGone(now)
+	k.markGone(now)
 	k.membership.Heartbeat(k.ownBeat(now))
 	var doc []byte
 	r := k.rosters[k.dataCentre]
 	switch {
-	case !k.read:
-		k.ask(k.dataCentre)
-	case k.stored < r.Number():
-		doc = r.Marshal() // the service came back older than this entry
-	case k.stored == r.Number():
+	case !k.storeRead:
+		k.requestRefresh(k.dataCentre)
+	case k.storedNumber < r.Number():
+		doc = r.Marshal() // the service was restored to an older state: write the newer roster back
+	case k.storedNumber == r.Number():
 		if p := k.membership.Tick(ledger.TickMsg{Now: now}); len(p) > 0 {
 			doc = p[0].Roster.Marshal()
 		}
 	}
-	rev := k.written
+	rev := k.storeRevision
 	k.mu.Unlock()
 	if doc != nil {
-		k.propose(ctx, doc, rev)
+		k.proposeRoster(ctx, doc, rev)
 	}
 }
 
+// ownBeat returns what this entry reports of itself to its own membership.
 func (k *Keeper) ownBeat(now time.Time) ledger.HeartbeatMsg {
 	return ledger.HeartbeatMsg{
 		Now: now, Member: k.self, ActiveRoster: k.book.ActiveRoster(), Leaving: k.membership.Leaving(), Unheard: k.membership.Unheard(now),
 	}
 }
 
-// tellGone tells the records which former holders are gone.
-func (k *Keeper) tellGone(now time.Time) {
+// markGone marks former holders in the records as gone once the membership is certain of it.
+func (k *Keeper) markGone(now time.Time) {
 	r := k.rosters[k.dataCentre]
 	for _, l := range [][]ledger.Member{r.Previous(), k.book.MissingMembers()} {
 		for _, m := range l {
@@ -176,41 +186,42 @@
 	}
 }
 
-func (k *Keeper) propose(ctx context.Context, doc []byte, rev keyval.Revision) {
-	t, end := context.WithTimeout(ctx, storeCallsWithin)
+// proposeRoster writes the roster document if the stored one still has the revision rev, and then reads the roster back.
+func (k *Keeper) proposeRoster(ctx context.Context, doc []byte, rev keyval.Revision) {
+	t, end := context.WithTimeout(ctx, rosterStoreTimeout)
 	defer end()
 	_, err := k.store.Put(t, rosterKey(k.dataCentre), doc, rev, 0)
 	if err != nil {
-		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("proposal not written")
+		k.log.Warn().Err(err).Str("step", "roster").Str("peer", "store").Msg("roster proposal not written")
 	}
 	k.mu.Lock()
-	k.read = false // the write's answer may be lost; what the service holds counts
+	k.storeRead = false // the answer may be lost although the write took effect, so read the roster again
 	k.mu.Unlock()
-	if k.refresh(ctx, k.dataCentre) != nil {
-		k.ask(k.dataCentre)
+	if k.refreshRoster(ctx, k.dataCentre) != nil {
+		k.requestRefresh(k.dataCentre)
 	}
 }
 
-// pull fetches the records of keys that this entry now holds from those that held them before.
-func (k *Keeper) pull(ctx context.Context) error {
-	since, number := time.Time{}, int64(0)
+// pullLoop pulls the records of keys that this entry holds under a new roster from their former holders.
+func (k *Keeper) pullLoop(ctx context.Context) error {
+	pulledSince, rosterNumber := time.Time{}, int64(0)
 	for {
 		k.mu.Lock()
 		cmds, now := k.book.Pulls(), k.now()
-		if n := k.book.Roster().Number(); n != number {
-			number, since = n, now
+		if n := k.book.Roster().Number(); n != rosterNumber {
+			rosterNumber, pulledSince = n, now
 		}
-		late := now.Sub(since) > unreachedAfter
+		overdue := now.Sub(pulledSince) > unreachableAfter
 		k.mu.Unlock()
-		each(ctx, pullTasks, cmds, func(c context.Context, p ledger.PullCmd) { k.pullFrom(c, p, late) })
-		d := pullEvery
+		forEach(ctx, pullConcurrency, cmds, func(c context.Context, p ledger.PullCmd) { k.pullFrom(c, p, overdue) })
+		d := pullInterval
 		if len(cmds) == 0 {
-			d = tickEvery * 10
+			d = tickInterval * 10
 		}
 		t, end := context.WithTimeout(ctx, d)
 		select {
 		case <-t.Done():
-		case <-k.adopted:
+		case <-k.rosterAdopted:
 		}
 		end()
 		if ctx.Err() != nil {
@@ -219,8 +230,8 @@
 	}
 }
 
-// pullFrom pulls every page from one source, or notes that it does not answer.
-func (k *Keeper) pullFrom(ctx context.Context, p ledger.PullCmd, late bool) {
+// pullFrom pulls all pages from one source. If that fails and overdue is set, it marks the source as unreachable.
+func (k *Keeper) pullFrom(ctx context.Context, p ledger.PullCmd, overdue bool) {
 	q := &RecordsRequest{Entry: k.self.Entry, Roster: p.Roster, Newcomer: p.Newcomer, RosterDocument: k.Roster(k.dataCentre).Marshal()}
 	for {
 		a, err := k.client.Records(ctx, p.From.Addr, q)
@@ -230,29 +241,30 @@
 			g, err = fromPage(a, now)
 		}
 		if err != nil || !g.Complete {
-			if late {
+			if overdue {
 				k.mu.Lock()
 				k.book.PullFailed(ledger.PullFailedMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry})
 				k.mu.Unlock()
 			}
 			return
 		}
-		if !k.take(ledger.PageMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
+		if !k.applyPage(ledger.PageMsg{Now: now, Roster: p.Roster, Entry: p.From.Entry, Page: g}) {
 			return
 		}
 		q.After = g.After
 	}
 }
 
-// take hands a page to the book and reports whether there are more; when the roster comes into force peers are told.
-func (k *Keeper) take(m ledger.PageMsg) bool {
+// applyPage adds a page to the records and reports whether more pages follow. If that brings the roster into force, peers are
+// notified.
+func (k *Keeper) applyPage(m ledger.PageMsg) bool {
 	k.mu.Lock()
-	was := k.book.ActiveRoster()
+	before := k.book.ActiveRoster()
 	k.book.AddPage(m)
-	is, f := k.book.ActiveRoster(), k.changed
+	after, f := k.book.ActiveRoster(), k.onChange
 	k.mu.Unlock()
-	if is != was {
-		k.log.Info().Str("step", "handover").Int64("number", is).Msg("in force")
+	if after != before {
+		k.log.Info().Str("step", "handover").Int64("number", after).Msg("roster in force")
 		f()
 	}
 	return m.Page.More
--- a/node/relay/store.go
+++ b/node/relay/store.go
@@ -13,53 +13,56 @@
 )
 
 const (
-	storeWithin = 500 * time.Millisecond
-	// confirmEvery spaces the reads that confirm a roster.
-	confirmEvery = 25 * time.Millisecond
-	// storeLeaseFor is the life of a lease under which keys are created; each is used for the first half of it.
-	storeLeaseFor = 2 * ledger.RecordTTL
+	// storeTimeout bounds the calls to the platform's service for one key or for one confirmation of a roster.
+	storeTimeout = 500 * time.Millisecond
+	// confirmDelay is the wait before a read that confirms a roster; requests that arrive meanwhile share the read.
+	confirmDelay = 25 * time.Millisecond
+	// storeLeaseTTL is the lifetime of a lease under which keys are created. New keys use a lease only during its first half,
+	// so that each key lasts at least ledger.Remember.
+	storeLeaseTTL = 2 * ledger.RecordTTL
 )
 
-// keyDocument is what the platform's service holds of a key.
+// keyDocument is the value of a key in the platform's service.
 type keyDocument struct {
 	Attempt uint64 `json:"attempt"`
 	Digest  uint64 `json:"digest"`
 }
 
-// storeLease is the lease under which this entry creates keys.
+// storeLease is the lease in the platform's service under which this entry creates keys.
 type storeLease struct {
-	mu      sync.Mutex
-	id      keyval.LeaseID
-	granted time.Time
+	mu        sync.Mutex
+	id        keyval.LeaseID
+	grantedAt time.Time
 }
 
-func (k *Keeper) keyOf(dataCentre string, id ledger.ID) string {
+// keyPath returns the name under which the platform's service stores a key of the data centre.
+func (k *Keeper) keyPath(dataCentre string, id ledger.ID) string {
 	return "dc/" + dataCentre + "/keys/" + id.String()
 }
 
-// currentLease returns a lease that lasts for at least ledger.RecordTTL from now.
+// currentLease returns a lease that lasts at least ledger.RecordTTL from now, and grants a new one if needed.
 func (k *Keeper) currentLease(ctx context.Context) (keyval.LeaseID, error) {
 	l := &k.lease
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := k.now()
-	if l.id != 0 && now.Sub(l.granted) < storeLeaseFor-ledger.RecordTTL {
+	if l.id != 0 && now.Sub(l.grantedAt) < storeLeaseTTL-ledger.RecordTTL {
 		return l.id, nil
 	}
-	id, err := k.store.Grant(ctx, storeLeaseFor)
+	id, err := k.store.Grant(ctx, storeLeaseTTL)
 	if err != nil {
 		return 0, err
 	}
-	l.id, l.granted = id, now
+	l.id, l.grantedAt = id, now
 	return id, nil
 }
 
-// storeKey creates the key in the platform's service for this copy only.
-func (k *Keeper) storeKey(ctx context.Context, a *attempt) ledger.Msg {
-	t, end := context.WithTimeout(ctx, storeWithin)
+// createKey creates the key in the platform's service on behalf of this copy; an existing key is not overwritten.
+func (k *Keeper) createKey(ctx context.Context, a *attempt) ledger.Msg {
+	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
 	m := ledger.StoreMsg{Outcome: ledger.StoreFailed}
-	key := k.keyOf(a.home, a.id)
+	key := k.keyPath(a.home, a.id)
 	l, err := k.currentLease(t)
 	if err == nil {
 		_, err = k.store.Put(t, key, mustJSON(keyDocument{Attempt: uint64(a.attempt), Digest: uint64(a.digest)}), keyval.Absent, l)
@@ -68,14 +71,14 @@
 	case err == nil:
 		m.Outcome = ledger.StoreCreated
 	case errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnknown):
-		m.Outcome, m.Record = k.readKey(t, key, a)
+		m.Outcome, m.Record = k.resolveWrite(t, key, a)
 	}
 	m.Now = k.now()
 	return m
 }
 
-// readKey settles a write that did not say whether it made the key.
-func (k *Keeper) readKey(ctx context.Context, key string, a *attempt) (ledger.StoreOutcome, ledger.Record) {
+// resolveWrite reads the key back after a create that conflicted or whose outcome is unknown.
+func (k *Keeper) resolveWrite(ctx context.Context, key string, a *attempt) (ledger.StoreOutcome, ledger.Record) {
 	i, err := k.store.Get(ctx, key)
 	var d keyDocument
 	if err != nil || !i.Found() || json.Unmarshal(i.Value(), &d) != nil {
@@ -87,11 +90,11 @@
 	return ledger.StoreExists, ledger.Record{ID: a.id, Attempt: ledger.Attempt(d.Attempt), Digest: ledger.Digest(d.Digest), Phase: ledger.Claimed}
 }
 
-// unstoreKey removes the key if it is this copy's, and reports whether it is gone.
-func (k *Keeper) unstoreKey(ctx context.Context, home string, r ledger.Record) bool {
-	t, end := context.WithTimeout(ctx, storeWithin)
+// deleteKey deletes the key if this copy created it, and reports whether no key of this copy is left.
+func (k *Keeper) deleteKey(ctx context.Context, home string, r ledger.Record) bool {
+	t, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
-	key := k.keyOf(home, r.ID)
+	key := k.keyPath(home, r.ID)
 	i, err := k.store.Get(t, key)
 	if err != nil {
 		return false
@@ -103,15 +106,16 @@
 	return k.store.Delete(t, key, i.Rev()) == nil
 }
 
-// confirm returns the number of the roster that the platform's service holds now, or zero; many that ask share one read.
-func (k *Keeper) confirm(ctx context.Context, dataCentre string) int64 {
-	j, ok := k.confirms[dataCentre]
+// confirmRoster returns the number of the roster that the platform's service holds now, or zero if it cannot be read.
+// Concurrent calls for one data centre share a read.
+func (k *Keeper) confirmRoster(ctx context.Context, dataCentre string) int64 {
+	j, ok := k.confirmBatchers[dataCentre]
 	if !ok {
 		return 0
 	}
 	n, err := j.do(ctx, struct{}{}, func(l []struct{}) ([]int64, error) {
-		pause(ctx, confirmEvery)
-		t, end := context.WithTimeout(context.WithoutCancel(ctx), storeWithin)
+		sleep(ctx, confirmDelay)
+		t, end := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 		defer end()
 		i, err := k.store.Get(t, rosterKey(dataCentre))
 		if err != nil {
@@ -121,7 +125,7 @@
 		if err != nil {
 			return nil, err
 		}
-		k.adopt(r)
+		k.adoptRoster(r)
 		return slices.Repeat([]int64{r.Number()}, len(l)), nil
 	})
 	if err != nil {
@@ -133,7 +137,7 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only strings and numbers
+		panic(err) // the documents contain only strings and numbers
 	}
 	return b
 }
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -8,34 +8,34 @@
 	"burdockreach.dev/flow/ledger"
 )
 
-// sendWithin is how long after the claim a send may begin.
-const sendWithin = 5 * time.Second
+// sendWindow is how long after the start of its claim a copy may be sent.
+const sendWindow = 5 * time.Second
 
-// Ticket allows one copy of a keyed request to be sent, and tells the holders what became of it.
+// Ticket permits one copy of a keyed request to be sent, and delivers its outcome to the holders of the key.
 type Ticket struct {
-	job   *job
-	until time.Time
+	settlement *settlement
+	sendBy     time.Time
 }
 
-// Until returns the time after which the copy must not be sent any more.
-func (t *Ticket) Until() time.Time { return t.until }
+// Until returns the time after which the copy must not be sent.
+func (t *Ticket) Until() time.Time { return t.sendBy }
 
-// Settle tells the holders, in the background, what became of the copy; it copies answer and may be called once.
+// Settle delivers the outcome of the copy to the holders, in the background. It copies answer and may be called once.
 //
-// The phase is Answered, Unknown or NotRun; a whole answer of up to ledger.MaxAnswerBytes bytes is kept for repeats.
+// The phase p is Answered, Unknown or NotRun; an answer of up to ledger.MaxAnswerBytes bytes is stored for later copies.
 func (t *Ticket) Settle(p ledger.Phase, status int, contentType string, answer []byte) {
-	j := t.job
+	j := t.settlement
 	j.record.Phase, j.record.Status = p, status
 	if p == ledger.Answered && len(answer) <= ledger.MaxAnswerBytes {
 		j.record.HasAnswer, j.record.ContentType, j.record.Answer = true, contentType, bytes.Clone(answer)
 	}
-	j.send()
+	j.enqueue()
 }
 
-// attempt is one copy on its way through its claim.
+// attempt is the claim of one copy while it is being made.
 type attempt struct {
 	k       *Keeper
-	home    string
+	home    string // data centre whose entries remember the key
 	request *ClaimRequest
 	id      ledger.ID
 	digest  ledger.Digest
@@ -43,9 +43,9 @@
 	claim   *ledger.Claim
 }
 
-// Take claims key for one copy of a request; the attempt's id must be unique and digest tells the request's contents.
+// Take claims key for one copy of a request. attemptID must be unique to the copy, and digest identifies the contents of the request.
 //
-// The error is a *RepeatError when another copy was claimed before, or a *RefusedError; the copy must then not be sent.
+// The error is a *RepeatError if another copy has claimed the key, or a *RefusedError. After an error the copy must not be sent.
 func (k *Keeper) Take(ctx context.Context, key string, digest []byte, attemptID string) (*Ticket, error) {
 	a := &attempt{
 		k: k, home: ledger.HomeDataCentre(key, k.dataCentres), id: ledger.NewID(key),
@@ -60,9 +60,9 @@
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case ledger.SendCmd:
-				return &Ticket{job: a.job(c.Holders, c.InStore), until: start.Add(sendWithin)}, nil
+				return &Ticket{settlement: a.newSettlement(c.Holders, c.InStore), sendBy: start.Add(sendWindow)}, nil
 			case ledger.RefuseCmd:
-				return nil, a.refused(c)
+				return nil, a.refusal(c)
 			case ledger.RepeatCmd:
 				return nil, &RepeatError{record: c.Record}
 			case ledger.ReleaseCmd:
@@ -78,18 +78,20 @@
 	}
 }
 
-func (a *attempt) refused(c ledger.RefuseCmd) error {
+// refusal returns the error of a refused claim. Unless the key was used for another request, it also requests a refresh of
+// the roster.
+func (a *attempt) refusal(c ledger.RefuseCmd) error {
 	if c.Reason != ledger.OtherRequest {
-		a.k.ask(a.home)
+		a.k.requestRefresh(a.home)
 	}
-	return &RefusedError{reason: c.Reason, notRun: c.NotRun, retry: c.RetryAfter, peer: c.Holder}
+	return &RefusedError{reason: c.Reason, notRun: c.NotRun, retryAfter: c.RetryAfter, peer: c.Holder}
 }
 
-// perform does what takes time and returns its outcome.
+// perform carries out a command that takes time and returns its result.
 func (a *attempt) perform(ctx context.Context, c ledger.Cmd) ledger.Msg {
 	switch c := c.(type) {
 	case ledger.AskCmd:
-		return a.ask(ctx, c)
+		return a.askHolder(ctx, c)
 	case ledger.WaitCmd:
 		t := time.NewTimer(c.For)
 		defer t.Stop()
@@ -99,15 +101,16 @@
 		}
 		return ledger.NoReplyMsg{Now: a.k.now(), Roster: a.k.Roster(a.home)}
 	case ledger.ConfirmCmd:
-		return ledger.ConfirmMsg{Number: a.k.confirm(ctx, a.home)}
+		return ledger.ConfirmMsg{Number: a.k.confirmRoster(ctx, a.home)}
 	default:
-		return a.k.storeKey(ctx, a)
+		return a.k.createKey(ctx, a)
 	}
 }
 
-func (a *attempt) ask(ctx context.Context, c ledger.AskCmd) ledger.Msg {
+// askHolder asks a holder for the claim: this entry directly, another one by a call.
+func (a *attempt) askHolder(ctx context.Context, c ledger.AskCmd) ledger.Msg {
 	if c.Holder.SameIncarnation(a.k.self) {
-		r := a.k.claimHere(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
+		r := a.k.claimLocal(ledger.ClaimMsg{ID: a.id, Roster: c.Roster, Attempt: a.attempt, Digest: a.digest})
 		return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 	}
 	a.request.Roster = c.Roster
@@ -125,15 +128,17 @@
 	return ledger.ReplyMsg{Now: a.k.now(), Holder: c.Holder.Entry, Reply: r, Roster: a.k.Roster(a.home)}
 }
 
+// release tells the holders that the copy is not run, so that the key is free again.
 func (a *attempt) release(c ledger.ReleaseCmd) {
-	j := a.job(c.Holders, c.InStore)
+	j := a.newSettlement(c.Holders, c.InStore)
 	j.record.Phase = ledger.NotRun
-	j.send()
+	j.enqueue()
 }
 
-func (a *attempt) job(holders []ledger.Member, store bool) *job {
-	return &job{
-		out: a.k.settles, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, store: store,
+// newSettlement returns a settlement of the copy without an outcome.
+func (a *attempt) newSettlement(holders []ledger.Member, store bool) *settlement {
+	return &settlement{
+		outbox: a.k.outbox, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, mayBeStored: store,
 		record: ledger.Record{ID: a.id, Attempt: a.attempt, Digest: a.digest},
 	}
 }
