--- a/plat/conf/apply.go
+++ b/plat/conf/apply.go
@@ -47,8 +47,8 @@
 // Apply returns the document after c, whose number must be the next one: ErrGap otherwise, a DivergedError
 // when c follows another change than the last one here, and a FieldError when c is not valid.
 func (d *Document) Apply(c Change) (*Document, error) {
-	if c.Number != d.n+1 {
-		return nil, eris.Wrapf(ErrGap, "apply change %d to document %d", c.Number, d.n)
+	if c.Number != d.number+1 {
+		return nil, eris.Wrapf(ErrGap, "apply change %d to document %d", c.Number, d.number)
 	}
 	if c.Prev != "" && c.Prev != d.chain {
 		return nil, &DivergedError{number: c.Number, have: "after " + d.chain, offered: c.Op + " after " + c.Prev}
@@ -57,30 +57,30 @@
 	if err := d.Validate(c); err != nil {
 		return nil, err
 	}
-	e := d.next(c)
+	e := d.advance(c)
 	e.perform(c)
 	return e, nil
 }
 
-// next returns d with c's number and none of its effect.
-func (d *Document) next(c Change) *Document {
+// advance returns d with c's number and none of its effect.
+func (d *Document) advance(c Change) *Document {
 	e := *d
-	e.n, e.op, e.chain = c.Number, c.Op, link(d.chain, c.Op)
+	e.number, e.op, e.chain = c.Number, c.Op, chainDigest(d.chain, c.Op)
 	return &e
 }
 
-// link returns the digest of a history that op extends.
-func link(chain, op string) string {
+// chainDigest returns the digest of a history that op extends.
+func chainDigest(chain, op string) string {
 	return strconv.FormatUint(xxhash.Sum64String(chain+"\x00"+op), 36)
 }
 
 // isLast reports whether c is the document's last change, in the same history.
 func (d *Document) isLast(c Change) bool {
-	return c.Number == d.n && c.Op == d.op && (c.Prev == "" || link(c.Prev, c.Op) == d.chain)
+	return c.Number == d.number && c.Op == d.op && (c.Prev == "" || chainDigest(c.Prev, c.Op) == d.chain)
 }
 
-// same reports whether both are one change of one history; a change that is not bound to a history matches by its operation.
-func (c Change) same(o Change) bool {
+// matches reports whether both are one change of one history; a change that is not bound to a history matches by its operation.
+func (c Change) matches(o Change) bool {
 	return c.Number == o.Number && c.Op == o.Op && (c.Prev == o.Prev || c.Prev == "" || o.Prev == "")
 }
 
@@ -94,7 +94,7 @@
 		d.services = d.services.with(c.Service.Name, *c.Service, c.Number)
 	case DropService:
 		d.services = d.services.without(c.Name)
-		d.withdraw(func(a ApprovalSpec) bool { return a.Service == c.Name })
+		d.removeApprovals(func(a ApprovalSpec) bool { return a.Service == c.Name })
 	case PutPool:
 		d.pools = d.pools.with(c.Pool.Name, *c.Pool, c.Number)
 	case DropPool:
@@ -107,7 +107,7 @@
 		d.approvals = maps.Clone(d.approvals)
 		d.approvals[*c.Approval] = c.Number
 	case Withdraw:
-		d.withdraw(func(a ApprovalSpec) bool { return a == *c.Approval })
+		d.removeApprovals(func(a ApprovalSpec) bool { return a == *c.Approval })
 	case PutWave:
 		w := *c.Wave
 		w.Pools = slices.Clone(w.Pools)
@@ -118,20 +118,20 @@
 }
 
 func (d *Document) putTeam(t TeamSpec) {
-	d.digests = maps.Clone(d.digests)
+	d.teamsByDigest = maps.Clone(d.teamsByDigest)
 	if old, ok := d.teams.get(t.Name); ok {
-		delete(d.digests, mustDigest(old))
+		delete(d.teamsByDigest, mustDigest(old))
 	}
-	d.digests[mustDigest(t)] = t.Name
-	d.teams = d.teams.with(t.Name, t, d.n)
+	d.teamsByDigest[mustDigest(t)] = t.Name
+	d.teams = d.teams.with(t.Name, t, d.number)
 }
 
 func (d *Document) dropTeam(name string) {
 	old, _ := d.teams.get(name)
-	d.digests = maps.Clone(d.digests)
-	delete(d.digests, mustDigest(old))
+	d.teamsByDigest = maps.Clone(d.teamsByDigest)
+	delete(d.teamsByDigest, mustDigest(old))
 	d.teams = d.teams.without(name)
-	d.withdraw(func(a ApprovalSpec) bool { return a.Team == name })
+	d.removeApprovals(func(a ApprovalSpec) bool { return a.Team == name })
 }
 
 // mustDigest returns the digest of a team that has been validated.
@@ -140,7 +140,7 @@
 	return s
 }
 
-func (d *Document) withdraw(which func(ApprovalSpec) bool) {
+func (d *Document) removeApprovals(which func(ApprovalSpec) bool) {
 	d.approvals = maps.Clone(d.approvals)
 	maps.DeleteFunc(d.approvals, func(a ApprovalSpec, _ Number) bool { return which(a) })
 }
--- a/plat/conf/bench_test.go
+++ b/plat/conf/bench_test.go
@@ -7,8 +7,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// sized returns a document of that many teams, each approved for two services, and 51 pools with a service each.
-func sized(b testing.TB, teams int) *conf.Document {
+// documentWithTeams returns a document of that many teams, each approved for two services, and 51 pools with a service each.
+func documentWithTeams(b testing.TB, teams int) *conf.Document {
 	d := mustApply(b, conf.NewDocument(), conf.Change{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "gold"}})
 	for i := range 51 {
 		n := fmt.Sprint("service-", i)
@@ -17,7 +17,7 @@
 	}
 	for i := range teams {
 		n := fmt.Sprint("team-", i)
-		d = mustApply(b, d, conf.Change{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: n, TokenDigest: token(n), QuotaPerSec: 10}})
+		d = mustApply(b, d, conf.Change{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: n, TokenDigest: tokenDigest(n), QuotaPerSec: 10}})
 		for k := range 2 {
 			a := &conf.ApprovalSpec{Team: n, Service: fmt.Sprint("service-", (i+k)%51)}
 			d = mustApply(b, d, conf.Change{Kind: conf.Approve, Approval: a})
@@ -28,7 +28,7 @@
 
 func eachSize(b *testing.B, f func(*testing.B, *conf.Document)) {
 	for _, n := range []int{57, 115, 230, 460, 920} {
-		d := sized(b, n)
+		d := documentWithTeams(b, n)
 		b.Run(fmt.Sprint("teams=", n), func(b *testing.B) {
 			b.ReportAllocs()
 			f(b, d)
@@ -40,7 +40,7 @@
 	eachSize(b, func(b *testing.B, d *conf.Document) {
 		c := conf.Change{
 			Number: d.Number() + 1, Op: "x", Kind: conf.PutTeam,
-			Team: &conf.TeamSpec{Name: "team-7", TokenDigest: token("team-7"), QuotaPerSec: 20},
+			Team: &conf.TeamSpec{Name: "team-7", TokenDigest: tokenDigest("team-7"), QuotaPerSec: 20},
 		}
 		for b.Loop() {
 			if _, err := d.Apply(c); err != nil {
@@ -80,7 +80,7 @@
 
 func BenchmarkHolderDocument(b *testing.B) {
 	h := conf.NewHolder()
-	h.OfferDocument(sized(b, 230))
+	h.OfferDocument(documentWithTeams(b, 230))
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
--- a/plat/conf/codec.go
+++ b/plat/conf/codec.go
@@ -28,7 +28,7 @@
 // Marshal returns the document in JSON, the same bytes for equal documents.
 func (d *Document) Marshal() ([]byte, error) {
 	w := documentWire{
-		N: d.n, Op: d.op, Chain: d.chain,
+		N: d.number, Op: d.op, Chain: d.chain,
 		Profiles: d.profiles.entries(), Services: d.services.entries(), Pools: d.pools.entries(),
 		Teams: d.teams.entries(), Waves: d.waves.entries(),
 		Approvals: make([]approvalWire, 0, len(d.approvals)),
@@ -37,7 +37,7 @@
 		w.Approvals = append(w.Approvals, approvalWire{ApprovalSpec: a, Changed: d.approvals[a]})
 	}
 	b, err := json.Marshal(w)
-	return b, eris.Wrapf(err, "marshal document %d", d.n)
+	return b, eris.Wrapf(err, "marshal document %d", d.number)
 }
 
 // ParseDocument returns the document that Marshal wrote.
@@ -47,29 +47,29 @@
 		return nil, eris.Wrap(err, "parse document")
 	}
 	d := NewDocument()
-	d.n, d.op, d.chain = w.N, w.Op, w.Chain
-	load(d.profiles, w.Profiles, func(p ProfileSpec) string { return p.Name })
-	load(d.services, w.Services, func(s ServiceSpec) string { return s.Name })
-	load(d.pools, w.Pools, func(p PoolSpec) string { return p.Name })
-	load(d.teams, w.Teams, func(t TeamSpec) string { return t.Name })
-	load(d.waves, w.Waves, func(v WaveSpec) string { return v.ID })
+	d.number, d.op, d.chain = w.N, w.Op, w.Chain
+	fillTable(d.profiles, w.Profiles, func(p ProfileSpec) string { return p.Name })
+	fillTable(d.services, w.Services, func(s ServiceSpec) string { return s.Name })
+	fillTable(d.pools, w.Pools, func(p PoolSpec) string { return p.Name })
+	fillTable(d.teams, w.Teams, func(t TeamSpec) string { return t.Name })
+	fillTable(d.waves, w.Waves, func(v WaveSpec) string { return v.ID })
 	for _, a := range w.Approvals {
 		d.approvals[a.ApprovalSpec] = a.Changed
 	}
-	return d, d.index()
+	return d, d.indexDigests()
 }
 
-// index fills the digests and reports a document that no sequence of changes makes.
-func (d *Document) index() error {
-	if d.n < 0 {
-		return fieldErr("n", d.n, "0 or more")
+// indexDigests fills the digests and reports a document that no sequence of changes makes.
+func (d *Document) indexDigests() error {
+	if d.number < 0 {
+		return fieldErr("n", d.number, "0 or more")
 	}
 	for name, t := range d.teams {
 		s, ok := parseDigest(t.Spec.TokenDigest)
-		if _, taken := d.digests[s]; !ok || taken {
+		if _, taken := d.teamsByDigest[s]; !ok || taken {
 			return eris.Wrapf(fieldErr("tokenDigest", t.Spec.TokenDigest, "64 hexadecimal digits, once"), "parse team %s", name)
 		}
-		d.digests[s] = name
+		d.teamsByDigest[s] = name
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	return l
 }
 
-func load[T any](t table[T], l []entry[T], name func(T) string) {
+func fillTable[T any](t table[T], l []entry[T], name func(T) string) {
 	for _, e := range l {
 		t[name(e.Spec)] = e
 	}
--- a/plat/conf/commit.go
+++ b/plat/conf/commit.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	firstRetry = 20 * time.Millisecond
-	lastRetry  = time.Second
+	initialRetryWait = 20 * time.Millisecond
+	maxRetryWait     = time.Second
 )
 
 // Committer brings operators' changes into the log, one at a time.
 type Committer struct {
-	source  source
-	catchUp func(context.Context) error
-	now     func() time.Time
-	turn    chan struct{} // holds one value while a commit runs.
+	source    source
+	catchUp   func(context.Context) error
+	now       func() time.Time
+	semaphore chan struct{} // holds one value while a commit runs.
 }
 
 // CommitOption adjusts a committer.
@@ -39,10 +39,10 @@
 // NewCommitter returns a committer that writes to store and keeps holder up to date.
 func NewCommitter(store keyval.Store, holder *Holder, opts ...CommitOption) *Committer {
 	c := &Committer{
-		source:  source{store: store, holder: holder},
-		catchUp: func(context.Context) error { return nil },
-		now:     time.Now,
-		turn:    make(chan struct{}, 1),
+		source:    source{store: store, holder: holder},
+		catchUp:   func(context.Context) error { return nil },
+		now:       time.Now,
+		semaphore: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(c)
@@ -75,15 +75,15 @@
 	if n, ok := c.source.holder.FindOp(op); ok {
 		return n, nil
 	}
-	return c.source.find(ctx, op)
+	return c.source.findOp(ctx, op)
 }
 
 func (c *Committer) run(ctx context.Context, a *attempt) (Number, error) {
 	select {
-	case c.turn <- struct{}{}:
-		defer func() { <-c.turn }()
+	case c.semaphore <- struct{}{}:
+		defer func() { <-c.semaphore }()
 	case <-ctx.Done():
-		return 0, a.end(errTurn)
+		return 0, a.timeoutError(errCommitInProgress)
 	}
 	_ = c.catchUp(ctx)
 	if a.change.At.IsZero() {
@@ -92,7 +92,7 @@
 	a.change = a.change.WithDefaults()
 	b := retryWaits()
 	for {
-		n, done, err := a.step(ctx)
+		n, done, err := a.try(ctx)
 		if done {
 			return n, err
 		}
@@ -100,22 +100,22 @@
 			b.Reset()
 			continue
 		}
-		if pause(ctx, b.NextBackOff()) != nil {
-			return 0, a.end(err)
+		if sleep(ctx, b.NextBackOff()) != nil {
+			return 0, a.timeoutError(err)
 		}
 	}
 }
 
-var errTurn = eris.New("conf: another commit of this entry is under way")
+var errCommitInProgress = eris.New("conf: another commit of this entry is under way")
 
 func retryWaits() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstRetry, lastRetry
+	b.InitialInterval, b.MaxInterval = initialRetryWait, maxRetryWait
 	return b
 }
 
-// pause waits for d or for the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or for the end of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -128,36 +128,36 @@
 
 // attempt is one change on its way into the log.
 type attempt struct {
-	source source
-	change Change
-	sent   *Change // the change under the number at which it is tried.
-	blind  bool    // it may be in the log under that number.
-	wrote  bool    // it may be, or may have been, in the log under some number.
-	repeat bool    // an earlier call may have written it.
-	sought bool    // the service's log has been searched for it.
+	source         source
+	change         Change
+	numbered       *Change // the change under the number at which it is tried.
+	outcomeUnknown bool    // it may be in the log under that number.
+	mayBeLogged    bool    // it may be, or may have been, in the log under some number.
+	repeat         bool    // an earlier call may have written it.
+	searched       bool    // the service's log has been searched for it.
 }
 
-// step makes one try; done with no error when the change is in the log. Not done and no error means to go on at once.
-func (a *attempt) step(ctx context.Context) (n Number, done bool, err error) {
-	if a.sent == nil {
-		if n, done, err = a.prepare(ctx); a.sent == nil {
+// try makes one try; done with no error when the change is in the log. Not done and no error means to go on at once.
+func (a *attempt) try(ctx context.Context) (n Number, done bool, err error) {
+	if a.numbered == nil {
+		if n, done, err = a.prepare(ctx); a.numbered == nil {
 			return n, done, err
 		}
 	}
-	c := *a.sent
+	c := *a.numbered
 	err = a.source.putChange(ctx, c, keyval.Absent)
 	switch {
 	case err == nil:
-		return a.keep(c)
+		return a.accept(c)
 	case errors.Is(err, keyval.ErrConflict):
-		return a.lost(ctx, c)
+		return a.resolveConflict(ctx, c)
 	case errors.Is(err, keyval.ErrTooLarge):
 		return 0, true, err
 	case errors.Is(err, keyval.ErrDown):
-		a.clear()
+		a.dropNumber()
 		return 0, false, err
 	}
-	a.blind, a.wrote = true, true
+	a.outcomeUnknown, a.mayBeLogged = true, true
 	return 0, false, err
 }
 
@@ -170,22 +170,22 @@
 	if n, ok := a.source.holder.FindOp(a.change.Op); ok {
 		return n, true, nil
 	}
-	if errors.Is(v.report, ErrDiverged) {
+	if errors.Is(v.offerErr, ErrDiverged) {
 		return 0, false, a.merge(ctx)
 	}
-	if !v.anchored {
+	if !v.headFound {
 		return a.heal(ctx)
 	}
-	if n, err := a.search(ctx); n > 0 || err != nil {
+	if n, err := a.searchLog(ctx); n > 0 || err != nil {
 		return n, err == nil, err
 	}
 	d := a.source.holder.Document()
 	c := a.change
-	c.Number, c.Prev = d.n+1, d.chain
+	c.Number, c.Prev = d.number+1, d.chain
 	if err := d.Validate(c); err != nil {
-		return 0, true, a.invalid(err)
+		return 0, true, a.invalidError(err)
 	}
-	a.sent = &c
+	a.numbered = &c
 	return 0, false, nil
 }
 
@@ -199,13 +199,13 @@
 	return err
 }
 
-// search looks once for a repeated change in all that the service keeps of the log; it returns the change's number, or 0.
-func (a *attempt) search(ctx context.Context) (Number, error) {
-	if !a.repeat || a.sought {
+// searchLog looks once for a repeated change in all that the service keeps of the log; it returns the change's number, or 0.
+func (a *attempt) searchLog(ctx context.Context) (Number, error) {
+	if !a.repeat || a.searched {
 		return 0, nil
 	}
-	n, err := a.source.find(ctx, a.change.Op)
-	a.sought = err == nil
+	n, err := a.source.findOp(ctx, a.change.Op)
+	a.searched = err == nil
 	return n, err
 }
 
@@ -221,22 +221,22 @@
 	return 0, false, err
 }
 
-// clear gives the number up, unless the change may be in the log under it.
-func (a *attempt) clear() {
-	if !a.blind {
-		a.sent = nil
+// dropNumber gives the number up, unless the change may be in the log under it.
+func (a *attempt) dropNumber() {
+	if !a.outcomeUnknown {
+		a.numbered = nil
 	}
 }
 
-// lost reads whose change stands under c's number.
-func (a *attempt) lost(ctx context.Context, c Change) (Number, bool, error) {
+// resolveConflict reads whose change stands under c's number.
+func (a *attempt) resolveConflict(ctx context.Context, c Change) (Number, bool, error) {
 	i, err := a.source.store.Get(ctx, LogKey(c.Number))
 	if err != nil {
-		a.clear()
+		a.dropNumber()
 		return 0, false, err
 	}
 	if !i.Found() {
-		a.clear()
+		a.dropNumber()
 		return 0, false, eris.Wrapf(ErrUnsettled, "change %d is gone again", c.Number)
 	}
 	w, err := parseChange(i)
@@ -244,36 +244,36 @@
 		return 0, false, err
 	}
 	if w.Op == c.Op {
-		return a.keep(w)
+		return a.accept(w)
 	}
 	_, _ = a.source.holder.Offer(w) // what does not fit shows at the next pull.
-	a.sent, a.blind = nil, false
+	a.numbered, a.outcomeUnknown = nil, false
 	return 0, false, nil
 }
 
-// keep hands the holder a change that the service has. It is accepted only once the holder has it too, as that is what
+// accept hands the holder a change that the service has. It is accepted only once the holder has it too, as that is what
 // brings it back should the service forget it.
-func (a *attempt) keep(c Change) (Number, bool, error) {
+func (a *attempt) accept(c Change) (Number, bool, error) {
 	_, _ = a.source.holder.Offer(c) // what does not fit shows at the next pull.
 	if n, ok := a.source.holder.FindOp(c.Op); ok {
 		return n, true, nil
 	}
-	a.sent, a.blind, a.wrote = nil, false, true
+	a.numbered, a.outcomeUnknown, a.mayBeLogged = nil, false, true
 	return 0, false, nil
 }
 
-// invalid returns the error for a change that does not fit the newest document. One that was written before may still come back
+// invalidError returns the error for a change that does not fit the newest document. One that was written before may still come back
 // with an entry that saw it, should the service have come back older in between.
-func (a *attempt) invalid(err error) error {
-	if !a.wrote {
+func (a *attempt) invalidError(err error) error {
+	if !a.mayBeLogged {
 		return err
 	}
 	return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, err)
 }
 
-// end returns the error for a change whose time ran out.
-func (a *attempt) end(last error) error {
-	if a.wrote || a.repeat {
+// timeoutError returns the error for a change whose time ran out.
+func (a *attempt) timeoutError(last error) error {
+	if a.mayBeLogged || a.repeat {
 		return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, last)
 	}
 	return eris.Wrapf(ErrNotAccepted, "commit %s: %v", a.change.Op, last)
--- a/plat/conf/compact.go
+++ b/plat/conf/compact.go
@@ -18,9 +18,9 @@
 
 // Compactor bounds what a newcomer reads and what the service keeps; one entry of the fleet runs it.
 type Compactor struct {
-	source source
-	snap   Number // number of the newest snapshot that was seen.
-	pruned Number // changes up to this one are gone.
+	source         source
+	snapshotNumber Number // number of the newest snapshot that was seen.
+	prunedUpTo     Number // changes up to this one are gone.
 }
 
 // NewCompactor returns a compactor of store's log as far as holder knows it.
@@ -32,11 +32,11 @@
 // than PruneBehind behind it; it is called every few seconds and makes no call while there is nothing to do.
 func (c *Compactor) Step(ctx context.Context) error {
 	d := c.source.holder.Document()
-	if d.n-c.snap >= SnapEvery {
+	if d.number-c.snapshotNumber >= SnapEvery {
 		return c.snapshot(ctx, d)
 	}
-	if c.snap-PruneBehind > c.pruned {
-		return c.prune(ctx, c.snap-PruneBehind)
+	if c.snapshotNumber-PruneBehind > c.prunedUpTo {
+		return c.prune(ctx, c.snapshotNumber-PruneBehind)
 	}
 	return nil
 }
@@ -46,11 +46,11 @@
 	if err != nil {
 		return err
 	}
-	if old != nil && old.n > d.n-SnapEvery {
-		c.snap = old.n
+	if old != nil && old.number > d.number-SnapEvery {
+		c.snapshotNumber = old.number
 		return nil
 	}
-	if err := c.confirm(ctx, d); err != nil {
+	if err := c.checkHistory(ctx, d); err != nil {
 		return err
 	}
 	err = c.source.putSnapshot(ctx, d, rev)
@@ -58,23 +58,23 @@
 		return nil
 	}
 	if err == nil {
-		c.snap = d.n
+		c.snapshotNumber = d.number
 	}
 	return err
 }
 
-// confirm returns an error unless the service's log holds d's last change, so that no snapshot is made of another history.
-func (c *Compactor) confirm(ctx context.Context, d *Document) error {
-	i, err := c.source.store.Get(ctx, LogKey(d.n))
+// checkHistory returns an error unless the service's log holds d's last change, so that no snapshot is made of another history.
+func (c *Compactor) checkHistory(ctx context.Context, d *Document) error {
+	i, err := c.source.store.Get(ctx, LogKey(d.number))
 	if err != nil {
-		return eris.Wrapf(err, "get change %d", d.n)
+		return eris.Wrapf(err, "get change %d", d.number)
 	}
 	w, err := parseChange(i)
 	if !i.Found() || err != nil {
-		return eris.Wrapf(ErrGap, "snapshot: the service lacks change %d", d.n)
+		return eris.Wrapf(ErrGap, "snapshot: the service lacks change %d", d.number)
 	}
 	if !d.isLast(w) {
-		return &DivergedError{number: d.n, have: d.op, offered: w.Op}
+		return &DivergedError{number: d.number, have: d.op, offered: w.Op}
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	for _, i := range l {
 		n, ok := parseLogKey(i.Key())
 		if !ok || n > upTo {
-			c.pruned = upTo
+			c.prunedUpTo = upTo
 			return nil
 		}
 		if err := c.source.store.Delete(ctx, i.Key(), i.Rev()); err != nil && !errors.Is(err, keyval.ErrConflict) {
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(l) < PruneStep {
-		c.pruned = upTo
+		c.prunedUpTo = upTo
 	}
 	return nil
 }
--- a/plat/conf/conf_test.go
+++ b/plat/conf/conf_test.go
@@ -20,20 +20,20 @@
 	}
 }
 
-func token(s string) string {
+func tokenDigest(s string) string {
 	d := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(d[:])
 }
 
-// base returns a document with a profile, two pools, a service and a team, and the number of its last change.
-func base(t testing.TB) *conf.Document {
+// baseDocument returns a document with a profile, two pools, a service and a team, and the number of its last change.
+func baseDocument(t testing.TB) *conf.Document {
 	d := conf.NewDocument()
 	for _, c := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "gold"}},
 		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "riders"}},
 		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "office", Spare: true}},
 		{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: "routes", Profile: "gold", Pool: "riders"}},
-		{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: "reception", TokenDigest: token("r")}},
+		{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: "reception", TokenDigest: tokenDigest("r")}},
 		{Kind: conf.Approve, Approval: &conf.ApprovalSpec{Team: "reception", Service: "routes"}},
 		{Kind: conf.PutWave, Wave: &conf.WaveSpec{ID: "w1", Pools: []string{"riders"}}},
 	} {
@@ -56,7 +56,7 @@
 }
 
 func TestValidateNamesTheField(t *testing.T) {
-	d := base(t)
+	d := baseDocument(t)
 	for _, c := range []struct {
 		field  string
 		change conf.Change
@@ -69,7 +69,7 @@
 		{"profile.targetUse", conf.Change{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "a", TargetUse: 1.5}}},
 		{"service.profile", conf.Change{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: "a", Profile: "no", Pool: "office"}}},
 		{"service.pool", conf.Change{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: "a", Profile: "gold", Pool: "riders"}}},
-		{"team.tokenDigest", conf.Change{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: "b", TokenDigest: token("r")}}},
+		{"team.tokenDigest", conf.Change{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: "b", TokenDigest: tokenDigest("r")}}},
 		{"team.tokenDigest", conf.Change{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: "b", TokenDigest: "zz"}}},
 		{"approval.team", conf.Change{Kind: conf.Approve, Approval: &conf.ApprovalSpec{Team: "no", Service: "routes"}}},
 		{"approval", conf.Change{Kind: conf.Withdraw, Approval: &conf.ApprovalSpec{Team: "no", Service: "routes"}}},
@@ -98,7 +98,7 @@
 
 func TestDocumentLookups(t *testing.T) {
 	is := is.New(t)
-	d := base(t)
+	d := baseDocument(t)
 	team, ok := d.TeamByDigest(sha256.Sum256([]byte("r")))
 	is.True(ok)
 	is.Equal(team.Name, "reception")
@@ -125,18 +125,18 @@
 		is := is.New(t)
 		h := conf.NewHolder()
 		errs := make(chan error, 1)
-		n, err := h.Offer(pool(2, "b"))
+		n, err := h.Offer(putPool(2, "b"))
 		is.True(errors.Is(err, conf.ErrGap))
 		is.Equal(n, 0)
-		group(t, func() { errs <- h.Wait(t.Context(), 2) }, func() {
+		runConcurrently(t, func() { errs <- h.Wait(t.Context(), 2) }, func() {
 			synctest.Wait()
-			_, err := h.Offer(pool(1, "a"), pool(2, "b"))
+			_, err := h.Offer(putPool(1, "a"), putPool(2, "b"))
 			is.NoErr(err)
 		})
 		is.NoErr(<-errs)
 	})
 }
 
-func pool(n conf.Number, op string) conf.Change {
+func putPool(n conf.Number, op string) conf.Change {
 	return conf.Change{Number: n, Op: op, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "p-" + op}}
 }
--- a/plat/conf/default.go
+++ b/plat/conf/default.go
@@ -34,25 +34,25 @@
 
 // WithDefaults returns p with a default in each absent field; SurviveRacks stays, as zero is a choice.
 func (p ProfileSpec) WithDefaults() ProfileSpec {
-	fill(&p.MinVMs, DefaultMinVMs)
-	fill(&p.MaxVMs, max(DefaultMaxVMs, p.MinVMs))
-	fill(&p.MaxOut, DefaultMaxOut)
-	fill(&p.TargetUse, DefaultTargetUse)
-	fill(&p.DrainSeconds, DefaultDrainSeconds)
-	fill(&p.RebootSeconds, DefaultRebootSeconds)
-	fill(&p.DeadlineMillis, DefaultDeadlineMillis)
-	fill(&p.UrgentStartMillis, DefaultUrgentStartMillis)
-	fill(&p.Objective, DefaultObjective)
-	fill(&p.MoveWeight, DefaultMoveWeight)
-	fill(&p.BufferWeight, DefaultBufferWeight)
-	fill(&p.RetryBudgetPercent, DefaultRetryBudgetPercent)
+	setDefault(&p.MinVMs, DefaultMinVMs)
+	setDefault(&p.MaxVMs, max(DefaultMaxVMs, p.MinVMs))
+	setDefault(&p.MaxOut, DefaultMaxOut)
+	setDefault(&p.TargetUse, DefaultTargetUse)
+	setDefault(&p.DrainSeconds, DefaultDrainSeconds)
+	setDefault(&p.RebootSeconds, DefaultRebootSeconds)
+	setDefault(&p.DeadlineMillis, DefaultDeadlineMillis)
+	setDefault(&p.UrgentStartMillis, DefaultUrgentStartMillis)
+	setDefault(&p.Objective, DefaultObjective)
+	setDefault(&p.MoveWeight, DefaultMoveWeight)
+	setDefault(&p.BufferWeight, DefaultBufferWeight)
+	setDefault(&p.RetryBudgetPercent, DefaultRetryBudgetPercent)
 	return p
 }
 
 // WithDefaults returns s with a default in each absent field.
 func (s ServiceSpec) WithDefaults() ServiceSpec {
-	fill(&s.Slots, DefaultSlots)
-	fill(&s.Conns, DefaultConns)
+	setDefault(&s.Slots, DefaultSlots)
+	setDefault(&s.Conns, DefaultConns)
 	return s
 }
 
@@ -69,7 +69,7 @@
 	return c
 }
 
-func fill[T comparable](f *T, v T) {
+func setDefault[T comparable](f *T, v T) {
 	var zero T
 	if *f == zero {
 		*f = v
--- a/plat/conf/flaky_test.go
+++ b/plat/conf/flaky_test.go
@@ -10,54 +10,54 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// flaky is a store whose calls are slow, fail and lose their answers by chance.
-type flaky struct {
+// flakyStore is a store whose calls are slow, fail and lose their answers by chance.
+type flakyStore struct {
 	keyval.Store
-	chance *chance
-	late   bool // a write whose answer was lost may take effect later.
-	calls  int
+	faults     *faultInjector
+	lateWrites bool // a write whose answer was lost may take effect later.
+	calls      int
 }
 
-// chance draws for several stores.
-type chance struct {
-	mu   sync.Mutex
-	r    *rand.Rand
-	down bool
-	calm bool
+// faultInjector draws for several stores.
+type faultInjector struct {
+	mu       sync.Mutex
+	r        *rand.Rand
+	down     bool
+	noFaults bool
 }
 
-func (c *chance) n(n int) int {
+func (c *faultInjector) intn(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.r.Intn(n)
 }
 
-func (c *chance) set(down, calm bool) {
+func (c *faultInjector) set(down, calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down, c.calm = down, calm
+	c.down, c.noFaults = down, calm
 }
 
-func (c *chance) state() (down, calm bool) {
+func (c *faultInjector) state() (down, calm bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.down, c.calm
+	return c.down, c.noFaults
 }
 
-// do performs call under a fault; the caller of a write cannot tell the last three apart.
-func (f *flaky) do(ctx context.Context, write bool, call func(context.Context) error) error {
-	f.chance.mu.Lock()
+// withFault performs call under a fault; the caller of a write cannot tell the last three apart.
+func (f *flakyStore) withFault(ctx context.Context, write bool, call func(context.Context) error) error {
+	f.faults.mu.Lock()
 	f.calls++
-	f.chance.mu.Unlock()
-	time.Sleep(time.Duration(1+f.chance.n(20)) * time.Millisecond)
-	down, calm := f.chance.state()
+	f.faults.mu.Unlock()
+	time.Sleep(time.Duration(1+f.faults.intn(20)) * time.Millisecond)
+	down, calm := f.faults.state()
 	if down || ctx.Err() != nil {
 		return keyval.ErrDown
 	}
 	if calm {
 		return call(ctx)
 	}
-	switch k := f.chance.n(10); {
+	switch k := f.faults.intn(10); {
 	case k == 0:
 		return keyval.ErrDown
 	case k == 1:
@@ -65,32 +65,32 @@
 	case k <= 3 && write:
 		_ = call(ctx)
 		return keyval.ErrUnknown
-	case k == 4 && write && f.late:
-		time.AfterFunc(time.Duration(f.chance.n(400))*time.Millisecond, func() { _ = call(context.Background()) })
+	case k == 4 && write && f.lateWrites:
+		time.AfterFunc(time.Duration(f.faults.intn(400))*time.Millisecond, func() { _ = call(context.Background()) })
 		return keyval.ErrUnknown
 	}
 	return call(ctx)
 }
 
-func (f *flaky) Get(ctx context.Context, key string) (i keyval.Item, err error) {
-	err = f.do(ctx, false, func(c context.Context) error {
+func (f *flakyStore) Get(ctx context.Context, key string) (i keyval.Item, err error) {
+	err = f.withFault(ctx, false, func(c context.Context) error {
 		i, err = f.Store.Get(c, key)
 		return err
 	})
 	return i, err
 }
 
-func (f *flaky) List(ctx context.Context, p, after string, n int) (l []keyval.Item, rev keyval.Revision, err error) {
-	err = f.do(ctx, false, func(c context.Context) error {
+func (f *flakyStore) List(ctx context.Context, p, after string, n int) (l []keyval.Item, rev keyval.Revision, err error) {
+	err = f.withFault(ctx, false, func(c context.Context) error {
 		l, rev, err = f.Store.List(c, p, after, n)
 		return err
 	})
 	return l, rev, err
 }
 
-func (f *flaky) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
+func (f *flakyStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
 	var rev atomic.Int64 // a late write ends after the call.
-	err := f.do(ctx, true, func(c context.Context) error {
+	err := f.withFault(ctx, true, func(c context.Context) error {
 		n, err := f.Store.Put(c, key, v, cond, l)
 		rev.Store(int64(n))
 		return err
@@ -98,8 +98,8 @@
 	return keyval.Revision(rev.Load()), err
 }
 
-func (f *flaky) Watch(ctx context.Context, p string, rev keyval.Revision, wait time.Duration) (l []keyval.Event, to keyval.Revision, err error) {
-	err = f.do(ctx, false, func(c context.Context) error {
+func (f *flakyStore) Watch(ctx context.Context, p string, rev keyval.Revision, wait time.Duration) (l []keyval.Event, to keyval.Revision, err error) {
+	err = f.withFault(ctx, false, func(c context.Context) error {
 		l, to, err = f.Store.Watch(c, p, rev, wait)
 		return err
 	})
--- a/plat/conf/follow.go
+++ b/plat/conf/follow.go
@@ -28,17 +28,17 @@
 const auditDepth = 64
 
 const (
-	firstOutageWait = 100 * time.Millisecond
-	lastOutageWait  = 2 * time.Second
+	initialOutageWait = 100 * time.Millisecond
+	maxOutageWait     = 2 * time.Second
 )
 
 // Follower keeps a holder up to date from the service, and the service from the holder when it came back older.
 type Follower struct {
-	source              source
-	log                 zerolog.Logger
-	wait, audit, spread time.Duration
-	pace                time.Duration
-	audited             time.Time
+	source                                  source
+	log                                     zerolog.Logger
+	watchTimeout, auditInterval, healJitter time.Duration
+	minWatchInterval                        time.Duration
+	lastAudit                               time.Time
 }
 
 // FollowOption adjusts a follower.
@@ -48,22 +48,22 @@
 func WithLogger(l zerolog.Logger) FollowOption { return func(f *Follower) { f.log = l } }
 
 // WithWait sets the longest wait of one watch.
-func WithWait(d time.Duration) FollowOption { return func(f *Follower) { f.wait = d } }
+func WithWait(d time.Duration) FollowOption { return func(f *Follower) { f.watchTimeout = d } }
 
 // WithAudit sets the time between looks whether the service still holds the newest change.
-func WithAudit(d time.Duration) FollowOption { return func(f *Follower) { f.audit = d } }
+func WithAudit(d time.Duration) FollowOption { return func(f *Follower) { f.auditInterval = d } }
 
 // WithPace sets the least time between two watches.
-func WithPace(d time.Duration) FollowOption { return func(f *Follower) { f.pace = d } }
+func WithPace(d time.Duration) FollowOption { return func(f *Follower) { f.minWatchInterval = d } }
 
 // WithSpread sets the time over which entries spread the healing of a service that came back older.
-func WithSpread(d time.Duration) FollowOption { return func(f *Follower) { f.spread = d } }
+func WithSpread(d time.Duration) FollowOption { return func(f *Follower) { f.healJitter = d } }
 
 // NewFollower returns a follower of store for holder.
 func NewFollower(store keyval.Store, holder *Holder, opts ...FollowOption) *Follower {
 	f := &Follower{
 		source: source{store: store, holder: holder}, log: zerolog.Nop(),
-		wait: DefaultWait, audit: DefaultAudit, pace: DefaultPace, spread: DefaultSpread,
+		watchTimeout: DefaultWait, auditInterval: DefaultAudit, minWatchInterval: DefaultPace, healJitter: DefaultSpread,
 	}
 	for _, o := range opts {
 		o(f)
@@ -89,7 +89,7 @@
 		}
 		f.log.Warn().Str("event", "configBehind").Int64("number", int64(f.source.holder.Document().Number())).Err(err).Send()
 		synced = synced && !needsSync(err)
-		if pause(ctx, b.NextBackOff()) != nil {
+		if sleep(ctx, b.NextBackOff()) != nil {
 			break
 		}
 	}
@@ -98,7 +98,7 @@
 
 func outageWaits() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstOutageWait, lastOutageWait
+	b.InitialInterval, b.MaxInterval = initialOutageWait, maxOutageWait
 	return b
 }
 
@@ -113,23 +113,23 @@
 	if err != nil {
 		return 0, err
 	}
-	f.reportOffer(v.report)
-	lacks := !v.anchored || errors.Is(v.report, ErrDiverged)
+	f.logOfferError(v.offerErr)
+	lacks := !v.headFound || errors.Is(v.offerErr, ErrDiverged)
 	if !lacks {
-		lacks, err = f.source.lacks(ctx, depth)
+		lacks, err = f.source.lacksRecent(ctx, depth)
 	}
 	if err == nil && lacks {
-		err = f.mend(ctx)
+		err = f.repair(ctx)
 	}
 	if err == nil {
-		f.audited = time.Now()
+		f.lastAudit = time.Now()
 	}
 	return v.rev, err
 }
 
-// mend waits for its turn within the spread, looks again, and writes what the service lacks.
-func (f *Follower) mend(ctx context.Context) error {
-	if err := pause(ctx, rand.N(f.spread+1)); err != nil { //nolint:gosec // jitter
+// repair waits for its turn within the spread, looks again, and writes what the service lacks.
+func (f *Follower) repair(ctx context.Context) error {
+	if err := sleep(ctx, rand.N(f.healJitter+1)); err != nil { //nolint:gosec // jitter
 		return err
 	}
 	v, err := f.source.pull(ctx)
@@ -137,11 +137,11 @@
 		return err
 	}
 	n := 0
-	if err = v.report; !errors.Is(err, ErrDiverged) {
+	if err = v.offerErr; !errors.Is(err, ErrDiverged) {
 		n, err = f.source.heal(ctx, DefaultTail)
 	}
 	if errors.Is(err, ErrDiverged) {
-		f.reportOffer(err)
+		f.logOfferError(err)
 		n, err = f.source.merge(ctx)
 	}
 	f.log.Warn().Str("event", "configHealed").Int("changes", n).Err(err).Send()
@@ -149,31 +149,31 @@
 }
 
 // follow watches from rev until an error, and returns the revision that it came to; alive is called at each answer.
-func (f *Follower) follow(ctx context.Context, rev keyval.Revision, alive func()) (keyval.Revision, error) {
+func (f *Follower) follow(ctx context.Context, rev keyval.Revision, onAnswer func()) (keyval.Revision, error) {
 	for {
-		l, to, err := f.source.store.Watch(ctx, LogPrefix, rev, f.wait)
+		l, to, err := f.source.store.Watch(ctx, LogPrefix, rev, f.watchTimeout)
 		if err != nil {
-			f.audited = time.Time{} // the service may have come back older.
+			f.lastAudit = time.Time{} // the service may have come back older.
 			return rev, err
 		}
-		alive()
-		if err := f.take(l); err != nil {
+		onAnswer()
+		if err := f.offerEvents(l); err != nil {
 			return rev, err
 		}
 		rev = to
-		if time.Since(f.audited) >= f.audit {
+		if time.Since(f.lastAudit) >= f.auditInterval {
 			if _, err := f.sync(ctx, auditDepth); err != nil {
 				return rev, err
 			}
 		}
-		if err := pause(ctx, f.pace); err != nil {
+		if err := sleep(ctx, f.minWatchInterval); err != nil {
 			return rev, err
 		}
 	}
 }
 
-// take offers the changes that the events hold.
-func (f *Follower) take(l []keyval.Event) error {
+// offerEvents offers the changes that the events hold.
+func (f *Follower) offerEvents(l []keyval.Event) error {
 	items := make([]keyval.Item, 0, len(l))
 	for _, e := range l {
 		if !e.Deleted() {
@@ -181,15 +181,15 @@
 		}
 	}
 	err := f.source.offerItems(items)
-	f.reportOffer(err)
+	f.logOfferError(err)
 	if errors.Is(err, ErrGap) || errors.Is(err, ErrDiverged) {
 		return eris.Wrap(err, "watch changes")
 	}
 	return nil
 }
 
-// reportOffer logs histories that part and changes without effect.
-func (f *Follower) reportOffer(err error) {
+// logOfferError logs histories that part and changes without effect.
+func (f *Follower) logOfferError(err error) {
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrDiverged):
--- a/plat/conf/follow_test.go
+++ b/plat/conf/follow_test.go
@@ -16,8 +16,8 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// fill commits changes up to the number n.
-func fill(t testing.TB, s keyval.Store, h *conf.Holder, n conf.Number) {
+// commitUpTo commits changes up to the number n.
+func commitUpTo(t testing.TB, s keyval.Store, h *conf.Holder, n conf.Number) {
 	t.Helper()
 	c := conf.NewCommitter(s, h)
 	for h.Document().Number() < n {
@@ -31,8 +31,8 @@
 	}
 }
 
-// follow runs a follower of s for h while f runs.
-func follow(t testing.TB, s keyval.Store, h *conf.Holder, f func()) {
+// withFollower runs a follower of s for h while f runs.
+func withFollower(t testing.TB, s keyval.Store, h *conf.Holder, f func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var g errgroup.Group
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m, h := keyval.NewMemory(), conf.NewHolder()
-		fill(t, m, h, 1_700)
+		commitUpTo(t, m, h, 1_700)
 		c := conf.NewCompactor(m, h)
 		for range 20 {
 			is.NoErr(c.Step(t.Context()))
@@ -61,7 +61,7 @@
 		is.Equal(first[0].Key(), conf.LogKey(701))
 
 		newcomer, reads := conf.NewHolder(), m.Reads()
-		follow(t, m, newcomer, func() {
+		withFollower(t, m, newcomer, func() {
 			is.NoErr(newcomer.Wait(t.Context(), 1_700))
 			is.True(newcomer.Document().Equal(h.Document()))
 			is.True(m.Reads()-reads <= 4) // the snapshot and what follows, not the whole log
@@ -70,19 +70,19 @@
 		behind := conf.NewHolder()
 		old, _ := h.At(701)
 		is.Equal(old.Number, conf.Number(701))
-		_, err = behind.Offer(pool(1, "a")) // of a log that has been pruned away since
+		_, err = behind.Offer(putPool(1, "a")) // of a log that has been pruned away since
 		is.NoErr(err)
-		follow(t, m, behind, func() { is.NoErr(behind.Wait(t.Context(), 1_700)) })
+		withFollower(t, m, behind, func() { is.NoErr(behind.Wait(t.Context(), 1_700)) })
 	})
 }
 
 func TestNewcomerDuringOutageLearnsFromPeers(t *testing.T) {
 	is := is.New(t)
 	h := conf.NewHolder(conf.WithTail(100))
-	fill(t, keyval.NewMemory(), h, 1_000)
+	commitUpTo(t, keyval.NewMemory(), h, 1_000)
 	early := h.Document()
 	for n := conf.Number(1_001); n <= 1_050; n++ {
-		_, err := h.Offer(pool(n, fmt.Sprint("late", n)))
+		_, err := h.Offer(putPool(n, fmt.Sprint("late", n)))
 		is.NoErr(err)
 	}
 	for _, start := range []*conf.Document{nil, early} {
@@ -104,39 +104,39 @@
 		is := is.New(t)
 		const entries, outageSeconds = 100, 60
 		m, admin := keyval.NewMemory(), conf.NewHolder()
-		fill(t, m, admin, 10)
-		c := &chance{r: rand.New(rand.NewSource(1)), calm: true}
+		commitUpTo(t, m, admin, 10)
+		c := &faultInjector{r: rand.New(rand.NewSource(1)), noFaults: true}
 		ctx, cancel := context.WithCancel(t.Context())
 		var g errgroup.Group
-		var stores []*flaky
+		var stores []*flakyStore
 		var holders []*conf.Holder
 		for range entries {
-			s, h := &flaky{Store: m, chance: c}, conf.NewHolder()
+			s, h := &flakyStore{Store: m, faults: c}, conf.NewHolder()
 			stores, holders = append(stores, s), append(holders, h)
 			g.Go(func() error { return conf.NewFollower(s, h).Run(ctx) })
 		}
 		time.Sleep(10 * time.Second)
 		c.set(true, true)
-		before := calls(c, stores)
+		before := countCalls(c, stores)
 		time.Sleep(outageSeconds * time.Second)
-		perSecond := (calls(c, stores) - before) / outageSeconds
+		perSecond := (countCalls(c, stores) - before) / outageSeconds
 		is.True(perSecond <= entries) // at most one call a second and entry while it is down
-		fill(t, m, admin, 11)
+		commitUpTo(t, m, admin, 11)
 		c.set(false, true)
-		before = calls(c, stores)
+		before = countCalls(c, stores)
 		back := time.Now()
 		for _, h := range holders {
 			is.NoErr(h.Wait(ctx, 11))
 		}
 		is.True(time.Since(back) < 9*time.Second) // in force everywhere
-		is.True(calls(c, stores)-before <= 10*entries)
-		t.Logf("%d calls/s in the outage, all at %v after it with %d calls", perSecond, time.Since(back), calls(c, stores)-before)
+		is.True(countCalls(c, stores)-before <= 10*entries)
+		t.Logf("%d calls/s in the outage, all at %v after it with %d calls", perSecond, time.Since(back), countCalls(c, stores)-before)
 		cancel()
 		is.NoErr(g.Wait())
 	})
 }
 
-func calls(c *chance, l []*flaky) int {
+func countCalls(c *faultInjector, l []*flakyStore) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -149,12 +149,12 @@
 func TestOneWinnerOfARace(t *testing.T) {
 	is := is.New(t)
 	m, a, b := keyval.NewMemory(), conf.NewHolder(), conf.NewHolder()
-	fill(t, m, a, 1)
+	commitUpTo(t, m, a, 1)
 	edit := func(op string) conf.Change {
 		return conf.Change{Op: op, Kind: conf.PutPool, Expect: 1, Pool: &conf.PoolSpec{Name: "p0", Spare: true}}
 	}
 	errs := make([]error, 2)
-	group(t,
+	runConcurrently(t,
 		func() { _, errs[0] = conf.NewCommitter(m, a).Commit(t.Context(), edit("a")) },
 		func() { _, errs[1] = conf.NewCommitter(m, b).Commit(t.Context(), edit("b")) })
 	is.True((errs[0] == nil) != (errs[1] == nil))                             // one of them
--- a/plat/conf/group_test.go
+++ b/plat/conf/group_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// group runs each f in a goroutine and waits for all.
-func group(t testing.TB, fs ...func()) {
+// runConcurrently runs each f in a goroutine and waits for all.
+func runConcurrently(t testing.TB, fs ...func()) {
 	t.Helper()
 	var g errgroup.Group
 	for _, f := range fs {
--- a/plat/conf/heal.go
+++ b/plat/conf/heal.go
@@ -9,18 +9,18 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// lacks reports whether the service is without one of the holder's last depth changes, or has another in its place.
-func (s source) lacks(ctx context.Context, depth int) (bool, error) {
+// lacksRecent reports whether the service is without one of the holder's last depth changes, or has another in its place.
+func (s source) lacksRecent(ctx context.Context, depth int) (bool, error) {
 	recent := s.recent(depth)
 	if len(recent) == 0 {
 		return false, nil
 	}
-	have, err := s.changes(ctx, recent[0].Number-1)
+	have, err := s.listChanges(ctx, recent[0].Number-1)
 	if err != nil {
 		return false, err
 	}
 	for _, c := range recent {
-		if w, ok := have[c.Number]; !ok || !w.change.same(c) {
+		if w, ok := have[c.Number]; !ok || !w.change.matches(c) {
 			return true, nil
 		}
 	}
@@ -32,9 +32,9 @@
 func (s source) heal(ctx context.Context, depth int) (int, error) {
 	recent := s.recent(depth)
 	if len(recent) == 0 {
-		return 0, s.healSnapshot(ctx, s.holder.Document().n+1)
+		return 0, s.healSnapshot(ctx, s.holder.Document().number+1)
 	}
-	have, err := s.changes(ctx, recent[0].Number-1)
+	have, err := s.listChanges(ctx, recent[0].Number-1)
 	if err != nil {
 		return 0, err
 	}
@@ -47,11 +47,11 @@
 }
 
 // putMissing writes those of the recent changes that are not in have.
-func (s source) putMissing(ctx context.Context, recent []Change, have map[Number]placed) (int, error) {
+func (s source) putMissing(ctx context.Context, recent []Change, have map[Number]storedChange) (int, error) {
 	wrote := 0
 	for _, c := range recent {
 		w, ok := have[c.Number]
-		if ok && !w.change.same(c) {
+		if ok && !w.change.matches(c) {
 			return wrote, &DivergedError{number: c.Number, have: c.Op, offered: w.change.Op}
 		}
 		if ok {
@@ -67,12 +67,12 @@
 
 // recent returns the holder's last changes, up to depth of them.
 func (s source) recent(depth int) []Change {
-	l := s.tail(s.holder.Document().n)
+	l := s.retained(s.holder.Document().number)
 	return l[max(0, len(l)-depth):]
 }
 
-// tail returns the changes up to n that the holder still keeps.
-func (s source) tail(n Number) []Change {
+// retained returns the changes up to n that the holder still keeps.
+func (s source) retained(n Number) []Change {
 	var l []Change
 	for c, ok := s.holder.At(n); ok; c, ok = s.holder.At(c.Number - 1) {
 		l = append(l, c)
@@ -93,26 +93,26 @@
 	return s.putSnapshot(ctx, s.holder.Document(), rev)
 }
 
-// placed is a change and the revision of its key.
-type placed struct {
+// storedChange is a change and the revision of its key.
+type storedChange struct {
 	change Change
 	rev    keyval.Revision
 }
 
-// changes returns the changes after n that the service has.
-func (s source) changes(ctx context.Context, n Number) (map[Number]placed, error) {
-	have, after := map[Number]placed{}, LogKey(max(n, 0))
+// listChanges returns the changes after n that the service has.
+func (s source) listChanges(ctx context.Context, n Number) (map[Number]storedChange, error) {
+	have, after := map[Number]storedChange{}, LogKey(max(n, 0))
 	for {
-		l, _, err := s.store.List(ctx, LogPrefix, after, pageItems)
+		l, _, err := s.store.List(ctx, LogPrefix, after, listPageSize)
 		if err != nil {
 			return nil, eris.Wrapf(err, "list changes after %s", after)
 		}
 		for _, i := range l {
 			if c, err := parseChange(i); err == nil {
-				have[c.Number] = placed{change: c, rev: i.Rev()}
+				have[c.Number] = storedChange{change: c, rev: i.Rev()}
 			}
 		}
-		if len(l) < pageItems {
+		if len(l) < listPageSize {
 			return have, nil
 		}
 		after = l[len(l)-1].Key()
--- a/plat/conf/holder.go
+++ b/plat/conf/holder.go
@@ -12,14 +12,14 @@
 type Holder struct {
 	doc atomic.Pointer[Document]
 
-	mu   sync.Mutex
-	log  *Log
-	subs map[chan struct{}]struct{}
+	mu          sync.Mutex
+	log         *Log
+	subscribers map[chan struct{}]struct{}
 }
 
 // NewHolder returns a holder of an empty log.
 func NewHolder(opts ...LogOption) *Holder {
-	h := &Holder{log: NewLog(opts...), subs: map[chan struct{}]struct{}{}}
+	h := &Holder{log: NewLog(opts...), subscribers: map[chan struct{}]struct{}{}}
 	h.doc.Store(h.log.Document())
 	return h
 }
@@ -74,11 +74,11 @@
 func (h *Holder) Subscribe(ctx context.Context) <-chan struct{} {
 	s := make(chan struct{}, 1)
 	h.mu.Lock()
-	h.subs[s] = struct{}{}
+	h.subscribers[s] = struct{}{}
 	h.mu.Unlock()
 	context.AfterFunc(ctx, func() {
 		h.mu.Lock()
-		delete(h.subs, s)
+		delete(h.subscribers, s)
 		h.mu.Unlock()
 	})
 	return s
@@ -102,7 +102,7 @@
 // publish makes the log's document the current one; the lock is held.
 func (h *Holder) publish() {
 	h.doc.Store(h.log.Document())
-	for s := range h.subs {
+	for s := range h.subscribers {
 		select {
 		case s <- struct{}{}:
 		default:
--- a/plat/conf/log.go
+++ b/plat/conf/log.go
@@ -14,9 +14,9 @@
 
 // Log is a document and the recent changes that led to it; it only goes forward. It is a plain value, not safe for concurrent use.
 type Log struct {
-	doc   *Document
-	tail  []Change // consecutive numbers, the last is doc's.
-	limit int
+	doc       *Document
+	tail      []Change // consecutive numbers, the last is doc's.
+	tailLimit int
 }
 
 // LogOption adjusts a log.
@@ -24,12 +24,12 @@
 
 // WithTail sets the number of recent changes that the log keeps, 1 to PruneBehind.
 func WithTail(n int) LogOption {
-	return func(l *Log) { l.limit = min(max(n, 1), PruneBehind) }
+	return func(l *Log) { l.tailLimit = min(max(n, 1), PruneBehind) }
 }
 
 // NewLog returns a log at the empty document.
 func NewLog(opts ...LogOption) *Log {
-	l := &Log{doc: NewDocument(), limit: DefaultTail}
+	l := &Log{doc: NewDocument(), tailLimit: DefaultTail}
 	for _, o := range opts {
 		o(l)
 	}
@@ -58,12 +58,12 @@
 }
 
 func (l *Log) offer(c Change) (bool, error) {
-	if c.Number <= l.doc.n {
+	if c.Number <= l.doc.number {
 		return false, l.compare(c)
 	}
 	d, err := l.doc.Apply(c)
 	if errors.Is(err, ErrInvalid) {
-		d = l.doc.next(c)
+		d = l.doc.advance(c)
 		err = eris.Wrapf(err, "change %d has no effect", c.Number)
 	}
 	if d == nil {
@@ -77,13 +77,13 @@
 
 // compare returns a DivergedError when c is not the change that was applied under its number.
 func (l *Log) compare(c Change) error {
-	if c.Number == l.doc.n {
+	if c.Number == l.doc.number {
 		if l.doc.isLast(c) {
 			return nil
 		}
 		return &DivergedError{number: c.Number, have: l.doc.op, offered: c.Op}
 	}
-	if have, ok := l.At(c.Number); ok && !have.same(c) {
+	if have, ok := l.At(c.Number); ok && !have.matches(c) {
 		return &DivergedError{number: c.Number, have: have.Op, offered: c.Op}
 	}
 	return nil
@@ -105,16 +105,16 @@
 			return l.tail[i].Number, true
 		}
 	}
-	return l.doc.n, l.doc.n > 0 && l.doc.op == op
+	return l.doc.number, l.doc.number > 0 && l.doc.op == op
 }
 
 // first returns the number of the oldest change kept, or the next number when there is none.
-func (l *Log) first() Number { return l.doc.n + 1 - Number(len(l.tail)) }
+func (l *Log) first() Number { return l.doc.number + 1 - Number(len(l.tail)) }
 
 func (l *Log) push(c Change) {
-	if len(l.tail) >= l.limit {
+	if len(l.tail) >= l.tailLimit {
 		if cap(l.tail) == len(l.tail) {
-			l.tail = append(make([]Change, 0, 2*l.limit), l.tail...)
+			l.tail = append(make([]Change, 0, 2*l.tailLimit), l.tail...)
 		}
 		l.tail = l.tail[1:]
 	}
@@ -123,7 +123,7 @@
 
 // OfferDocument takes d in place of the own document only if d is newer, and reports whether it did.
 func (l *Log) OfferDocument(d *Document) bool {
-	if d == nil || d.n <= l.doc.n {
+	if d == nil || d.number <= l.doc.number {
 		return false
 	}
 	l.doc, l.tail = d, nil
@@ -132,7 +132,7 @@
 
 // Since returns up to limit changes that follow n, or the whole document when the log does not reach back to n.
 func (l *Log) Since(n Number, limit int) ([]Change, *Document) {
-	if n >= l.doc.n {
+	if n >= l.doc.number {
 		return nil, nil
 	}
 	if n+1 < l.first() {
--- a/plat/conf/log_test.go
+++ b/plat/conf/log_test.go
@@ -10,8 +10,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// history draws n valid changes, each bound to the one before.
-func history(t *rapid.T, label string, n int) []conf.Change {
+// drawHistory draws n valid changes, each bound to the one before.
+func drawHistory(t *rapid.T, label string, n int) []conf.Change {
 	d := conf.NewDocument()
 	var l []conf.Change
 	for len(l) < n {
@@ -37,7 +37,7 @@
 	case conf.PutPool:
 		c.Pool = &conf.PoolSpec{Name: name, Spare: rapid.Bool().Draw(t, "spare")}
 	case conf.PutTeam:
-		c.Team = &conf.TeamSpec{Name: name, TokenDigest: token(fmt.Sprint(name, n))}
+		c.Team = &conf.TeamSpec{Name: name, TokenDigest: tokenDigest(fmt.Sprint(name, n))}
 	case conf.PutProfile:
 		c.Profile = &conf.ProfileSpec{Name: name, MinVMs: int(n)}
 	default:
@@ -46,8 +46,8 @@
 	return c
 }
 
-// naive replays a history from its beginning.
-func naive(t rapid.TB, l []conf.Change) *conf.Document {
+// replay replays a history from its beginning.
+func replay(t rapid.TB, l []conf.Change) *conf.Document {
 	d := conf.NewDocument()
 	for _, c := range l {
 		e, err := d.Apply(c)
@@ -61,9 +61,9 @@
 
 func TestLogNeverRevertsAndNeverMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ours := history(t, "ours", rapid.IntRange(1, 12).Draw(t, "ours"))
+		ours := drawHistory(t, "ours", rapid.IntRange(1, 12).Draw(t, "ours"))
 		shared := rapid.IntRange(0, len(ours)-1).Draw(t, "shared")
-		rival := append(append([]conf.Change(nil), ours[:shared]...), history(t, "rival", 12)[shared:]...)
+		rival := append(append([]conf.Change(nil), ours[:shared]...), drawHistory(t, "rival", 12)[shared:]...)
 		l := conf.NewLog(conf.WithTail(rapid.IntRange(1, 20).Draw(t, "tail")))
 		for at := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			before := l.Document().Number()
@@ -72,12 +72,12 @@
 				i := rapid.IntRange(0, len(ours)-1).Draw(t, "from")
 				_, _ = l.Offer(ours[i:min(len(ours), i+3)]...)
 			case 1:
-				l.OfferDocument(naive(t, ours[:rapid.IntRange(0, len(ours)).Draw(t, "doc")]))
+				l.OfferDocument(replay(t, ours[:rapid.IntRange(0, len(ours)).Draw(t, "doc")]))
 			case 2:
 				offerRival(t, l, rival, shared)
 			}
 			n := l.Document().Number()
-			if n < before || !l.Document().Equal(naive(t, ours[:n])) {
+			if n < before || !l.Document().Equal(replay(t, ours[:n])) {
 				t.Fatalf("step %d: document %d is not the history's", at, n)
 			}
 			checkSince(t, l, ours)
@@ -102,13 +102,13 @@
 	c, d := l.Since(n, 100)
 	peer := conf.NewLog()
 	if n > 0 {
-		peer.OfferDocument(naive(t, ours[:n]))
+		peer.OfferDocument(replay(t, ours[:n]))
 	}
 	peer.OfferDocument(d)
 	if _, err := peer.Offer(c...); err != nil {
 		t.Fatal(err)
 	}
-	if want := max(n, l.Document().Number()); !peer.Document().Equal(naive(t, ours[:want])) {
+	if want := max(n, l.Document().Number()); !peer.Document().Equal(replay(t, ours[:want])) {
 		t.Fatalf("a peer at %d did not get to %d", n, want)
 	}
 }
@@ -116,7 +116,7 @@
 func TestLogPassesOverInvalid(t *testing.T) {
 	l := conf.NewLog()
 	bad := conf.Change{Number: 1, Op: "x", Kind: conf.DropPool, Name: "none"}
-	n, err := l.Offer(bad, pool(2, "b"))
+	n, err := l.Offer(bad, putPool(2, "b"))
 	if n != 2 || !errors.Is(err, conf.ErrInvalid) || len(l.Document().Pools()) != 1 {
 		t.Fatal(n, err)
 	}
--- a/plat/conf/merge.go
+++ b/plat/conf/merge.go
@@ -11,8 +11,8 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxMerges bounds the rounds of a merge that other entries' writes interrupt.
-const maxMerges = 20
+// maxMergeRounds bounds the rounds of a merge that other entries' writes interrupt.
+const maxMergeRounds = 20
 
 // merge joins the histories that are left after the service came back older and took other changes: the service's history stays,
 // the changes that do not follow on it, its own and the holder's, are added behind it under new numbers, and the holder goes
@@ -20,13 +20,13 @@
 // is added once. It returns the number of changes that it added.
 func (s source) merge(ctx context.Context) (int, error) {
 	added := 0
-	for range maxMerges {
+	for range maxMergeRounds {
 		own := s.holder.Document()
 		t := source{store: s.store, holder: NewHolder()}
 		if _, err := t.pull(ctx); err != nil {
 			return added, err
 		}
-		n, err := s.addStray(ctx, t, own.n)
+		n, err := s.appendUnmerged(ctx, t, own.number)
 		added += n
 		if errors.Is(err, keyval.ErrConflict) {
 			continue
@@ -41,48 +41,48 @@
 	return added, eris.Wrap(keyval.ErrConflict, "merge histories")
 }
 
-// addStray writes each stray change behind t's newest one, offers it to t, and clears what then still stands behind that.
+// appendUnmerged writes each stray change behind t's newest one, offers it to t, and clears what then still stands behind that.
 // ErrConflict means that the service moved on meanwhile.
-func (s source) addStray(ctx context.Context, t source, upTo Number) (int, error) {
-	have, err := s.changes(ctx, 0)
+func (s source) appendUnmerged(ctx context.Context, t source, upTo Number) (int, error) {
+	have, err := s.listChanges(ctx, 0)
 	if err != nil {
 		return 0, err
 	}
-	end := t.holder.Document().n
-	if !t.agrees(have) {
-		return 0, eris.Wrapf(keyval.ErrConflict, "merge at change %d", end)
+	head := t.holder.Document().number
+	if !t.holderMatches(have) {
+		return 0, eris.Wrapf(keyval.ErrConflict, "merge at change %d", head)
 	}
 	added := 0
-	for _, c := range stray(s.tail(upTo), have, end) {
+	for _, c := range unmerged(s.retained(upTo), have, head) {
 		d := t.holder.Document()
-		c.Number, c.Prev, c.Expect = d.n+1, d.chain, 0
+		c.Number, c.Prev, c.Expect = d.number+1, d.chain, 0
 		if err := t.putChange(ctx, c, have[c.Number].rev); err != nil {
 			return added, err
 		}
 		_, _ = t.holder.Offer(c) // one that does not fit any more has no effect.
 		added++
 	}
-	return added, t.clearBehind(ctx, have)
+	return added, t.deleteAfterHead(ctx, have)
 }
 
-// agrees reports whether the changes that were read are those that the holder has, and none that follows on them.
-func (s source) agrees(have map[Number]placed) bool {
+// holderMatches reports whether the changes that were read are those that the holder has, and none that follows on them.
+func (s source) holderMatches(have map[Number]storedChange) bool {
 	d := s.holder.Document()
-	if p, ok := have[d.n+1]; ok && p.change.Prev == d.chain {
+	if p, ok := have[d.number+1]; ok && p.change.Prev == d.chain {
 		return false
 	}
-	for _, c := range s.tail(d.n) {
-		if p, ok := have[c.Number]; !ok || !p.change.same(c) {
+	for _, c := range s.retained(d.number) {
+		if p, ok := have[c.Number]; !ok || !p.change.matches(c) {
 			return false
 		}
 	}
 	return true
 }
 
-// clearBehind removes the changes behind the holder's newest one: each has been added under another number.
-func (s source) clearBehind(ctx context.Context, have map[Number]placed) error {
+// deleteAfterHead removes the changes behind the holder's newest one: each has been added under another number.
+func (s source) deleteAfterHead(ctx context.Context, have map[Number]storedChange) error {
 	for n, p := range have {
-		if n <= s.holder.Document().n {
+		if n <= s.holder.Document().number {
 			continue
 		}
 		if err := s.store.Delete(ctx, LogKey(n), p.rev); err != nil {
@@ -92,12 +92,12 @@
 	return nil
 }
 
-// stray returns, by their numbers, the changes of own and those behind end in the service that are not part of its history up to
+// unmerged returns, by their numbers, the changes of own and those behind end in the service that are not part of its history up to
 // end, each operation once.
-func stray(own []Change, have map[Number]placed, end Number) []Change {
+func unmerged(own []Change, have map[Number]storedChange, head Number) []Change {
 	known := map[string]bool{}
 	for n, p := range have {
-		if n <= end {
+		if n <= head {
 			known[p.change.Op] = true
 		} else {
 			own = append(own, p.change)
@@ -119,7 +119,7 @@
 	if h.log.doc != old {
 		return false
 	}
-	if o.log.doc.n >= old.n && o.log.doc.chain != old.chain {
+	if o.log.doc.number >= old.number && o.log.doc.chain != old.chain {
 		h.log.doc, h.log.tail = o.log.doc, o.log.tail
 		h.publish()
 	}
--- a/plat/conf/script_test.go
+++ b/plat/conf/script_test.go
@@ -14,21 +14,21 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// scripted is a store whose next put is done by a function.
-type scripted struct {
+// scriptedStore is a store whose next put is done by a function.
+type scriptedStore struct {
 	keyval.Store
 	put  func(ctx context.Context, key string, v []byte) error
 	list func(after string)
 }
 
-func (s *scripted) List(ctx context.Context, p, after string, n int) ([]keyval.Item, keyval.Revision, error) {
+func (s *scriptedStore) List(ctx context.Context, p, after string, n int) ([]keyval.Item, keyval.Revision, error) {
 	if s.list != nil {
 		s.list(after)
 	}
 	return s.Store.List(ctx, p, after, n)
 }
 
-func (s *scripted) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
+func (s *scriptedStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
 	if f := s.put; f != nil {
 		s.put = nil
 		return 0, f(ctx, key, v)
@@ -41,15 +41,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m, h, peer := keyval.NewMemory(), conf.NewHolder(), conf.NewHolder()
-		fill(t, m, h, 1)
+		commitUpTo(t, m, h, 1)
 		mine := conf.Change{Op: "mine", Kind: conf.PutPool, Expect: 1, Pool: &conf.PoolSpec{Name: "p0", Spare: true}}
 		rival := mine
 		rival.Op = "rival"
-		s := &scripted{Store: m, put: func(ctx context.Context, key string, v []byte) error {
+		s := &scriptedStore{Store: m, put: func(ctx context.Context, key string, v []byte) error {
 			saved := m.Save()
 			_, err := m.Put(ctx, key, v, keyval.Absent, 0)
 			is.NoErr(err)
-			follow(t, m, peer, func() { is.NoErr(peer.Wait(ctx, 2)) })
+			withFollower(t, m, peer, func() { is.NoErr(peer.Wait(ctx, 2)) })
 			m.Restore(saved)
 			_, err = conf.NewCommitter(m, conf.NewHolder()).Commit(ctx, rival)
 			is.NoErr(err)
@@ -57,7 +57,7 @@
 		}}
 		_, err := conf.NewCommitter(s, h).Commit(t.Context(), mine)
 		is.True(errors.Is(err, conf.ErrUnsettled)) // it does not fit any more, and yet the peer brings it back
-		follow(t, m, peer, func() { time.Sleep(10 * time.Second) })
+		withFollower(t, m, peer, func() { time.Sleep(10 * time.Second) })
 		n, ok := peer.FindOp("mine")
 		is.True(ok)
 		is.Equal(n, conf.Number(3)) // behind the rival's
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m, h := keyval.NewMemory(), conf.NewHolder()
-		fill(t, m, h, 3)
+		commitUpTo(t, m, h, 3)
 		c, _ := h.At(2)
 		c.Number, c.Prev = 4, "another"
 		v, err := json.Marshal(c)
@@ -80,14 +80,14 @@
 		is.NoErr(err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		n, err := conf.NewCommitter(m, h).Commit(ctx, pool(0, "next"))
+		n, err := conf.NewCommitter(m, h).Commit(ctx, putPool(0, "next"))
 		is.NoErr(err)
 		is.Equal(n, conf.Number(4))
 	})
 }
 
-// store writes the holder's changes from one number to another into m.
-func store(t *testing.T, m *keyval.Memory, h *conf.Holder, from, to conf.Number) {
+// storeChanges writes the holder's changes from one number to another into m.
+func storeChanges(t *testing.T, m *keyval.Memory, h *conf.Holder, from, to conf.Number) {
 	t.Helper()
 	for n := from; n <= to; n++ {
 		c, _ := h.At(n)
@@ -105,15 +105,15 @@
 func TestMergeReadsOnce(t *testing.T) {
 	is := is.New(t)
 	m, own, other := keyval.NewMemory(), conf.NewHolder(), conf.NewHolder()
-	_, err := own.Offer(pool(1, "a"), pool(2, "y"), pool(3, "x"))
+	_, err := own.Offer(putPool(1, "a"), putPool(2, "y"), putPool(3, "x"))
 	is.NoErr(err)
-	_, err = other.Offer(pool(1, "a"), pool(2, "x"))
+	_, err = other.Offer(putPool(1, "a"), putPool(2, "x"))
 	is.NoErr(err)
-	store(t, m, other, 1, 1)
+	storeChanges(t, m, other, 1, 1)
 	saved := m.Save()
-	store(t, m, other, 2, 2)
+	storeChanges(t, m, other, 2, 2)
 	whole := 0
-	s := &scripted{Store: m, list: func(after string) {
+	s := &scriptedStore{Store: m, list: func(after string) {
 		if after != conf.LogKey(0) {
 			return
 		}
@@ -121,7 +121,7 @@
 			m.Restore(saved)
 		}
 	}}
-	_, err = conf.NewCommitter(s, own).Commit(t.Context(), pool(0, "z"))
+	_, err = conf.NewCommitter(s, own).Commit(t.Context(), putPool(0, "z"))
 	is.NoErr(err)
 	is.True(whole > 3) // read again
 	seen := map[string]bool{}
@@ -136,7 +136,7 @@
 func TestNoSnapshotOfAnUnknownHistory(t *testing.T) {
 	is := is.New(t)
 	m, h := keyval.NewMemory(), conf.NewHolder()
-	fill(t, keyval.NewMemory(), h, conf.SnapEvery)
+	commitUpTo(t, keyval.NewMemory(), h, conf.SnapEvery)
 	is.True(conf.NewCompactor(m, h).Step(t.Context()) != nil)
 	i, err := m.Get(t.Context(), conf.SnapKey)
 	is.NoErr(err)
@@ -147,7 +147,7 @@
 func TestRepeatAtNewcomer(t *testing.T) {
 	is := is.New(t)
 	m, h := keyval.NewMemory(), conf.NewHolder()
-	fill(t, m, h, 600)
+	commitUpTo(t, m, h, 600)
 	is.NoErr(conf.NewCompactor(m, h).Step(t.Context()))
 	c, _ := h.At(400)
 	n, err := conf.NewCommitter(m, conf.NewHolder()).Repeat(t.Context(), conf.Change{Op: c.Op, Kind: c.Kind, Pool: c.Pool})
@@ -166,8 +166,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m, h := keyval.NewMemory(), conf.NewHolder()
-		fill(t, m, h, 8)
-		follow(t, m, h, func() {
+		commitUpTo(t, m, h, 8)
+		withFollower(t, m, h, func() {
 			time.Sleep(time.Second)
 			is.NoErr(m.Delete(t.Context(), conf.LogKey(5), keyval.Any))
 			time.Sleep(2 * conf.DefaultAudit)
--- a/plat/conf/size.go
+++ b/plat/conf/size.go
@@ -17,22 +17,22 @@
 	teamBytes     = 200
 	waveBytes     = 100
 	approvalBytes = 70
-	nameBytes     = 3 // quotes and comma.
+	listItemBytes = 3 // quotes and comma.
 )
 
-// room checks that the document stays small enough for its snapshot; an object that is replaced counts twice.
-func (d *Document) room(k *checker, c Change) {
-	add := c.bytes()
+// checkSize checks that the document stays small enough for its snapshot; an object that is replaced counts twice.
+func (d *Document) checkSize(k *validator, c Change) {
+	add := c.sizeBound()
 	if add == 0 {
 		return
 	}
-	if have := d.bytes(); have+add > maxDocumentBytes {
-		k.fail(false, string(c.Kind), c.Object(), fmt.Sprintf("documents of up to %d bytes, this one has %d", maxDocumentBytes, have))
+	if have := d.sizeBound(); have+add > maxDocumentBytes {
+		k.require(false, string(c.Kind), c.Object(), fmt.Sprintf("documents of up to %d bytes, this one has %d", maxDocumentBytes, have))
 	}
 }
 
-// bytes returns an upper bound of what c adds to a document in JSON.
-func (c Change) bytes() int {
+// sizeBound returns an upper bound of what c adds to a document in JSON.
+func (c Change) sizeBound() int {
 	switch c.Kind {
 	case PutProfile:
 		return profileSize(*c.Profile)
@@ -50,17 +50,17 @@
 	return 0
 }
 
-// bytes returns an upper bound of the document's length in JSON.
-func (d *Document) bytes() int {
-	n := profileBytes + sizes(d.profiles, profileSize) + sizes(d.services, serviceSize) + sizes(d.pools, poolSize) +
-		sizes(d.teams, teamSize) + sizes(d.waves, waveSize)
+// sizeBound returns an upper bound of the document's length in JSON.
+func (d *Document) sizeBound() int {
+	n := profileBytes + totalSize(d.profiles, profileSize) + totalSize(d.services, serviceSize) + totalSize(d.pools, poolSize) +
+		totalSize(d.teams, teamSize) + totalSize(d.waves, waveSize)
 	for a := range d.approvals {
 		n += approvalSize(a)
 	}
 	return n
 }
 
-func sizes[T any](t table[T], size func(T) int) int {
+func totalSize[T any](t table[T], size func(T) int) int {
 	n := 0
 	for _, e := range t {
 		n += size(e.Spec)
@@ -81,7 +81,7 @@
 func waveSize(w WaveSpec) int {
 	n := waveBytes + len(w.ID)
 	for _, p := range w.Pools {
-		n += nameBytes + len(p)
+		n += listItemBytes + len(p)
 	}
 	return n
 }
--- a/plat/conf/size_test.go
+++ b/plat/conf/size_test.go
@@ -17,14 +17,14 @@
 	d, long := NewDocument(), strings.Repeat("x", maxNameBytes-8)
 	name := func(i int) string { return fmt.Sprintf("%s%08d", long, i) }
 	put := func(c Change) bool {
-		c.Number, c.Op = d.n+1, "o"
+		c.Number, c.Op = d.number+1, "o"
 		e, err := d.Apply(c)
 		if err == nil {
 			d = e
 		}
 		return err == nil
 	}
-	d.n = math.MaxInt64 / 2
+	d.number = math.MaxInt64 / 2
 	full := false
 	for i := 0; !full && i < 2_000; i++ {
 		pools := make([]string, 0, maxWavePools)
@@ -45,7 +45,7 @@
 	is.True(full) // it was refused in the end
 	b, err := d.Marshal()
 	is.NoErr(err)
-	is.True(len(b) <= d.bytes())        // the bound holds
+	is.True(len(b) <= d.sizeBound())    // the bound holds
 	is.True(len(b) < keyval.MaxValue)   // a snapshot fits
 	is.True(len(b) > keyval.MaxValue/2) // and the bound is not far off
 }
--- a/plat/conf/source.go
+++ b/plat/conf/source.go
@@ -20,8 +20,8 @@
 	SnapKey = "conf/snap"
 )
 
-// pageItems is the number of changes that one list asks for.
-const pageItems = 500
+// listPageSize is the number of changes that one list asks for.
+const listPageSize = 500
 
 // LogKey returns the key of the change with that number.
 func LogKey(n Number) string { return fmt.Sprintf("%s%012d", LogPrefix, n) }
@@ -43,37 +43,37 @@
 	holder *Holder
 }
 
-// view is what a pull found.
-type view struct {
-	rev      keyval.Revision
-	anchored bool  // the service holds the holder's newest change, in its log or its snapshot.
-	report   error // what Offer had to say; ErrDiverged when the service holds another change under the holder's number.
+// pullResult is what a pull found.
+type pullResult struct {
+	rev       keyval.Revision
+	headFound bool  // the service holds the holder's newest change, in its log or its snapshot.
+	offerErr  error // what Offer had to say; ErrDiverged when the service holds another change under the holder's number.
 }
 
-// maxPulls bounds the rounds of a pull in which the snapshot moved on.
-const maxPulls = 3
+// maxPullRounds bounds the rounds of a pull in which the snapshot moved on.
+const maxPullRounds = 3
 
 // pull brings the holder up to the service's newest change: one list, or a snapshot and lists for a holder that is far behind.
-func (s source) pull(ctx context.Context) (view, error) {
+func (s source) pull(ctx context.Context) (pullResult, error) {
 	if s.holder.Document().Number() == 0 {
 		if _, err := s.pullSnapshot(ctx); err != nil {
-			return view{}, err
+			return pullResult{}, err
 		}
 	}
-	var v view
-	for range maxPulls {
+	var v pullResult
+	for range maxPullRounds {
 		var err error
-		if v, err = s.pullLog(ctx, false); err != nil || v.anchored || v.report != nil {
+		if v, err = s.pullLog(ctx, false); err != nil || v.headFound || v.offerErr != nil {
 			return v, err
 		}
 		before := s.holder.Document()
 		d, err := s.pullSnapshot(ctx)
-		if err != nil || d == nil || d.n < before.n {
+		if err != nil || d == nil || d.number < before.number {
 			return v, err
 		}
-		if d.n == before.n {
+		if d.number == before.number {
 			if d.chain != before.chain {
-				v.report = &DivergedError{number: d.n, have: before.op, offered: d.op}
+				v.offerErr = &DivergedError{number: d.number, have: before.op, offered: d.op}
 				return v, nil
 			}
 			return s.pullLog(ctx, true)
@@ -83,42 +83,42 @@
 }
 
 // pullLog offers the changes from the holder's newest on, if the service has that one or is known to be anchored otherwise.
-func (s source) pullLog(ctx context.Context, anchored bool) (view, error) {
+func (s source) pullLog(ctx context.Context, headFound bool) (pullResult, error) {
 	d := s.holder.Document()
-	v := view{anchored: anchored}
-	after := LogKey(max(d.n-1, 0))
+	v := pullResult{headFound: headFound}
+	after := LogKey(max(d.number-1, 0))
 	for first := true; ; first = false {
-		l, rev, err := s.store.List(ctx, LogPrefix, after, pageItems)
+		l, rev, err := s.store.List(ctx, LogPrefix, after, listPageSize)
 		if err != nil {
 			return v, eris.Wrapf(err, "list changes after %s", after)
 		}
 		v.rev = rev
 		if first {
-			v.anchor(d, l)
+			v.findHead(d, l)
 		}
-		if !v.anchored {
+		if !v.headFound {
 			return v, nil
 		}
-		if v.report = errors.Join(v.report, s.offerItems(l)); len(l) < pageItems {
+		if v.offerErr = errors.Join(v.offerErr, s.offerItems(l)); len(l) < listPageSize {
 			return v, nil
 		}
 		after = l[len(l)-1].Key()
 	}
 }
 
-// anchor looks for d's last change at the head of the list.
-func (v *view) anchor(d *Document, l []keyval.Item) {
+// findHead looks for d's last change at the head of the list.
+func (v *pullResult) findHead(d *Document, l []keyval.Item) {
 	if len(l) == 0 {
-		v.anchored = v.anchored || d.n == 0
+		v.headFound = v.headFound || d.number == 0
 		return
 	}
 	c, err := parseChange(l[0])
 	switch {
 	case err != nil:
-	case c.Number == d.n && d.n > 0 && !d.isLast(c):
-		v.anchored, v.report = false, &DivergedError{number: d.n, have: d.op, offered: c.Op}
-	case c.Number == d.n, d.n == 0 && c.Number == 1:
-		v.anchored = true
+	case c.Number == d.number && d.number > 0 && !d.isLast(c):
+		v.headFound, v.offerErr = false, &DivergedError{number: d.number, have: d.op, offered: c.Op}
+	case c.Number == d.number, d.number == 0 && c.Number == 1:
+		v.headFound = true
 	}
 }
 
@@ -150,15 +150,15 @@
 	return c, nil
 }
 
-// find looks for the operation in all that the service keeps of the log up to the holder's document, as the holder may have
+// findOp looks for the operation in all that the service keeps of the log up to the holder's document, as the holder may have
 // begun with a snapshot; it returns the change's number, or 0.
-func (s source) find(ctx context.Context, op string) (Number, error) {
-	have, err := s.changes(ctx, 0)
+func (s source) findOp(ctx context.Context, op string) (Number, error) {
+	have, err := s.listChanges(ctx, 0)
 	if err != nil {
 		return 0, err
 	}
 	for n, p := range have {
-		if p.change.Op == op && n <= s.holder.Document().n {
+		if p.change.Op == op && n <= s.holder.Document().number {
 			return n, nil
 		}
 	}
--- a/plat/conf/table.go
+++ b/plat/conf/table.go
@@ -57,33 +57,33 @@
 
 // Document is the configuration after a number of changes; it is never changed, each change makes a new one.
 type Document struct {
-	n         Number
-	op        string
-	chain     string // digest of the whole history.
-	profiles  table[ProfileSpec]
-	services  table[ServiceSpec]
-	pools     table[PoolSpec]
-	teams     table[TeamSpec]
-	waves     table[WaveSpec]
-	approvals map[ApprovalSpec]Number
-	digests   map[digest]string
+	number        Number
+	op            string
+	chain         string // digest of the whole history.
+	profiles      table[ProfileSpec]
+	services      table[ServiceSpec]
+	pools         table[PoolSpec]
+	teams         table[TeamSpec]
+	waves         table[WaveSpec]
+	approvals     map[ApprovalSpec]Number
+	teamsByDigest map[digest]string
 }
 
 // NewDocument returns the empty document before the first change.
 func NewDocument() *Document {
 	return &Document{
-		profiles:  table[ProfileSpec]{},
-		services:  table[ServiceSpec]{},
-		pools:     table[PoolSpec]{},
-		teams:     table[TeamSpec]{},
-		waves:     table[WaveSpec]{},
-		approvals: map[ApprovalSpec]Number{},
-		digests:   map[digest]string{},
+		profiles:      table[ProfileSpec]{},
+		services:      table[ServiceSpec]{},
+		pools:         table[PoolSpec]{},
+		teams:         table[TeamSpec]{},
+		waves:         table[WaveSpec]{},
+		approvals:     map[ApprovalSpec]Number{},
+		teamsByDigest: map[digest]string{},
 	}
 }
 
 // Number returns the number of the last change in the document; 0 before the first.
-func (d *Document) Number() Number { return d.n }
+func (d *Document) Number() Number { return d.number }
 
 // Op returns the operation's id of the last change in the document.
 func (d *Document) Op() string { return d.op }
@@ -112,7 +112,7 @@
 
 // TeamByDigest returns the team whose token has that SHA-256 digest.
 func (d *Document) TeamByDigest(sum [32]byte) (TeamSpec, bool) {
-	name, ok := d.digests[sum]
+	name, ok := d.teamsByDigest[sum]
 	if !ok {
 		return TeamSpec{}, false
 	}
