--- a/plat/conf/apply.go
+++ b/plat/conf/apply.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ApprovalName returns the name under which Changed knows an approval.
+// ApprovalName returns the object name of an approval, as Document.Changed takes it.
 func ApprovalName(team, service string) string { return team + "/" + service }
 
 func parseApprovalName(name string) ApprovalSpec {
@@ -44,8 +44,8 @@
 	return c.Name
 }
 
-// Apply returns the document after c, whose number must be the next one: ErrGap otherwise, a DivergedError
-// when c follows another change than the last one here, and a FieldError when c is not valid.
+// Apply returns the document that results from c. It returns ErrGap if c's number is not the next one, a DivergedError if c
+// follows another history than d's, and a FieldError if c is not valid.
 func (d *Document) Apply(c Change) (*Document, error) {
 	if c.Number != d.number+1 {
 		return nil, eris.Wrapf(ErrGap, "apply change %d to document %d", c.Number, d.number)
@@ -62,14 +62,14 @@
 	return e, nil
 }
 
-// advance returns d with c's number and none of its effect.
+// advance returns a copy of d that has c as its last change but not c's effect.
 func (d *Document) advance(c Change) *Document {
 	e := *d
 	e.number, e.op, e.chain = c.Number, c.Op, chainDigest(d.chain, c.Op)
 	return &e
 }
 
-// chainDigest returns the digest of a history that op extends.
+// chainDigest returns the digest of the history that ends with op; chain is the digest of the history before op.
 func chainDigest(chain, op string) string {
 	return strconv.FormatUint(xxhash.Sum64String(chain+"\x00"+op), 36)
 }
@@ -79,7 +79,8 @@
 	return c.Number == d.number && c.Op == d.op && (c.Prev == "" || chainDigest(c.Prev, c.Op) == d.chain)
 }
 
-// matches reports whether both are one change of one history; a change that is not bound to a history matches by its operation.
+// matches reports whether c and o are the same change in the same history. If one of them has no Prev, the number and the
+// operation decide.
 func (c Change) matches(o Change) bool {
 	return c.Number == o.Number && c.Op == o.Op && (c.Prev == o.Prev || c.Prev == "" || o.Prev == "")
 }
--- a/plat/conf/codec.go
+++ b/plat/conf/codec.go
@@ -25,7 +25,7 @@
 	Approvals []approvalWire       `json:"approvals"`
 }
 
-// Marshal returns the document in JSON, the same bytes for equal documents.
+// Marshal returns the document in JSON. Equal documents give the same bytes.
 func (d *Document) Marshal() ([]byte, error) {
 	w := documentWire{
 		N: d.number, Op: d.op, Chain: d.chain,
@@ -40,7 +40,7 @@
 	return b, eris.Wrapf(err, "marshal document %d", d.number)
 }
 
-// ParseDocument returns the document that Marshal wrote.
+// ParseDocument parses the JSON that Marshal returns.
 func ParseDocument(b []byte) (*Document, error) {
 	var w documentWire
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -59,7 +59,7 @@
 	return d, d.indexDigests()
 }
 
-// indexDigests fills the digests and reports a document that no sequence of changes makes.
+// indexDigests fills teamsByDigest. It returns an error for a document that no sequence of changes can produce.
 func (d *Document) indexDigests() error {
 	if d.number < 0 {
 		return fieldErr("n", d.number, "0 or more")
--- a/plat/conf/commit.go
+++ b/plat/conf/commit.go
@@ -16,7 +16,7 @@
 	maxRetryWait     = time.Second
 )
 
-// Committer brings operators' changes into the log, one at a time.
+// Committer appends operators' changes to the log, one at a time.
 type Committer struct {
 	source    source
 	catchUp   func(context.Context) error
@@ -27,13 +27,14 @@
 // CommitOption adjusts a committer.
 type CommitOption func(*Committer)
 
-// WithCatchUp sets a call that offers the peers' newest changes to the holder before each commit, so that an entry that
-// has just started does not build on a service that came back older; its error is passed over.
+// WithCatchUp sets a function that runs before each commit and offers the peers' newest changes to the holder. It keeps an
+// entry that has just started from building on a service that was restored from an older state. The commit goes on if it
+// fails.
 func WithCatchUp(f func(context.Context) error) CommitOption {
 	return func(c *Committer) { c.catchUp = f }
 }
 
-// WithNow sets the clock that dates changes.
+// WithNow sets the clock for the time of changes.
 func WithNow(f func() time.Time) CommitOption { return func(c *Committer) { c.now = f } }
 
 // NewCommitter returns a committer that writes to store and keeps holder up to date.
@@ -50,21 +51,22 @@
 	return c
 }
 
-// Commit writes the change into the log and returns its number, once the service has it; an Op that is in the log already is not
-// written again. It tries until ctx ends. A FieldError and ErrNotAccepted mean that the change is not and will not be in the
-// log by this call; ErrUnsettled means that this is not known: use Repeat with the same Op.
+// Commit appends the change to the log and returns its number once the service has stored it. It does not write an Op again that
+// is already in the log. It retries until ctx ends. A FieldError or ErrNotAccepted means that this call did not write the change
+// and never will; ErrUnsettled means that the outcome is unknown: call Repeat with the same Op.
 func (c *Committer) Commit(ctx context.Context, change Change) (Number, error) {
 	return c.run(ctx, &attempt{source: c.source, change: change})
 }
 
-// Repeat is Commit for a change whose outcome was lost before, at any entry: it never returns ErrNotAccepted, since the earlier
-// call may have written the change or may still do so; a FieldError says that neither can be, unless the service came back older.
+// Repeat is Commit for a change whose outcome is unknown after an earlier call, at this or another entry. It never returns
+// ErrNotAccepted, since the earlier call may have written the change or may still write it. A FieldError means that neither is
+// possible, unless the service was restored from an older state.
 func (c *Committer) Repeat(ctx context.Context, change Change) (Number, error) {
 	return c.run(ctx, &attempt{source: c.source, change: change, repeat: true})
 }
 
-// Find returns the number under which the operation is in the log, or 0 when it is not there now; a write of it that is still
-// under way may bring it there later. ErrDown and ErrUnknown of keyval mean that the service could not be read.
+// Find returns the operation's number in the log, or 0 if the log does not have it now; a write that is still in flight may add
+// it later. keyval.ErrDown and keyval.ErrUnknown mean that the service could not be read.
 func (c *Committer) Find(ctx context.Context, op string) (Number, error) {
 	if n, ok := c.source.holder.FindOp(op); ok {
 		return n, nil
@@ -114,7 +116,7 @@
 	return b
 }
 
-// sleep waits for d or for the end of ctx.
+// sleep waits for d. If ctx ends first, it returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -126,18 +128,19 @@
 	}
 }
 
-// attempt is one change on its way into the log.
+// attempt is the state of one Commit or Repeat call over its retries.
 type attempt struct {
 	source         source
 	change         Change
-	numbered       *Change // the change under the number at which it is tried.
-	outcomeUnknown bool    // it may be in the log under that number.
-	mayBeLogged    bool    // it may be, or may have been, in the log under some number.
-	repeat         bool    // an earlier call may have written it.
-	searched       bool    // the service's log has been searched for it.
+	numbered       *Change // the change with its number and Prev; nil until prepare sets it.
+	outcomeUnknown bool    // a write of numbered may have taken effect.
+	mayBeLogged    bool    // the change may be, or may have been, in the log under some number.
+	repeat         bool    // an earlier call may have written the change.
+	searched       bool    // the service's log has been searched for the change.
 }
 
-// try makes one try; done with no error when the change is in the log. Not done and no error means to go on at once.
+// try makes one attempt to write the change. done means that the result is final: the change is in the log, or err says why the
+// call ends. If done is false, a nil err means to try again without a wait.
 func (a *attempt) try(ctx context.Context) (n Number, done bool, err error) {
 	if a.numbered == nil {
 		if n, done, err = a.prepare(ctx); a.numbered == nil {
@@ -161,7 +164,8 @@
 	return 0, false, err
 }
 
-// prepare validates the change against the newest document and gives it the next number.
+// prepare brings the holder up to date, healing or merging where the service's log differs. It then validates the change
+// against the newest document and gives it the next number.
 func (a *attempt) prepare(ctx context.Context) (Number, bool, error) {
 	v, err := a.source.pull(ctx)
 	if err != nil {
@@ -189,7 +193,7 @@
 	return 0, false, nil
 }
 
-// merge joins the histories; its error makes the next try wait when that changed nothing.
+// merge joins the two histories. It returns an error if that changed nothing, so that the next try waits.
 func (a *attempt) merge(ctx context.Context) error {
 	before := a.source.holder.Document()
 	n, err := a.source.merge(ctx)
@@ -199,7 +203,7 @@
 	return err
 }
 
-// searchLog looks once for a repeated change in all that the service keeps of the log; it returns the change's number, or 0.
+// searchLog searches everything that the service keeps of the log for a repeated change, once. It returns its number, or 0.
 func (a *attempt) searchLog(ctx context.Context) (Number, error) {
 	if !a.repeat || a.searched {
 		return 0, nil
@@ -209,7 +213,7 @@
 	return n, err
 }
 
-// heal writes the changes that the service lacks before the next one is written.
+// heal writes the changes that the service lacks, or merges if the service has others in their place.
 func (a *attempt) heal(ctx context.Context) (Number, bool, error) {
 	wrote, err := a.source.heal(ctx, DefaultTail)
 	if errors.Is(err, ErrDiverged) {
@@ -221,14 +225,15 @@
 	return 0, false, err
 }
 
-// dropNumber gives the number up, unless the change may be in the log under it.
+// dropNumber discards the assigned number, unless the change may be in the log under it.
 func (a *attempt) dropNumber() {
 	if !a.outcomeUnknown {
 		a.numbered = nil
 	}
 }
 
-// resolveConflict reads whose change stands under c's number.
+// resolveConflict reads the change that the service has under c's number. If it is c, the commit is done; if not, c needs a new
+// number.
 func (a *attempt) resolveConflict(ctx context.Context, c Change) (Number, bool, error) {
 	i, err := a.source.store.Get(ctx, LogKey(c.Number))
 	if err != nil {
@@ -246,15 +251,15 @@
 	if w.Op == c.Op {
 		return a.accept(w)
 	}
-	_, _ = a.source.holder.Offer(w) // what does not fit shows at the next pull.
+	_, _ = a.source.holder.Offer(w) // the next pull reports a change that does not apply.
 	a.numbered, a.outcomeUnknown = nil, false
 	return 0, false, nil
 }
 
-// accept hands the holder a change that the service has. It is accepted only once the holder has it too, as that is what
-// brings it back should the service forget it.
+// accept offers the holder a change that the service has stored. The change counts as accepted only once the holder has it too,
+// because the holder's copy is written back if the service loses it.
 func (a *attempt) accept(c Change) (Number, bool, error) {
-	_, _ = a.source.holder.Offer(c) // what does not fit shows at the next pull.
+	_, _ = a.source.holder.Offer(c) // the next pull reports a change that does not apply.
 	if n, ok := a.source.holder.FindOp(c.Op); ok {
 		return n, true, nil
 	}
@@ -262,8 +267,9 @@
 	return 0, false, nil
 }
 
-// invalidError returns the error for a change that does not fit the newest document. One that was written before may still come back
-// with an entry that saw it, should the service have come back older in between.
+// invalidError returns the error for a change that is not valid after the newest document. The outcome of a change that was
+// written before is unknown: if the service was restored from an older state in between, an entry that has the change may
+// still write it back.
 func (a *attempt) invalidError(err error) error {
 	if !a.mayBeLogged {
 		return err
@@ -271,7 +277,7 @@
 	return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, err)
 }
 
-// timeoutError returns the error for a change whose time ran out.
+// timeoutError returns the error for a change that was not accepted before ctx ended.
 func (a *attempt) timeoutError(last error) error {
 	if a.mayBeLogged || a.repeat {
 		return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, last)
--- a/plat/conf/compact.go
+++ b/plat/conf/compact.go
@@ -12,24 +12,25 @@
 const (
 	// SnapEvery is the number of changes between two snapshots.
 	SnapEvery = 500
-	// PruneStep is the number of changes that one step prunes at most.
+	// PruneStep is the largest number of changes that one Step deletes.
 	PruneStep = 100
 )
 
-// Compactor bounds what a newcomer reads and what the service keeps; one entry of the fleet runs it.
+// Compactor limits what a new entry has to read and what the service stores. One entry of the fleet runs it.
 type Compactor struct {
 	source         source
-	snapshotNumber Number // number of the newest snapshot that was seen.
-	prunedUpTo     Number // changes up to this one are gone.
+	snapshotNumber Number // number of the newest snapshot that was read or written.
+	prunedUpTo     Number // changes up to this number have been deleted.
 }
 
-// NewCompactor returns a compactor of store's log as far as holder knows it.
+// NewCompactor returns a compactor of the log in store, as far as holder has that log.
 func NewCompactor(store keyval.Store, holder *Holder) *Compactor {
 	return &Compactor{source: source{store: store, holder: holder}}
 }
 
-// Step writes a snapshot when SnapEvery changes have passed since the last, or else prunes up to PruneStep changes that are more
-// than PruneBehind behind it; it is called every few seconds and makes no call while there is nothing to do.
+// Step writes a snapshot if there have been SnapEvery changes since the last one. Otherwise it deletes up to PruneStep changes
+// that are more than PruneBehind before the snapshot. It is called every few seconds and makes no call to the service if there
+// is nothing to do.
 func (c *Compactor) Step(ctx context.Context) error {
 	d := c.source.holder.Document()
 	if d.number-c.snapshotNumber >= SnapEvery {
@@ -63,7 +64,7 @@
 	return err
 }
 
-// checkHistory returns an error unless the service's log holds d's last change, so that no snapshot is made of another history.
+// checkHistory returns an error unless the service's log has d's last change, so that no snapshot is made of another history.
 func (c *Compactor) checkHistory(ctx context.Context, d *Document) error {
 	i, err := c.source.store.Get(ctx, LogKey(d.number))
 	if err != nil {
--- a/plat/conf/document.go
+++ b/plat/conf/document.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Number orders changes: each accepted change has the next number.
+// Number is the position of a change in the log: each accepted change gets the next number.
 type Number int64
 
-// ExpectAbsent as a change's Expect demands that the object does not exist.
+// ExpectAbsent, as a change's Expect, requires that the object does not exist.
 const ExpectAbsent Number = -1
 
 // Class is the urgency of a request.
@@ -20,25 +20,25 @@
 	Background Class = "background"
 )
 
-// ProfileSpec describes a level of capacity, availability and maintenance behaviour.
+// ProfileSpec holds the settings of capacity, availability and maintenance for the services that use the profile.
 type ProfileSpec struct {
 	Name               string  `json:"name"`
-	MinVMs             int     `json:"minVMs"`             // VMs that the pool keeps in all data centres together.
-	MaxVMs             int     `json:"maxVMs"`             // VMs that the pool never exceeds.
-	MaxOut             int     `json:"maxOut"`             // VMs that may be out at once, planned and unplanned together.
-	SurviveRacks       int     `json:"surviveRacks"`       // racks of a data centre whose loss demand must survive.
-	TargetUse          float64 `json:"targetUse"`          // share of slots in use that sizing aims at, 0 to 1.
-	DrainSeconds       int     `json:"drainSeconds"`       // longest wait for requests in flight.
+	MinVMs             int     `json:"minVMs"`             // least number of VMs that the pool keeps, over all data centres.
+	MaxVMs             int     `json:"maxVMs"`             // largest number of VMs that the pool has.
+	MaxOut             int     `json:"maxOut"`             // VMs that may be out of service at once, planned and unplanned together.
+	SurviveRacks       int     `json:"surviveRacks"`       // racks that a data centre may lose and still serve its demand.
+	TargetUse          float64 `json:"targetUse"`          // share of slots in use that pool sizing aims for, 0 to 1.
+	DrainSeconds       int     `json:"drainSeconds"`       // longest wait for requests in flight in a drain.
 	RebootSeconds      int     `json:"rebootSeconds"`      // longest wait for a VM to come back.
 	DeadlineMillis     int     `json:"deadlineMillis"`     // deadline of a request that names none.
-	UrgentStartMillis  int     `json:"urgentStartMillis"`  // time within which urgent work starts.
+	UrgentStartMillis  int     `json:"urgentStartMillis"`  // time within which urgent work must start.
 	Objective          float64 `json:"objective"`          // share of requests answered in time, 0 to 1.
 	MoveWeight         float64 `json:"moveWeight"`         // cost of one VM move.
 	BufferWeight       float64 `json:"bufferWeight"`       // cost of one spare VM for an hour.
-	RetryBudgetPercent int     `json:"retryBudgetPercent"` // retries per hundred first sends.
+	RetryBudgetPercent int     `json:"retryBudgetPercent"` // retries allowed per hundred first sends.
 }
 
-// ServiceSpec puts a service under a profile and names its pool.
+// ServiceSpec assigns a profile and a pool to a service.
 type ServiceSpec struct {
 	Name    string `json:"name"`
 	Profile string `json:"profile"`
@@ -57,7 +57,7 @@
 type TeamSpec struct {
 	Name        string `json:"name"`
 	TokenDigest string `json:"tokenDigest"`
-	QuotaPerSec int    `json:"quotaPerSec"` // requests a second in all data centres; 0 means none of its own.
+	QuotaPerSec int    `json:"quotaPerSec"` // requests per second over all data centres; 0 means no quota of its own.
 }
 
 // ApprovalSpec lets a team call a service.
@@ -66,7 +66,7 @@
 	Service string `json:"service"`
 }
 
-// WaveSpec is one maintenance wave over pools.
+// WaveSpec is one maintenance wave over a list of pools.
 type WaveSpec struct {
 	ID     string   `json:"id"`
 	Pools  []string `json:"pools"`
@@ -87,7 +87,7 @@
 	DropService Kind = "dropService"
 	// PutPool creates or replaces a pool.
 	PutPool Kind = "putPool"
-	// DropPool removes a pool that no service uses.
+	// DropPool removes a pool that no service uses and no wave names.
 	DropPool Kind = "dropPool"
 	// PutTeam creates or replaces a team.
 	PutTeam Kind = "putTeam"
@@ -95,24 +95,24 @@
 	DropTeam Kind = "dropTeam"
 	// Approve lets a team call a service.
 	Approve Kind = "approve"
-	// Withdraw takes an approval back.
+	// Withdraw removes an approval.
 	Withdraw Kind = "withdraw"
 	// PutWave starts, pauses or resumes a maintenance wave.
 	PutWave Kind = "putWave"
-	// DropWave ends a maintenance wave; VMs already out come back.
+	// DropWave ends a maintenance wave; VMs that are already out of service come back.
 	DropWave Kind = "dropWave"
 )
 
-// Change is one entry of the log; exactly the body that Kind names is set.
+// Change is one edit in the log. Of the fields from Name to Wave, only the one that Kind requires is set.
 type Change struct {
 	Number   Number        `json:"n"`
-	Op       string        `json:"op"`             // the operation's id, by which a lost answer is settled.
-	Prev     string        `json:"prev,omitempty"` // Document.Chain before the change; binds it to its history.
+	Op       string        `json:"op"`             // id of the operation; finds the change again after a lost answer.
+	Prev     string        `json:"prev,omitempty"` // Document.Chain before the change; identifies the history that it belongs to.
 	By       string        `json:"by"`             // the operator.
 	At       time.Time     `json:"at"`
 	Kind     Kind          `json:"kind"`
-	Expect   Number        `json:"expect,omitempty"` // the number at which the object must have last changed; 0 means any, ExpectAbsent none.
-	Name     string        `json:"name,omitempty"`   // for drops.
+	Expect   Number        `json:"expect,omitempty"` // number that the object's last change must have; 0 allows any.
+	Name     string        `json:"name,omitempty"`   // name of the object to drop.
 	Profile  *ProfileSpec  `json:"profile,omitempty"`
 	Service  *ServiceSpec  `json:"service,omitempty"`
 	Pool     *PoolSpec     `json:"pool,omitempty"`
--- a/plat/conf/errs.go
+++ b/plat/conf/errs.go
@@ -7,15 +7,15 @@
 )
 
 var (
-	// ErrInvalid is matched by each FieldError.
+	// ErrInvalid is the error that every FieldError matches.
 	ErrInvalid = eris.New("conf: change is not valid")
 	// ErrGap reports a change whose number is not the next one.
 	ErrGap = eris.New("conf: change is not the next")
-	// ErrDiverged is matched by each DivergedError.
+	// ErrDiverged is the error that every DivergedError matches.
 	ErrDiverged = eris.New("conf: two histories of the configuration")
-	// ErrUnsettled reports a change that may or may not be accepted.
+	// ErrUnsettled reports a change of which it is not known whether it was or will be accepted.
 	ErrUnsettled = eris.New("conf: outcome of the change is not known yet")
-	// ErrNotAccepted reports a change that certainly was not and will not be accepted.
+	// ErrNotAccepted reports a change that was not accepted and never will be by this call.
 	ErrNotAccepted = eris.New("conf: change was not accepted")
 )
 
@@ -27,10 +27,10 @@
 // Field returns the JSON name of the field.
 func (e *FieldError) Field() string { return e.field }
 
-// Value returns the value that was given.
+// Value returns the rejected value.
 func (e *FieldError) Value() string { return e.value }
 
-// Allowed describes the values that would pass.
+// Allowed describes the values that are allowed.
 func (e *FieldError) Allowed() string { return e.allowed }
 
 // Error names the field, its value and what is allowed.
@@ -45,19 +45,20 @@
 	return &FieldError{field: field, value: fmt.Sprint(value), allowed: allowed}
 }
 
-// DivergedError reports a change that contradicts the one applied under its number.
+// DivergedError reports a change of another history: it differs from the change that was applied under its number, or it follows
+// a different change.
 type DivergedError struct {
 	number        Number
 	have, offered string
 }
 
-// Number returns the number at which the histories part.
+// Number returns the number of the rejected change.
 func (e *DivergedError) Number() Number { return e.number }
 
-// Have returns the operation's id in the history that is in force.
+// Have identifies what the local history has instead: an operation's id, or the digest of the changes so far.
 func (e *DivergedError) Have() string { return e.have }
 
-// Offered returns the operation's id in the history that was kept out.
+// Offered identifies the rejected change by its operation's id.
 func (e *DivergedError) Offered() string { return e.offered }
 
 // Error names the number and both operations.
--- a/plat/conf/follow.go
+++ b/plat/conf/follow.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// DefaultWait is the longest wait of one watch.
+	// DefaultWait is the longest time that one watch waits for changes.
 	DefaultWait = 3 * time.Second
-	// DefaultAudit is the time between looks whether the service still holds the newest change.
+	// DefaultAudit is the time between two audits, which check that the service still has the recent changes.
 	DefaultAudit = 20 * time.Second
-	// DefaultPace is the least time between two watches, so that a burst of changes costs few calls.
+	// DefaultPace is the shortest time between two watches, so that a burst of changes costs few calls.
 	DefaultPace = 50 * time.Millisecond
-	// DefaultSpread is the time over which entries spread the healing of a service that came back older.
+	// DefaultSpread is the longest random wait before an entry heals a service that lacks changes, so that not all entries do it
+	// at once.
 	DefaultSpread = time.Second
 )
 
-// auditDepth is the number of recent changes that an audit looks for.
+// auditDepth is the number of recent changes that an audit checks.
 const auditDepth = 64
 
 const (
@@ -32,7 +33,8 @@
 	maxOutageWait     = 2 * time.Second
 )
 
-// Follower keeps a holder up to date from the service, and the service from the holder when it came back older.
+// Follower brings the service's changes to a holder. If the service was restored from an older state, it writes the holder's
+// changes back.
 type Follower struct {
 	source                                  source
 	log                                     zerolog.Logger
@@ -44,22 +46,22 @@
 // FollowOption adjusts a follower.
 type FollowOption func(*Follower)
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) FollowOption { return func(f *Follower) { f.log = l } }
 
-// WithWait sets the longest wait of one watch.
+// WithWait sets the longest time that one watch waits for changes.
 func WithWait(d time.Duration) FollowOption { return func(f *Follower) { f.watchTimeout = d } }
 
-// WithAudit sets the time between looks whether the service still holds the newest change.
+// WithAudit sets the time between two audits, which check that the service still has the recent changes.
 func WithAudit(d time.Duration) FollowOption { return func(f *Follower) { f.auditInterval = d } }
 
-// WithPace sets the least time between two watches.
+// WithPace sets the shortest time between two watches.
 func WithPace(d time.Duration) FollowOption { return func(f *Follower) { f.minWatchInterval = d } }
 
-// WithSpread sets the time over which entries spread the healing of a service that came back older.
+// WithSpread sets the longest random wait before an entry heals a service that lacks changes.
 func WithSpread(d time.Duration) FollowOption { return func(f *Follower) { f.healJitter = d } }
 
-// NewFollower returns a follower of store for holder.
+// NewFollower returns a follower that keeps holder and the log in store in step.
 func NewFollower(store keyval.Store, holder *Holder, opts ...FollowOption) *Follower {
 	f := &Follower{
 		source: source{store: store, holder: holder}, log: zerolog.Nop(),
@@ -71,7 +73,7 @@
 	return f
 }
 
-// Run follows the service until ctx ends; in an outage it makes one call per wait, and the waits grow to seconds with jitter.
+// Run follows the service until ctx ends. In an outage it makes one call per wait; the waits grow to seconds and have jitter.
 func (f *Follower) Run(ctx context.Context) error {
 	b := outageWaits()
 	rev, synced := keyval.Revision(0), false
@@ -102,12 +104,12 @@
 	return b
 }
 
-// needsSync reports whether the watch cannot go on from its revision.
+// needsSync reports whether the watch cannot continue from its revision.
 func needsSync(err error) bool {
 	return errors.Is(err, keyval.ErrReset) || errors.Is(err, ErrGap) || errors.Is(err, ErrDiverged)
 }
 
-// sync pulls, mends the service if it lacks one of the last depth changes, and returns the revision to watch from.
+// sync pulls, repairs the service if it lacks one of the last depth changes, and returns the revision to watch from.
 func (f *Follower) sync(ctx context.Context, depth int) (keyval.Revision, error) {
 	v, err := f.source.pull(ctx)
 	if err != nil {
@@ -127,7 +129,8 @@
 	return v.rev, err
 }
 
-// repair waits for its turn within the spread, looks again, and writes what the service lacks.
+// repair waits for a random part of healJitter, pulls again, and heals the service. It merges if the service has a different
+// history.
 func (f *Follower) repair(ctx context.Context) error {
 	if err := sleep(ctx, rand.N(f.healJitter+1)); err != nil { //nolint:gosec // jitter
 		return err
@@ -148,12 +151,12 @@
 	return err
 }
 
-// follow watches from rev until an error, and returns the revision that it came to; alive is called at each answer.
+// follow watches from rev until an error and returns the revision that it reached. It calls onAnswer after each answer.
 func (f *Follower) follow(ctx context.Context, rev keyval.Revision, onAnswer func()) (keyval.Revision, error) {
 	for {
 		l, to, err := f.source.store.Watch(ctx, LogPrefix, rev, f.watchTimeout)
 		if err != nil {
-			f.lastAudit = time.Time{} // the service may have come back older.
+			f.lastAudit = time.Time{} // the service may have been restored from an older state.
 			return rev, err
 		}
 		onAnswer()
@@ -172,7 +175,7 @@
 	}
 }
 
-// offerEvents offers the changes that the events hold.
+// offerEvents offers the changes in the events to the holder.
 func (f *Follower) offerEvents(l []keyval.Event) error {
 	items := make([]keyval.Item, 0, len(l))
 	for _, e := range l {
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// logOfferError logs histories that part and changes without effect.
+// logOfferError logs a change of another history and a change that is invalid and so has no effect.
 func (f *Follower) logOfferError(err error) {
 	switch {
 	case err == nil:
--- a/plat/conf/heal.go
+++ b/plat/conf/heal.go
@@ -9,7 +9,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// lacksRecent reports whether the service is without one of the holder's last depth changes, or has another in its place.
+// lacksRecent reports whether the service lacks one of the holder's last depth changes or has a different change in its place.
 func (s source) lacksRecent(ctx context.Context, depth int) (bool, error) {
 	recent := s.recent(depth)
 	if len(recent) == 0 {
@@ -27,8 +27,9 @@
 	return false, nil
 }
 
-// heal writes those of the holder's last depth changes that the service lacks, upward, so that each change in the service follows
-// on its predecessor; ErrDiverged when the service has another one. It returns the number of changes that it wrote.
+// heal writes those of the holder's last depth changes that the service lacks, in ascending order, so that each change in the
+// service follows its predecessor. It returns the number of changes that it wrote, and ErrDiverged if the service has a
+// different change under one of the numbers.
 func (s source) heal(ctx context.Context, depth int) (int, error) {
 	recent := s.recent(depth)
 	if len(recent) == 0 {
@@ -65,13 +66,13 @@
 	return wrote, nil
 }
 
-// recent returns the holder's last changes, up to depth of them.
+// recent returns the holder's last changes, at most depth of them.
 func (s source) recent(depth int) []Change {
 	l := s.retained(s.holder.Document().number)
 	return l[max(0, len(l)-depth):]
 }
 
-// retained returns the changes up to n that the holder still keeps.
+// retained returns the changes up to n that the holder still keeps, in ascending order.
 func (s source) retained(n Number) []Change {
 	var l []Change
 	for c, ok := s.holder.At(n); ok; c, ok = s.holder.At(c.Number - 1) {
@@ -81,7 +82,7 @@
 	return l
 }
 
-// healSnapshot writes the holder's document as the snapshot when the service's does not reach the change before first.
+// healSnapshot writes the holder's document as the snapshot if the service's snapshot does not include the change before first.
 func (s source) healSnapshot(ctx context.Context, first Number) error {
 	if first <= 1 {
 		return nil
@@ -93,13 +94,13 @@
 	return s.putSnapshot(ctx, s.holder.Document(), rev)
 }
 
-// storedChange is a change and the revision of its key.
+// storedChange is a change in the service and the revision of its key.
 type storedChange struct {
 	change Change
 	rev    keyval.Revision
 }
 
-// listChanges returns the changes after n that the service has.
+// listChanges returns the changes after n that the service has, by number.
 func (s source) listChanges(ctx context.Context, n Number) (map[Number]storedChange, error) {
 	have, after := map[Number]storedChange{}, LogKey(max(n, 0))
 	for {
--- a/plat/conf/holder.go
+++ b/plat/conf/holder.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Holder shares one log between goroutines. Its lock guards the log and the subscribers and is never held while anything else waits.
+// Holder shares one log between goroutines. Its lock guards the log and the subscribers; no goroutine blocks while it holds it.
 type Holder struct {
 	doc atomic.Pointer[Document]
 
@@ -24,10 +24,10 @@
 	return h
 }
 
-// Document returns the newest document without a lock.
+// Document returns the newest document without taking the lock.
 func (h *Holder) Document() *Document { return h.doc.Load() }
 
-// Offer is Log.Offer; it wakes whoever waits when a change was applied.
+// Offer is Log.Offer; it notifies the subscribers if a change was applied.
 func (h *Holder) Offer(c ...Change) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// OfferDocument is Log.OfferDocument; it wakes whoever waits when the document was taken.
+// OfferDocument is Log.OfferDocument; it notifies the subscribers if the document was replaced.
 func (h *Holder) OfferDocument(d *Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	return h.log.At(n)
 }
 
-// Subscribe returns a channel that gets one value after one or more changes; it gets no more when ctx ends.
+// Subscribe returns a channel that receives one value after one or more changes. It receives none after ctx ends.
 func (h *Holder) Subscribe(ctx context.Context) <-chan struct{} {
 	s := make(chan struct{}, 1)
 	h.mu.Lock()
@@ -84,7 +84,7 @@
 	return s
 }
 
-// Wait returns nil once the document's number is at least n, or an error when ctx ends before.
+// Wait returns nil once the document's number is at least n, or an error if ctx ends first.
 func (h *Holder) Wait(ctx context.Context, n Number) error {
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// publish makes the log's document the current one; the lock is held.
+// publish makes the log's document the current one and notifies the subscribers. The caller holds the lock.
 func (h *Holder) publish() {
 	h.doc.Store(h.log.Document())
 	for s := range h.subscribers {
--- a/plat/conf/log.go
+++ b/plat/conf/log.go
@@ -6,16 +6,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// PruneBehind is the number of changes that stay in the service behind the snapshot.
+// PruneBehind is the number of changes before the snapshot that the service keeps.
 const PruneBehind = 1_000
 
-// DefaultTail is the number of recent changes that a log keeps; at most PruneBehind, so that no pruned change is written again.
+// DefaultTail is the number of recent changes that a log keeps; at most PruneBehind, so that no pruned change is written back.
 const DefaultTail = PruneBehind
 
-// Log is a document and the recent changes that led to it; it only goes forward. It is a plain value, not safe for concurrent use.
+// Log is a document and the recent changes that led to it. Its number never goes down. It is not safe for concurrent use.
 type Log struct {
 	doc       *Document
-	tail      []Change // consecutive numbers, the last is doc's.
+	tail      []Change // consecutive numbers; the last one is doc's last change.
 	tailLimit int
 }
 
@@ -39,9 +39,9 @@
 // Document returns the newest document.
 func (l *Log) Document() *Document { return l.doc }
 
-// Offer applies the changes that are next, in the given order, and returns how many it applied. Changes that it has are passed over.
-// The error joins a DivergedError for each change of another history, ErrGap for changes that are too far ahead, and a
-// FieldError for an accepted change that this program finds invalid: its number counts as applied, without effect.
+// Offer applies the changes in the given order and returns how many it applied. It skips changes that the log already has. The
+// error joins a DivergedError for each change of another history, ErrGap for each change whose number is not the next one, and a
+// FieldError for each accepted change that this program finds invalid: such a change counts as applied but has no effect.
 func (l *Log) Offer(changes ...Change) (int, error) {
 	applied := 0
 	var errs []error
@@ -75,7 +75,8 @@
 	return true, err
 }
 
-// compare returns a DivergedError when c is not the change that was applied under its number.
+// compare returns a DivergedError if c is not the change that was applied under its number. It returns nil if the log no longer
+// keeps that change.
 func (l *Log) compare(c Change) error {
 	if c.Number == l.doc.number {
 		if l.doc.isLast(c) {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// At returns the change with that number if the log still keeps it.
+// At returns change n, if the log still keeps it.
 func (l *Log) At(n Number) (Change, bool) {
 	i := int(n - l.first())
 	if i < 0 || i >= len(l.tail) {
@@ -108,9 +109,11 @@
 	return l.doc.number, l.doc.number > 0 && l.doc.op == op
 }
 
-// first returns the number of the oldest change kept, or the next number when there is none.
+// first returns the number of the oldest change kept, or the next number if none is kept.
 func (l *Log) first() Number { return l.doc.number + 1 - Number(len(l.tail)) }
 
+// push adds c to the tail and drops the oldest change beyond the limit. The new array has room for twice the limit, so that the
+// tail is copied only once in limit pushes.
 func (l *Log) push(c Change) {
 	if len(l.tail) >= l.tailLimit {
 		if cap(l.tail) == len(l.tail) {
@@ -121,7 +124,7 @@
 	l.tail = append(l.tail, c)
 }
 
-// OfferDocument takes d in place of the own document only if d is newer, and reports whether it did.
+// OfferDocument replaces the document by d and drops the recent changes, but only if d is newer. It reports whether it did.
 func (l *Log) OfferDocument(d *Document) bool {
 	if d == nil || d.number <= l.doc.number {
 		return false
@@ -130,7 +133,7 @@
 	return true
 }
 
-// Since returns up to limit changes that follow n, or the whole document when the log does not reach back to n.
+// Since returns up to limit changes after n, or the whole document if the log no longer keeps the change after n.
 func (l *Log) Since(n Number, limit int) ([]Change, *Document) {
 	if n >= l.doc.number {
 		return nil, nil
--- a/plat/conf/merge.go
+++ b/plat/conf/merge.go
@@ -11,13 +11,13 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxMergeRounds bounds the rounds of a merge that other entries' writes interrupt.
+// maxMergeRounds limits how often a merge starts again after another entry's write interrupted it.
 const maxMergeRounds = 20
 
-// merge joins the histories that are left after the service came back older and took other changes: the service's history stays,
-// the changes that do not follow on it, its own and the holder's, are added behind it under new numbers, and the holder goes
-// forward to the result. A change that no longer fits has no effect there. Several entries may merge at once, as an operation
-// is added once. It returns the number of changes that it added.
+// merge joins two histories, which exist if the service was restored from an older state and then took other changes. The
+// service's history stays. Changes that do not follow on it, whether the service or the holder has them, are appended to it under
+// new numbers, and the holder switches to the result. An appended change that is no longer valid has no effect. Several entries
+// may merge at once, as each operation is appended only once. merge returns the number of changes that it appended.
 func (s source) merge(ctx context.Context) (int, error) {
 	added := 0
 	for range maxMergeRounds {
@@ -41,8 +41,8 @@
 	return added, eris.Wrap(keyval.ErrConflict, "merge histories")
 }
 
-// appendUnmerged writes each stray change behind t's newest one, offers it to t, and clears what then still stands behind that.
-// ErrConflict means that the service moved on meanwhile.
+// appendUnmerged writes each unmerged change after t's newest one and offers it to t's holder. It then deletes the changes that
+// the service still has after t's newest one. ErrConflict means that the service's log changed meanwhile.
 func (s source) appendUnmerged(ctx context.Context, t source, upTo Number) (int, error) {
 	have, err := s.listChanges(ctx, 0)
 	if err != nil {
@@ -59,13 +59,13 @@
 		if err := t.putChange(ctx, c, have[c.Number].rev); err != nil {
 			return added, err
 		}
-		_, _ = t.holder.Offer(c) // one that does not fit any more has no effect.
+		_, _ = t.holder.Offer(c) // a change that is no longer valid has no effect.
 		added++
 	}
 	return added, t.deleteAfterHead(ctx, have)
 }
 
-// holderMatches reports whether the changes that were read are those that the holder has, and none that follows on them.
+// holderMatches reports whether have contains every change that the holder keeps, and no change that follows its newest one.
 func (s source) holderMatches(have map[Number]storedChange) bool {
 	d := s.holder.Document()
 	if p, ok := have[d.number+1]; ok && p.change.Prev == d.chain {
@@ -79,7 +79,7 @@
 	return true
 }
 
-// deleteAfterHead removes the changes behind the holder's newest one: each has been added under another number.
+// deleteAfterHead deletes the changes after the holder's newest one: each has been appended under another number.
 func (s source) deleteAfterHead(ctx context.Context, have map[Number]storedChange) error {
 	for n, p := range have {
 		if n <= s.holder.Document().number {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// unmerged returns, by their numbers, the changes of own and those behind end in the service that are not part of its history up to
-// end, each operation once.
+// unmerged returns the changes that are not part of the service's history up to head: those of own and those that the service has
+// after head. They are in the order of their numbers, with each operation once.
 func unmerged(own []Change, have map[Number]storedChange, head Number) []Change {
 	known := map[string]bool{}
 	for n, p := range have {
@@ -111,8 +111,8 @@
 	})
 }
 
-// replace takes o's log, which has every change of the own one, in place of it, unless the own one is not at old any more. The
-// number never goes down.
+// replace switches the holder to o's log, which has every change of the holder's own log. It changes nothing and returns false if
+// the holder's document is no longer old. The number never goes down.
 func (h *Holder) replace(old *Document, o *Holder) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/plat/conf/size.go
+++ b/plat/conf/size.go
@@ -6,10 +6,10 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxDocumentBytes keeps a document with its snapshot's frame under the largest value of the service.
+// maxDocumentBytes leaves 4,096 bytes for the JSON of the snapshot around the document, so that both fit into one value.
 const maxDocumentBytes = keyval.MaxValue - 4_096
 
-// Most bytes in JSON of one object without its names.
+// Upper bounds in bytes of one object's JSON, without the names in it.
 const (
 	profileBytes  = 700
 	serviceBytes  = 160
@@ -17,10 +17,11 @@
 	teamBytes     = 200
 	waveBytes     = 100
 	approvalBytes = 70
-	listItemBytes = 3 // quotes and comma.
+	listItemBytes = 3 // quotes and comma around a pool's name in a wave.
 )
 
-// checkSize checks that the document stays small enough for its snapshot; an object that is replaced counts twice.
+// checkSize checks that the document stays small enough for its snapshot. A replaced object counts twice: its old and its new
+// value.
 func (d *Document) checkSize(k *validator, c Change) {
 	add := c.sizeBound()
 	if add == 0 {
@@ -31,7 +32,7 @@
 	}
 }
 
-// sizeBound returns an upper bound of what c adds to a document in JSON.
+// sizeBound returns an upper bound in bytes of what c adds to a document's JSON.
 func (c Change) sizeBound() int {
 	switch c.Kind {
 	case PutProfile:
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// sizeBound returns an upper bound of the document's length in JSON.
+// sizeBound returns an upper bound in bytes of the document's JSON.
 func (d *Document) sizeBound() int {
 	n := profileBytes + totalSize(d.profiles, profileSize) + totalSize(d.services, serviceSize) + totalSize(d.pools, poolSize) +
 		totalSize(d.teams, teamSize) + totalSize(d.waves, waveSize)
--- a/plat/conf/source.go
+++ b/plat/conf/source.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// LogPrefix begins the key of each change in the service.
+	// LogPrefix is the prefix of the keys of changes in the service.
 	LogPrefix = "conf/log/"
-	// SnapKey holds the snapshot.
+	// SnapKey is the key of the snapshot.
 	SnapKey = "conf/snap"
 )
 
-// listPageSize is the number of changes that one list asks for.
+// listPageSize is the number of changes that one List call asks for.
 const listPageSize = 500
 
 // LogKey returns the key of the change with that number.
@@ -37,23 +37,24 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// source reads and writes the log in the service on behalf of a holder.
+// source reads and writes the service's log for a holder.
 type source struct {
 	store  keyval.Store
 	holder *Holder
 }
 
-// pullResult is what a pull found.
+// pullResult describes the service's log as a pull found it.
 type pullResult struct {
-	rev       keyval.Revision
-	headFound bool  // the service holds the holder's newest change, in its log or its snapshot.
-	offerErr  error // what Offer had to say; ErrDiverged when the service holds another change under the holder's number.
+	rev       keyval.Revision // the service's revision, from which a watch can start.
+	headFound bool            // the service has the holder's newest change, in its log or its snapshot.
+	offerErr  error           // Offer's error; ErrDiverged if the service has a different change under the holder's number.
 }
 
-// maxPullRounds bounds the rounds of a pull in which the snapshot moved on.
+// maxPullRounds limits the rounds of a pull; another round follows if the snapshot was newer than the holder.
 const maxPullRounds = 3
 
-// pull brings the holder up to the service's newest change: one list, or a snapshot and lists for a holder that is far behind.
+// pull brings the holder up to the service's newest change. That takes one List call, or the snapshot and further List calls if
+// the holder is far behind.
 func (s source) pull(ctx context.Context) (pullResult, error) {
 	if s.holder.Document().Number() == 0 {
 		if _, err := s.pullSnapshot(ctx); err != nil {
@@ -82,7 +83,8 @@
 	return v, nil
 }
 
-// pullLog offers the changes from the holder's newest on, if the service has that one or is known to be anchored otherwise.
+// pullLog offers the holder the changes from its newest one on. It offers none if the service's log does not have that one,
+// unless headFound says that the snapshot has it.
 func (s source) pullLog(ctx context.Context, headFound bool) (pullResult, error) {
 	d := s.holder.Document()
 	v := pullResult{headFound: headFound}
@@ -106,7 +108,8 @@
 	}
 }
 
-// findHead looks for d's last change at the head of the list.
+// findHead checks whether the list starts with d's last change. It records a DivergedError if the list starts with a different
+// change under the same number.
 func (v *pullResult) findHead(d *Document, l []keyval.Item) {
 	if len(l) == 0 {
 		v.headFound = v.headFound || d.number == 0
@@ -122,7 +125,7 @@
 	}
 }
 
-// offerItems offers the changes that the items hold and returns what Offer reports.
+// offerItems offers the changes in the items to the holder and returns Offer's error.
 func (s source) offerItems(l []keyval.Item) error {
 	c := make([]Change, 0, len(l))
 	for _, i := range l {
@@ -134,10 +137,10 @@
 	return err
 }
 
-// unreadableOp stands for the operation of a change that cannot be read.
+// unreadableOp is the operation's id of a change that cannot be decoded.
 const unreadableOp = "unreadable"
 
-// parseChange returns the change that the item holds; one that cannot be read has its key's number and no effect.
+// parseChange returns the change in the item. A change that cannot be decoded gets its key's number and has no effect.
 func parseChange(i keyval.Item) (Change, error) {
 	n, ok := parseLogKey(i.Key())
 	if !ok {
@@ -150,8 +153,8 @@
 	return c, nil
 }
 
-// findOp looks for the operation in all that the service keeps of the log up to the holder's document, as the holder may have
-// begun with a snapshot; it returns the change's number, or 0.
+// findOp searches everything that the service keeps of the log, up to the holder's document, for the operation, because a holder
+// that started from a snapshot lacks the changes before it. It returns the change's number, or 0.
 func (s source) findOp(ctx context.Context, op string) (Number, error) {
 	have, err := s.listChanges(ctx, 0)
 	if err != nil {
@@ -165,7 +168,7 @@
 	return 0, nil
 }
 
-// pullSnapshot offers the snapshot's document and returns it, nil if there is none.
+// pullSnapshot offers the snapshot's document to the holder and returns it, or nil if there is no snapshot.
 func (s source) pullSnapshot(ctx context.Context) (*Document, error) {
 	d, _, err := s.snapshot(ctx)
 	if err == nil {
@@ -174,7 +177,7 @@
 	return d, err
 }
 
-// snapshot returns the snapshot's document, nil if there is none, and the revision of its key.
+// snapshot returns the snapshot's document, or nil if there is no snapshot, and the revision of its key.
 func (s source) snapshot(ctx context.Context) (*Document, keyval.Revision, error) {
 	i, err := s.store.Get(ctx, SnapKey)
 	if err != nil || !i.Found() {
@@ -188,7 +191,7 @@
 	return d, i.Rev(), err
 }
 
-// putSnapshot writes d as the snapshot in place of the one of that revision.
+// putSnapshot writes d as the snapshot, if the revision of the snapshot's key is rev.
 func (s source) putSnapshot(ctx context.Context, d *Document, rev keyval.Revision) error {
 	b, err := d.Marshal()
 	if err != nil {
--- a/plat/conf/table.go
+++ b/plat/conf/table.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// entry is an object and the number of its last change.
+// entry is an object in a table and the number of its last change.
 type entry[T any] struct {
 	Spec    T      `json:"spec"`
 	Changed Number `json:"changed"`
 }
 
-// table is never changed once a document holds it.
+// table maps names to objects. It is immutable: with and without return copies.
 type table[T any] map[string]entry[T]
 
 func (t table[T]) with(name string, v T, n Number) table[T] {
@@ -55,11 +55,11 @@
 	return d, err == nil
 }
 
-// Document is the configuration after a number of changes; it is never changed, each change makes a new one.
+// Document is the configuration after a number of changes. It is immutable: each change makes a new document.
 type Document struct {
 	number        Number
 	op            string
-	chain         string // digest of the whole history.
+	chain         string // digest of all changes that led to the document.
 	profiles      table[ProfileSpec]
 	services      table[ServiceSpec]
 	pools         table[PoolSpec]
@@ -85,10 +85,10 @@
 // Number returns the number of the last change in the document; 0 before the first.
 func (d *Document) Number() Number { return d.number }
 
-// Op returns the operation's id of the last change in the document.
+// Op returns the id of the operation that made the last change.
 func (d *Document) Op() string { return d.op }
 
-// Chain returns a digest of the history, which two documents share only if the same changes led to them.
+// Chain returns a digest of all changes that led to the document; two documents share it only if their changes are the same.
 func (d *Document) Chain() string { return d.chain }
 
 // Profile returns the profile of that name.
@@ -125,19 +125,19 @@
 	return ok
 }
 
-// Profiles returns the profiles by name.
+// Profiles returns the profiles, sorted by name.
 func (d *Document) Profiles() []ProfileSpec { return d.profiles.sorted() }
 
-// Services returns the services by name.
+// Services returns the services, sorted by name.
 func (d *Document) Services() []ServiceSpec { return d.services.sorted() }
 
-// Pools returns the pools by name.
+// Pools returns the pools, sorted by name.
 func (d *Document) Pools() []PoolSpec { return d.pools.sorted() }
 
-// Teams returns the teams by name.
+// Teams returns the teams, sorted by name.
 func (d *Document) Teams() []TeamSpec { return d.teams.sorted() }
 
-// Waves returns the waves by id.
+// Waves returns the waves, sorted by id.
 func (d *Document) Waves() []WaveSpec {
 	l := d.waves.sorted()
 	for i := range l {
@@ -146,12 +146,12 @@
 	return l
 }
 
-// Approvals returns the approvals by team, then service.
+// Approvals returns the approvals, sorted by team, then by service.
 func (d *Document) Approvals() []ApprovalSpec {
 	return slices.SortedFunc(maps.Keys(d.approvals), compareApprovals)
 }
 
-// Changed returns the number of the last change of the object that k puts or drops; 0 when there is none.
+// Changed returns the number of the last change of the object that k puts or drops, or 0 if there is no such object.
 // An approval's name is ApprovalName(team, service).
 func (d *Document) Changed(k Kind, name string) Number {
 	switch k {
--- a/plat/conf/valid.go
+++ b/plat/conf/valid.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Bounds of what a change may hold.
+// Limits on the values in a change.
 const (
 	maxNameBytes    = 63
 	maxTextBytes    = 128
@@ -21,11 +21,12 @@
 	maxWavePools    = 1_000
 )
 
-// validator keeps the first violation.
+// validator keeps the first violation that it finds.
 type validator struct {
 	err *FieldError
 }
 
+// require records a violation unless ok is true.
 func (k *validator) require(ok bool, field string, value any, allowed string) {
 	if k.err == nil && !ok {
 		k.err = fieldErr(field, value, allowed)
@@ -61,13 +62,14 @@
 	return true
 }
 
+// requireExisting records a violation unless the table has an object of that name.
 func requireExisting[T any](k *validator, t table[T], field, name string) {
 	if _, ok := t[name]; !ok {
 		k.require(false, field, name, "an existing name")
 	}
 }
 
-// Validate returns a FieldError when c, with its defaults filled in, may not follow this document; its number is not looked at.
+// Validate returns a FieldError if c, with its defaults filled in, is not valid after this document. It does not check c's number.
 func (d *Document) Validate(c Change) error {
 	c = c.WithDefaults()
 	k := &validator{}
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// requireOneBody checks that exactly the body that the kind names is set.
+// requireOneBody checks that the field that the kind requires is set, and no other one.
 func (k *validator) requireOneBody(c Change) {
 	set := map[string]bool{
 		"profile": c.Profile != nil, "service": c.Service != nil, "pool": c.Pool != nil, "team": c.Team != nil,
@@ -104,6 +106,7 @@
 	}
 }
 
+// bodyField maps each kind to the JSON name of the field that it requires.
 var bodyField = map[Kind]string{
 	PutProfile: "profile", PutService: "service", PutPool: "pool", PutTeam: "team", PutWave: "wave",
 	Approve: "approval", Withdraw: "approval",
