--- a/plat/conf/apply.go
+++ b/plat/conf/apply.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ApprovalName returns the object name of an approval, as Document.Changed takes it.
+// ApprovalName returns the object name of an approval: team/service.
 func ApprovalName(team, service string) string { return team + "/" + service }
 
 func parseApprovalName(name string) ApprovalSpec {
--- a/plat/conf/bench_test.go
+++ b/plat/conf/bench_test.go
@@ -7,7 +7,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// documentWithTeams returns a document of that many teams, each approved for two services, and 51 pools with a service each.
+// documentWithTeams returns a document with that many teams, each approved for two services, and 51 pools with one service each.
 func documentWithTeams(b testing.TB, teams int) *conf.Document {
 	d := mustApply(b, conf.NewDocument(), conf.Change{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "gold"}})
 	for i := range 51 {
--- a/plat/conf/conf_test.go
+++ b/plat/conf/conf_test.go
@@ -25,7 +25,7 @@
 	return hex.EncodeToString(d[:])
 }
 
-// baseDocument returns a document with a profile, two pools, a service and a team, and the number of its last change.
+// baseDocument returns a document with a profile, two pools, a service, a team, an approval and a wave.
 func baseDocument(t testing.TB) *conf.Document {
 	d := conf.NewDocument()
 	for _, c := range []conf.Change{
@@ -91,7 +91,7 @@
 			is.True(errors.Is(err, conf.ErrInvalid))
 			after, err := d.Marshal()
 			is.NoErr(err)
-			is.Equal(string(before), string(after)) // nothing half applied
+			is.Equal(string(before), string(after)) // the document is unchanged
 		})
 	}
 }
@@ -114,8 +114,8 @@
 	is.True(d.Equal(e))
 
 	f := mustApply(t, d, conf.Change{Kind: conf.DropTeam, Name: "reception"})
-	is.True(!f.Approved("reception", "routes")) // the team's approvals go with it
-	is.True(d.Approved("reception", "routes"))  // the older document is untouched
+	is.True(!f.Approved("reception", "routes")) // its approvals are removed with the team
+	is.True(d.Approved("reception", "routes"))  // the older document is unchanged
 	_, ok = f.TeamByDigest(sha256.Sum256([]byte("r")))
 	is.True(!ok)
 }
@@ -137,6 +137,7 @@
 	})
 }
 
+// putPool returns change n, which puts a pool that is named after op.
 func putPool(n conf.Number, op string) conf.Change {
 	return conf.Change{Number: n, Op: op, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "p-" + op}}
 }
--- a/plat/conf/flaky_test.go
+++ b/plat/conf/flaky_test.go
@@ -10,7 +10,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// flakyStore is a store whose calls are slow, fail and lose their answers by chance.
+// flakyStore is a store whose calls are slow and, at random, fail or lose their answers.
 type flakyStore struct {
 	keyval.Store
 	faults     *faultInjector
@@ -18,12 +18,12 @@
 	calls      int
 }
 
-// faultInjector draws for several stores.
+// faultInjector draws the faults of several stores.
 type faultInjector struct {
 	mu       sync.Mutex
 	r        *rand.Rand
-	down     bool
-	noFaults bool
+	down     bool // each call fails with ErrDown.
+	noFaults bool // calls are slow and do not fail, unless down is set.
 }
 
 func (c *faultInjector) intn(n int) int {
@@ -44,7 +44,8 @@
 	return c.down, c.noFaults
 }
 
-// withFault performs call under a fault; the caller of a write cannot tell the last three apart.
+// withFault runs call under a random fault. ErrUnknown for a write has three causes that its caller cannot tell apart: the
+// write was lost, took effect, or takes effect later.
 func (f *flakyStore) withFault(ctx context.Context, write bool, call func(context.Context) error) error {
 	f.faults.mu.Lock()
 	f.calls++
@@ -89,7 +90,7 @@
 }
 
 func (f *flakyStore) Put(ctx context.Context, key string, v []byte, cond keyval.Revision, l keyval.LeaseID) (keyval.Revision, error) {
-	var rev atomic.Int64 // a late write ends after the call.
+	var rev atomic.Int64 // atomic, as a late write ends after Put has returned.
 	err := f.withFault(ctx, true, func(c context.Context) error {
 		n, err := f.Store.Put(c, key, v, cond, l)
 		rev.Store(int64(n))
--- a/plat/conf/follow_test.go
+++ b/plat/conf/follow_test.go
@@ -16,7 +16,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// commitUpTo commits changes up to the number n.
+// commitUpTo commits changes until the log has n of them.
 func commitUpTo(t testing.TB, s keyval.Store, h *conf.Holder, n conf.Number) {
 	t.Helper()
 	c := conf.NewCommitter(s, h)
@@ -70,7 +70,7 @@
 		behind := conf.NewHolder()
 		old, _ := h.At(701)
 		is.Equal(old.Number, conf.Number(701))
-		_, err = behind.Offer(putPool(1, "a")) // of a log that has been pruned away since
+		_, err = behind.Offer(putPool(1, "a")) // another history, whose changes have been pruned
 		is.NoErr(err)
 		withFollower(t, m, behind, func() { is.NoErr(behind.Wait(t.Context(), 1_700)) })
 	})
@@ -90,7 +90,7 @@
 		peer.OfferDocument(start)
 		for peer.Document().Number() < h.Document().Number() {
 			changes, snapshot := h.Since(peer.Document().Number(), 20)
-			is.Equal(snapshot != nil, start == nil) // only for one that the tail does not reach
+			is.Equal(snapshot != nil, start == nil) // only for a peer that is older than the tail
 			peer.OfferDocument(snapshot)
 			_, err := peer.Offer(changes...)
 			is.NoErr(err)
@@ -120,17 +120,17 @@
 		before := countCalls(c, stores)
 		time.Sleep(outageSeconds * time.Second)
 		perSecond := (countCalls(c, stores) - before) / outageSeconds
-		is.True(perSecond <= entries) // at most one call a second and entry while it is down
+		is.True(perSecond <= entries) // at most one call per second and entry in the outage
 		commitUpTo(t, m, admin, 11)
 		c.set(false, true)
 		before = countCalls(c, stores)
-		back := time.Now()
+		restored := time.Now()
 		for _, h := range holders {
 			is.NoErr(h.Wait(ctx, 11))
 		}
-		is.True(time.Since(back) < 9*time.Second) // in force everywhere
+		is.True(time.Since(restored) < 9*time.Second) // every entry has the change
 		is.True(countCalls(c, stores)-before <= 10*entries)
-		t.Logf("%d calls/s in the outage, all at %v after it with %d calls", perSecond, time.Since(back), countCalls(c, stores)-before)
+		t.Logf("%d calls/s in the outage; all entries caught up %v after it with %d calls", perSecond, time.Since(restored), countCalls(c, stores)-before)
 		cancel()
 		is.NoErr(g.Wait())
 	})
@@ -157,9 +157,9 @@
 	runConcurrently(t,
 		func() { _, errs[0] = conf.NewCommitter(m, a).Commit(t.Context(), edit("a")) },
 		func() { _, errs[1] = conf.NewCommitter(m, b).Commit(t.Context(), edit("b")) })
-	is.True((errs[0] == nil) != (errs[1] == nil))                             // one of them
-	is.True(errors.Is(errors.Join(errs[0], errs[1]), conf.ErrInvalid))        // the other is told why
-	n, err := conf.NewCommitter(m, b).Repeat(t.Context(), winner(errs, edit)) // a repeat is not a second edit
+	is.True((errs[0] == nil) != (errs[1] == nil))                             // exactly one is accepted
+	is.True(errors.Is(errors.Join(errs[0], errs[1]), conf.ErrInvalid))        // the other gets a FieldError
+	n, err := conf.NewCommitter(m, b).Repeat(t.Context(), winner(errs, edit)) // a repeat does not edit again
 	is.NoErr(err)
 	is.Equal(n, conf.Number(2))
 }
--- a/plat/conf/log_test.go
+++ b/plat/conf/log_test.go
@@ -10,7 +10,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// drawHistory draws n valid changes, each bound to the one before.
+// drawHistory draws n valid changes, each of which follows the one before.
 func drawHistory(t *rapid.T, label string, n int) []conf.Change {
 	d := conf.NewDocument()
 	var l []conf.Change
@@ -46,7 +46,7 @@
 	return c
 }
 
-// replay replays a history from its beginning.
+// replay applies a history to the empty document.
 func replay(t rapid.TB, l []conf.Change) *conf.Document {
 	d := conf.NewDocument()
 	for _, c := range l {
@@ -65,7 +65,7 @@
 		shared := rapid.IntRange(0, len(ours)-1).Draw(t, "shared")
 		rival := append(append([]conf.Change(nil), ours[:shared]...), drawHistory(t, "rival", 12)[shared:]...)
 		l := conf.NewLog(conf.WithTail(rapid.IntRange(1, 20).Draw(t, "tail")))
-		for at := range rapid.IntRange(1, 30).Draw(t, "steps") {
+		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			before := l.Document().Number()
 			switch rapid.IntRange(0, 2).Draw(t, "act") {
 			case 0:
@@ -78,14 +78,14 @@
 			}
 			n := l.Document().Number()
 			if n < before || !l.Document().Equal(replay(t, ours[:n])) {
-				t.Fatalf("step %d: document %d is not the history's", at, n)
+				t.Fatalf("step %d: document %d does not match the history", step, n)
 			}
 			checkSince(t, l, ours)
 		}
 	})
 }
 
-// offerRival offers one change of the other history, once the log is past the point where they part.
+// offerRival offers one change of the other history, once the log is past the changes that both share.
 func offerRival(t *rapid.T, l *conf.Log, rival []conf.Change, shared int) {
 	n := l.Document().Number()
 	if int(n) <= shared {
@@ -93,10 +93,11 @@
 	}
 	c := rival[rapid.IntRange(int(n)-1, min(int(n), len(rival)-1)).Draw(t, "rival")]
 	if applied, err := l.Offer(c); applied != 0 || !errors.Is(err, conf.ErrDiverged) {
-		t.Fatalf("rival %d applied %d at %d: %v", c.Number, applied, n, err)
+		t.Fatalf("rival change %d: applied %d at document %d, error %v", c.Number, applied, n, err)
 	}
 }
 
+// checkSince checks that Since brings a peer at any number to the log's document.
 func checkSince(t *rapid.T, l *conf.Log, ours []conf.Change) {
 	n := conf.Number(rapid.IntRange(0, len(ours)).Draw(t, "since"))
 	c, d := l.Since(n, 100)
@@ -109,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if want := max(n, l.Document().Number()); !peer.Document().Equal(replay(t, ours[:want])) {
-		t.Fatalf("a peer at %d did not get to %d", n, want)
+		t.Fatalf("a peer at change %d did not reach change %d", n, want)
 	}
 }
 
--- a/plat/conf/script_test.go
+++ b/plat/conf/script_test.go
@@ -14,7 +14,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// scriptedStore is a store whose next put is done by a function.
+// scriptedStore is a store that runs put instead of the next Put, and list before each List.
 type scriptedStore struct {
 	keyval.Store
 	put  func(ctx context.Context, key string, v []byte) error
@@ -36,7 +36,8 @@
 	return s.Store.Put(ctx, key, v, cond, l)
 }
 
-// TestUnsettledAcrossRestore loses the answer of a write that another entry saw, then the write, then its number to a rival.
+// TestUnsettledAcrossRestore guards against reporting a change as not accepted when it can still come back. The answer to its
+// write is lost and a peer reads it; then the service is restored from an older state and a rival change takes its number.
 func TestUnsettledAcrossRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -56,17 +57,18 @@
 			return keyval.ErrUnknown
 		}}
 		_, err := conf.NewCommitter(s, h).Commit(t.Context(), mine)
-		is.True(errors.Is(err, conf.ErrUnsettled)) // it does not fit any more, and yet the peer brings it back
+		is.True(errors.Is(err, conf.ErrUnsettled)) // no longer valid here, but the peer writes it back
 		withFollower(t, m, peer, func() { time.Sleep(10 * time.Second) })
 		n, ok := peer.FindOp("mine")
 		is.True(ok)
-		is.Equal(n, conf.Number(3)) // behind the rival's
+		is.Equal(n, conf.Number(3)) // after the rival's
 		_, ok = peer.FindOp("rival")
 		is.True(ok)
 	})
 }
 
-// TestStaleChangeDoesNotBlock has a late write of a change that has another number by now stand where the next one belongs.
+// TestStaleChangeDoesNotBlock guards against a commit that never ends because the next number is taken in the service: a late
+// write has put a change there that is already in the log under another number.
 func TestStaleChangeDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -101,7 +103,8 @@
 	}
 }
 
-// TestMergeReadsOnce brings the service back older between a merge's two readings.
+// TestMergeReadsOnce guards against a merge that adds an operation twice because the service was restored from an older state
+// between its two reads of the log.
 func TestMergeReadsOnce(t *testing.T) {
 	is := is.New(t)
 	m, own, other := keyval.NewMemory(), conf.NewHolder(), conf.NewHolder()
@@ -112,18 +115,18 @@
 	storeChanges(t, m, other, 1, 1)
 	saved := m.Save()
 	storeChanges(t, m, other, 2, 2)
-	whole := 0
+	fullLists := 0
 	s := &scriptedStore{Store: m, list: func(after string) {
 		if after != conf.LogKey(0) {
 			return
 		}
-		if whole++; whole == 3 { // after the look for holes and the first reading
+		if fullLists++; fullLists == 3 { // after heal's read and the merge's first read
 			m.Restore(saved)
 		}
 	}}
 	_, err = conf.NewCommitter(s, own).Commit(t.Context(), putPool(0, "z"))
 	is.NoErr(err)
-	is.True(whole > 3) // read again
+	is.True(fullLists > 3) // the merge started again
 	seen := map[string]bool{}
 	for n := conf.Number(1); n <= own.Document().Number(); n++ {
 		c, _ := own.At(n)
@@ -143,7 +146,8 @@
 	is.True(!i.Found())
 }
 
-// TestRepeatAtNewcomer repeats a change that lies behind the snapshot with which an entry began.
+// TestRepeatAtNewcomer guards against writing a repeated change again at an entry that started from a snapshot and so does not
+// have the change itself.
 func TestRepeatAtNewcomer(t *testing.T) {
 	is := is.New(t)
 	m, h := keyval.NewMemory(), conf.NewHolder()
@@ -152,7 +156,7 @@
 	c, _ := h.At(400)
 	n, err := conf.NewCommitter(m, conf.NewHolder()).Repeat(t.Context(), conf.Change{Op: c.Op, Kind: c.Kind, Pool: c.Pool})
 	is.NoErr(err)
-	is.Equal(n, conf.Number(400)) // found, not made again
+	is.Equal(n, conf.Number(400)) // found, not written again
 	late := conf.NewCommitter(m, conf.NewHolder())
 	n, err = late.Find(t.Context(), c.Op)
 	is.NoErr(err)
--- a/plat/conf/simulation_test.go
+++ b/plat/conf/simulation_test.go
@@ -18,7 +18,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// simulation is one run of several entries whose operators race each other's edits on a store with faults.
+// simulation runs several entries on a store with faults while operators at each entry edit the same pools.
 type simulation struct {
 	memory     *keyval.Memory
 	faults     *faultInjector
@@ -28,7 +28,7 @@
 	mu         sync.Mutex
 	accepted   map[string]conf.Number
 	refused    map[string]error
-	restores   bool // the service comes back older.
+	restores   bool // outages end with the service in an older state.
 	failures   []string
 }
 
@@ -49,7 +49,7 @@
 	return t
 }
 
-// checkNoRollback notes when a document goes back.
+// checkNoRollback records a failure if the document's number goes down.
 func (t *simulation) checkNoRollback(ctx context.Context, h *conf.Holder) error {
 	s, last := h.Subscribe(ctx), conf.Number(0)
 	for {
@@ -72,7 +72,8 @@
 	t.failures = append(t.failures, fmt.Sprintf(f, a...))
 }
 
-// editPools commits count changes through entry i, each within a short time.
+// editPools commits count changes through entry i, each with a short timeout. It repeats a change of unknown outcome through a
+// random entry.
 func (t *simulation) editPools(i, count int) {
 	for k := range count {
 		op := fmt.Sprintf("op-%d-%d", i, k)
@@ -97,52 +98,53 @@
 	}
 }
 
-// commit tries c for a short time.
-func (t *simulation) commit(by func(context.Context, conf.Change) (conf.Number, error), c conf.Change) (conf.Number, error) {
+// commit runs call for c with a short random timeout.
+func (t *simulation) commit(call func(context.Context, conf.Change) (conf.Number, error), c conf.Change) (conf.Number, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(50+t.faults.intn(1500))*time.Millisecond)
 	defer cancel()
-	return by(ctx, c)
+	return call(ctx, c)
 }
 
-// checkConvergence compares every entry with a naive replay of what the service holds in the end.
+// checkConvergence compares every entry's document with a replay of the log that the service has in the end.
 func (t *simulation) checkConvergence() {
 	l, _, err := t.memory.List(context.Background(), conf.LogPrefix, "", 1000)
 	if err != nil {
-		t.failf("list: %v", err)
+		t.failf("list changes: %v", err)
 	}
-	replay, at := conf.NewLog(), map[string]conf.Number{}
+	replay, numbers := conf.NewLog(), map[string]conf.Number{}
 	for _, i := range l {
 		var c conf.Change
 		if err := json.Unmarshal(i.Value(), &c); err != nil {
-			t.failf("change %s: %v", i.Key(), err)
+			t.failf("decode change %s: %v", i.Key(), err)
 		}
 		if n, err := replay.Offer(c); n != 1 || err != nil && !t.restores {
-			t.failf("change %d does not follow: %v", c.Number, err)
+			t.failf("replay change %d: %v", c.Number, err)
 		}
-		if o, ok := at[c.Op]; ok {
-			t.failf("%s is change %d and %d", c.Op, o, c.Number)
+		if o, ok := numbers[c.Op]; ok {
+			t.failf("operation %s is change %d and change %d", c.Op, o, c.Number)
 		}
-		at[c.Op] = c.Number
+		numbers[c.Op] = c.Number
 	}
 	for op, n := range t.accepted {
-		if at[op] == 0 || at[op] != n && !t.restores {
-			t.failf("accepted %s as change %d, found %d", op, n, at[op])
+		if numbers[op] == 0 || numbers[op] != n && !t.restores {
+			t.failf("operation %s was accepted as change %d, the log has it as %d", op, n, numbers[op])
 		}
 	}
 	for op, err := range t.refused {
-		if at[op] != 0 {
-			t.failf("%s was refused (%v) and is change %d", op, err, at[op])
+		if numbers[op] != 0 {
+			t.failf("operation %s was refused (%v) and yet is change %d", op, err, numbers[op])
 		}
 	}
 	for i, h := range t.entries {
 		if !h.Document().Equal(replay.Document()) {
-			t.failf("entry %d has document %d, the service %d", i, h.Document().Number(), replay.Document().Number())
+			t.failf("entry %d has document %d, the service's log gives %d", i, h.Document().Number(), replay.Document().Number())
 		}
 	}
 }
 
-// simulate drives operators at all entries through outages, and restores if that is set, and returns what went wrong.
-func simulate(tt *testing.T, seed int64, entries, edits int, restore bool) (wrong []string, accepted int) {
+// simulate runs operators at all entries through outages. If restore is set, the service comes back from each in an older state.
+// It returns the failures and the number of accepted changes.
+func simulate(tt *testing.T, seed int64, entries, edits int, restore bool) (failures []string, accepted int) {
 	synctest.Test(tt, func(tt *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		t := newSimulation(ctx, seed, entries, restore)
@@ -163,12 +165,12 @@
 		cancel()
 		_ = t.g.Wait()
 		t.checkConvergence()
-		wrong, accepted = t.failures, len(t.accepted)
+		failures, accepted = t.failures, len(t.accepted)
 	})
-	return wrong, accepted
+	return failures, accepted
 }
 
-// injectOutages takes the service down and, if the trial restores, brings it back older.
+// injectOutages takes the service down three times. If t.restores is set, it comes back in an older state.
 func (t *simulation) injectOutages() {
 	for range 3 {
 		saved := t.memory.Save()
@@ -189,14 +191,14 @@
 			rapid.Check(t, func(r *rapid.T) {
 				seed := rapid.Int64().Draw(r, "seed")
 				entries := rapid.IntRange(1, 4).Draw(r, "entries")
-				wrong, n := simulate(t, seed, entries, rapid.IntRange(1, 8).Draw(r, "edits"), restore)
+				failures, n := simulate(t, seed, entries, rapid.IntRange(1, 8).Draw(r, "edits"), restore)
 				total += n
-				if len(wrong) > 0 {
-					r.Fatal(wrong)
+				if len(failures) > 0 {
+					r.Fatal(failures)
 				}
 			})
 			if total == 0 {
-				t.Fatal("nothing was accepted in any run")
+				t.Fatal("no change was accepted in any run")
 			}
 			t.Logf("%d changes accepted", total)
 		})
--- a/plat/conf/size_test.go
+++ b/plat/conf/size_test.go
@@ -11,7 +11,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// TestSizeBound fills a document with the longest values until it is refused, and compares the bound with its true length.
+// TestSizeBound adds objects with the longest values until a change is refused, and compares sizeBound with the JSON's length.
 func TestSizeBound(t *testing.T) {
 	is := is.New(t)
 	d, long := NewDocument(), strings.Repeat("x", maxNameBytes-8)
@@ -42,10 +42,10 @@
 			!put(Change{Kind: Approve, Approval: &ApprovalSpec{Team: name(i), Service: name(i)}}) ||
 			!put(Change{Kind: PutWave, Wave: &WaveSpec{ID: name(i), Pools: pools}})
 	}
-	is.True(full) // it was refused in the end
+	is.True(full) // a change was refused
 	b, err := d.Marshal()
 	is.NoErr(err)
 	is.True(len(b) <= d.sizeBound())    // the bound holds
 	is.True(len(b) < keyval.MaxValue)   // a snapshot fits
-	is.True(len(b) > keyval.MaxValue/2) // and the bound is not far off
+	is.True(len(b) > keyval.MaxValue/2) // the bound is not far too high
 }
