--- a/plat/conf/commit.go
+++ b/plat/conf/commit.go
@@ -34,7 +34,7 @@
 	return func(c *Committer) { c.catchUp = f }
 }
 
-// WithNow sets the clock for the time of changes.
+// WithNow sets the clock that gives a change its time.
 func WithNow(f func() time.Time) CommitOption { return func(c *Committer) { c.now = f } }
 
 // NewCommitter returns a committer that writes to store and keeps holder up to date.
@@ -203,7 +203,8 @@
 	return err
 }
 
-// searchLog searches everything that the service keeps of the log for a repeated change, once. It returns its number, or 0.
+// searchLog searches everything that the service keeps of the log for a repeated change, once. It returns the change's
+// number, or 0.
 func (a *attempt) searchLog(ctx context.Context) (Number, error) {
 	if !a.repeat || a.searched {
 		return 0, nil
--- a/plat/conf/document.go
+++ b/plat/conf/document.go
@@ -5,7 +5,7 @@
 // Number is the position of a change in the log: each accepted change gets the next number.
 type Number int64
 
-// ExpectAbsent, as a change's Expect, requires that the object does not exist.
+// ExpectAbsent is the value of a change's Expect that requires that the object does not exist.
 const ExpectAbsent Number = -1
 
 // Class is the urgency of a request.
--- a/plat/conf/follow.go
+++ b/plat/conf/follow.go
@@ -33,7 +33,7 @@
 	maxOutageWait     = 2 * time.Second
 )
 
-// Follower brings the service's changes to a holder. If the service was restored from an older state, it writes the holder's
+// Follower offers the service's changes to a holder. If the service was restored from an older state, it writes the holder's
 // changes back.
 type Follower struct {
 	source                                  source
@@ -61,7 +61,7 @@
 // WithSpread sets the longest random wait before an entry heals a service that lacks changes.
 func WithSpread(d time.Duration) FollowOption { return func(f *Follower) { f.healJitter = d } }
 
-// NewFollower returns a follower that keeps holder and the log in store in step.
+// NewFollower returns a follower that synchronises holder with the log in store.
 func NewFollower(store keyval.Store, holder *Holder, opts ...FollowOption) *Follower {
 	f := &Follower{
 		source: source{store: store, holder: holder}, log: zerolog.Nop(),
@@ -73,7 +73,7 @@
 	return f
 }
 
-// Run follows the service until ctx ends. In an outage it makes one call per wait; the waits grow to seconds and have jitter.
+// Run follows the service until ctx ends. In an outage it makes one call per wait; the waits have jitter and grow to seconds.
 func (f *Follower) Run(ctx context.Context) error {
 	b := outageWaits()
 	rev, synced := keyval.Revision(0), false
--- a/plat/conf/size_test.go
+++ b/plat/conf/size_test.go
@@ -47,5 +47,5 @@
 	is.NoErr(err)
 	is.True(len(b) <= d.sizeBound())    // the bound holds
 	is.True(len(b) < keyval.MaxValue)   // a snapshot fits
-	is.True(len(b) > keyval.MaxValue/2) // the bound is not far too high
+	is.True(len(b) > keyval.MaxValue/2) // and is not far too high
 }
