--- a/plat/conf/script_test.go
+++ b/plat/conf/script_test.go
@@ -36,8 +36,9 @@
 	return s.Store.Put(ctx, key, v, cond, l)
 }
 
-// TestUnsettledAcrossRestore guards against reporting a change as not accepted when it can still come back. The answer to its
-// write is lost and a peer reads it; then the service is restored from an older state and a rival change takes its number.
+// TestUnsettledAcrossRestore guards against reporting a change as not accepted when a peer can still write it back. The service
+// stores the change and a peer reads it, but the answer is lost. The service is then restored from an older state, and a rival
+// change takes the number.
 func TestUnsettledAcrossRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/plat/conf/table.go
+++ b/plat/conf/table.go
@@ -58,7 +58,7 @@
 // Document is the configuration after a number of changes. It is immutable: each change makes a new document.
 type Document struct {
 	number        Number
-	op            string
+	op            string // id of the operation that made the last change.
 	chain         string // digest of all changes that led to the document.
 	profiles      table[ProfileSpec]
 	services      table[ServiceSpec]
