--- a/plat/conf/commit.go
+++ b/plat/conf/commit.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	firstRetry = 20 * time.Millisecond
-	lastRetry  = time.Second
+	initialRetryWait = 20 * time.Millisecond
+	maxRetryWait     = time.Second
 )
 
-// Committer brings operators' changes into the log, one at a time.
+// Committer appends operators' changes to the log, one at a time.
 type Committer struct {
-	source  source
-	catchUp func(context.Context) error
-	now     func() time.Time
-	turn    chan struct{} // holds one value while a commit runs.
+	source    source
+	catchUp   func(context.Context) error
+	now       func() time.Time
+	semaphore chan struct{} // holds one value while a commit runs.
 }
 
 // CommitOption adjusts a committer.
 type CommitOption func(*Committer)
 
-// WithCatchUp sets a call that offers the peers' newest changes to the holder before each commit, so that an entry that
-// has just started does not build on a service that came back older; its error is passed over.
+// WithCatchUp sets a function that runs before each commit and offers the peers' newest changes to the holder. It keeps an
+// entry that has just started from building on a service that was restored from an older state. The commit goes on if it
+// fails.
 func WithCatchUp(f func(context.Context) error) CommitOption {
 	return func(c *Committer) { c.catchUp = f }
 }
 
-// WithNow sets the clock that dates changes.
+// WithNow sets the clock that gives a change its time.
 func WithNow(f func() time.Time) CommitOption { return func(c *Committer) { c.now = f } }
 
 // NewCommitter returns a committer that writes to store and keeps holder up to date.
 func NewCommitter(store keyval.Store, holder *Holder, opts ...CommitOption) *Committer {
 	c := &Committer{
-		source:  source{store: store, holder: holder},
-		catchUp: func(context.Context) error { return nil },
-		now:     time.Now,
-		turn:    make(chan struct{}, 1),
+		source:    source{store: store, holder: holder},
+		catchUp:   func(context.Context) error { return nil },
+		now:       time.Now,
+		semaphore: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(c)
@@ -50,21 +51,22 @@
 	return c
 }
 
-// Commit writes the change into the log and returns its number, once the service has it; an Op that is in the log already is not
-// written again. It tries until ctx ends. A FieldError and ErrNotAccepted mean that the change is not and will not be in the
-// log by this call; ErrUnsettled means that this is not known: use Repeat with the same Op.
+// Commit appends the change to the log and returns its number once the service has stored it. It does not write an Op again that
+// is already in the log. It retries until ctx ends. A FieldError or ErrNotAccepted means that this call did not write the change
+// and never will; ErrUnsettled means that the outcome is unknown: call Repeat with the same Op.
 func (c *Committer) Commit(ctx context.Context, change Change) (Number, error) {
 	return c.run(ctx, &attempt{source: c.source, change: change})
 }
 
-// Repeat is Commit for a change whose outcome was lost before, at any entry: it never returns ErrNotAccepted, since the earlier
-// call may have written the change or may still do so; a FieldError says that neither can be, unless the service came back older.
+// Repeat is Commit for a change whose outcome is unknown after an earlier call, at this or another entry. It never returns
+// ErrNotAccepted, since the earlier call may have written the change or may still write it. A FieldError means that neither is
+// possible, unless the service was restored from an older state.
 func (c *Committer) Repeat(ctx context.Context, change Change) (Number, error) {
 	return c.run(ctx, &attempt{source: c.source, change: change, repeat: true})
 }
 
-// Find returns the number under which the operation is in the log, or 0 when it is not there now; a write of it that is still
-// under way may bring it there later. ErrDown and ErrUnknown of keyval mean that the service could not be read.
+// Find returns the operation's number in the log, or 0 if the log does not have it now; a write that is still in flight may add
+// it later. keyval.ErrDown and keyval.ErrUnknown mean that the service could not be read.
 func (c *Committer) Find(ctx context.Context, op string) (Number, error) {
 	if n, ok := c.source.holder.FindOp(op); ok {
 		return n, nil
@@ -75,15 +77,15 @@
 	if n, ok := c.source.holder.FindOp(op); ok {
 		return n, nil
 	}
-	return c.source.find(ctx, op)
+	return c.source.findOp(ctx, op)
 }
 
 func (c *Committer) run(ctx context.Context, a *attempt) (Number, error) {
 	select {
-	case c.turn <- struct{}{}:
-		defer func() { <-c.turn }()
+	case c.semaphore <- struct{}{}:
+		defer func() { <-c.semaphore }()
 	case <-ctx.Done():
-		return 0, a.end(errTurn)
+		return 0, a.timeoutError(errCommitInProgress)
 	}
 	_ = c.catchUp(ctx)
 	if a.change.At.IsZero() {
@@ -92,7 +94,7 @@
 	a.change = a.change.WithDefaults()
 	b := retryWaits()
 	for {
-		n, done, err := a.step(ctx)
+		n, done, err := a.try(ctx)
 		if done {
 			return n, err
 		}
@@ -100,22 +102,22 @@
 			b.Reset()
 			continue
 		}
-		if pause(ctx, b.NextBackOff()) != nil {
-			return 0, a.end(err)
+		if sleep(ctx, b.NextBackOff()) != nil {
+			return 0, a.timeoutError(err)
 		}
 	}
 }
 
-var errTurn = eris.New("conf: another commit of this entry is under way")
+var errCommitInProgress = eris.New("conf: another commit of this entry is under way")
 
 func retryWaits() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstRetry, lastRetry
+	b.InitialInterval, b.MaxInterval = initialRetryWait, maxRetryWait
 	return b
 }
 
-// pause waits for d or for the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d. If ctx ends first, it returns the cause.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -126,42 +128,44 @@
 	}
 }
 
-// attempt is one change on its way into the log.
+// attempt is the state of one Commit or Repeat call over its retries.
 type attempt struct {
-	source source
-	change Change
-	sent   *Change // the change under the number at which it is tried.
-	blind  bool    // it may be in the log under that number.
-	wrote  bool    // it may be, or may have been, in the log under some number.
-	repeat bool    // an earlier call may have written it.
-	sought bool    // the service's log has been searched for it.
+	source         source
+	change         Change
+	numbered       *Change // the change with its number and Prev; nil until prepare sets it.
+	outcomeUnknown bool    // a write of numbered may have taken effect.
+	mayBeLogged    bool    // the change may be, or may have been, in the log under some number.
+	repeat         bool    // an earlier call may have written the change.
+	searched       bool    // the service's log has been searched for the change.
 }
 
-// step makes one try; done with no error when the change is in the log. Not done and no error means to go on at once.
-func (a *attempt) step(ctx context.Context) (n Number, done bool, err error) {
-	if a.sent == nil {
-		if n, done, err = a.prepare(ctx); a.sent == nil {
+// try makes one attempt to write the change. done means that the result is final: the change is in the log, or err says why the
+// call ends. If done is false, a nil err means to try again without a wait.
+func (a *attempt) try(ctx context.Context) (n Number, done bool, err error) {
+	if a.numbered == nil {
+		if n, done, err = a.prepare(ctx); a.numbered == nil {
 			return n, done, err
 		}
 	}
-	c := *a.sent
+	c := *a.numbered
 	err = a.source.putChange(ctx, c, keyval.Absent)
 	switch {
 	case err == nil:
-		return a.keep(c)
+		return a.accept(c)
 	case errors.Is(err, keyval.ErrConflict):
-		return a.lost(ctx, c)
+		return a.resolveConflict(ctx, c)
 	case errors.Is(err, keyval.ErrTooLarge):
 		return 0, true, err
 	case errors.Is(err, keyval.ErrDown):
-		a.clear()
+		a.dropNumber()
 		return 0, false, err
 	}
-	a.blind, a.wrote = true, true
+	a.outcomeUnknown, a.mayBeLogged = true, true
 	return 0, false, err
 }
 
-// prepare validates the change against the newest document and gives it the next number.
+// prepare brings the holder up to date, healing or merging where the service's log differs. It then validates the change
+// against the newest document and gives it the next number.
 func (a *attempt) prepare(ctx context.Context) (Number, bool, error) {
 	v, err := a.source.pull(ctx)
 	if err != nil {
@@ -170,26 +174,26 @@
 	if n, ok := a.source.holder.FindOp(a.change.Op); ok {
 		return n, true, nil
 	}
-	if errors.Is(v.report, ErrDiverged) {
+	if errors.Is(v.offerErr, ErrDiverged) {
 		return 0, false, a.merge(ctx)
 	}
-	if !v.anchored {
+	if !v.headFound {
 		return a.heal(ctx)
 	}
-	if n, err := a.search(ctx); n > 0 || err != nil {
+	if n, err := a.searchLog(ctx); n > 0 || err != nil {
 		return n, err == nil, err
 	}
 	d := a.source.holder.Document()
 	c := a.change
-	c.Number, c.Prev = d.n+1, d.chain
+	c.Number, c.Prev = d.number+1, d.chain
 	if err := d.Validate(c); err != nil {
-		return 0, true, a.invalid(err)
+		return 0, true, a.invalidError(err)
 	}
-	a.sent = &c
+	a.numbered = &c
 	return 0, false, nil
 }
 
-// merge joins the histories; its error makes the next try wait when that changed nothing.
+// merge joins the two histories. It returns an error if that changed nothing, so that the next try waits.
 func (a *attempt) merge(ctx context.Context) error {
 	before := a.source.holder.Document()
 	n, err := a.source.merge(ctx)
@@ -199,17 +203,18 @@
 	return err
 }
 
-// search looks once for a repeated change in all that the service keeps of the log; it returns the change's number, or 0.
-func (a *attempt) search(ctx context.Context) (Number, error) {
-	if !a.repeat || a.sought {
+// searchLog searches everything that the service keeps of the log for a repeated change, once. It returns the change's
+// number, or 0.
+func (a *attempt) searchLog(ctx context.Context) (Number, error) {
+	if !a.repeat || a.searched {
 		return 0, nil
 	}
-	n, err := a.source.find(ctx, a.change.Op)
-	a.sought = err == nil
+	n, err := a.source.findOp(ctx, a.change.Op)
+	a.searched = err == nil
 	return n, err
 }
 
-// heal writes the changes that the service lacks before the next one is written.
+// heal writes the changes that the service lacks, or merges if the service has others in their place.
 func (a *attempt) heal(ctx context.Context) (Number, bool, error) {
 	wrote, err := a.source.heal(ctx, DefaultTail)
 	if errors.Is(err, ErrDiverged) {
@@ -221,22 +226,23 @@
 	return 0, false, err
 }
 
-// clear gives the number up, unless the change may be in the log under it.
-func (a *attempt) clear() {
-	if !a.blind {
-		a.sent = nil
+// dropNumber discards the assigned number, unless the change may be in the log under it.
+func (a *attempt) dropNumber() {
+	if !a.outcomeUnknown {
+		a.numbered = nil
 	}
 }
 
-// lost reads whose change stands under c's number.
-func (a *attempt) lost(ctx context.Context, c Change) (Number, bool, error) {
+// resolveConflict reads the change that the service has under c's number. If it is c, the commit is done; if not, c needs a new
+// number.
+func (a *attempt) resolveConflict(ctx context.Context, c Change) (Number, bool, error) {
 	i, err := a.source.store.Get(ctx, LogKey(c.Number))
 	if err != nil {
-		a.clear()
+		a.dropNumber()
 		return 0, false, err
 	}
 	if !i.Found() {
-		a.clear()
+		a.dropNumber()
 		return 0, false, eris.Wrapf(ErrUnsettled, "change %d is gone again", c.Number)
 	}
 	w, err := parseChange(i)
@@ -244,36 +250,37 @@
 		return 0, false, err
 	}
 	if w.Op == c.Op {
-		return a.keep(w)
+		return a.accept(w)
 	}
-	_, _ = a.source.holder.Offer(w) // what does not fit shows at the next pull.
-	a.sent, a.blind = nil, false
+	_, _ = a.source.holder.Offer(w) // the next pull reports a change that does not apply.
+	a.numbered, a.outcomeUnknown = nil, false
 	return 0, false, nil
 }
 
-// keep hands the holder a change that the service has. It is accepted only once the holder has it too, as that is what
-// brings it back should the service forget it.
-func (a *attempt) keep(c Change) (Number, bool, error) {
-	_, _ = a.source.holder.Offer(c) // what does not fit shows at the next pull.
+// accept offers the holder a change that the service has stored. The change counts as accepted only once the holder has it too,
+// because the holder's copy is written back if the service loses it.
+func (a *attempt) accept(c Change) (Number, bool, error) {
+	_, _ = a.source.holder.Offer(c) // the next pull reports a change that does not apply.
 	if n, ok := a.source.holder.FindOp(c.Op); ok {
 		return n, true, nil
 	}
-	a.sent, a.blind, a.wrote = nil, false, true
+	a.numbered, a.outcomeUnknown, a.mayBeLogged = nil, false, true
 	return 0, false, nil
 }
 
-// invalid returns the error for a change that does not fit the newest document. One that was written before may still come back
-// with an entry that saw it, should the service have come back older in between.
-func (a *attempt) invalid(err error) error {
-	if !a.wrote {
+// invalidError returns the error for a change that is not valid after the newest document. The outcome of a change that was
+// written before is unknown: if the service was restored from an older state in between, an entry that has the change may
+// still write it back.
+func (a *attempt) invalidError(err error) error {
+	if !a.mayBeLogged {
 		return err
 	}
 	return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, err)
 }
 
-// end returns the error for a change whose time ran out.
-func (a *attempt) end(last error) error {
-	if a.wrote || a.repeat {
+// timeoutError returns the error for a change that was not accepted before ctx ended.
+func (a *attempt) timeoutError(last error) error {
+	if a.mayBeLogged || a.repeat {
 		return eris.Wrapf(ErrUnsettled, "commit %s: %v", a.change.Op, last)
 	}
 	return eris.Wrapf(ErrNotAccepted, "commit %s: %v", a.change.Op, last)
--- a/plat/conf/default.go
+++ b/plat/conf/default.go
@@ -1,14 +1,14 @@
 package conf
 
-// Values that stand in for the fields that a profile leaves absent.
+// Defaults of the fields that a profile or a service leaves out.
 const (
-	// DefaultMinVMs is the number of VMs that a pool keeps.
+	// DefaultMinVMs is the least number of VMs that a pool keeps.
 	DefaultMinVMs = 1
-	// DefaultMaxVMs is the number of VMs that a pool never exceeds.
+	// DefaultMaxVMs is the largest number of VMs that a pool has.
 	DefaultMaxVMs = 10_000
-	// DefaultMaxOut is the number of VMs that may be out at once.
+	// DefaultMaxOut is the number of VMs that may be out of service at once.
 	DefaultMaxOut = 1
-	// DefaultTargetUse is the share of slots in use that sizing aims at.
+	// DefaultTargetUse is the share of slots in use that pool sizing aims for.
 	DefaultTargetUse = 0.7
 	// DefaultDrainSeconds is the longest wait for requests in flight.
 	DefaultDrainSeconds = 60
@@ -16,7 +16,7 @@
 	DefaultRebootSeconds = 300
 	// DefaultDeadlineMillis is the deadline of a request that names none.
 	DefaultDeadlineMillis = 10_000
-	// DefaultUrgentStartMillis is the time within which urgent work starts.
+	// DefaultUrgentStartMillis is the time within which urgent work must start.
 	DefaultUrgentStartMillis = 1_500
 	// DefaultObjective is the share of requests answered in time.
 	DefaultObjective = 0.999
@@ -24,7 +24,7 @@
 	DefaultMoveWeight = 1.0
 	// DefaultBufferWeight is the cost of one spare VM for an hour.
 	DefaultBufferWeight = 1.0
-	// DefaultRetryBudgetPercent is the number of retries per hundred first sends.
+	// DefaultRetryBudgetPercent is the number of retries allowed per hundred first sends.
 	DefaultRetryBudgetPercent = 10
 	// DefaultSlots is the number of requests that one target runs at once.
 	DefaultSlots = 8
@@ -32,31 +32,32 @@
 	DefaultConns = 64
 )
 
-// WithDefaults returns p with a default in each absent field; SurviveRacks stays, as zero is a choice.
+// WithDefaults returns p with the default in each field that is zero. SurviveRacks has no default, because zero is a valid choice.
 func (p ProfileSpec) WithDefaults() ProfileSpec {
-	fill(&p.MinVMs, DefaultMinVMs)
-	fill(&p.MaxVMs, max(DefaultMaxVMs, p.MinVMs))
-	fill(&p.MaxOut, DefaultMaxOut)
-	fill(&p.TargetUse, DefaultTargetUse)
-	fill(&p.DrainSeconds, DefaultDrainSeconds)
-	fill(&p.RebootSeconds, DefaultRebootSeconds)
-	fill(&p.DeadlineMillis, DefaultDeadlineMillis)
-	fill(&p.UrgentStartMillis, DefaultUrgentStartMillis)
-	fill(&p.Objective, DefaultObjective)
-	fill(&p.MoveWeight, DefaultMoveWeight)
-	fill(&p.BufferWeight, DefaultBufferWeight)
-	fill(&p.RetryBudgetPercent, DefaultRetryBudgetPercent)
+	setDefault(&p.MinVMs, DefaultMinVMs)
+	setDefault(&p.MaxVMs, max(DefaultMaxVMs, p.MinVMs))
+	setDefault(&p.MaxOut, DefaultMaxOut)
+	setDefault(&p.TargetUse, DefaultTargetUse)
+	setDefault(&p.DrainSeconds, DefaultDrainSeconds)
+	setDefault(&p.RebootSeconds, DefaultRebootSeconds)
+	setDefault(&p.DeadlineMillis, DefaultDeadlineMillis)
+	setDefault(&p.UrgentStartMillis, DefaultUrgentStartMillis)
+	setDefault(&p.Objective, DefaultObjective)
+	setDefault(&p.MoveWeight, DefaultMoveWeight)
+	setDefault(&p.BufferWeight, DefaultBufferWeight)
+	setDefault(&p.RetryBudgetPercent, DefaultRetryBudgetPercent)
 	return p
 }
 
-// WithDefaults returns s with a default in each absent field.
+// WithDefaults returns s with the default in each field that is zero.
 func (s ServiceSpec) WithDefaults() ServiceSpec {
-	fill(&s.Slots, DefaultSlots)
-	fill(&s.Conns, DefaultConns)
+	setDefault(&s.Slots, DefaultSlots)
+	setDefault(&s.Conns, DefaultConns)
 	return s
 }
 
-// WithDefaults returns c with its defaults written out, so that the log does not depend on a program's version.
+// WithDefaults returns c with its defaults filled in. The log stores them, so that its meaning does not depend on the version of
+// the program that reads it.
 func (c Change) WithDefaults() Change {
 	if c.Profile != nil {
 		p := c.Profile.WithDefaults()
@@ -69,7 +70,7 @@
 	return c
 }
 
-func fill[T comparable](f *T, v T) {
+func setDefault[T comparable](f *T, v T) {
 	var zero T
 	if *f == zero {
 		*f = v
--- a/plat/conf/merge.go
+++ b/plat/conf/merge.go
@@ -11,22 +11,22 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxMerges bounds the rounds of a merge that other entries' writes interrupt.
-const maxMerges = 20
+// maxMergeRounds limits how often a merge starts again after another entry's write interrupted it.
+const maxMergeRounds = 20
 
-// merge joins the histories that are left after the service came back older and took other changes: the service's history stays,
-// the changes that do not follow on it, its own and the holder's, are added behind it under new numbers, and the holder goes
-// forward to the result. A change that no longer fits has no effect there. Several entries may merge at once, as an operation
-// is added once. It returns the number of changes that it added.
+// merge joins two histories, which exist if the service was restored from an older state and then took other changes. The
+// service's history stays. Changes that do not follow on it, whether the service or the holder has them, are appended to it under
+// new numbers, and the holder switches to the result. An appended change that is no longer valid has no effect. Several entries
+// may merge at once, as each operation is appended only once. merge returns the number of changes that it appended.
 func (s source) merge(ctx context.Context) (int, error) {
 	added := 0
-	for range maxMerges {
+	for range maxMergeRounds {
 		own := s.holder.Document()
 		t := source{store: s.store, holder: NewHolder()}
 		if _, err := t.pull(ctx); err != nil {
 			return added, err
 		}
-		n, err := s.addStray(ctx, t, own.n)
+		n, err := s.appendUnmerged(ctx, t, own.number)
 		added += n
 		if errors.Is(err, keyval.ErrConflict) {
 			continue
@@ -41,48 +41,48 @@
 	return added, eris.Wrap(keyval.ErrConflict, "merge histories")
 }
 
-// addStray writes each stray change behind t's newest one, offers it to t, and clears what then still stands behind that.
-// ErrConflict means that the service moved on meanwhile.
-func (s source) addStray(ctx context.Context, t source, upTo Number) (int, error) {
-	have, err := s.changes(ctx, 0)
+// appendUnmerged writes each unmerged change after t's newest one and offers it to t's holder. It then deletes the changes that
+// the service still has after t's newest one. ErrConflict means that the service's log changed meanwhile.
+func (s source) appendUnmerged(ctx context.Context, t source, upTo Number) (int, error) {
+	have, err := s.listChanges(ctx, 0)
 	if err != nil {
 		return 0, err
 	}
-	end := t.holder.Document().n
-	if !t.agrees(have) {
-		return 0, eris.Wrapf(keyval.ErrConflict, "merge at change %d", end)
+	head := t.holder.Document().number
+	if !t.holderMatches(have) {
+		return 0, eris.Wrapf(keyval.ErrConflict, "merge at change %d", head)
 	}
 	added := 0
-	for _, c := range stray(s.tail(upTo), have, end) {
+	for _, c := range unmerged(s.retained(upTo), have, head) {
 		d := t.holder.Document()
-		c.Number, c.Prev, c.Expect = d.n+1, d.chain, 0
+		c.Number, c.Prev, c.Expect = d.number+1, d.chain, 0
 		if err := t.putChange(ctx, c, have[c.Number].rev); err != nil {
 			return added, err
 		}
-		_, _ = t.holder.Offer(c) // one that does not fit any more has no effect.
+		_, _ = t.holder.Offer(c) // a change that is no longer valid has no effect.
 		added++
 	}
-	return added, t.clearBehind(ctx, have)
+	return added, t.deleteAfterHead(ctx, have)
 }
 
-// agrees reports whether the changes that were read are those that the holder has, and none that follows on them.
-func (s source) agrees(have map[Number]placed) bool {
+// holderMatches reports whether have contains every change that the holder keeps, and no change that follows its newest one.
+func (s source) holderMatches(have map[Number]storedChange) bool {
 	d := s.holder.Document()
-	if p, ok := have[d.n+1]; ok && p.change.Prev == d.chain {
+	if p, ok := have[d.number+1]; ok && p.change.Prev == d.chain {
 		return false
 	}
-	for _, c := range s.tail(d.n) {
-		if p, ok := have[c.Number]; !ok || !p.change.same(c) {
+	for _, c := range s.retained(d.number) {
+		if p, ok := have[c.Number]; !ok || !p.change.matches(c) {
 			return false
 		}
 	}
 	return true
 }
 
-// clearBehind removes the changes behind the holder's newest one: each has been added under another number.
-func (s source) clearBehind(ctx context.Context, have map[Number]placed) error {
+// deleteAfterHead deletes the changes after the holder's newest one: each has been appended under another number.
+func (s source) deleteAfterHead(ctx context.Context, have map[Number]storedChange) error {
 	for n, p := range have {
-		if n <= s.holder.Document().n {
+		if n <= s.holder.Document().number {
 			continue
 		}
 		if err := s.store.Delete(ctx, LogKey(n), p.rev); err != nil {
@@ -92,12 +92,12 @@
 	return nil
 }
 
-// stray returns, by their numbers, the changes of own and those behind end in the service that are not part of its history up to
-// end, each operation once.
-func stray(own []Change, have map[Number]placed, end Number) []Change {
+// unmerged returns the changes that are not part of the service's history up to head: those of own and those that the service has
+// after head. They are in the order of their numbers, with each operation once.
+func unmerged(own []Change, have map[Number]storedChange, head Number) []Change {
 	known := map[string]bool{}
 	for n, p := range have {
-		if n <= end {
+		if n <= head {
 			known[p.change.Op] = true
 		} else {
 			own = append(own, p.change)
@@ -111,15 +111,15 @@
 	})
 }
 
-// replace takes o's log, which has every change of the own one, in place of it, unless the own one is not at old any more. The
-// number never goes down.
+// replace switches the holder to o's log, which has every change of the holder's own log. It changes nothing and returns false if
+// the holder's document is no longer old. The number never goes down.
 func (h *Holder) replace(old *Document, o *Holder) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.log.doc != old {
 		return false
 	}
-	if o.log.doc.n >= old.n && o.log.doc.chain != old.chain {
+	if o.log.doc.number >= old.number && o.log.doc.chain != old.chain {
 		h.log.doc, h.log.tail = o.log.doc, o.log.tail
 		h.publish()
 	}
--- a/plat/conf/size.go
+++ b/plat/conf/size.go
@@ -6,10 +6,10 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxDocumentBytes keeps a document with its snapshot's frame under the largest value of the service.
+// maxDocumentBytes leaves 4,096 bytes for the JSON of the snapshot around the document, so that both fit into one value.
 const maxDocumentBytes = keyval.MaxValue - 4_096
 
-// Most bytes in JSON of one object without its names.
+// Upper bounds in bytes of one object's JSON, without the names in it.
 const (
 	profileBytes  = 700
 	serviceBytes  = 160
@@ -17,22 +17,23 @@
 	teamBytes     = 200
 	waveBytes     = 100
 	approvalBytes = 70
-	nameBytes     = 3 // quotes and comma.
+	listItemBytes = 3 // quotes and comma around a pool's name in a wave.
 )
 
-// room checks that the document stays small enough for its snapshot; an object that is replaced counts twice.
-func (d *Document) room(k *checker, c Change) {
-	add := c.bytes()
+// checkSize checks that the document stays small enough for its snapshot. A replaced object counts twice: its old and its new
+// value.
+func (d *Document) checkSize(k *validator, c Change) {
+	add := c.sizeBound()
 	if add == 0 {
 		return
 	}
-	if have := d.bytes(); have+add > maxDocumentBytes {
-		k.fail(false, string(c.Kind), c.Object(), fmt.Sprintf("documents of up to %d bytes, this one has %d", maxDocumentBytes, have))
+	if have := d.sizeBound(); have+add > maxDocumentBytes {
+		k.require(false, string(c.Kind), c.Object(), fmt.Sprintf("documents of up to %d bytes, this one has %d", maxDocumentBytes, have))
 	}
 }
 
-// bytes returns an upper bound of what c adds to a document in JSON.
-func (c Change) bytes() int {
+// sizeBound returns an upper bound in bytes of what c adds to a document's JSON.
+func (c Change) sizeBound() int {
 	switch c.Kind {
 	case PutProfile:
 		return profileSize(*c.Profile)
@@ -50,17 +51,17 @@
 	return 0
 }
 
-// bytes returns an upper bound of the document's length in JSON.
-func (d *Document) bytes() int {
-	n := profileBytes + sizes(d.profiles, profileSize) + sizes(d.services, serviceSize) + sizes(d.pools, poolSize) +
-		sizes(d.teams, teamSize) + sizes(d.waves, waveSize)
+// sizeBound returns an upper bound in bytes of the document's JSON.
+func (d *Document) sizeBound() int {
+	n := profileBytes + totalSize(d.profiles, profileSize) + totalSize(d.services, serviceSize) + totalSize(d.pools, poolSize) +
+		totalSize(d.teams, teamSize) + totalSize(d.waves, waveSize)
 	for a := range d.approvals {
 		n += approvalSize(a)
 	}
 	return n
 }
 
-func sizes[T any](t table[T], size func(T) int) int {
+func totalSize[T any](t table[T], size func(T) int) int {
 	n := 0
 	for _, e := range t {
 		n += size(e.Spec)
@@ -81,7 +82,7 @@
 func waveSize(w WaveSpec) int {
 	n := waveBytes + len(w.ID)
 	for _, p := range w.Pools {
-		n += nameBytes + len(p)
+		n += listItemBytes + len(p)
 	}
 	return n
 }
--- a/plat/conf/size_test.go
+++ b/plat/conf/size_test.go
@@ -11,20 +11,20 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// TestSizeBound fills a document with the longest values until it is refused, and compares the bound with its true length.
+// TestSizeBound adds objects with the longest values until a change is refused, and compares sizeBound with the JSON's length.
 func TestSizeBound(t *testing.T) {
 	is := is.New(t)
 	d, long := NewDocument(), strings.Repeat("x", maxNameBytes-8)
 	name := func(i int) string { return fmt.Sprintf("%s%08d", long, i) }
 	put := func(c Change) bool {
-		c.Number, c.Op = d.n+1, "o"
+		c.Number, c.Op = d.number+1, "o"
 		e, err := d.Apply(c)
 		if err == nil {
 			d = e
 		}
 		return err == nil
 	}
-	d.n = math.MaxInt64 / 2
+	d.number = math.MaxInt64 / 2
 	full := false
 	for i := 0; !full && i < 2_000; i++ {
 		pools := make([]string, 0, maxWavePools)
@@ -42,10 +42,10 @@
 			!put(Change{Kind: Approve, Approval: &ApprovalSpec{Team: name(i), Service: name(i)}}) ||
 			!put(Change{Kind: PutWave, Wave: &WaveSpec{ID: name(i), Pools: pools}})
 	}
-	is.True(full) // it was refused in the end
+	is.True(full) // a change was refused
 	b, err := d.Marshal()
 	is.NoErr(err)
-	is.True(len(b) <= d.bytes())        // the bound holds
+	is.True(len(b) <= d.sizeBound())    // the bound holds
 	is.True(len(b) < keyval.MaxValue)   // a snapshot fits
-	is.True(len(b) > keyval.MaxValue/2) // and the bound is not far off
+	is.True(len(b) > keyval.MaxValue/2) // and is not far too high
 }
--- a/plat/conf/source.go
+++ b/plat/conf/source.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// LogPrefix begins the key of each change in the service.
+	// LogPrefix is the prefix of the keys of changes in the service.
 	LogPrefix = "conf/log/"
-	// SnapKey holds the snapshot.
+	// SnapKey is the key of the snapshot.
 	SnapKey = "conf/snap"
 )
 
-// pageItems is the number of changes that one list asks for.
-const pageItems = 500
+// listPageSize is the number of changes that one List call asks for.
+const listPageSize = 500
 
 // LogKey returns the key of the change with that number.
 func LogKey(n Number) string { return fmt.Sprintf("%s%012d", LogPrefix, n) }
@@ -37,43 +37,44 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// source reads and writes the log in the service on behalf of a holder.
+// source reads and writes the service's log for a holder.
 type source struct {
 	store  keyval.Store
 	holder *Holder
 }
 
-// view is what a pull found.
-type view struct {
-	rev      keyval.Revision
-	anchored bool  // the service holds the holder's newest change, in its log or its snapshot.
-	report   error // what Offer had to say; ErrDiverged when the service holds another change under the holder's number.
+// pullResult describes the service's log as a pull found it.
+type pullResult struct {
+	rev       keyval.Revision // the service's revision, from which a watch can start.
+	headFound bool            // the service has the holder's newest change, in its log or its snapshot.
+	offerErr  error           // Offer's error; ErrDiverged if the service has a different change under the holder's number.
 }
 
-// maxPulls bounds the rounds of a pull in which the snapshot moved on.
-const maxPulls = 3
+// maxPullRounds limits the rounds of a pull; another round follows if the snapshot was newer than the holder.
+const maxPullRounds = 3
 
-// pull brings the holder up to the service's newest change: one list, or a snapshot and lists for a holder that is far behind.
-func (s source) pull(ctx context.Context) (view, error) {
+// pull brings the holder up to the service's newest change. That takes one List call, or the snapshot and further List calls if
+// the holder is far behind.
+func (s source) pull(ctx context.Context) (pullResult, error) {
 	if s.holder.Document().Number() == 0 {
 		if _, err := s.pullSnapshot(ctx); err != nil {
-			return view{}, err
+			return pullResult{}, err
 		}
 	}
-	var v view
-	for range maxPulls {
+	var v pullResult
+	for range maxPullRounds {
 		var err error
-		if v, err = s.pullLog(ctx, false); err != nil || v.anchored || v.report != nil {
+		if v, err = s.pullLog(ctx, false); err != nil || v.headFound || v.offerErr != nil {
 			return v, err
 		}
 		before := s.holder.Document()
 		d, err := s.pullSnapshot(ctx)
-		if err != nil || d == nil || d.n < before.n {
+		if err != nil || d == nil || d.number < before.number {
 			return v, err
 		}
-		if d.n == before.n {
+		if d.number == before.number {
 			if d.chain != before.chain {
-				v.report = &DivergedError{number: d.n, have: before.op, offered: d.op}
+				v.offerErr = &DivergedError{number: d.number, have: before.op, offered: d.op}
 				return v, nil
 			}
 			return s.pullLog(ctx, true)
@@ -82,47 +83,49 @@
 	return v, nil
 }
 
-// pullLog offers the changes from the holder's newest on, if the service has that one or is known to be anchored otherwise.
-func (s source) pullLog(ctx context.Context, anchored bool) (view, error) {
+// pullLog offers the holder the changes from its newest one on. It offers none if the service's log does not have that one,
+// unless headFound says that the snapshot has it.
+func (s source) pullLog(ctx context.Context, headFound bool) (pullResult, error) {
 	d := s.holder.Document()
-	v := view{anchored: anchored}
-	after := LogKey(max(d.n-1, 0))
+	v := pullResult{headFound: headFound}
+	after := LogKey(max(d.number-1, 0))
 	for first := true; ; first = false {
-		l, rev, err := s.store.List(ctx, LogPrefix, after, pageItems)
+		l, rev, err := s.store.List(ctx, LogPrefix, after, listPageSize)
 		if err != nil {
 			return v, eris.Wrapf(err, "list changes after %s", after)
 		}
 		v.rev = rev
 		if first {
-			v.anchor(d, l)
+			v.findHead(d, l)
 		}
-		if !v.anchored {
+		if !v.headFound {
 			return v, nil
 		}
-		if v.report = errors.Join(v.report, s.offerItems(l)); len(l) < pageItems {
+		if v.offerErr = errors.Join(v.offerErr, s.offerItems(l)); len(l) < listPageSize {
 			return v, nil
 		}
 		after = l[len(l)-1].Key()
 	}
 }
 
-// anchor looks for d's last change at the head of the list.
-func (v *view) anchor(d *Document, l []keyval.Item) {
+// findHead checks whether the list starts with d's last change. It records a DivergedError if the list starts with a different
+// change under the same number.
+func (v *pullResult) findHead(d *Document, l []keyval.Item) {
 	if len(l) == 0 {
-		v.anchored = v.anchored || d.n == 0
+		v.headFound = v.headFound || d.number == 0
 		return
 	}
 	c, err := parseChange(l[0])
 	switch {
 	case err != nil:
-	case c.Number == d.n && d.n > 0 && !d.isLast(c):
-		v.anchored, v.report = false, &DivergedError{number: d.n, have: d.op, offered: c.Op}
-	case c.Number == d.n, d.n == 0 && c.Number == 1:
-		v.anchored = true
+	case c.Number == d.number && d.number > 0 && !d.isLast(c):
+		v.headFound, v.offerErr = false, &DivergedError{number: d.number, have: d.op, offered: c.Op}
+	case c.Number == d.number, d.number == 0 && c.Number == 1:
+		v.headFound = true
 	}
 }
 
-// offerItems offers the changes that the items hold and returns what Offer reports.
+// offerItems offers the changes in the items to the holder and returns Offer's error.
 func (s source) offerItems(l []keyval.Item) error {
 	c := make([]Change, 0, len(l))
 	for _, i := range l {
@@ -134,10 +137,10 @@
 	return err
 }
 
-// unreadableOp stands for the operation of a change that cannot be read.
+// unreadableOp is the operation's id of a change that cannot be decoded.
 const unreadableOp = "unreadable"
 
-// parseChange returns the change that the item holds; one that cannot be read has its key's number and no effect.
+// parseChange returns the change in the item. A change that cannot be decoded gets its key's number and has no effect.
 func parseChange(i keyval.Item) (Change, error) {
 	n, ok := parseLogKey(i.Key())
 	if !ok {
@@ -150,22 +153,22 @@
 	return c, nil
 }
 
-// find looks for the operation in all that the service keeps of the log up to the holder's document, as the holder may have
-// begun with a snapshot; it returns the change's number, or 0.
-func (s source) find(ctx context.Context, op string) (Number, error) {
-	have, err := s.changes(ctx, 0)
+// findOp searches everything that the service keeps of the log, up to the holder's document, for the operation, because a holder
+// that started from a snapshot lacks the changes before it. It returns the change's number, or 0.
+func (s source) findOp(ctx context.Context, op string) (Number, error) {
+	have, err := s.listChanges(ctx, 0)
 	if err != nil {
 		return 0, err
 	}
 	for n, p := range have {
-		if p.change.Op == op && n <= s.holder.Document().n {
+		if p.change.Op == op && n <= s.holder.Document().number {
 			return n, nil
 		}
 	}
 	return 0, nil
 }
 
-// pullSnapshot offers the snapshot's document and returns it, nil if there is none.
+// pullSnapshot offers the snapshot's document to the holder and returns it, or nil if there is no snapshot.
 func (s source) pullSnapshot(ctx context.Context) (*Document, error) {
 	d, _, err := s.snapshot(ctx)
 	if err == nil {
@@ -174,7 +177,7 @@
 	return d, err
 }
 
-// snapshot returns the snapshot's document, nil if there is none, and the revision of its key.
+// snapshot returns the snapshot's document, or nil if there is no snapshot, and the revision of its key.
 func (s source) snapshot(ctx context.Context) (*Document, keyval.Revision, error) {
 	i, err := s.store.Get(ctx, SnapKey)
 	if err != nil || !i.Found() {
@@ -188,7 +191,7 @@
 	return d, i.Rev(), err
 }
 
-// putSnapshot writes d as the snapshot in place of the one of that revision.
+// putSnapshot writes d as the snapshot, if the revision of the snapshot's key is rev.
 func (s source) putSnapshot(ctx context.Context, d *Document, rev keyval.Revision) error {
 	b, err := d.Marshal()
 	if err != nil {
