--- a/bench/slope/size.go
+++ b/bench/slope/size.go
@@ -20,7 +20,7 @@
 	beatTurns    = 10.0   // node/relay/beater.go beatTurns
 	farRounds    = 2.0    // node/relay/beater.go farRounds
 	reportRounds = 4.0    // node/relay/beater.go reportRounds
-	auditSeconds = 20.0   // plat/conf/follow.go DefaultAudit
+	auditSeconds = 20.0   // plat/conf/follow.go DefaultAuditInterval
 	auditDepth   = 64.0   // plat/conf/follow.go auditDepth
 	auditLists   = 2.0    // plat/conf/follow.go sync: pullLog and lacks
 	rosterWait   = 30.0   // seconds; node/relay/roster.go rosterWatchFor
@@ -29,7 +29,7 @@
 	watchTicks   = 2.0    // node/leader/read.go watchWait
 	unheardTicks = 2.0    // node/leader/read.go listen
 	keptLog      = 1000.0 // changes; plat/conf/log.go DefaultTail
-	snapEvery    = 500.0  // plat/conf/compact.go SnapEvery
+	snapEvery    = 500.0  // plat/conf/compact.go SnapshotInterval
 	holdersOfKey = 2.0    // flow/ledger
 	queueBound   = 10_000 // requests; setting maxQueueRequests
 	resyncCalls  = 7.0    // of an entry after an outage: lists and watches of log and roster, the lease's key
--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -57,9 +57,9 @@
 // carrier is an entry with so many services at which nothing changes.
 type carrier int
 
-func (carrier) Applied() int64                     { return 16_000 }
-func (carrier) Since(int64) (c [][]byte, s []byte) { return nil, nil }
-func (carrier) Offer([][]byte, []byte)             {}
+func (carrier) Applied() int64                            { return 16_000 }
+func (carrier) ChangesSince(int64) (c [][]byte, s []byte) { return nil, nil }
+func (carrier) Offer([][]byte, []byte)                    {}
 func (n carrier) Report() relay.Report {
 	b, err := json.Marshal(bulletin{Version: view.Version{Fence: 1 << 20, Count: 4000}, Shares: 3 << 40})
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 	var sum atomic.Int64
 	d := net.Dialer{Timeout: time.Second}
-	c := relay.NewClient(relay.WithCallWithin(time.Second), relay.WithDial(func(x context.Context, network, addr string) (net.Conn, error) {
+	c := relay.NewClient(relay.WithCallTimeout(time.Second), relay.WithDial(func(x context.Context, network, addr string) (net.Conn, error) {
 		o, err := d.DialContext(x, network, addr)
 		return countedConn{o, &sum}, err
 	}))
--- a/bench/slopes/claims.go
+++ b/bench/slopes/claims.go
@@ -60,7 +60,7 @@
 		ks, bs, known = append(ks, k), append(bs, b), append(known, a)
 	}
 	for _, b := range bs {
-		b.Know(known)
+		b.SetEntries(known)
 	}
 	end := time.Now().Add(formed)
 	for !inForce(ks) {
@@ -91,7 +91,7 @@
 		panic(fmt.Sprint("bench: listen: ", err))
 	}
 	d := net.Dialer{Timeout: time.Second}
-	c := relay.NewClient(relay.WithCallWithin(time.Second), relay.WithDial(func(x context.Context, network, addr string) (net.Conn, error) {
+	c := relay.NewClient(relay.WithCallTimeout(time.Second), relay.WithDial(func(x context.Context, network, addr string) (net.Conn, error) {
 		o, err := d.DialContext(x, network, addr)
 		return countedConn{o, sum}, err
 	}))
@@ -113,7 +113,7 @@
 	for c := range callers {
 		g.Go(func() error {
 			for i := range n / callers {
-				t, err := k.Take(context.Background(), fmt.Sprintf("%s/%d-%d-%d", home, round, c, i), body, fmt.Sprintf("attempt-%d-%d", c, i))
+				t, err := k.ClaimKey(context.Background(), fmt.Sprintf("%s/%d-%d-%d", home, round, c, i), body, fmt.Sprintf("attempt-%d-%d", c, i))
 				if err != nil {
 					return err
 				}
--- a/fakes/cloud/conf_test.go
+++ b/fakes/cloud/conf_test.go
@@ -39,7 +39,7 @@
 	for i := range holders {
 		c, h := client(t, s, fmt.Sprint("entry-", i)), conf.NewHolder()
 		holders[i] = h
-		f := conf.NewFollower(c, h, conf.WithWait(100*time.Millisecond), conf.WithAudit(200*time.Millisecond), conf.WithSpread(50*time.Millisecond))
+		f := conf.NewFollower(c, h, conf.WithWatchTimeout(100*time.Millisecond), conf.WithAuditInterval(200*time.Millisecond), conf.WithHealJitter(50*time.Millisecond))
 		run.Go(func() error { return f.Run(ctx) })
 		k := conf.NewCommitter(c, h)
 		edit.Go(func() error {
--- a/node/conns/conns.go
+++ b/node/conns/conns.go
@@ -14,8 +14,8 @@
 var (
 	// ErrNotSent reports that no byte of the request was sent.
 	ErrNotSent = eris.New("conns: request not sent")
-	// ErrLost reports that at least a part of the request was sent, and that no whole answer to it was received.
-	ErrLost = eris.New("conns: answer lost")
+	// ErrAnswerLost reports that at least a part of the request was sent, and that no whole answer to it was received.
+	ErrAnswerLost = eris.New("conns: answer lost")
 	// ErrClosed reports that the pool is closed; nothing was sent.
 	ErrClosed = eris.New("conns: pool is closed")
 )
@@ -29,8 +29,8 @@
 	unrepeatableIdleTimeout = time.Second
 )
 
-// MarkHeader is the header that carries the id of a request to the target, which repeats it in the answer.
-const MarkHeader = "Burdock-Request"
+// RequestIDHeader is the header that carries the id of a request to the target, which repeats it in the answer.
+const RequestIDHeader = "Burdock-Request"
 
 // Pool holds the connections to one target; it is safe for concurrent use.
 type Pool struct {
@@ -49,11 +49,11 @@
 // Option configures a Pool.
 type Option func(*Pool)
 
-// WithIdle sets how long a connection may be idle; after that it is closed instead of used.
-func WithIdle(d time.Duration) Option { return func(p *Pool) { p.idleTimeout = d } }
+// WithIdleTimeout sets how long a connection may be idle; after that it is closed instead of used.
+func WithIdleTimeout(d time.Duration) Option { return func(p *Pool) { p.idleTimeout = d } }
 
-// WithConnect sets the timeout of opening a connection.
-func WithConnect(d time.Duration) Option { return func(p *Pool) { p.connectTimeout = d } }
+// WithConnectTimeout sets the timeout of opening a connection.
+func WithConnectTimeout(d time.Duration) Option { return func(p *Pool) { p.connectTimeout = d } }
 
 // WithMaxAnswer sets the largest accepted answer body in bytes.
 func WithMaxAnswer(n int) Option { return func(p *Pool) { p.maxAnswer = n } }
@@ -90,7 +90,7 @@
 // Send writes q once and reads the whole answer into a by the deadline. once means that q cannot be repeated; it then uses only a
 // connection that is new or has answered within the last second.
 //
-// The error wraps ErrNotSent or ErrLost; after an error a is empty.
+// The error wraps ErrNotSent or ErrAnswerLost; after an error a is empty.
 func (p *Pool) Send(ctx context.Context, q *fasthttp.Request, a *fasthttp.Response, deadline time.Time, once bool) error {
 	maxIdle := p.idleTimeout
 	if once {
@@ -140,27 +140,27 @@
 	}
 	a.SkipBody = q.Header.IsHead()
 	if err := readWhole(c.r, a, p.maxAnswer); err != nil {
-		return eris.Wrapf(ErrLost, "step=read peer=%s: %v", p.addr, err)
+		return eris.Wrapf(ErrAnswerLost, "step=read peer=%s: %v", p.addr, err)
 	}
 	return p.checkAnswer(c, q, a)
 }
 
-// writeError returns ErrNotSent or ErrLost for a failed write, depending on whether any byte was sent.
+// writeError returns ErrNotSent or ErrAnswerLost for a failed write, depending on whether any byte was sent.
 func (p *Pool) writeError(c *conn, err error) error {
 	if c.written == 0 {
 		return eris.Wrapf(ErrNotSent, "step=write peer=%s: %v", p.addr, err)
 	}
-	return eris.Wrapf(ErrLost, "step=write peer=%s: %v", p.addr, err)
+	return eris.Wrapf(ErrAnswerLost, "step=write peer=%s: %v", p.addr, err)
 }
 
 // checkAnswer returns an error if the answer is longer than declared or carries the id of another request.
 func (p *Pool) checkAnswer(c *conn, q *fasthttp.Request, a *fasthttp.Response) error {
 	if c.r.Buffered() > 0 {
-		return eris.Wrapf(ErrLost, "step=read peer=%s: answer is longer than it declares", p.addr)
+		return eris.Wrapf(ErrAnswerLost, "step=read peer=%s: answer is longer than it declares", p.addr)
 	}
-	id := a.Header.Peek(MarkHeader)
-	if len(id) > 0 && string(id) != string(q.Header.Peek(MarkHeader)) {
-		return eris.Wrapf(ErrLost, "step=read peer=%s: answer carries the id of another request", p.addr)
+	id := a.Header.Peek(RequestIDHeader)
+	if len(id) > 0 && string(id) != string(q.Header.Peek(RequestIDHeader)) {
+		return eris.Wrapf(ErrAnswerLost, "step=read peer=%s: answer carries the id of another request", p.addr)
 	}
 	return nil
 }
@@ -250,8 +250,8 @@
 	_ = c.Close()
 }
 
-// Reap closes the connections that have been idle for longer than the pool allows.
-func (p *Pool) Reap(now time.Time) {
+// CloseExpired closes the connections that have been idle for longer than the pool allows.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -262,8 +262,8 @@
 	p.idleConns = append(p.idleConns[:0], p.idleConns[n:]...)
 }
 
-// Open returns the number of open connections.
-func (p *Pool) Open() int {
+// OpenCount returns the number of open connections.
+func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.openConns)
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -66,7 +66,7 @@
 	var a fasthttp.Response
 	q.Header.SetMethod("POST")
 	q.SetRequestURI("http://t/x")
-	q.Header.Set(MarkHeader, id)
+	q.Header.Set(RequestIDHeader, id)
 	q.SetBodyString("order")
 	err := p.Send(context.Background(), &q, &a, time.Now().Add(wait), true)
 	return string(a.Body()), err
@@ -80,12 +80,12 @@
 	}{
 		{"whole", whole, nil},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", nil},
-		{"longer than declared", whole + "more", ErrLost},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
-		{"no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", ErrLost},
-		{"id of another request", strings.Replace(whole, ": m", ": other", 1), ErrLost},
-		{"no answer", "", ErrLost},
+		{"longer than declared", whole + "more", ErrAnswerLost},
+		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nok", ErrAnswerLost},
+		{"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrAnswerLost},
+		{"no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", ErrAnswerLost},
+		{"id of another request", strings.Replace(whole, ": m", ": other", 1), ErrAnswerLost},
+		{"no answer", "", ErrAnswerLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
@@ -104,7 +104,7 @@
 				i.Equal(body, "ok")
 			} else {
 				i.Equal(body, "") // no part of a broken answer is returned
-				i.Equal(p.Open(), 0)
+				i.Equal(p.OpenCount(), 0)
 			}
 		})
 	}
@@ -131,7 +131,7 @@
 		closed <- struct{}{}
 		return io.EOF
 	})
-	p := New(a, WithIdle(time.Hour))
+	p := New(a, WithIdleTimeout(time.Hour))
 	defer p.Close()
 	for k := range 3 {
 		var err error
@@ -172,11 +172,11 @@
 	p := New(a)
 	defer p.Close()
 	_, err := send(p, "one", 50*time.Millisecond)
-	i.True(errors.Is(err, ErrLost)) // the deadline passed while the target still ran it
-	i.Equal(p.Open(), 0)            // the connection is not used again
+	i.True(errors.Is(err, ErrAnswerLost)) // the deadline passed while the target still ran it
+	i.Equal(p.OpenCount(), 0)             // the connection is not used again
 	close(late)
 	body, err := send(p, "two", 5*time.Second)
-	i.True(errors.Is(err, ErrLost)) // an answer with the id of another request is rejected
+	i.True(errors.Is(err, ErrAnswerLost)) // an answer with the id of another request is rejected
 	i.Equal(body, "")
 }
 
@@ -205,13 +205,13 @@
 		g.Go(func() error { _, err := send(p, "m", 5*time.Second); return err })
 	}
 	i.NoErr(g.Wait())
-	i.Equal(p.Open(), idleCount)
+	i.Equal(p.OpenCount(), idleCount)
 	stalled.Store(true)
 	for len(arrived) > 0 {
 		<-arrived
 	}
 	_, err := send(p, "m", 50*time.Millisecond)
-	i.True(errors.Is(err, ErrLost))
+	i.True(errors.Is(err, ErrAnswerLost))
 	_, err = send(p, "m", 5*time.Second)
 	i.NoErr(err) // on a new connection
 }
--- a/node/conns/probe.go
+++ b/node/conns/probe.go
@@ -45,8 +45,8 @@
 // A connection that the other side has closed, or that holds a late answer, is not reusable.
 func (c *conn) reusable() bool { return c.probe == nil || c.probe.openAndEmpty() }
 
-// Gone reports whether the other side of c has closed it, without consuming data.
-func Gone(c net.Conn) bool {
+// ClosedByPeer reports whether the other side of c has closed it, without consuming data.
+func ClosedByPeer(c net.Conn) bool {
 	p := newProbe(c)
 	if p == nil {
 		return false
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -71,11 +71,11 @@
 // initRelay creates the parts that communicate with the other entries.
 func (d *Daemon) initRelay() {
 	s := d.settings
-	d.client = relay.NewClient(relay.WithCallWithin(s.PeerTimeout()))
+	d.client = relay.NewClient(relay.WithCallTimeout(s.PeerTimeout()))
 	d.keeper = relay.NewKeeper(d.self, s.DataCentre(), s.DataCentres(), d.store, d.client, relay.WithLog(d.log),
-		relay.WithBook(ledger.WithRecords(s.MaxKeys()), ledger.WithAnswerBytes(maxKeptAnswerBytes)))
+		relay.WithBookOptions(ledger.WithRecords(s.MaxKeys()), ledger.WithAnswerBytes(maxKeptAnswerBytes)))
 	d.gossip = newGossip(d)
-	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithEvery(s.Beat()), relay.WithLeader(d.gossip.leader), relay.OnBeat(d.gossip.receive))
+	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithInterval(s.Beat()), relay.WithLeader(d.gossip.leader), relay.WithOnBeat(d.gossip.receive))
 }
 
 // maxKeptAnswerBytes limits the answers kept with their idempotency keys. The oldest are evicted first.
@@ -87,10 +87,10 @@
 	d.slotLoans = &slotLoans{d: d}
 	d.entry = entry.New(s, d.log, d.conf, d.views,
 		entry.WithKeys(keyClaimer{d.keeper}), entry.WithSelf(instanceName(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.hasPlace),
-		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.Kick))
+		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.BeatNow))
 	d.loop = leader.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
 		leader.WithTick(s.Tick()), leader.WithLogger(d.log), leader.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
-		leader.WithOnEntriesGone(d.keeper.Gone))
+		leader.WithOnEntriesGone(d.keeper.SetGone))
 	d.jobs = newRunner(d)
 }
 
@@ -172,7 +172,7 @@
 
 // background starts everything except the handling of callers' requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group, l listeners) {
-	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWait(d.settings.WatchWait()))
+	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWatchTimeout(d.settings.WatchWait()))
 	server := relay.NewServer(relay.Service{Keeper: d.keeper, Beater: d.beater, Lender: d.slotLoans})
 	api := oper.New(d.settings.Name(), d.settings.OperatorTokenDigests(), configAPI{d}, fleetAPI{d}, d.burn, oper.WithLogger(d.log), d.jobs.operOption())
 	for _, f := range []func(context.Context) error{
@@ -215,7 +215,7 @@
 	for _, a := range d.settings.PeerAddrs() {
 		l = append(l, relay.NewAddress(a, a, d.settings.DataCentre()))
 	}
-	d.beater.Know(l)
+	d.beater.SetEntries(l)
 }
 
 // compact periodically writes configuration snapshots while this entry leads the first data centre in the settings.
@@ -241,7 +241,7 @@
 			case <-x.Done():
 				return nil
 			case <-s:
-				d.beater.Kick()
+				d.beater.BeatNow()
 			}
 		}
 	})
@@ -251,7 +251,7 @@
 			if d.views.Wait(x, v) != nil {
 				return nil
 			}
-			d.beater.Kick()
+			d.beater.BeatNow()
 		}
 	})
 	return g.Wait()
--- a/node/daemon/gossip.go
+++ b/node/daemon/gossip.go
@@ -53,11 +53,11 @@
 
 func newGossip(d *Daemon) *gossip { return &gossip{d: d, received: make(map[string]receivedReport)} }
 
-// Applied implements relay.Carrier.
+// Applied implements relay.EntryState.
 func (n *gossip) Applied() int64 { return int64(n.d.conf.Document().Number()) }
 
-// Since implements relay.Carrier.
-func (n *gossip) Since(after int64) (changes [][]byte, snapshot []byte) {
+// ChangesSince implements relay.EntryState.
+func (n *gossip) ChangesSince(after int64) (changes [][]byte, snapshot []byte) {
 	l, doc := n.d.conf.Since(conf.Number(after), changesPerBeat)
 	if doc != nil {
 		b, err := doc.Marshal()
@@ -74,7 +74,7 @@
 	return changes, nil
 }
 
-// Offer implements relay.Carrier.
+// Offer implements relay.EntryState.
 func (n *gossip) Offer(changes [][]byte, snapshot []byte) {
 	if len(snapshot) > 0 {
 		doc, err := conf.ParseDocument(snapshot)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Report implements relay.Carrier.
+// Report implements relay.EntryState.
 func (n *gossip) Report() relay.Report {
 	b, err := json.Marshal(n.peerReport())
 	if err != nil {
@@ -208,7 +208,7 @@
 func (n *gossip) EntryReports() []leader.EntryReport {
 	now := time.Now()
 	l := []leader.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
-	for _, p := range n.d.beater.Heard() {
+	for _, p := range n.d.beater.Peers() {
 		e := p.Address().Entry()
 		n.mu.Lock()
 		h, ok := n.received[e]
--- a/node/daemon/keys.go
+++ b/node/daemon/keys.go
@@ -15,7 +15,7 @@
 
 // Claim implements entry.Keys.
 func (k keyClaimer) Claim(ctx context.Context, key, attempt string, digest []byte) entry.Decision {
-	t, err := k.k.Take(ctx, key, digest, attempt)
+	t, err := k.k.ClaimKey(ctx, key, digest, attempt)
 	var again *relay.RepeatError
 	var refused *relay.RefusedError
 	switch {
@@ -58,7 +58,7 @@
 type keyClaim struct{ t *relay.Ticket }
 
 // Until implements entry.Claim.
-func (t keyClaim) Until() time.Time { return t.t.Until() }
+func (t keyClaim) Until() time.Time { return t.t.SendBy() }
 
 // Answered implements entry.Claim.
 func (t keyClaim) Answered(k entry.Kept) {
--- a/node/daemon/operapi.go
+++ b/node/daemon/operapi.go
@@ -19,7 +19,7 @@
 func (c configAPI) Document() *conf.Document { return c.d.conf.Document() }
 
 // At implements oper.Config.
-func (c configAPI) At(n conf.Number) (conf.Change, bool) { return c.d.conf.At(n) }
+func (c configAPI) At(n conf.Number) (conf.Change, bool) { return c.d.conf.ChangeAt(n) }
 
 // Commit implements oper.Config.
 func (c configAPI) Commit(ctx context.Context, h conf.Change) (conf.Number, error) {
@@ -61,7 +61,7 @@
 // caughtUp reports whether no peer has applied a newer change. Without a beat of any peer, it reports whether the roster has fewer
 // than two members.
 func (d *Daemon) caughtUp() bool {
-	peers := d.beater.Heard()
+	peers := d.beater.Peers()
 	if len(peers) == 0 {
 		return len(d.keeper.Roster(d.settings.DataCentre()).Members()) < 2
 	}
@@ -109,8 +109,8 @@
 		Applied: d.conf.Document().Number(), Roster: d.keeper.Roster(d.settings.DataCentre()).Number(), Leader: lead,
 	}}
 	now := time.Now()
-	for _, p := range d.beater.Heard() {
-		silent := now.Sub(p.At())
+	for _, p := range d.beater.Peers() {
+		silent := now.Sub(p.HeardAt())
 		l = append(l, oper.Entry{
 			Entry: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
 			Heard: silent < d.settings.EntryUnheard(), UnheardMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -65,7 +65,7 @@
 		}
 	}
 	s.d.entry.SetRoster(now, r.Number(), names)
-	s.d.beater.Kick()
+	s.d.beater.BeatNow()
 	return r.Number()
 }
 
@@ -86,9 +86,9 @@
 	}
 	heard := make(map[string]bool)
 	place := 0 // silent members left to other new entries whose names sort first
-	for _, p := range s.d.beater.Heard() {
+	for _, p := range s.d.beater.Peers() {
 		e := p.Address().Entry()
-		if now.Sub(p.At()) > ledger.HeartbeatTimeout || p.Address().DataCentre() != s.d.settings.DataCentre() {
+		if now.Sub(p.HeardAt()) > ledger.HeartbeatTimeout || p.Address().DataCentre() != s.d.settings.DataCentre() {
 			continue
 		}
 		_, in := r.Member(e)
--- a/node/daemon/vars.go
+++ b/node/daemon/vars.go
@@ -88,7 +88,7 @@
 	}
 	w := d.views.View()
 	v.View = ViewVars{Fence: w.Version().Fence, Count: w.Version().Count, Targets: w.Len()}
-	v.Keys.Records, v.Keys.AnswerBytes = d.keeper.Len()
+	v.Keys.Records, v.Keys.AnswerBytes = d.keeper.Size()
 	v.Keys.Roster, v.Keys.Holding = d.keeper.Roster(d.settings.DataCentre()).Number(), d.keeper.Holding()
 	return v
 }
--- a/node/entry/call.go
+++ b/node/entry/call.go
@@ -96,7 +96,7 @@
 
 // try makes one attempt and reports whether the caller has its final answer.
 func (c *call) try(ctx context.Context, m sched.SendCmd) bool {
-	if m.Attempt == 1 && time.Since(c.start) > goneAfter && conns.Gone(c.x.Conn()) {
+	if m.Attempt == 1 && time.Since(c.start) > goneAfter && conns.ClosedByPeer(c.x.Conn()) {
 		c.done(m, sched.NotSent, false)
 		c.e.count.cancelled.Add(1)
 		c.x.Response.Reset()
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -212,7 +212,7 @@
 
 func (e *Entry) reap(now time.Time) {
 	for _, t := range *e.table.Load() {
-		t.conns.Reap(now)
+		t.conns.CloseExpired(now)
 	}
 }
 
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -91,7 +91,7 @@
 		return old
 	}
 	return &target{vm: t.VM, addr: t.Addr, conns: conns.New(t.Addr,
-		conns.WithIdle(e.set.IdleConn()), conns.WithConnect(e.set.ConnectTimeout()), conns.WithMaxAnswer(e.set.MaxAnswerBytes()))}
+		conns.WithIdleTimeout(e.set.IdleConn()), conns.WithConnectTimeout(e.set.ConnectTimeout()), conns.WithMaxAnswer(e.set.MaxAnswerBytes()))}
 }
 
 // list gives each service its targets; e.tableMu is held.
--- a/node/oper/show.go
+++ b/node/oper/show.go
@@ -51,7 +51,7 @@
 	r := Objects[T]{Number: d.Number(), Items: []Object[T]{}}
 	for _, v := range all {
 		if want == "" || name(v) == want {
-			r.Items = append(r.Items, Object[T]{Spec: v, Changed: d.Changed(k, name(v))})
+			r.Items = append(r.Items, Object[T]{Spec: v, Changed: d.LastChange(k, name(v))})
 		}
 	}
 	if want != "" && len(r.Items) == 0 {
@@ -68,7 +68,7 @@
 	r := Objects[conf.ApprovalSpec]{Number: d.Number(), Items: []Object[conf.ApprovalSpec]{}}
 	for _, v := range d.Approvals() {
 		if matches(team, v.Team) && matches(service, v.Service) {
-			n := d.Changed(conf.Approve, conf.ApprovalName(v.Team, v.Service))
+			n := d.LastChange(conf.Approve, conf.ApprovalName(v.Team, v.Service))
 			r.Items = append(r.Items, Object[conf.ApprovalSpec]{Spec: v, Changed: n})
 		}
 	}
--- a/node/relay/beater.go
+++ b/node/relay/beater.go
@@ -33,13 +33,13 @@
 	Members                   []byte // delta of the membership document, from the leader
 }
 
-// Carrier provides the local state that beats send, and takes configuration changes from peers.
-type Carrier interface {
+// EntryState provides the local state that beats send, and takes configuration changes from peers.
+type EntryState interface {
 	// Applied returns the number of the newest configuration change in force.
 	Applied() int64
-	// Since returns the changes after change n in order, few enough for one beat, or a whole document when those changes are no
+	// ChangesSince returns the changes after change n in order, few enough for one beat, or a whole document when those changes are no
 	// longer held.
-	Since(n int64) (changes [][]byte, snapshot []byte)
+	ChangesSince(n int64) (changes [][]byte, snapshot []byte)
 	// Offer passes on changes, or a whole document, received from a peer.
 	Offer(changes [][]byte, snapshot []byte)
 	// Report returns the state to send to entries of the local data centre.
@@ -50,7 +50,7 @@
 type Beater struct {
 	keeper   *Keeper
 	client   *Client
-	state    Carrier
+	state    EntryState
 	interval time.Duration
 	leader   func() string
 	onBeat   func(Peer, []byte)
@@ -67,19 +67,19 @@
 // BeaterOption configures a Beater.
 type BeaterOption func(*Beater)
 
-// WithEvery sets the time between rounds of beats.
-func WithEvery(d time.Duration) BeaterOption { return func(b *Beater) { b.interval = d } }
+// WithInterval sets the time between rounds of beats.
+func WithInterval(d time.Duration) BeaterOption { return func(b *Beater) { b.interval = d } }
 
 // WithLeader sets how the leader of the local data centre is found. Loads go to the leader alone, every fourth round, and to all
 // local entries while f returns an empty name.
 func WithLeader(f func() string) BeaterOption { return func(b *Beater) { b.leader = f } }
 
-// OnBeat sets a function that is called after each received beat, with the sender and its delta of the membership document. It
+// WithOnBeat sets a function that is called after each received beat, with the sender and its delta of the membership document. It
 // must not block.
-func OnBeat(f func(p Peer, members []byte)) BeaterOption { return func(b *Beater) { b.onBeat = f } }
+func WithOnBeat(f func(p Peer, members []byte)) BeaterOption { return func(b *Beater) { b.onBeat = f } }
 
 // NewBeater returns the beater of the keeper's entry. It beats at once when the keeper's roster or state changes.
-func NewBeater(k *Keeper, c *Client, r Carrier, o ...BeaterOption) *Beater {
+func NewBeater(k *Keeper, c *Client, r EntryState, o ...BeaterOption) *Beater {
 	b := &Beater{
 		keeper: k, client: c, state: r, interval: beatInterval, leader: func() string { return "" }, onBeat: func(Peer, []byte) {},
 		peers: map[string]Peer{}, beatRequests: make(chan struct{}, 1), aheadPeers: make(chan Address, 8),
@@ -88,28 +88,28 @@
 		f(b)
 	}
 	k.mu.Lock()
-	k.onChange = b.Kick
+	k.onChange = b.BeatNow
 	k.mu.Unlock()
 	return b
 }
 
-// Know replaces the list of known entries of all data centres.
-func (b *Beater) Know(l []Address) {
+// SetEntries replaces the list of known entries of all data centres.
+func (b *Beater) SetEntries(l []Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = slices.Clone(l)
 }
 
-// Kick sends a beat to the entries of the local data centre at once, because the state to report has changed. It does not block.
-func (b *Beater) Kick() {
+// BeatNow sends a beat to the entries of the local data centre at once, because the state to report has changed. It does not block.
+func (b *Beater) BeatNow() {
 	select {
 	case b.beatRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Heard returns what the other entries last reported, sorted by their ids.
-func (b *Beater) Heard() []Peer {
+// Peers returns what the other entries last reported, sorted by their ids.
+func (b *Beater) Peers() []Peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := make([]Peer, 0, len(b.peers))
@@ -186,7 +186,7 @@
 	}
 	switch {
 	case o.Applied > r.GetApplied():
-		o.Changes, o.Snapshot = b.state.Since(r.GetApplied())
+		o.Changes, o.Snapshot = b.state.ChangesSince(r.GetApplied())
 	case o.Applied < r.GetApplied():
 		select {
 		case b.aheadPeers <- p.address:
@@ -207,7 +207,7 @@
 	if len(o.GetChanges()) > 0 || len(o.GetSnapshot()) > 0 {
 		b.state.Offer(o.GetChanges(), o.GetSnapshot())
 	}
-	if err := b.keeper.Learn(o.GetRosterDocument()); err != nil {
+	if err := b.keeper.LearnRoster(o.GetRosterDocument()); err != nil {
 		b.keeper.log.Warn().Err(err).Str("step", "beat").Str("peer", a.entry).Msg("roster unreadable")
 	}
 }
@@ -311,7 +311,7 @@
 		d := slices.Sorted(maps.Keys(remote))
 		l = append(l, rotate(remote[d[k%len(d)]], k/len(d), 1)...)
 	}
-	return slices.DeleteFunc(l, func(a Address) bool { return n%openCircuitRounds != 0 && b.client.Open(a.addr) })
+	return slices.DeleteFunc(l, func(a Address) bool { return n%openCircuitRounds != 0 && b.client.CircuitOpen(a.addr) })
 }
 
 // rotate returns the n-th group of k elements of l, wrapping around at its end.
--- a/node/relay/bench_test.go
+++ b/node/relay/bench_test.go
@@ -26,7 +26,7 @@
 	n := benchFleet(b)[0]
 	b.ReportAllocs()
 	for k := range b.N {
-		t, err := n.Take(n.ctx, fmt.Sprint("east/", k), body, "1")
+		t, err := n.ClaimKey(n.ctx, fmt.Sprint("east/", k), body, "1")
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			id := n.nextBenchKey()
-			t, err := n.Take(n.ctx, id, body, "1")
+			t, err := n.ClaimKey(n.ctx, id, body, "1")
 			if err != nil {
 				b.Error(err)
 				return
--- a/node/relay/chaos_test.go
+++ b/node/relay/chaos_test.go
@@ -69,7 +69,7 @@
 	}
 	time.Sleep(ledger.RecordTTL)
 	for i, n := range l {
-		if _, err := n.Take(n.ctx, fmt.Sprint("east/fresh", i), body, "1"); err != nil {
+		if _, err := n.ClaimKey(n.ctx, fmt.Sprint("east/fresh", i), body, "1"); err != nil {
 			c.t.Errorf("a fresh key at %s: %v", n.self.Entry, err)
 		}
 	}
@@ -107,7 +107,7 @@
 	id := fmt.Sprint("copy", c.copies)
 	c.mu.Unlock()
 	start := time.Now()
-	t, err := n.Take(n.ctx, key, body, id)
+	t, err := n.ClaimKey(n.ctx, key, body, id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var no *RefusedError
--- a/node/relay/client.go
+++ b/node/relay/client.go
@@ -42,8 +42,8 @@
 // ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithCallWithin sets the timeout of all calls except Records; an earlier deadline of the context applies too.
-func WithCallWithin(d time.Duration) ClientOption { return func(c *Client) { c.callTimeout = d } }
+// WithCallTimeout sets the timeout of all calls except Records; an earlier deadline of the context applies too.
+func WithCallTimeout(d time.Duration) ClientOption { return func(c *Client) { c.callTimeout = d } }
 
 // WithDial sets how connections are opened.
 func WithDial(f DialFunc) ClientOption { return func(c *Client) { c.dial = f } }
@@ -67,8 +67,8 @@
 	}
 }
 
-// Open reports whether the peer's circuit is open, so that calls to it fail at once.
-func (c *Client) Open(addr string) bool { return c.peer(addr).isOpen() }
+// CircuitOpen reports whether the peer's circuit is open, so that calls to it fail at once.
+func (c *Client) CircuitOpen(addr string) bool { return c.peer(addr).isOpen() }
 
 // Beat sends this entry's state to the peer at addr, also when the circuit is open.
 func (c *Client) Beat(ctx context.Context, addr string, r *BeatRequest) (*BeatReply, error) {
@@ -90,7 +90,7 @@
 	}
 	a, err := call(ctx, c, callOptions{name: "claim"}, addr, &BatchRequest{Claims: l}, Relay.Batch)
 	if err == nil && len(a.GetClaims()) != len(l) {
-		err = wrapErr("claim", addr, eris.Wrap(ErrCall, "number of answers differs from number of claims"))
+		err = wrapErr("claim", addr, eris.Wrap(ErrCallFailed, "number of answers differs from number of claims"))
 	}
 	return a.GetClaims(), err
 }
@@ -129,7 +129,7 @@
 	var none A
 	l := c.peer(addr)
 	if !l.allow(s.force) {
-		return none, wrapErr(s.name, addr, ErrOpen)
+		return none, wrapErr(s.name, addr, ErrCircuitOpen)
 	}
 	if s.timeout == 0 {
 		s.timeout = c.callTimeout
@@ -139,7 +139,7 @@
 	a, err := f(l.relay, t, q)
 	if err != nil {
 		l.recordFailure(ctx.Err() != nil)
-		return none, wrapErr(s.name, addr, eris.Wrap(ErrCall, err.Error()))
+		return none, wrapErr(s.name, addr, eris.Wrap(ErrCallFailed, err.Error()))
 	}
 	l.recordSuccess()
 	return a, nil
--- a/node/relay/errors.go
+++ b/node/relay/errors.go
@@ -10,10 +10,10 @@
 )
 
 var (
-	// ErrOpen reports that the peer's circuit is open after several failed calls, so that no call was sent.
-	ErrOpen = eris.New("relay: peer's circuit is open")
-	// ErrCall reports that a call was sent and failed; the peer may have carried it out.
-	ErrCall = eris.New("relay: call failed")
+	// ErrCircuitOpen reports that the peer's circuit is open after several failed calls, so that no call was sent.
+	ErrCircuitOpen = eris.New("relay: peer's circuit is open")
+	// ErrCallFailed reports that a call was sent and failed; the peer may have carried it out.
+	ErrCallFailed = eris.New("relay: call failed")
 )
 
 func wrapErr(step, peer string, err error) error {
--- a/node/relay/example_test.go
+++ b/node/relay/example_test.go
@@ -20,13 +20,13 @@
 	k := relay.NewKeeper(self, "east", []string{"east"}, keyval.NewMemory(), c)
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.Run(x) })
-	k.Wait(ctx)
+	k.WaitForRoster(ctx)
 
-	t, err := k.Take(ctx, "order 17", []byte("digest"), "first copy")
+	t, err := k.ClaimKey(ctx, "order 17", []byte("digest"), "first copy")
 	fmt.Println(err)
 	t.Settle(ledger.Answered, 200, "text/plain", []byte("ordered"))
 
-	_, err = k.Take(ctx, "order 17", []byte("digest"), "second copy")
+	_, err = k.ClaimKey(ctx, "order 17", []byte("digest"), "second copy")
 	var r *relay.RepeatError
 	if errors.As(err, &r) {
 		a, _ := r.Answer()
--- a/node/relay/fleet_test.go
+++ b/node/relay/fleet_test.go
@@ -36,7 +36,7 @@
 	return q.applied
 }
 
-func (q *fakeState) Since(n int64) ([][]byte, []byte) {
+func (q *fakeState) ChangesSince(n int64) ([][]byte, []byte) {
 	return [][]byte{{byte(n + 1)}}, nil
 }
 
@@ -216,14 +216,14 @@
 	f.addrs = append(f.addrs, NewAddress(entry, m.Addr, dataCentre))
 	f.nodes = append(f.nodes, n)
 	for _, o := range f.nodes {
-		o.beater.Know(f.addrs)
+		o.beater.SetEntries(f.addrs)
 	}
 	ctx, end := context.WithCancel(f.t.Context())
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.Run(x) })
 	g.Go(func() error { return n.beater.Run(x) })
 	g.Go(func() error {
-		return NewServer(Service{n.Keeper, n.beater, fakeLender{}}, WithStopWithin(time.Second)).Serve(x, l)
+		return NewServer(Service{n.Keeper, n.beater, fakeLender{}}, WithStopTimeout(time.Second)).Serve(x, l)
 	})
 	n.ctx, n.group, n.end = x, g, func() { end(); _ = g.Wait(); c.Close() }
 	f.t.Cleanup(n.kill)
@@ -234,7 +234,7 @@
 func (f *fleet) reportGone(l ...string) {
 	for _, n := range slices.Backward(f.nodes) {
 		if n.ctx.Err() == nil {
-			n.Gone(l)
+			n.SetGone(l)
 			return
 		}
 	}
--- a/node/relay/keeper.go
+++ b/node/relay/keeper.go
@@ -52,8 +52,8 @@
 // WithLog sets the logger; the default discards everything.
 func WithLog(l zerolog.Logger) KeeperOption { return func(k *Keeper) { k.log = l } }
 
-// WithBook sets options of the entry's ledger.Book.
-func WithBook(o ...ledger.BookOption) KeeperOption {
+// WithBookOptions sets options of the entry's ledger.Book.
+func WithBookOptions(o ...ledger.BookOption) KeeperOption {
 	return func(k *Keeper) { k.bookOptions = append(k.bookOptions, o...) }
 }
 
@@ -101,23 +101,23 @@
 	return k.book.ActiveRoster()
 }
 
-// Len returns the number of records and the bytes of stored answers.
-func (k *Keeper) Len() (records, answerBytes int) {
+// Size returns the number of records and the bytes of stored answers.
+func (k *Keeper) Size() (records, answerBytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Len(), k.book.AnswerBytes()
 }
 
-// Gone sets the entries that have left the fleet according to the platform's list. The list is valid for 30 s. One entry that reads the
+// SetGone sets the entries that have left the fleet according to the platform's list. The list is valid for 30 s. One entry that reads the
 // list is enough, for example the leader, because beats carry the result to the others.
-func (k *Keeper) Gone(entries []string) {
+func (k *Keeper) SetGone(entries []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.membership.UpdateVMList(ledger.VMListMsg{Now: k.now(), Gone: entries})
 }
 
-// Learn adopts a roster document if it is newer than the known roster of its data centre; an empty document is ignored.
-func (k *Keeper) Learn(doc []byte) error {
+// LearnRoster adopts a roster document if it is newer than the known roster of its data centre; an empty document is ignored.
+func (k *Keeper) LearnRoster(doc []byte) error {
 	if len(doc) == 0 {
 		return nil
 	}
@@ -215,7 +215,7 @@
 
 // Records implements Relay.
 func (k *Keeper) Records(_ context.Context, r *RecordsRequest) (*RecordsReply, error) {
-	if err := k.Learn(r.GetRosterDocument()); err != nil {
+	if err := k.LearnRoster(r.GetRosterDocument()); err != nil {
 		return nil, err
 	}
 	k.mu.Lock()
@@ -283,8 +283,8 @@
 	return k.membership.Leaving()
 }
 
-// Wait returns when a roster is in force at this entry, or when ctx ends.
-func (k *Keeper) Wait(ctx context.Context) {
+// WaitForRoster returns when a roster is in force at this entry, or when ctx ends.
+func (k *Keeper) WaitForRoster(ctx context.Context) {
 	for k.Holding() == 0 && ctx.Err() == nil {
 		sleep(ctx, tickInterval/4)
 	}
--- a/node/relay/keeper_test.go
+++ b/node/relay/keeper_test.go
@@ -32,14 +32,14 @@
 
 func wantGranted(i *is.I, n *node, key, attempt string) *Ticket {
 	i.Helper()
-	t, err := n.Take(n.ctx, key, body, attempt)
+	t, err := n.ClaimKey(n.ctx, key, body, attempt)
 	i.NoErr(err)
 	return t
 }
 
 func wantRepeated(i *is.I, n *node, key, attempt string, p ledger.Phase) *RepeatError {
 	i.Helper()
-	_, err := n.Take(n.ctx, key, body, attempt)
+	_, err := n.ClaimKey(n.ctx, key, body, attempt)
 	var r *RepeatError
 	i.True(errors.As(err, &r)) // repeat
 	i.Equal(r.Phase(), p)
@@ -48,7 +48,7 @@
 
 func wantRefused(i *is.I, n *node, key, attempt string, why ledger.Reason, notRun bool) {
 	i.Helper()
-	_, err := n.Take(n.ctx, key, body, attempt)
+	_, err := n.ClaimKey(n.ctx, key, body, attempt)
 	var r *RefusedError
 	i.True(errors.As(err, &r)) // refused
 	i.Equal(r.Reason(), why)
@@ -113,7 +113,7 @@
 	})
 	inVirtualTime(t, "another request under the key", three, func(i *is.I, _ *fleet, n []*node) {
 		wantGranted(i, n[0], "east/x", "1")
-		_, err := n[1].Take(n[1].ctx, "east/x", []byte("other"), "2")
+		_, err := n[1].ClaimKey(n[1].ctx, "east/x", []byte("other"), "2")
 		var r *RefusedError
 		i.True(errors.As(err, &r))
 		i.Equal(r.Reason(), ledger.OtherRequest)
@@ -258,7 +258,7 @@
 	k := wantGranted(i, a, "west/x", "1")
 	settleAnswered(k, "west/x")
 	for {
-		_, err := b.Take(b.ctx, "west/x", body, "2")
+		_, err := b.ClaimKey(b.ctx, "west/x", body, "2")
 		var r *RepeatError
 		i.True(errors.As(err, &r))
 		if r.Phase() == ledger.Answered {
@@ -270,26 +270,26 @@
 	i.NoErr(err)
 	i.Equal(g.GetGrants()[0].GetSlots(), int32(2))
 	_, err = a.client.Claim(a.ctx, "127.0.0.1:1", &ClaimRequest{})
-	i.True(errors.Is(err, ErrCall))
+	i.True(errors.Is(err, ErrCallFailed))
 }
 
 func TestBeats(t *testing.T) {
 	inVirtualTime(t, "changes pass from entry to entry", []string{"a", "b"}, func(i *is.I, _ *fleet, n []*node) {
 		n[0].state.Offer([][]byte{{1}}, nil)
-		n[0].beater.Kick()
+		n[0].beater.BeatNow()
 		synctest.Wait()
 		i.Equal(n[1].state.Applied(), int64(1))
-		h := n[1].beater.Heard()
+		h := n[1].beater.Peers()
 		i.Equal(len(h), 1)
 		i.Equal(h[0].Address().Entry(), "a")
 		i.Equal(h[0].Applied(), int64(1))
 	})
 	inVirtualTime(t, "loads go to the leader alone", []string{"a", "b", "c"}, func(i *is.I, _ *fleet, n []*node) {
 		time.Sleep(5 * time.Second)
-		for k, p := range n[1].beater.Heard() { // b leads
+		for k, p := range n[1].beater.Peers() { // b leads
 			i.Equal(len(p.Loads()), 1)
-			i.True(time.Since(p.At()) < time.Second)
-			i.Equal(len(n[2*k].beater.Heard()[0].Loads()), 0)
+			i.True(time.Since(p.HeardAt()) < time.Second)
+			i.Equal(len(n[2*k].beater.Peers()[0].Loads()), 0)
 		}
 	})
 	inVirtualTime(t, "a claim ends when its caller cancels it", []string{"a", "b", "c"}, func(i *is.I, f *fleet, n []*node) {
@@ -298,7 +298,7 @@
 		f.network.silence(n[2].self.Addr, true)
 		c, end := context.WithTimeout(n[0].ctx, 100*time.Millisecond)
 		defer end()
-		_, err := n[0].Take(c, key, body, "1")
+		_, err := n[0].ClaimKey(c, key, body, "1")
 		var r *RefusedError
 		i.True(errors.As(err, &r))
 		i.Equal(r.Reason(), ledger.Withdrawn)
--- a/node/relay/peer.go
+++ b/node/relay/peer.go
@@ -42,11 +42,11 @@
 // Incarnation returns the number of the peer's current start; a restarted entry has a higher one.
 func (p Peer) Incarnation() int64 { return p.incarnation }
 
-// At returns when the peer was last heard.
-func (p Peer) At() time.Time { return p.heardAt }
+// HeardAt returns when the peer was last heard.
+func (p Peer) HeardAt() time.Time { return p.heardAt }
 
-// Reported returns when the peer last reported its loads.
-func (p Peer) Reported() time.Time { return p.loadsReportedAt }
+// LoadsReportedAt returns when the peer last reported its loads.
+func (p Peer) LoadsReportedAt() time.Time { return p.loadsReportedAt }
 
 // Applied returns the number of the newest configuration change in force at the peer.
 func (p Peer) Applied() int64 { return p.applied }
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -41,8 +41,8 @@
 // ServerOption configures a Server.
 type ServerOption func(*Server)
 
-// WithStopWithin sets how long requests in flight may take to finish when the server stops.
-func WithStopWithin(d time.Duration) ServerOption { return func(s *Server) { s.stopTimeout = d } }
+// WithStopTimeout sets how long requests in flight may take to finish when the server stops.
+func WithStopTimeout(d time.Duration) ServerOption { return func(s *Server) { s.stopTimeout = d } }
 
 // NewServer returns a server that passes calls to h.
 func NewServer(h Relay, o ...ServerOption) *Server {
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -17,8 +17,8 @@
 	sendBy     time.Time
 }
 
-// Until returns the time after which the copy must not be sent.
-func (t *Ticket) Until() time.Time { return t.sendBy }
+// SendBy returns the time after which the copy must not be sent.
+func (t *Ticket) SendBy() time.Time { return t.sendBy }
 
 // Settle delivers the outcome of the copy to the holders, in the background. It copies answer and may be called once.
 //
@@ -43,10 +43,10 @@
 	claim   *ledger.Claim
 }
 
-// Take claims key for one copy of a request. attemptID must be unique to the copy, and digest identifies the contents of the request.
+// ClaimKey claims key for one copy of a request. attemptID must be unique to the copy, and digest identifies the contents of the request.
 //
 // The error is a *RepeatError if another copy has claimed the key, or a *RefusedError. After an error the copy must not be sent.
-func (k *Keeper) Take(ctx context.Context, key string, digest []byte, attemptID string) (*Ticket, error) {
+func (k *Keeper) ClaimKey(ctx context.Context, key string, digest []byte, attemptID string) (*Ticket, error) {
 	a := &attempt{
 		k: k, home: ledger.HomeDataCentre(key, k.dataCentres), id: ledger.NewID(key),
 		digest: ledger.NewDigest(digest), attempt: ledger.NewAttempt(attemptID),
@@ -116,7 +116,7 @@
 	a.request.Roster = c.Roster
 	w, err := a.k.client.Claim(ctx, c.Holder.Addr, a.request)
 	if err == nil {
-		err = a.k.Learn(w.GetRosterDocument())
+		err = a.k.LearnRoster(w.GetRosterDocument())
 	}
 	var r ledger.ClaimReply
 	if err == nil {
--- a/plat/conf/compact.go
+++ b/plat/conf/compact.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// SnapEvery is the number of changes between two snapshots.
-	SnapEvery = 500
-	// PruneStep is the largest number of changes that one Step deletes.
-	PruneStep = 100
+	// SnapshotInterval is the number of changes between two snapshots.
+	SnapshotInterval = 500
+	// PruneBatch is the largest number of changes that one Step deletes.
+	PruneBatch = 100
 )
 
 // Compactor limits what a new entry has to read and what the service stores. One entry of the fleet runs it.
@@ -28,16 +28,16 @@
 	return &Compactor{source: source{store: store, holder: holder}}
 }
 
-// Step writes a snapshot if there have been SnapEvery changes since the last one. Otherwise it deletes up to PruneStep changes
-// that are more than PruneBehind before the snapshot. It is called every few seconds and makes no call to the service if there
+// Step writes a snapshot if there have been SnapshotInterval changes since the last one. Otherwise it deletes up to PruneBatch changes
+// that are more than RetainedChanges before the snapshot. It is called every few seconds and makes no call to the service if there
 // is nothing to do.
 func (c *Compactor) Step(ctx context.Context) error {
 	d := c.source.holder.Document()
-	if d.number-c.snapshotNumber >= SnapEvery {
+	if d.number-c.snapshotNumber >= SnapshotInterval {
 		return c.snapshot(ctx, d)
 	}
-	if c.snapshotNumber-PruneBehind > c.prunedUpTo {
-		return c.prune(ctx, c.snapshotNumber-PruneBehind)
+	if c.snapshotNumber-RetainedChanges > c.prunedUpTo {
+		return c.prune(ctx, c.snapshotNumber-RetainedChanges)
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if old != nil && old.number > d.number-SnapEvery {
+	if old != nil && old.number > d.number-SnapshotInterval {
 		c.snapshotNumber = old.number
 		return nil
 	}
@@ -81,7 +81,7 @@
 }
 
 func (c *Compactor) prune(ctx context.Context, upTo Number) error {
-	l, _, err := c.source.store.List(ctx, LogPrefix, "", PruneStep)
+	l, _, err := c.source.store.List(ctx, LogPrefix, "", PruneBatch)
 	if err != nil {
 		return eris.Wrap(err, "list changes to prune")
 	}
@@ -95,7 +95,7 @@
 			return eris.Wrapf(err, "prune change %d", n)
 		}
 	}
-	if len(l) < PruneStep {
+	if len(l) < PruneBatch {
 		c.prunedUpTo = upTo
 	}
 	return nil
--- a/plat/conf/conf_test.go
+++ b/plat/conf/conf_test.go
@@ -103,7 +103,7 @@
 	is.True(ok)
 	is.Equal(team.Name, "reception")
 	is.True(d.Approved("reception", "routes"))
-	is.Equal(d.Changed(conf.Approve, conf.ApprovalName("reception", "routes")), conf.Number(6))
+	is.Equal(d.LastChange(conf.Approve, conf.ApprovalName("reception", "routes")), conf.Number(6))
 	p, _ := d.Profile("gold")
 	is.Equal(p.UrgentStartMillis, conf.DefaultUrgentStartMillis)
 
--- a/plat/conf/follow.go
+++ b/plat/conf/follow.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// DefaultWait is the longest time that one watch waits for changes.
-	DefaultWait = 3 * time.Second
-	// DefaultAudit is the time between two audits, which check that the service still has the recent changes.
-	DefaultAudit = 20 * time.Second
-	// DefaultPace is the shortest time between two watches, so that a burst of changes costs few calls.
-	DefaultPace = 50 * time.Millisecond
-	// DefaultSpread is the longest random wait before an entry heals a service that lacks changes, so that not all entries do it
+	// DefaultWatchTimeout is the longest time that one watch waits for changes.
+	DefaultWatchTimeout = 3 * time.Second
+	// DefaultAuditInterval is the time between two audits, which check that the service still has the recent changes.
+	DefaultAuditInterval = 20 * time.Second
+	// DefaultMinWatchInterval is the shortest time between two watches, so that a burst of changes costs few calls.
+	DefaultMinWatchInterval = 50 * time.Millisecond
+	// DefaultHealJitter is the longest random wait before an entry heals a service that lacks changes, so that not all entries do it
 	// at once.
-	DefaultSpread = time.Second
+	DefaultHealJitter = time.Second
 )
 
 // auditDepth is the number of recent changes that an audit checks.
@@ -49,23 +49,27 @@
 // WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) FollowOption { return func(f *Follower) { f.log = l } }
 
-// WithWait sets the longest time that one watch waits for changes.
-func WithWait(d time.Duration) FollowOption { return func(f *Follower) { f.watchTimeout = d } }
+// WithWatchTimeout sets the longest time that one watch waits for changes.
+func WithWatchTimeout(d time.Duration) FollowOption { return func(f *Follower) { f.watchTimeout = d } }
 
-// WithAudit sets the time between two audits, which check that the service still has the recent changes.
-func WithAudit(d time.Duration) FollowOption { return func(f *Follower) { f.auditInterval = d } }
+// WithAuditInterval sets the time between two audits, which check that the service still has the recent changes.
+func WithAuditInterval(d time.Duration) FollowOption {
+	return func(f *Follower) { f.auditInterval = d }
+}
 
-// WithPace sets the shortest time between two watches.
-func WithPace(d time.Duration) FollowOption { return func(f *Follower) { f.minWatchInterval = d } }
+// WithMinWatchInterval sets the shortest time between two watches.
+func WithMinWatchInterval(d time.Duration) FollowOption {
+	return func(f *Follower) { f.minWatchInterval = d }
+}
 
-// WithSpread sets the longest random wait before an entry heals a service that lacks changes.
-func WithSpread(d time.Duration) FollowOption { return func(f *Follower) { f.healJitter = d } }
+// WithHealJitter sets the longest random wait before an entry heals a service that lacks changes.
+func WithHealJitter(d time.Duration) FollowOption { return func(f *Follower) { f.healJitter = d } }
 
 // NewFollower returns a follower that synchronises holder with the log in store.
 func NewFollower(store keyval.Store, holder *Holder, opts ...FollowOption) *Follower {
 	f := &Follower{
 		source: source{store: store, holder: holder}, log: zerolog.Nop(),
-		watchTimeout: DefaultWait, auditInterval: DefaultAudit, minWatchInterval: DefaultPace, healJitter: DefaultSpread,
+		watchTimeout: DefaultWatchTimeout, auditInterval: DefaultAuditInterval, minWatchInterval: DefaultMinWatchInterval, healJitter: DefaultHealJitter,
 	}
 	for _, o := range opts {
 		o(f)
--- a/plat/conf/follow_test.go
+++ b/plat/conf/follow_test.go
@@ -68,7 +68,7 @@
 		})
 
 		behind := conf.NewHolder()
-		old, _ := h.At(701)
+		old, _ := h.ChangeAt(701)
 		is.Equal(old.Number, conf.Number(701))
 		_, err = behind.Offer(putPool(1, "a")) // another history, whose changes have been pruned
 		is.NoErr(err)
--- a/plat/conf/heal.go
+++ b/plat/conf/heal.go
@@ -75,7 +75,7 @@
 // retained returns the changes up to n that the holder still keeps, in ascending order.
 func (s source) retained(n Number) []Change {
 	var l []Change
-	for c, ok := s.holder.At(n); ok; c, ok = s.holder.At(c.Number - 1) {
+	for c, ok := s.holder.ChangeAt(n); ok; c, ok = s.holder.ChangeAt(c.Number - 1) {
 		l = append(l, c)
 	}
 	slices.Reverse(l)
--- a/plat/conf/holder.go
+++ b/plat/conf/holder.go
@@ -63,11 +63,11 @@
 	return h.log.FindOp(op)
 }
 
-// At is Log.At.
-func (h *Holder) At(n Number) (Change, bool) {
+// ChangeAt is Log.ChangeAt.
+func (h *Holder) ChangeAt(n Number) (Change, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.log.At(n)
+	return h.log.ChangeAt(n)
 }
 
 // Subscribe returns a channel that receives one value after one or more changes. It receives none after ctx ends.
--- a/plat/conf/log.go
+++ b/plat/conf/log.go
@@ -6,11 +6,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// PruneBehind is the number of changes before the snapshot that the service keeps.
-const PruneBehind = 1_000
+// RetainedChanges is the number of changes before the snapshot that the service keeps.
+const RetainedChanges = 1_000
 
-// DefaultTail is the number of recent changes that a log keeps; at most PruneBehind, so that no pruned change is written back.
-const DefaultTail = PruneBehind
+// DefaultTail is the number of recent changes that a log keeps; at most RetainedChanges, so that no pruned change is written back.
+const DefaultTail = RetainedChanges
 
 // Log is a document and the recent changes that led to it. Its number never goes down. It is not safe for concurrent use.
 type Log struct {
@@ -22,9 +22,9 @@
 // LogOption adjusts a log.
 type LogOption func(*Log)
 
-// WithTail sets the number of recent changes that the log keeps, 1 to PruneBehind.
+// WithTail sets the number of recent changes that the log keeps, 1 to RetainedChanges.
 func WithTail(n int) LogOption {
-	return func(l *Log) { l.tailLimit = min(max(n, 1), PruneBehind) }
+	return func(l *Log) { l.tailLimit = min(max(n, 1), RetainedChanges) }
 }
 
 // NewLog returns a log at the empty document.
@@ -84,14 +84,14 @@
 		}
 		return &DivergedError{number: c.Number, have: l.doc.op, offered: c.Op}
 	}
-	if have, ok := l.At(c.Number); ok && !have.matches(c) {
+	if have, ok := l.ChangeAt(c.Number); ok && !have.matches(c) {
 		return &DivergedError{number: c.Number, have: have.Op, offered: c.Op}
 	}
 	return nil
 }
 
-// At returns change n, if the log still keeps it.
-func (l *Log) At(n Number) (Change, bool) {
+// ChangeAt returns change n, if the log still keeps it.
+func (l *Log) ChangeAt(n Number) (Change, bool) {
 	i := int(n - l.first())
 	if i < 0 || i >= len(l.tail) {
 		return Change{}, false
--- a/plat/conf/script_test.go
+++ b/plat/conf/script_test.go
@@ -75,7 +75,7 @@
 		is := is.New(t)
 		m, h := keyval.NewMemory(), conf.NewHolder()
 		commitUpTo(t, m, h, 3)
-		c, _ := h.At(2)
+		c, _ := h.ChangeAt(2)
 		c.Number, c.Prev = 4, "another"
 		v, err := json.Marshal(c)
 		is.NoErr(err)
@@ -93,7 +93,7 @@
 func storeChanges(t *testing.T, m *keyval.Memory, h *conf.Holder, from, to conf.Number) {
 	t.Helper()
 	for n := from; n <= to; n++ {
-		c, _ := h.At(n)
+		c, _ := h.ChangeAt(n)
 		v, err := json.Marshal(c)
 		if err == nil {
 			_, err = m.Put(t.Context(), conf.LogKey(n), v, keyval.Absent, 0)
@@ -130,7 +130,7 @@
 	is.True(fullLists > 3) // the merge started again
 	seen := map[string]bool{}
 	for n := conf.Number(1); n <= own.Document().Number(); n++ {
-		c, _ := own.At(n)
+		c, _ := own.ChangeAt(n)
 		is.True(!seen[c.Op]) // each once
 		seen[c.Op] = true
 	}
@@ -140,9 +140,9 @@
 func TestNoSnapshotOfAnUnknownHistory(t *testing.T) {
 	is := is.New(t)
 	m, h := keyval.NewMemory(), conf.NewHolder()
-	commitUpTo(t, keyval.NewMemory(), h, conf.SnapEvery)
+	commitUpTo(t, keyval.NewMemory(), h, conf.SnapshotInterval)
 	is.True(conf.NewCompactor(m, h).Step(t.Context()) != nil)
-	i, err := m.Get(t.Context(), conf.SnapKey)
+	i, err := m.Get(t.Context(), conf.SnapshotKey)
 	is.NoErr(err)
 	is.True(!i.Found())
 }
@@ -154,7 +154,7 @@
 	m, h := keyval.NewMemory(), conf.NewHolder()
 	commitUpTo(t, m, h, 600)
 	is.NoErr(conf.NewCompactor(m, h).Step(t.Context()))
-	c, _ := h.At(400)
+	c, _ := h.ChangeAt(400)
 	n, err := conf.NewCommitter(m, conf.NewHolder()).Repeat(t.Context(), conf.Change{Op: c.Op, Kind: c.Kind, Pool: c.Pool})
 	is.NoErr(err)
 	is.Equal(n, conf.Number(400)) // found, not written again
@@ -175,7 +175,7 @@
 		withFollower(t, m, h, func() {
 			time.Sleep(time.Second)
 			is.NoErr(m.Delete(t.Context(), conf.LogKey(5), keyval.Any))
-			time.Sleep(2 * conf.DefaultAudit)
+			time.Sleep(2 * conf.DefaultAuditInterval)
 		})
 		i, err := m.Get(t.Context(), conf.LogKey(5))
 		is.NoErr(err)
--- a/plat/conf/simulation_test.go
+++ b/plat/conf/simulation_test.go
@@ -40,7 +40,7 @@
 	for range entries {
 		h := conf.NewHolder()
 		s := &flakyStore{Store: t.memory, faults: t.faults, lateWrites: !restores}
-		f := conf.NewFollower(s, h, conf.WithAudit(2*time.Second))
+		f := conf.NewFollower(s, h, conf.WithAuditInterval(2*time.Second))
 		t.entries = append(t.entries, h)
 		t.committers = append(t.committers, conf.NewCommitter(s, h))
 		t.g.Go(func() error { return f.Run(ctx) })
--- a/plat/conf/source.go
+++ b/plat/conf/source.go
@@ -16,8 +16,8 @@
 const (
 	// LogPrefix is the prefix of the keys of changes in the service.
 	LogPrefix = "conf/log/"
-	// SnapKey is the key of the snapshot.
-	SnapKey = "conf/snap"
+	// SnapshotKey is the key of the snapshot.
+	SnapshotKey = "conf/snap"
 )
 
 // listPageSize is the number of changes that one List call asks for.
@@ -31,7 +31,7 @@
 	return Number(n), err == nil && n > 0
 }
 
-// Snapshot is the value under SnapKey.
+// Snapshot is the value under SnapshotKey.
 type Snapshot struct {
 	N        Number          `json:"n"`
 	Document json.RawMessage `json:"document"`
@@ -179,7 +179,7 @@
 
 // snapshot returns the snapshot's document, or nil if there is no snapshot, and the revision of its key.
 func (s source) snapshot(ctx context.Context) (*Document, keyval.Revision, error) {
-	i, err := s.store.Get(ctx, SnapKey)
+	i, err := s.store.Get(ctx, SnapshotKey)
 	if err != nil || !i.Found() {
 		return nil, keyval.Absent, eris.Wrap(err, "get snapshot")
 	}
@@ -201,7 +201,7 @@
 	if err != nil {
 		return eris.Wrap(err, "marshal snapshot")
 	}
-	_, err = s.store.Put(ctx, SnapKey, v, rev, 0)
+	_, err = s.store.Put(ctx, SnapshotKey, v, rev, 0)
 	return eris.Wrapf(err, "put snapshot %d", d.Number())
 }
 
--- a/plat/conf/table.go
+++ b/plat/conf/table.go
@@ -151,9 +151,9 @@
 	return slices.SortedFunc(maps.Keys(d.approvals), compareApprovals)
 }
 
-// Changed returns the number of the last change of the object that k puts or drops, or 0 if there is no such object.
+// LastChange returns the number of the last change of the object that k puts or drops, or 0 if there is no such object.
 // An approval's name is ApprovalName(team, service).
-func (d *Document) Changed(k Kind, name string) Number {
+func (d *Document) LastChange(k Kind, name string) Number {
 	switch k {
 	case PutProfile, DropProfile:
 		return d.profiles[name].Changed
--- a/plat/conf/valid.go
+++ b/plat/conf/valid.go
@@ -114,7 +114,7 @@
 }
 
 func (d *Document) checkExpect(k *validator, c Change) {
-	have := d.Changed(c.Kind, c.Object())
+	have := d.LastChange(c.Kind, c.Object())
 	switch c.Expect {
 	case 0:
 	case ExpectAbsent:
