--- a/node/burn/burn.go
+++ b/node/burn/burn.go
@@ -9,19 +9,19 @@
 // Burn holds the service-level figures of one entry; it is changed by Update alone and owns no clock.
 type Burn struct {
 	entry, dataCentre string
-	since             time.Time
+	countingSince     time.Time
 	now               time.Time
 	series            map[Key]*series
-	goals             map[string]ObjectiveMsg
-	lead              lead
+	objectives        map[string]ObjectiveMsg
+	leader            leaderFigures
 }
 
 // New returns the empty figures of the entry, which begin at now.
 func New(entry, dataCentre string, now time.Time) *Burn {
 	return &Burn{
-		entry: entry, dataCentre: dataCentre, since: now, now: now,
-		series: make(map[Key]*series), goals: make(map[string]ObjectiveMsg),
-		lead: newLead(),
+		entry: entry, dataCentre: dataCentre, countingSince: now, now: now,
+		series: make(map[Key]*series), objectives: make(map[string]ObjectiveMsg),
+		leader: newLeaderFigures(),
 	}
 }
 
@@ -29,20 +29,20 @@
 func (b *Burn) Update(m Msg) []Cmd {
 	switch m := m.(type) {
 	case CountMsg:
-		b.count(m)
+		b.addCounts(m)
 	case ObjectiveMsg:
-		b.goals[m.Service] = m
+		b.objectives[m.Service] = m
 	case ForgetMsg:
 		b.forget(m.Service)
 	case LeadMsg:
-		b.lead.update(m)
+		b.leader.update(m)
 	case TickMsg:
 		return b.tick(m.Now)
 	}
 	return nil
 }
 
-func (b *Burn) count(m CountMsg) {
+func (b *Burn) addCounts(m CountMsg) {
 	s, ok := b.series[m.Key]
 	if !ok {
 		s = newSeries()
@@ -52,7 +52,7 @@
 }
 
 func (b *Burn) forget(service string) {
-	delete(b.goals, service)
+	delete(b.objectives, service)
 	for k := range b.series {
 		if k.Service == service {
 			delete(b.series, k)
@@ -67,7 +67,7 @@
 	for _, k := range b.keys() {
 		s := b.series[k]
 		s.advance(now)
-		ws, goal := s.wins(), b.goals[k.Service].Objective
+		ws, goal := s.allWindows(), b.objectives[k.Service].Objective
 		if v := speedOf(ws, goal); v != s.speed {
 			s.speed = v
 			cs = append(cs, AlertCmd{Key: k, Speed: v, Rate: ws[1].Counts.Rate(goal)})
--- a/node/burn/merge.go
+++ b/node/burn/merge.go
@@ -99,7 +99,7 @@
 			n[m.Move] += m.Count
 		}
 	}
-	return (&lead{moves: n}).moveReports()
+	return (&leaderFigures{moves: n}).moveReports()
 }
 
 func mergeWaves(rs []Report) []WaveReport {
--- a/node/burn/meter.go
+++ b/node/burn/meter.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// shards is the number of counter sets among which concurrent requests spread; a power of two.
-const shards = 8
+// cellCount is the number of counter sets among which concurrent requests spread; a power of two.
+const cellCount = 8
 
 // Counter counts the requests of one series; Add is safe for concurrent use and takes no lock.
 type Counter struct {
-	cells [shards]cell
-	taken Counts // what Flush has passed on; held under the meter's lock.
+	cells   [cellCount]cell
+	flushed Counts // what Flush has passed on; held under the meter's lock.
 }
 
 // cell fills a cache line of 64 bytes.
 type cell struct {
-	n [outcomes]atomic.Int64
-	_ [32]byte
+	counts [outcomeCount]atomic.Int64
+	_      [32]byte
 }
 
 // Add counts one request.
 func (c *Counter) Add(o Outcome) {
-	c.cells[rand.Uint32()%shards].n[o].Add(1)
+	c.cells[rand.Uint32()%cellCount].counts[o].Add(1)
 }
 
 // total returns all that was counted.
 func (c *Counter) total() Counts {
-	var n [outcomes]int64
+	var n [outcomeCount]int64
 	for i := range c.cells {
 		for o := range n {
-			n[o] += c.cells[i].n[o].Load()
+			n[o] += c.cells[i].counts[o].Load()
 		}
 	}
 	return Counts{n[Good], n[Late], n[Failed], n[Refused]}
@@ -74,19 +74,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counters.Range(func(k, v any) bool {
-		m.flushOne(now, k.(Key), v.(*Counter))
+		m.flushCounter(now, k.(Key), v.(*Counter))
 		return true
 	})
 	return m.burn.Update(TickMsg{Now: now})
 }
 
-func (m *Meter) flushOne(now time.Time, k Key, c *Counter) {
+func (m *Meter) flushCounter(now time.Time, k Key, c *Counter) {
 	t := c.total()
-	d := Counts{t.Good - c.taken.Good, t.Late - c.taken.Late, t.Failed - c.taken.Failed, t.Refused - c.taken.Refused}
+	d := Counts{t.Good - c.flushed.Good, t.Late - c.flushed.Late, t.Failed - c.flushed.Failed, t.Refused - c.flushed.Refused}
 	if d.Total() == 0 {
 		return
 	}
-	c.taken = t
+	c.flushed = t
 	m.burn.Update(CountMsg{Now: now, Key: k, Counts: d})
 }
 
--- a/node/burn/msg.go
+++ b/node/burn/msg.go
@@ -15,7 +15,7 @@
 	// Refused is a request that was not run for want of capacity.
 	Refused
 
-	outcomes = 4
+	outcomeCount = 4
 )
 
 // Counts holds numbers of requests by outcome.
@@ -42,11 +42,11 @@
 	if c.Total() == 0 {
 		return 0
 	}
-	return float64(c.Bad()) / float64(c.Total()) / max(1-objective, leastBudget)
+	return float64(c.Bad()) / float64(c.Total()) / max(1-objective, minBudget)
 }
 
-// leastBudget is the share of bad requests that an objective of 1 is taken to allow.
-const leastBudget = 1e-6
+// minBudget is the share of bad requests that an objective of 1 is taken to allow.
+const minBudget = 1e-6
 
 // Key names one series: a service and the class of its requests.
 type Key struct {
--- a/node/burn/picture.go
+++ b/node/burn/picture.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	legendShare   = 0.2 // of the picture's width, kept free for the legend.
-	fewHours      = 2
-	pictureWidth  = 24 * vg.Centimeter
-	pictureHeight = 12 * vg.Centimeter
+	legendShare       = 0.2 // of the picture's width, kept free for the legend.
+	maxHoursForRecent = 2
+	pictureWidth      = 24 * vg.Centimeter
+	pictureHeight     = 12 * vg.Centimeter
 )
 
 // WriteSVG draws the burn rate of each series by hour, or by half minute when there is no more than an hour of them.
@@ -64,7 +64,7 @@
 // curve returns the points of the series by hour, or by half minute when few hours have any.
 func (s ServiceReport) curve() plotter.XYs {
 	ps := s.Recent
-	if len(s.Hours) > fewHours || len(ps) == 0 {
+	if len(s.Hours) > maxHoursForRecent || len(ps) == 0 {
 		ps = s.Hours
 	}
 	xy := make(plotter.XYs, 0, len(ps))
--- a/node/burn/report.go
+++ b/node/burn/report.go
@@ -97,16 +97,16 @@
 
 // Report returns the figures up to the last tick.
 func (b *Burn) Report() Report {
-	r := Report{At: b.now, Entries: []EntryReport{{Entry: b.entry, DataCentre: b.dataCentre, Since: b.since}}}
+	r := Report{At: b.now, Entries: []EntryReport{{Entry: b.entry, DataCentre: b.dataCentre, Since: b.countingSince}}}
 	for _, k := range b.keys() {
-		s, g := b.series[k], b.goals[k.Service]
-		ws := s.wins()
+		s, g := b.series[k], b.objectives[k.Service]
+		ws := s.allWindows()
 		r.Services = append(r.Services, ServiceReport{
 			Service: k.Service, Class: k.Class, Profile: g.Profile, Objective: g.Objective, Speed: speedOf(ws, g.Objective),
-			Windows: ws, Hours: s.rough.points(time.Hour), Recent: s.fine.points(fineStep),
+			Windows: ws, Hours: s.coarse.points(time.Hour), Recent: s.fine.points(fineStep),
 		})
 	}
-	r.Spares, r.Moves, r.Waves = b.lead.spareReports(b.dataCentre), b.lead.moveReports(), b.lead.waveReports(b.dataCentre)
+	r.Spares, r.Moves, r.Waves = b.leader.spareReports(b.dataCentre), b.leader.moveReports(), b.leader.waveReports(b.dataCentre)
 	return r
 }
 
--- a/node/burn/ring.go
+++ b/node/burn/ring.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	fineStep     = 30 * time.Second
-	fineBuckets  = 120 // an hour
-	roughStep    = 5 * time.Minute
-	roughBuckets = 864 // three days
+	fineStep      = 30 * time.Second
+	fineBuckets   = 120 // an hour
+	coarseStep    = 5 * time.Minute
+	coarseBuckets = 864 // three days
 )
 
 // bucket holds the counts of one step of time.
-type bucket [outcomes]uint32
+type bucket [outcomeCount]uint32
 
 // ring holds the counts of the latest steps; steps are aligned to the Unix epoch so that entries' rings can be added.
 type ring struct {
 	step    time.Duration
-	last    int64 // number of the newest step
+	newest  int64 // number of the newest step
 	buckets []bucket
 }
 
@@ -23,23 +23,23 @@
 	return ring{step: step, buckets: make([]bucket, n)}
 }
 
-// index returns the number of the step that holds t.
-func (r *ring) index(t time.Time) int64 { return t.UnixNano() / int64(r.step) }
+// stepNumber returns the number of the step that holds t.
+func (r *ring) stepNumber(t time.Time) int64 { return t.UnixNano() / int64(r.step) }
 
 // advance clears the steps between the newest one and now.
 func (r *ring) advance(now time.Time) {
-	i := r.index(now)
+	i := r.stepNumber(now)
 	n := int64(len(r.buckets))
-	for k := max(r.last+1, i-n+1); k <= i; k++ {
+	for k := max(r.newest+1, i-n+1); k <= i; k++ {
 		r.buckets[k%n] = bucket{}
 	}
-	r.last = max(r.last, i)
+	r.newest = max(r.newest, i)
 }
 
 // add counts c at now; time that goes back counts in the newest step.
 func (r *ring) add(now time.Time, c Counts) {
 	r.advance(now)
-	b := &r.buckets[r.last%int64(len(r.buckets))]
+	b := &r.buckets[r.newest%int64(len(r.buckets))]
 	b[Good] += uint32(c.Good)
 	b[Late] += uint32(c.Late)
 	b[Failed] += uint32(c.Failed)
@@ -50,14 +50,14 @@
 func (r *ring) sum(w time.Duration) Counts {
 	var c Counts
 	n := min(int64(w/r.step), int64(len(r.buckets)))
-	for k := max(0, r.last-n+1); k <= r.last; k++ {
-		c = c.Plus(r.at(k))
+	for k := max(0, r.newest-n+1); k <= r.newest; k++ {
+		c = c.Plus(r.stepCounts(k))
 	}
 	return c
 }
 
-// at returns the counts of step k, which must be within the ring.
-func (r *ring) at(k int64) Counts {
+// stepCounts returns the counts of step k, which must be within the ring.
+func (r *ring) stepCounts(k int64) Counts {
 	b := r.buckets[k%int64(len(r.buckets))]
 	return Counts{int64(b[Good]), int64(b[Late]), int64(b[Failed]), int64(b[Refused])}
 }
@@ -65,8 +65,8 @@
 // points returns the steps that hold requests, grouped into spans, oldest first.
 func (r *ring) points(span time.Duration) []Point {
 	var ps []Point
-	for k := max(0, r.last-int64(len(r.buckets))+1); k <= r.last; k++ {
-		c := r.at(k)
+	for k := max(0, r.newest-int64(len(r.buckets))+1); k <= r.newest; k++ {
+		c := r.stepCounts(k)
 		if c.Total() == 0 {
 			continue
 		}
--- a/node/burn/series.go
+++ b/node/burn/series.go
@@ -19,29 +19,29 @@
 	slowRate = 1.0  // burn rate: the whole budget
 )
 
-// windows returns the lengths of time over which burn rates are given, shortest first.
-func windows() []time.Duration {
+// windowLengths returns the lengths of time over which burn rates are given, shortest first.
+func windowLengths() []time.Duration {
 	return []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 72 * time.Hour}
 }
 
 // series holds the counts of one service and class.
 type series struct {
-	fine, rough ring
-	speed       Speed
+	fine, coarse ring
+	speed        Speed
 }
 
 func newSeries() *series {
-	return &series{fine: newRing(fineStep, fineBuckets), rough: newRing(roughStep, roughBuckets), speed: Within}
+	return &series{fine: newRing(fineStep, fineBuckets), coarse: newRing(coarseStep, coarseBuckets), speed: Within}
 }
 
 func (s *series) add(now time.Time, c Counts) {
 	s.fine.add(now, c)
-	s.rough.add(now, c)
+	s.coarse.add(now, c)
 }
 
 func (s *series) advance(now time.Time) {
 	s.fine.advance(now)
-	s.rough.advance(now)
+	s.coarse.advance(now)
 }
 
 // window returns the counts of the latest w.
@@ -49,13 +49,13 @@
 	if w <= fineStep*fineBuckets {
 		return s.fine.sum(w)
 	}
-	return s.rough.sum(w)
+	return s.coarse.sum(w)
 }
 
-// wins returns the counts of every window.
-func (s *series) wins() []Window {
-	ws := make([]Window, 0, len(windows()))
-	for _, w := range windows() {
+// allWindows returns the counts of every window.
+func (s *series) allWindows() []Window {
+	ws := make([]Window, 0, len(windowLengths()))
+	for _, w := range windowLengths() {
 		ws = append(ws, Window{Seconds: int64(w / time.Second), Counts: s.window(w)})
 	}
 	return ws
--- a/node/burn/text.go
+++ b/node/burn/text.go
@@ -13,15 +13,15 @@
 // worstHours is the number of worst hours that the text names for each series.
 const worstHours = 3
 
-// minute is the form of a time in the text.
-const minute = "2006-01-02 15:04"
+// minuteFormat is the form of a time in the text.
+const minuteFormat = "2006-01-02 15:04"
 
 // WriteText writes the report as aligned tables; it returns the writer's error.
 func (r Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	r.writeEntries(&b)
 	r.writeServices(&b)
-	r.writeWorst(&b)
+	r.writeWorstHours(&b)
 	r.writeCost(&b)
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := io.WriteString(t, b.String()); err != nil {
@@ -37,7 +37,7 @@
 			fmt.Fprintf(w, "%s\t%s\tnot heard: %s\n", e.Entry, e.DataCentre, e.Unheard)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", e.Entry, e.DataCentre, e.Since.UTC().Format(minute))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", e.Entry, e.DataCentre, e.Since.UTC().Format(minuteFormat))
 	}
 }
 
@@ -57,13 +57,13 @@
 	}
 }
 
-func (r Report) writeWorst(w *strings.Builder) {
+func (r Report) writeWorstHours(w *strings.Builder) {
 	head := "\nWORST HOUR\tSERVICE\tCLASS\tREQUESTS\tMISSED\tBURN\n"
 	for _, s := range r.Services {
 		for _, p := range s.Worst(worstHours) {
 			w.WriteString(head)
 			head = ""
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\n", p.Start.UTC().Format(minute), s.Service, s.Class,
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\n", p.Start.UTC().Format(minuteFormat), s.Service, s.Class,
 				p.Counts.Total(), p.Counts.Bad(), p.Counts.Rate(s.Objective))
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	heading(w, "WAVE\tDATA CENTRE\tDONE\tOF\tTOOK", len(r.Waves))
 	for _, v := range r.Waves {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", v.ID, v.DataCentre, v.Done, v.Total, v.took())
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", v.ID, v.DataCentre, v.Done, v.Total, v.elapsed())
 	}
 }
 
@@ -91,8 +91,8 @@
 	}
 }
 
-// took returns how long the wave ran, or that it still does.
-func (v WaveReport) took() string {
+// elapsed returns how long the wave ran, or that it still does.
+func (v WaveReport) elapsed() string {
 	if v.Ended.IsZero() {
 		return "running"
 	}
--- a/node/oper/api.go
+++ b/node/oper/api.go
@@ -56,16 +56,16 @@
 
 // API serves operators; it is safe for concurrent use.
 type API struct {
-	name    string
-	digests [][]byte
-	config  Config
-	fleet   Fleet
-	burn    Reporter
-	log     zerolog.Logger
-	now     func() time.Time
-	routes  map[string]route
-
-	queue       Jobs // nil when the entry runs no jobs.
+	name     string
+	digests  [][]byte
+	config   Config
+	fleet    Fleet
+	reporter Reporter
+	log      zerolog.Logger
+	now      func() time.Time
+	routes   map[string]route
+
+	jobQueue    Jobs // nil when the entry runs no jobs.
 	dataCentres []string
 }
 
@@ -81,7 +81,7 @@
 // New returns the API of the entry with that name; digests are SHA-256 digests of operators' tokens in hex, and without any
 // the API refuses everyone.
 func New(name string, digests []string, c Config, f Fleet, r Reporter, opts ...Option) *API {
-	a := &API{name: name, config: c, fleet: f, burn: r, log: zerolog.Nop(), now: time.Now}
+	a := &API{name: name, config: c, fleet: f, reporter: r, log: zerolog.Nop(), now: time.Now}
 	for _, s := range digests {
 		if b, err := hex.DecodeString(s); err == nil {
 			a.digests = append(a.digests, b)
@@ -90,7 +90,7 @@
 	for _, o := range opts {
 		o(a)
 	}
-	a.routes = a.table()
+	a.routes = a.routeTable()
 	return a
 }
 
@@ -108,7 +108,7 @@
 	s := &fasthttp.Server{
 		Handler: func(x *fasthttp.RequestCtx) { a.Handle(ctx, x) }, Name: "burdockreach", MaxRequestBodySize: maxReadBytes, Concurrency: maxConns,
 		ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		CloseOnShutdown: true, NoDefaultDate: true, Logger: quiet{}, ErrorHandler: tooLong,
+		CloseOnShutdown: true, NoDefaultDate: true, Logger: discardLogger{}, ErrorHandler: refuseUnreadable,
 	}
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error { return eris.Wrap(s.Serve(l), "oper: serve") })
@@ -124,14 +124,14 @@
 	return g.Wait()
 }
 
-// quiet drops the server's own messages, which are about broken connections.
-type quiet struct{}
+// discardLogger drops the server's own messages, which are about broken connections.
+type discardLogger struct{}
 
 // Printf drops the message.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// allowed reports whether the request carries an operator's token.
-func (a *API) allowed(x *fasthttp.RequestCtx) bool {
+// hasOperatorToken reports whether the request carries an operator's token.
+func (a *API) hasOperatorToken(x *fasthttp.RequestCtx) bool {
 	t, ok := strings.CutPrefix(string(x.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	if !ok {
 		return false
--- a/node/oper/change.go
+++ b/node/oper/change.go
@@ -19,8 +19,8 @@
 // maxOpBytes is the longest operation's id.
 const maxOpBytes = 128
 
-// change commits the change in the body.
-func (a *API) change(c context.Context, x *fasthttp.RequestCtx) {
+// commitChange commits the commitChange in the body.
+func (a *API) commitChange(c context.Context, x *fasthttp.RequestCtx) {
 	g, bad := parseChange(x.PostBody())
 	if bad != nil {
 		a.refuse(x, fasthttp.StatusBadRequest, *bad)
@@ -39,12 +39,12 @@
 	reply(x, changeStatus(r), r)
 }
 
-// settle tells what became of an operation.
-func (a *API) settle(c context.Context, x *fasthttp.RequestCtx) {
+// settleChange tells what became of an operation.
+func (a *API) settleChange(c context.Context, x *fasthttp.RequestCtx) {
 	op := string(x.QueryArgs().Peek("op"))
 	if op == "" || len(op) > maxOpBytes {
 		a.refuse(x, fasthttp.StatusBadRequest, Refusal{
-			Reason: "bad query", Field: "op", Value: cut(op), Allowed: fmt.Sprintf("1 to %d bytes", maxOpBytes),
+			Reason: "bad query", Field: "op", Value: truncate(op), Allowed: fmt.Sprintf("1 to %d bytes", maxOpBytes),
 		})
 		return
 	}
@@ -70,7 +70,7 @@
 		return c, &Refusal{Reason: "malformed change", Field: "n", Value: fmt.Sprint(c.Number), Allowed: "none: the number is given on acceptance"}
 	}
 	if c.Prev != "" {
-		return c, &Refusal{Reason: "malformed change", Field: "prev", Value: cut(c.Prev), Allowed: "none: it is set on acceptance"}
+		return c, &Refusal{Reason: "malformed change", Field: "prev", Value: truncate(c.Prev), Allowed: "none: it is set on acceptance"}
 	}
 	return c, nil
 }
@@ -95,7 +95,7 @@
 	case err == nil:
 		return ChangeReply{Outcome: Accepted, Op: op, Number: n}
 	case errors.As(err, &f):
-		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: "not valid", Field: f.Field(), Value: cut(f.Value()), Allowed: f.Allowed()}
+		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: "not valid", Field: f.Field(), Value: truncate(f.Value()), Allowed: f.Allowed()}
 	case errors.Is(err, conf.ErrNotAccepted), errors.Is(err, conf.ErrInvalid):
 		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: eris.ToString(err, false)}
 	default:
@@ -120,8 +120,8 @@
 // maxShownBytes bounds the part of a value that an answer repeats.
 const maxShownBytes = 200
 
-// cut returns s as an answer repeats it.
-func cut(s string) string {
+// truncate returns s as an answer repeats it.
+func truncate(s string) string {
 	if len(s) > maxShownBytes {
 		return s[:maxShownBytes] + "..."
 	}
--- a/node/oper/jobs.go
+++ b/node/oper/jobs.go
@@ -33,7 +33,7 @@
 
 // WithJobs lets operators submit and cancel jobs of the data centres; without it the API answers 501 to calls on jobs.
 func WithJobs(j Jobs, dataCentres []string) Option {
-	return func(a *API) { a.queue, a.dataCentres = j, dataCentres }
+	return func(a *API) { a.jobQueue, a.dataCentres = j, dataCentres }
 }
 
 // JobsRequest holds jobs to be submitted; to be canceled they need only data centre and id.
@@ -60,10 +60,10 @@
 	Items []jobs.Record `json:"items"`
 }
 
-// withQueue is the handler h, or a refusal when there are no jobs.
-func (a *API) withQueue(h handler) handler {
+// requireJobs is the handler h, or a refusal when there are no jobs.
+func (a *API) requireJobs(h handler) handler {
 	return func(c context.Context, x *fasthttp.RequestCtx) {
-		if a.queue == nil {
+		if a.jobQueue == nil {
 			a.refuse(x, fasthttp.StatusNotImplemented, Refusal{Reason: "this entry runs no jobs"})
 			return
 		}
@@ -73,15 +73,15 @@
 	}
 }
 
-// jobs answers with the jobs that match the query, of all data centres unless it names one.
-func (a *API) jobs(c context.Context, x *fasthttp.RequestCtx) {
+// listJobs answers with the listJobs that match the query, of all data centres unless it names one.
+func (a *API) listJobs(c context.Context, x *fasthttp.RequestCtx) {
 	arg := func(k string) string { return string(x.QueryArgs().Peek(k)) }
 	r := JobList{Items: []jobs.Record{}}
 	for _, d := range a.dataCentres {
 		if !matches(arg("dataCentre"), d) {
 			continue
 		}
-		l, err := a.queue.List(c, d)
+		l, err := a.jobQueue.List(c, d)
 		if err != nil {
 			a.refuse(x, fasthttp.StatusGatewayTimeout, Refusal{Reason: eris.ToString(err, false)})
 			return
@@ -96,23 +96,23 @@
 }
 
 func (a *API) submitJobs(c context.Context, x *fasthttp.RequestCtx) {
-	a.eachJob(c, x, "submitJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
+	a.forEachJob(c, x, "submitJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
 		if _, ok := a.config.Document().Pool(s.Pool); !ok {
-			return "", eris.Wrapf(jobs.ErrMalformed, "pool %q: an existing pool", cut(s.Pool))
+			return "", eris.Wrapf(jobs.ErrMalformed, "pool %q: an existing pool", truncate(s.Pool))
 		}
-		return "", a.queue.Submit(c, s)
+		return "", a.jobQueue.Submit(c, s)
 	})
 }
 
 func (a *API) cancelJobs(c context.Context, x *fasthttp.RequestCtx) {
-	a.eachJob(c, x, "cancelJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
-		r, err := a.queue.Cancel(c, s.DataCentre, s.ID)
+	a.forEachJob(c, x, "cancelJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
+		r, err := a.jobQueue.Cancel(c, s.DataCentre, s.ID)
 		return r.State, err
 	})
 }
 
-// eachJob does f with the jobs of the body, some at once, and answers what became of each.
-func (a *API) eachJob(c context.Context, x *fasthttp.RequestCtx, step string, f func(context.Context, jobs.Spec) (jobs.State, error)) {
+// forEachJob does f with the jobs of the body, some at once, and answers what became of each.
+func (a *API) forEachJob(c context.Context, x *fasthttp.RequestCtx, step string, f func(context.Context, jobs.Spec) (jobs.State, error)) {
 	q, bad := parseJobs(x.PostBody())
 	if bad != nil {
 		a.refuse(x, fasthttp.StatusBadRequest, *bad)
@@ -123,7 +123,7 @@
 	g.SetLimit(maxJobCalls)
 	for n, s := range q.Jobs {
 		g.Go(func() error {
-			r.Items[n] = a.oneJob(c, s, f)
+			r.Items[n] = a.applyToJob(c, s, f)
 			return nil
 		})
 	}
@@ -135,8 +135,8 @@
 	reply(x, fasthttp.StatusOK, r)
 }
 
-func (a *API) oneJob(c context.Context, s jobs.Spec, f func(context.Context, jobs.Spec) (jobs.State, error)) JobReply {
-	r := JobReply{ID: cut(s.ID), DataCentre: cut(s.DataCentre), Outcome: NotAccepted}
+func (a *API) applyToJob(c context.Context, s jobs.Spec, f func(context.Context, jobs.Spec) (jobs.State, error)) JobReply {
+	r := JobReply{ID: truncate(s.ID), DataCentre: truncate(s.DataCentre), Outcome: NotAccepted}
 	if !slices.Contains(a.dataCentres, s.DataCentre) {
 		r.Reason = "dataCentre: one of " + strings.Join(a.dataCentres, ", ")
 		return r
--- a/node/oper/route.go
+++ b/node/oper/route.go
@@ -12,25 +12,25 @@
 
 // route is what a path does; args are the query fields that it knows.
 type route struct {
-	args  []string
-	serve handler
+	queryFields []string
+	serve       handler
 }
 
 // handler serves one request; c ends with the server. The request itself is no parent for contexts, since the server reuses it.
 type handler func(c context.Context, x *fasthttp.RequestCtx)
 
-// plain is a handler that waits for nothing.
-func plain(f fasthttp.RequestHandler) handler {
+// withoutContext is a handler that waits for nothing.
+func withoutContext(f fasthttp.RequestHandler) handler {
 	return func(_ context.Context, x *fasthttp.RequestCtx) { f(x) }
 }
 
-// table returns the routes by method and path.
-func (a *API) table() map[string]route {
-	get := func(f fasthttp.RequestHandler, args ...string) route { return route{args, plain(f)} }
+// routeTable returns the routes by method and path.
+func (a *API) routeTable() map[string]route {
+	get := func(f fasthttp.RequestHandler, args ...string) route { return route{args, withoutContext(f)} }
 	return map[string]route{
-		"POST /op/change":      {nil, a.change},
-		"GET /op/change":       {[]string{"op"}, a.settle},
-		"GET /op/conf":         get(a.document),
+		"POST /op/change":      {nil, a.commitChange},
+		"GET /op/change":       {[]string{"op"}, a.settleChange},
+		"GET /op/conf":         get(a.showDocument),
 		"GET /op/profiles":     get(a.profiles, "name"),
 		"GET /op/services":     get(a.services, "name"),
 		"GET /op/pools":        get(a.pools, "name"),
@@ -40,9 +40,9 @@
 		"GET /op/vms":          get(a.vms, "name", "pool", "state", "dataCentre"),
 		"GET /op/entries":      get(a.entries),
 		"GET /op/applied":      get(a.applied, "n"),
-		"GET /op/jobs":         {[]string{"id", "dataCentre", "pool", "state"}, a.withQueue(a.jobs)},
-		"POST /op/jobs":        {nil, a.withQueue(a.submitJobs)},
-		"POST /op/jobs/cancel": {nil, a.withQueue(a.cancelJobs)},
+		"GET /op/jobs":         {[]string{"id", "dataCentre", "pool", "state"}, a.requireJobs(a.listJobs)},
+		"POST /op/jobs":        {nil, a.requireJobs(a.submitJobs)},
+		"POST /op/jobs/cancel": {nil, a.requireJobs(a.cancelJobs)},
 		"GET /op/burn":         get(a.report),
 		"GET /debug/vars":      get(expvarhandler.ExpvarHandler, "r"),
 	}
@@ -50,7 +50,7 @@
 
 // Handle serves one request until c ends.
 func (a *API) Handle(c context.Context, x *fasthttp.RequestCtx) {
-	if !a.allowed(x) {
+	if !a.hasOperatorToken(x) {
 		a.refuse(x, fasthttp.StatusUnauthorized, Refusal{Reason: "no operator's token, or one that this entry does not know"})
 		return
 	}
@@ -59,21 +59,21 @@
 		a.refuse(x, fasthttp.StatusNotFound, Refusal{Reason: fmt.Sprintf("no such call: %s %s", x.Method(), x.Path())})
 		return
 	}
-	if f := unknownArg(x, r.args); f != "" {
+	if f := unknownQueryField(x, r.queryFields); f != "" {
 		a.refuse(x, fasthttp.StatusBadRequest, Refusal{
-			Reason: "unknown query field", Field: f, Value: string(x.QueryArgs().Peek(f)), Allowed: fmt.Sprintf("one of %v", r.args),
+			Reason: "unknown query field", Field: f, Value: string(x.QueryArgs().Peek(f)), Allowed: fmt.Sprintf("one of %v", r.queryFields),
 		})
 		return
 	}
 	if len(x.PostBody()) > maxBodyBytes {
-		tooLong(x, fasthttp.ErrBodyTooLarge)
+		refuseUnreadable(x, fasthttp.ErrBodyTooLarge)
 		return
 	}
 	r.serve(c, x)
 }
 
-// unknownArg returns a query field that is not in known, or nothing.
-func unknownArg(x *fasthttp.RequestCtx, known []string) string {
+// unknownQueryField returns a query field that is not in known, or nothing.
+func unknownQueryField(x *fasthttp.RequestCtx, known []string) string {
 	for k := range x.QueryArgs().All() {
 		found := false
 		for _, n := range known {
@@ -105,8 +105,8 @@
 	x.SetBody(append(b, '\n'))
 }
 
-// tooLong answers a request that the server could not read.
-func tooLong(x *fasthttp.RequestCtx, err error) {
+// refuseUnreadable answers a request that the server could not read.
+func refuseUnreadable(x *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		reply(x, fasthttp.StatusRequestEntityTooLarge, Refusal{
 			Reason: "request too long", Field: "body", Value: "too long", Allowed: fmt.Sprintf("at most %d bytes", maxBodyBytes),
--- a/node/oper/show.go
+++ b/node/oper/show.go
@@ -9,8 +9,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// document answers with the whole configuration in force.
-func (a *API) document(x *fasthttp.RequestCtx) {
+// showDocument answers with the whole configuration in force.
+func (a *API) showDocument(x *fasthttp.RequestCtx) {
 	b, err := a.config.Document().Marshal()
 	if err != nil {
 		a.refuse(x, fasthttp.StatusInternalServerError, Refusal{Reason: "the configuration cannot be written"})
@@ -22,31 +22,31 @@
 
 func (a *API) profiles(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
-	show(a, x, d, d.Profiles(), conf.PutProfile, func(p conf.ProfileSpec) string { return p.Name })
+	listObjects(a, x, d, d.Profiles(), conf.PutProfile, func(p conf.ProfileSpec) string { return p.Name })
 }
 
 func (a *API) services(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
-	show(a, x, d, d.Services(), conf.PutService, func(s conf.ServiceSpec) string { return s.Name })
+	listObjects(a, x, d, d.Services(), conf.PutService, func(s conf.ServiceSpec) string { return s.Name })
 }
 
 func (a *API) pools(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
-	show(a, x, d, d.Pools(), conf.PutPool, func(p conf.PoolSpec) string { return p.Name })
+	listObjects(a, x, d, d.Pools(), conf.PutPool, func(p conf.PoolSpec) string { return p.Name })
 }
 
 func (a *API) teams(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
-	show(a, x, d, d.Teams(), conf.PutTeam, func(t conf.TeamSpec) string { return t.Name })
+	listObjects(a, x, d, d.Teams(), conf.PutTeam, func(t conf.TeamSpec) string { return t.Name })
 }
 
 func (a *API) waves(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
-	show(a, x, d, d.Waves(), conf.PutWave, func(w conf.WaveSpec) string { return w.ID })
+	listObjects(a, x, d, d.Waves(), conf.PutWave, func(w conf.WaveSpec) string { return w.ID })
 }
 
-// show answers with all objects, or with the one that the query names.
-func show[T any](a *API, x *fasthttp.RequestCtx, d *conf.Document, all []T, k conf.Kind, name func(T) string) {
+// listObjects answers with all objects, or with the one that the query names.
+func listObjects[T any](a *API, x *fasthttp.RequestCtx, d *conf.Document, all []T, k conf.Kind, name func(T) string) {
 	want := string(x.QueryArgs().Peek("name"))
 	r := Objects[T]{Number: d.Number(), Items: []Object[T]{}}
 	for _, v := range all {
@@ -55,7 +55,7 @@
 		}
 	}
 	if want != "" && len(r.Items) == 0 {
-		a.refuse(x, fasthttp.StatusNotFound, Refusal{Reason: "no such object", Field: "name", Value: cut(want), Allowed: "an existing name"})
+		a.refuse(x, fasthttp.StatusNotFound, Refusal{Reason: "no such object", Field: "name", Value: truncate(want), Allowed: "an existing name"})
 		return
 	}
 	reply(x, fasthttp.StatusOK, r)
@@ -83,7 +83,7 @@
 			!matches(arg("state"), v.State) || !matches(arg("dataCentre"), v.DataCentre)
 	})
 	if arg("name") != "" && len(vs) == 0 {
-		a.refuse(x, fasthttp.StatusNotFound, Refusal{Reason: "no such VM", Field: "name", Value: cut(arg("name")), Allowed: "an existing name"})
+		a.refuse(x, fasthttp.StatusNotFound, Refusal{Reason: "no such VM", Field: "name", Value: truncate(arg("name")), Allowed: "an existing name"})
 		return
 	}
 	reply(x, fasthttp.StatusOK, VMs{Items: vs})
@@ -103,7 +103,7 @@
 	if s := string(x.QueryArgs().Peek("n")); s != "" {
 		n, err := strconv.ParseInt(s, 10, 64)
 		if err != nil || n < 1 {
-			a.refuse(x, fasthttp.StatusBadRequest, Refusal{Reason: "bad query", Field: "n", Value: cut(s), Allowed: "a whole number from 1"})
+			a.refuse(x, fasthttp.StatusBadRequest, Refusal{Reason: "bad query", Field: "n", Value: truncate(s), Allowed: "a whole number from 1"})
 			return
 		}
 		r.Number = conf.Number(n)
@@ -119,5 +119,5 @@
 }
 
 func (a *API) report(x *fasthttp.RequestCtx) {
-	reply(x, fasthttp.StatusOK, a.burn.Report(a.now()))
+	reply(x, fasthttp.StatusOK, a.reporter.Report(a.now()))
 }
