--- a/node/burn/burn.go
+++ b/node/burn/burn.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Burn holds the service-level figures of one entry; it is changed by Update alone and owns no clock.
+// Burn holds the service-level figures of one entry. Only Update changes it, and it takes the time from the messages.
 type Burn struct {
 	entry, dataCentre string
 	countingSince     time.Time
@@ -16,7 +16,7 @@
 	leader            leaderFigures
 }
 
-// New returns the empty figures of the entry, which begin at now.
+// New returns empty figures of the entry; counting starts at now.
 func New(entry, dataCentre string, now time.Time) *Burn {
 	return &Burn{
 		entry: entry, dataCentre: dataCentre, countingSince: now, now: now,
@@ -25,7 +25,7 @@
 	}
 }
 
-// Update applies m and returns the alerts that follow from it.
+// Update applies m and returns the resulting alerts.
 func (b *Burn) Update(m Msg) []Cmd {
 	switch m := m.(type) {
 	case CountMsg:
@@ -60,7 +60,7 @@
 	}
 }
 
-// tick clears what is too old and reports the series whose speed has changed.
+// tick drops counts outside the windows and returns an alert for each series whose speed has changed.
 func (b *Burn) tick(now time.Time) []Cmd {
 	b.now = now
 	var cs []Cmd
@@ -76,7 +76,7 @@
 	return cs
 }
 
-// keys returns the keys of all series in order.
+// keys returns the sorted keys of all series.
 func (b *Burn) keys() []Key {
 	ks := make([]Key, 0, len(b.series))
 	for k := range b.series {
--- a/node/burn/lead.go
+++ b/node/burn/leader.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// leaderFigures holds what this entry saw while it led its data centre.
+// leaderFigures holds the figures that this entry gathered while it led its data centre.
 type leaderFigures struct {
 	term        int64
-	poolOfVM    map[string]string     // of each VM
-	spareByPool map[string]spareUsage // by pool
+	poolOfVM    map[string]string // the pool of each VM in the current term
+	spareByPool map[string]spareUsage
 	moves       map[Move]int64
 	waves       map[string]WaveReport
 }
 
-// spareUsage is the number of VMs that a spareUsage pool holds, and the VM seconds of it up to at.
+// spareUsage is the number of VMs in a spare pool, and the VM seconds that the pool has accumulated up to countedAt.
 type spareUsage struct {
 	countedAt time.Time
 	vms       int
@@ -29,7 +29,7 @@
 	}
 }
 
-// update compares m with the last one of the same term.
+// update applies m. VM moves and spare time are derived only between messages of the same term.
 func (l *leaderFigures) update(m LeadMsg) {
 	if m.Term != l.term {
 		l.term = m.Term
@@ -48,7 +48,7 @@
 	l.updateWaves(m)
 }
 
-// countSpares closes the time that the last numbers of spare VMs stood for.
+// countSpares adds the VM seconds since the last message and records the present number of VMs of each spare pool.
 func (l *leaderFigures) countSpares(m LeadMsg) {
 	n := make(map[string]int)
 	for _, v := range m.Members {
@@ -63,7 +63,7 @@
 	}
 }
 
-// updateWaves follows the waves; one that is done, or no longer configured, has ended.
+// updateWaves updates the progress of the waves. A wave has ended when it is done or no longer configured.
 func (l *leaderFigures) updateWaves(m LeadMsg) {
 	for _, w := range m.Waves {
 		l.waves[w.ID] = l.waves[w.ID].updated(m, w)
@@ -77,7 +77,7 @@
 	}
 }
 
-// updated returns the report after m.
+// updated returns the wave's report after m.
 func (r WaveReport) updated(m LeadMsg, w Wave) WaveReport {
 	n := WaveReport{ID: w.ID, At: m.Now, Started: r.Started, Ended: r.Ended}
 	if n.Started.IsZero() {
--- a/node/burn/merge.go
+++ b/node/burn/merge.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Merge adds the reports of different entries; a data centre's spares and waves are those of its latest leader.
+// Merge combines the reports of different entries. Counts, moves and spare VM hours are added up; the number of spare VMs and
+// the progress of waves come from the latest report of the data centre.
 func Merge(rs ...Report) Report {
 	m := Report{}
 	services := make(map[Key]ServiceReport)
@@ -32,7 +33,7 @@
 	return m
 }
 
-// mergeService adds b to a; the profile is b's unless b has none.
+// mergeService adds the counts of a and b; profile and objective are b's unless b has none.
 func mergeService(a, b ServiceReport) ServiceReport {
 	if b.Profile == "" {
 		b.Profile, b.Objective = a.Profile, a.Objective
--- a/node/burn/meter.go
+++ b/node/burn/meter.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// cellCount is the number of counter sets among which concurrent requests spread; a power of two.
+// cellCount is the number of cells over which concurrent requests are spread, to reduce contention; a power of two.
 const cellCount = 8
 
 // Counter counts the requests of one series; Add is safe for concurrent use and takes no lock.
 type Counter struct {
 	cells   [cellCount]cell
-	flushed Counts // what Flush has passed on; held under the meter's lock.
+	flushed Counts // counts that Flush has passed to the Burn; guarded by Meter.mu
 }
 
-// cell fills a cache line of 64 bytes.
+// cell holds one set of counters, padded to a cache line of 64 bytes.
 type cell struct {
 	counts [outcomeCount]atomic.Int64
 	_      [32]byte
@@ -27,7 +27,7 @@
 	c.cells[rand.Uint32()%cellCount].counts[o].Add(1)
 }
 
-// total returns all that was counted.
+// total returns the sum of all cells.
 func (c *Counter) total() Counts {
 	var n [outcomeCount]int64
 	for i := range c.cells {
@@ -38,19 +38,19 @@
 	return Counts{n[Good], n[Late], n[Failed], n[Refused]}
 }
 
-// Meter counts on the request path and passes the counts on to a Burn; it is safe for concurrent use.
+// Meter counts requests on the request path and passes the counts to a Burn; it is safe for concurrent use.
 type Meter struct {
-	counters sync.Map // Key to *Counter
+	counters sync.Map // Key → *Counter
 	mu       sync.Mutex
 	burn     *Burn
 }
 
-// NewMeter returns the meter of the entry, which begins at now.
+// NewMeter returns the meter of the entry; counting starts at now.
 func NewMeter(entry, dataCentre string, now time.Time) *Meter {
 	return &Meter{burn: New(entry, dataCentre, now)}
 }
 
-// Counter returns the counter of k, which the caller may keep.
+// Counter returns the counter of k, creating it if needed. The caller may keep it.
 func (m *Meter) Counter(k Key) *Counter {
 	if c, ok := m.counters.Load(k); ok {
 		return c.(*Counter)
@@ -62,14 +62,14 @@
 // Add counts one request of k.
 func (m *Meter) Add(k Key, o Outcome) { m.Counter(k).Add(o) }
 
-// Update passes a message that is not from the request path on to the Burn.
+// Update passes a message other than counts to the Burn.
 func (m *Meter) Update(g Msg) []Cmd {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.burn.Update(g)
 }
 
-// Flush passes the counts since the last Flush on and lets time pass to now; it is called about once a second.
+// Flush passes the counts since the last Flush to the Burn and advances its time to now. It is called about once a second.
 func (m *Meter) Flush(now time.Time) []Cmd {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +90,7 @@
 	m.burn.Update(CountMsg{Now: now, Key: k, Counts: d})
 }
 
-// Report flushes and returns the figures up to now.
+// Report flushes the counts and returns the figures up to now.
 func (m *Meter) Report(now time.Time) Report {
 	m.Flush(now)
 	m.mu.Lock()
--- a/node/burn/msg.go
+++ b/node/burn/msg.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Outcome is what became of a request that the system had to serve; refusals for the caller's own fault are not counted.
+// Outcome classifies a request for its objective. Refusals that the caller caused are not counted.
 type Outcome uint8
 
 const (
-	// Good is a whole answer in time.
+	// Good is a complete answer by the deadline.
 	Good Outcome = iota
-	// Late is a whole answer after the deadline, or none by then.
+	// Late is a complete answer after the deadline, or none by the deadline.
 	Late
-	// Failed is a failure of the target or an unknown outcome.
+	// Failed is a 5xx answer of the target or an unknown outcome.
 	Failed
-	// Refused is a request that was not run for want of capacity.
+	// Refused is a request that was not run for lack of capacity.
 	Refused
 
 	outcomeCount = 4
 )
 
-// Counts holds numbers of requests by outcome.
+// Counts holds the numbers of requests by outcome.
 type Counts struct {
 	Good    int64 `json:"good"`
 	Late    int64 `json:"late"`
@@ -26,7 +26,7 @@
 	Refused int64 `json:"refused"`
 }
 
-// Total returns the number of all requests.
+// Total returns the number of requests of all outcomes.
 func (c Counts) Total() int64 { return c.Good + c.Bad() }
 
 // Bad returns the number of requests that missed the objective.
@@ -37,7 +37,7 @@
 	return Counts{c.Good + d.Good, c.Late + d.Late, c.Failed + d.Failed, c.Refused + d.Refused}
 }
 
-// Rate returns the burn rate: 1 spends the budget of the objective exactly; 0 without requests.
+// Rate returns the burn rate: 1 spends the objective's error budget exactly. Without requests it is 0.
 func (c Counts) Rate(objective float64) float64 {
 	if c.Total() == 0 {
 		return 0
@@ -45,56 +45,56 @@
 	return float64(c.Bad()) / float64(c.Total()) / max(1-objective, minBudget)
 }
 
-// minBudget is the share of bad requests that an objective of 1 is taken to allow.
+// minBudget is the smallest error budget, as a share of requests, that Rate divides by: an objective of 1 allows no bad requests.
 const minBudget = 1e-6
 
-// Key names one series: a service and the class of its requests.
+// Key identifies a series by service and request class.
 type Key struct {
 	Service string
 	Class   string
 }
 
-// Msg is anything that changes a Burn.
+// Msg is an input of Burn.Update.
 type Msg interface{ isMsg() }
 
-// CountMsg adds the requests that ended since the last one.
+// CountMsg adds the requests of a series that ended since the last CountMsg.
 type CountMsg struct {
 	Now    time.Time
 	Key    Key
 	Counts Counts
 }
 
-// ObjectiveMsg sets the objective of a service, a share from 0 to 1, as its profile gives it.
+// ObjectiveMsg sets the profile of a service and its objective, a share from 0 to 1.
 type ObjectiveMsg struct {
 	Service   string
 	Profile   string
 	Objective float64
 }
 
-// ForgetMsg drops a service that the configuration no longer has.
+// ForgetMsg removes a service that is no longer configured.
 type ForgetMsg struct{ Service string }
 
-// LeadMsg is what the leader of the data centre knows of its VMs; it comes about once a second while this entry leads.
+// LeadMsg carries the membership and the waves of the data centre. It is sent about once a second while this entry leads.
 type LeadMsg struct {
 	Now     time.Time
-	Term    int64 // number of the term of leadership; figures of different terms are not compared.
+	Term    int64 // fence of the leader's term; figures of different terms are not compared
 	Members []Member
-	Spares  []string // names of the spare pools.
-	Waves   []Wave   // waves of the configuration; one that is missing has ended.
+	Spares  []string // names of the spare pools
+	Waves   []Wave   // configured waves; a wave that is missing has ended
 }
 
-// Member is one VM of the data centre; Wave is the last wave that it has finished.
+// Member is one VM of the data centre, with its pool and the last wave that it has finished.
 type Member struct {
 	VM, Pool, Wave string
 }
 
-// Wave is one maintenance wave over pools.
+// Wave is a maintenance wave over the VMs of the named pools.
 type Wave struct {
 	ID    string
 	Pools []string
 }
 
-// TickMsg lets time pass; it comes about once a second.
+// TickMsg advances the time. It is sent about once a second.
 type TickMsg struct{ Now time.Time }
 
 func (CountMsg) isMsg()     {}
@@ -103,10 +103,10 @@
 func (LeadMsg) isMsg()      {}
 func (TickMsg) isMsg()      {}
 
-// Cmd is something that the runner does for a Burn.
+// Cmd is an output of Burn.Update, which the caller executes.
 type Cmd interface{ isCmd() }
 
-// AlertCmd says that the speed at which a series spends its budget has changed.
+// AlertCmd reports that the speed at which a series spends its error budget has changed. Rate is the burn rate of the last hour.
 type AlertCmd struct {
 	Key   Key
 	Speed Speed
--- a/node/burn/report.go
+++ b/node/burn/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Report is the service-level burn of one entry or of several merged ones; it is read and written as JSON.
+// Report is the service-level burn of one entry or of several merged entries. It is exchanged as JSON.
 type Report struct {
 	At       time.Time       `json:"at"`
 	Entries  []EntryReport   `json:"entries"`
@@ -16,15 +16,15 @@
 	Waves    []WaveReport    `json:"waves"`
 }
 
-// EntryReport says since when an entry has counted.
+// EntryReport gives the time since which an entry has counted, or the reason why its report is missing.
 type EntryReport struct {
 	Entry      string    `json:"entry"`
 	DataCentre string    `json:"dataCentre"`
 	Since      time.Time `json:"since"`
-	Unheard    string    `json:"unheard,omitempty"` // why the entry's report is missing.
+	Unheard    string    `json:"unheard,omitempty"` // why the entry's report is missing
 }
 
-// ServiceReport is the burn of one service and class.
+// ServiceReport is the burn of one series: a service and a request class.
 type ServiceReport struct {
 	Service   string   `json:"service"`
 	Class     string   `json:"class"`
@@ -32,23 +32,23 @@
 	Objective float64  `json:"objective"`
 	Speed     Speed    `json:"speed"`
 	Windows   []Window `json:"windows"`
-	Hours     []Point  `json:"hours"`  // hours with requests within three days, oldest first.
-	Recent    []Point  `json:"recent"` // half minutes with requests within an hour, oldest first.
+	Hours     []Point  `json:"hours"`  // the hours of the last three days that have requests, oldest first
+	Recent    []Point  `json:"recent"` // the half minutes of the last hour that have requests, oldest first
 }
 
-// Window is the latest time of the given length, in seconds.
+// Window holds the counts of the last Seconds seconds.
 type Window struct {
 	Seconds int64  `json:"seconds"`
 	Counts  Counts `json:"counts"`
 }
 
-// Point is a step of time that begins at Start.
+// Point holds the counts of an hour or half minute that begins at Start.
 type Point struct {
 	Start  time.Time `json:"start"`
 	Counts Counts    `json:"counts"`
 }
 
-// SpareReport is the number of VMs of a spare pool in a data centre, and the VM hours of it.
+// SpareReport is the number of VMs of a spare pool in a data centre, and the VM hours that it has accumulated.
 type SpareReport struct {
 	DataCentre string    `json:"dataCentre"`
 	Pool       string    `json:"pool"`
@@ -57,7 +57,7 @@
 	VMHours    float64   `json:"vmHours"`
 }
 
-// Move names the pools between which a VM moved.
+// Move names the two pools of a VM's move.
 type Move struct {
 	From string `json:"from"`
 	To   string `json:"to"`
@@ -69,7 +69,7 @@
 	Count int64 `json:"count"`
 }
 
-// WaveReport is how far a maintenance wave has come in a data centre.
+// WaveReport is the progress of a maintenance wave in a data centre. Ended is zero while the wave runs.
 type WaveReport struct {
 	ID         string    `json:"id"`
 	DataCentre string    `json:"dataCentre"`
@@ -80,7 +80,7 @@
 	Ended      time.Time `json:"ended"`
 }
 
-// Spent returns the share of the longest window's error budget that is spent; 1 is all of it.
+// Spent returns the spent share of the error budget of the longest window; 1 is all of it.
 func (s ServiceReport) Spent() float64 {
 	if len(s.Windows) == 0 {
 		return 0
@@ -88,14 +88,14 @@
 	return s.Windows[len(s.Windows)-1].Counts.Rate(s.Objective)
 }
 
-// Worst returns up to n hours in which most requests missed the objective, worst first.
+// Worst returns up to n hours, those with the most requests that missed the objective first.
 func (s ServiceReport) Worst(n int) []Point {
 	ps := slices.DeleteFunc(slices.Clone(s.Hours), func(p Point) bool { return p.Counts.Bad() == 0 })
 	slices.SortStableFunc(ps, func(a, b Point) int { return cmp.Compare(b.Counts.Bad(), a.Counts.Bad()) })
 	return ps[:min(n, len(ps))]
 }
 
-// Report returns the figures up to the last tick.
+// Report returns the figures as of the last tick.
 func (b *Burn) Report() Report {
 	r := Report{At: b.now, Entries: []EntryReport{{Entry: b.entry, DataCentre: b.dataCentre, Since: b.countingSince}}}
 	for _, k := range b.keys() {
--- a/node/burn/ring.go
+++ b/node/burn/ring.go
@@ -4,18 +4,19 @@
 
 const (
 	fineStep      = 30 * time.Second
-	fineBuckets   = 120 // an hour
+	fineBuckets   = 120 // one hour
 	coarseStep    = 5 * time.Minute
 	coarseBuckets = 864 // three days
 )
 
-// bucket holds the counts of one step of time.
+// bucket holds the counts of one time step.
 type bucket [outcomeCount]uint32
 
-// ring holds the counts of the latest steps; steps are aligned to the Unix epoch so that entries' rings can be added.
+// ring holds the counts of the latest time steps. Steps are aligned to the Unix epoch, so that the counts of several entries
+// can be added step by step.
 type ring struct {
 	step    time.Duration
-	newest  int64 // number of the newest step
+	newest  int64 // number of the newest step since the epoch
 	buckets []bucket
 }
 
@@ -26,7 +27,7 @@
 // stepNumber returns the number of the step that holds t.
 func (r *ring) stepNumber(t time.Time) int64 { return t.UnixNano() / int64(r.step) }
 
-// advance clears the steps between the newest one and now.
+// advance moves the newest step to now and clears the buckets that are reused.
 func (r *ring) advance(now time.Time) {
 	i := r.stepNumber(now)
 	n := int64(len(r.buckets))
@@ -36,7 +37,7 @@
 	r.newest = max(r.newest, i)
 }
 
-// add counts c at now; time that goes back counts in the newest step.
+// add adds c to the step of now, or to the newest step if now lies before it.
 func (r *ring) add(now time.Time, c Counts) {
 	r.advance(now)
 	b := &r.buckets[r.newest%int64(len(r.buckets))]
@@ -46,7 +47,7 @@
 	b[Refused] += uint32(c.Refused)
 }
 
-// sum returns the counts of the latest w, the present step included.
+// sum returns the counts of the last w, including the step in progress.
 func (r *ring) sum(w time.Duration) Counts {
 	var c Counts
 	n := min(int64(w/r.step), int64(len(r.buckets)))
@@ -62,7 +63,7 @@
 	return Counts{int64(b[Good]), int64(b[Late]), int64(b[Failed]), int64(b[Refused])}
 }
 
-// points returns the steps that hold requests, grouped into spans, oldest first.
+// points returns the counts of the steps that have requests, grouped by span, oldest first.
 func (r *ring) points(span time.Duration) []Point {
 	var ps []Point
 	for k := max(0, r.newest-int64(len(r.buckets))+1); k <= r.newest; k++ {
--- a/node/burn/series.go
+++ b/node/burn/series.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Speed tells how fast a series spends its error budget.
+// Speed classifies how fast a series spends its error budget.
 type Speed string
 
 const (
-	// Within means that the budget lasts.
+	// Within means that neither of the other two applies.
 	Within Speed = "within"
-	// Slow means that the budget of three days would not last, over both six hours and three days.
+	// Slow means that the burn rate is at least 1, over both six hours and three days: the budget will not last.
 	Slow Speed = "slow"
-	// Fast means that two per cent of a thirty days' budget go in an hour, over both five minutes and an hour.
+	// Fast means that the burn rate is at least 14.4, over both five minutes and an hour: an hour spends 2% of the budget of 30 days.
 	Fast Speed = "fast"
 )
 
 const (
-	fastRate = 14.4 // burn rate: 2% of 30 days' budget in an hour
-	slowRate = 1.0  // burn rate: the whole budget
+	fastRate = 14.4 // burn rate that spends 2% of the budget of 30 days in an hour
+	slowRate = 1.0  // burn rate that spends the budget exactly
 )
 
-// windowLengths returns the lengths of time over which burn rates are given, shortest first.
+// windowLengths returns the lengths of the windows for which burn rates are reported, shortest first.
 func windowLengths() []time.Duration {
 	return []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 72 * time.Hour}
 }
 
-// series holds the counts of one service and class.
+// series holds the counts of one service and class: by half minute for an hour, and by five minutes for three days.
 type series struct {
 	fine, coarse ring
 	speed        Speed
@@ -44,7 +44,7 @@
 	s.coarse.advance(now)
 }
 
-// window returns the counts of the latest w.
+// window returns the counts of the last w.
 func (s *series) window(w time.Duration) Counts {
 	if w <= fineStep*fineBuckets {
 		return s.fine.sum(w)
@@ -61,7 +61,7 @@
 	return ws
 }
 
-// speedOf returns how fast windows spend the budget of the objective.
+// speedOf classifies the burn rates of the windows. A short and a long window must both reach the rate.
 func speedOf(ws []Window, objective float64) Speed {
 	over := func(i int, rate float64) bool { return len(ws) > i && ws[i].Counts.Rate(objective) >= rate }
 	switch {
--- a/node/burn/picture.go
+++ b/node/burn/svg.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	legendShare       = 0.2 // of the picture's width, kept free for the legend.
+	legendShare       = 0.2 // share of the plot's width that is kept free for the legend
 	maxHoursForRecent = 2
 	pictureWidth      = 24 * vg.Centimeter
 	pictureHeight     = 12 * vg.Centimeter
 )
 
-// WriteSVG draws the burn rate of each series by hour, or by half minute when there is no more than an hour of them.
+// WriteSVG draws the burn rate of each series by hour, or by half minute when at most two hours have requests.
 func (r Report) WriteSVG(w io.Writer) error {
 	p, err := r.draw()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return p, nil
 }
 
-// curve returns the points of the series by hour, or by half minute when few hours have any.
+// curve returns the points of the series by hour, or by half minute when at most maxHoursForRecent hours have requests.
 func (s ServiceReport) curve() plotter.XYs {
 	ps := s.Recent
 	if len(s.Hours) > maxHoursForRecent || len(ps) == 0 {
--- a/node/burn/text.go
+++ b/node/burn/text.go
@@ -10,13 +10,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// worstHours is the number of worst hours that the text names for each series.
+// worstHours is the number of worst hours listed for each series.
 const worstHours = 3
 
-// minuteFormat is the form of a time in the text.
+// minuteFormat is the layout of times in the text.
 const minuteFormat = "2006-01-02 15:04"
 
-// WriteText writes the report as aligned tables; it returns the writer's error.
+// WriteText writes the report as aligned tables.
 func (r Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	r.writeEntries(&b)
@@ -84,14 +84,14 @@
 	}
 }
 
-// heading writes the columns of a table that has rows.
+// heading writes the column names of a table, or nothing if the table has no rows.
 func heading(w *strings.Builder, columns string, rows int) {
 	if rows > 0 {
 		fmt.Fprintf(w, "\n%s\n", columns)
 	}
 }
 
-// elapsed returns how long the wave ran, or that it still does.
+// elapsed returns how long the wave took, or "running".
 func (v WaveReport) elapsed() string {
 	if v.Ended.IsZero() {
 		return "running"
--- a/node/oper/api.go
+++ b/node/oper/api.go
@@ -20,7 +20,7 @@
 
 const (
 	maxBodyBytes  = 64 << 10
-	maxReadBytes  = 1 << 20 // over maxBodyBytes, so that a body a little too long gets a clear answer.
+	maxReadBytes  = 1 << 20 // above maxBodyBytes, so that a body that is a little too long is read and refused with the limit
 	maxConns      = 256
 	readTimeout   = 10 * time.Second
 	writeTimeout  = 10 * time.Second
@@ -29,32 +29,32 @@
 	commitTimeout = 8 * time.Second
 )
 
-// Config is what the API needs of the configuration.
+// Config is the access to the configuration that the API needs.
 type Config interface {
 	// Document returns the document in force at this entry.
 	Document() *conf.Document
-	// At returns a recent change by its number.
+	// At returns a recent change by its number; false means that it is not stored any more, or not yet.
 	At(n conf.Number) (conf.Change, bool)
-	// Commit makes c the next change and returns its number; an error that matches conf.ErrUnsettled leaves the outcome open.
+	// Commit appends c as the next change and returns its number. After an error that matches conf.ErrUnsettled, the outcome is unknown.
 	Commit(ctx context.Context, c conf.Change) (conf.Number, error)
-	// Settle returns the number under which op was accepted; conf.ErrNotAccepted when it certainly was not and will not be.
+	// Settle returns the number under which op was accepted, or conf.ErrNotAccepted if it was not and will not be accepted.
 	Settle(ctx context.Context, op string) (conf.Number, error)
 }
 
-// Fleet is what the API needs of the entry's knowledge of VMs and entries.
+// Fleet provides the VMs and entries that the API reports.
 type Fleet interface {
-	// VMs returns every VM that the entry knows.
+	// VMs returns all VMs known to the entry.
 	VMs() []VM
-	// Entries returns every entry that the entry knows, itself included.
+	// Entries returns all entries known to the entry, including itself.
 	Entries() []Entry
 }
 
-// Reporter hands out the service-level burn.
+// Reporter provides the service-level burn.
 type Reporter interface {
 	Report(now time.Time) burn.Report
 }
 
-// API serves operators; it is safe for concurrent use.
+// API serves operators' requests; it is safe for concurrent use.
 type API struct {
 	name     string
 	digests  [][]byte
@@ -65,21 +65,21 @@
 	now      func() time.Time
 	routes   map[string]route
 
-	jobQueue    Jobs // nil when the entry runs no jobs.
+	jobQueue    Jobs // nil when the entry runs no jobs
 	dataCentres []string
 }
 
-// Option changes an API.
+// Option configures an API in New.
 type Option func(*API)
 
 // WithLogger sets the logger; without it nothing is logged.
 func WithLogger(l zerolog.Logger) Option { return func(a *API) { a.log = l } }
 
-// WithClock sets the clock.
+// WithClock sets the clock; the default is time.Now.
 func WithClock(now func() time.Time) Option { return func(a *API) { a.now = now } }
 
-// New returns the API of the entry with that name; digests are SHA-256 digests of operators' tokens in hex, and without any
-// the API refuses everyone.
+// New returns the API of the named entry. digests are the hexadecimal SHA-256 digests of the operators' tokens; without any,
+// the API refuses every request.
 func New(name string, digests []string, c Config, f Fleet, r Reporter, opts ...Option) *API {
 	a := &API{name: name, config: c, fleet: f, reporter: r, log: zerolog.Nop(), now: time.Now}
 	for _, s := range digests {
@@ -94,7 +94,7 @@
 	return a
 }
 
-// Serve listens on addr until ctx ends; it returns nil after a clean end.
+// Serve listens on addr and serves until ctx ends. It returns nil after a clean shutdown.
 func (a *API) Serve(ctx context.Context, addr string) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return a.ServeListener(ctx, l)
 }
 
-// ServeListener serves l until ctx ends and closes it; it returns nil after a clean end.
+// ServeListener serves on l until ctx ends, then closes l. It returns nil after a clean shutdown.
 func (a *API) ServeListener(ctx context.Context, l net.Listener) error {
 	s := &fasthttp.Server{
 		Handler: func(x *fasthttp.RequestCtx) { a.Handle(ctx, x) }, Name: "burdockreach", MaxRequestBodySize: maxReadBytes, Concurrency: maxConns,
@@ -124,7 +124,7 @@
 	return g.Wait()
 }
 
-// discardLogger drops the server's own messages, which are about broken connections.
+// discardLogger drops the HTTP server's log lines, which are about broken connections.
 type discardLogger struct{}
 
 // Printf drops the message.
--- a/node/oper/change.go
+++ b/node/oper/change.go
@@ -16,10 +16,10 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// maxOpBytes is the longest operation's id.
+// maxOpBytes is the maximum length of an operation id.
 const maxOpBytes = 128
 
-// commitChange commits the commitChange in the body.
+// commitChange commits the change in the request body.
 func (a *API) commitChange(c context.Context, x *fasthttp.RequestCtx) {
 	g, bad := parseChange(x.PostBody())
 	if bad != nil {
@@ -39,7 +39,7 @@
 	reply(x, changeStatus(r), r)
 }
 
-// settleChange tells what became of an operation.
+// settleChange answers whether an operation was accepted.
 func (a *API) settleChange(c context.Context, x *fasthttp.RequestCtx) {
 	op := string(x.QueryArgs().Peek("op"))
 	if op == "" || len(op) > maxOpBytes {
@@ -55,7 +55,7 @@
 	reply(x, changeStatus(r), r)
 }
 
-// parseChange reads a change that has no number yet.
+// parseChange parses a change; number and prev must be unset, since they are set on acceptance.
 func parseChange(b []byte) (conf.Change, *Refusal) {
 	var c conf.Change
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -75,7 +75,7 @@
 	return c, nil
 }
 
-// jsonRefusal names the field and value at which JSON could not be read.
+// jsonRefusal returns a refusal that names the field and value of a JSON decoding error.
 func jsonRefusal(err error) *Refusal {
 	r := &Refusal{Reason: "malformed change", Field: "body", Value: "not readable", Allowed: "one JSON object: " + err.Error()}
 	var t *json.UnmarshalTypeError
@@ -88,7 +88,7 @@
 	return r
 }
 
-// changeReply tells what err leaves of the operation.
+// changeReply returns the reply to an operation that ended with n or err.
 func changeReply(op string, n conf.Number, err error) ChangeReply {
 	var f *conf.FieldError
 	switch {
@@ -117,10 +117,10 @@
 	}
 }
 
-// maxShownBytes bounds the part of a value that an answer repeats.
+// maxShownBytes is the maximum length of a value that an answer repeats.
 const maxShownBytes = 200
 
-// truncate returns s as an answer repeats it.
+// truncate shortens s to maxShownBytes for use in an answer.
 func truncate(s string) string {
 	if len(s) > maxShownBytes {
 		return s[:maxShownBytes] + "..."
--- a/node/oper/doc.go
+++ b/node/oper/doc.go
@@ -1,3 +1,3 @@
-// Package oper serves the operators' API of an entry: changes of the configuration, what is in force, the state of VMs and
-// entries, metrics and the service-level burn.
+// Package oper serves the operators' HTTP API of an entry: changes to the configuration, the configuration in force, the state of
+// VMs and entries, jobs, metrics and the service-level burn.
 package oper
--- a/node/oper/jobs.go
+++ b/node/oper/jobs.go
@@ -15,42 +15,42 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// MaxJobs is the number of jobs that one call may name.
+// MaxJobs is the maximum number of jobs in one request.
 const MaxJobs = 100
 
-// maxJobCalls is the number of jobs that one call submits or cancels at once.
+// maxJobCalls is the number of jobs of one request that are submitted or canceled concurrently.
 const maxJobCalls = 8
 
-// Jobs is what the API needs of the data centres' jobs.
+// Jobs is the access to the job queues of the data centres that the API needs.
 type Jobs interface {
-	// Submit adds the job; a repeat is no error.
+	// Submit adds the job. Submitting the same job again is no error.
 	Submit(ctx context.Context, s jobs.Spec) error
-	// Cancel takes the job back and returns its record.
+	// Cancel cancels the job and returns its record.
 	Cancel(ctx context.Context, dataCentre, id string) (jobs.Record, error)
 	// List returns the data centre's jobs.
 	List(ctx context.Context, dataCentre string) ([]jobs.Record, error)
 }
 
-// WithJobs lets operators submit and cancel jobs of the data centres; without it the API answers 501 to calls on jobs.
+// WithJobs lets operators list, submit and cancel jobs of the data centres. Without it, the API answers requests on jobs with 501.
 func WithJobs(j Jobs, dataCentres []string) Option {
 	return func(a *API) { a.jobQueue, a.dataCentres = j, dataCentres }
 }
 
-// JobsRequest holds jobs to be submitted; to be canceled they need only data centre and id.
+// JobsRequest holds jobs to submit or cancel. To cancel a job, data centre and id suffice.
 type JobsRequest struct {
 	Jobs []jobs.Spec `json:"jobs"`
 }
 
-// JobReply tells what became of one job's submission or cancellation.
+// JobReply is the outcome of the submission or cancellation of one job.
 type JobReply struct {
 	ID         string     `json:"id"`
 	DataCentre string     `json:"dataCentre"`
 	Outcome    Outcome    `json:"outcome"`
-	State      jobs.State `json:"state,omitempty"` // after a cancellation.
+	State      jobs.State `json:"state,omitempty"` // set after a cancellation
 	Reason     string     `json:"reason,omitempty"`
 }
 
-// JobsReply answers a submission or cancellation, job by job.
+// JobsReply answers a submission or cancellation with one reply for each job.
 type JobsReply struct {
 	Items []JobReply `json:"items"`
 }
@@ -60,7 +60,7 @@
 	Items []jobs.Record `json:"items"`
 }
 
-// requireJobs is the handler h, or a refusal when there are no jobs.
+// requireJobs wraps h: it answers 501 when the entry runs no jobs, and limits h to commitTimeout.
 func (a *API) requireJobs(h handler) handler {
 	return func(c context.Context, x *fasthttp.RequestCtx) {
 		if a.jobQueue == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// listJobs answers with the listJobs that match the query, of all data centres unless it names one.
+// listJobs answers with the jobs that match the query, from all data centres unless the query names one.
 func (a *API) listJobs(c context.Context, x *fasthttp.RequestCtx) {
 	arg := func(k string) string { return string(x.QueryArgs().Peek(k)) }
 	r := JobList{Items: []jobs.Record{}}
@@ -111,7 +111,7 @@
 	})
 }
 
-// forEachJob does f with the jobs of the body, some at once, and answers what became of each.
+// forEachJob calls f for each job of the request body, at most maxJobCalls at a time, and answers with the outcome of each.
 func (a *API) forEachJob(c context.Context, x *fasthttp.RequestCtx, step string, f func(context.Context, jobs.Spec) (jobs.State, error)) {
 	q, bad := parseJobs(x.PostBody())
 	if bad != nil {
@@ -127,7 +127,7 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // each reply holds its own error.
+	_ = g.Wait() // errors are in the replies
 	for _, i := range r.Items {
 		a.log.Info().Str("step", step).Stringer("peer", x.RemoteAddr()).Str("job", i.ID).Str("dataCentre", i.DataCentre).
 			Str("outcome", string(i.Outcome)).Str("reason", i.Reason).Msg("job")
--- a/node/oper/route.go
+++ b/node/oper/route.go
@@ -10,16 +10,17 @@
 	"github.com/valyala/fasthttp/expvarhandler"
 )
 
-// route is what a path does; args are the query fields that it knows.
+// route is the handler of a method and path, with the query fields that it accepts.
 type route struct {
 	queryFields []string
 	serve       handler
 }
 
-// handler serves one request; c ends with the server. The request itself is no parent for contexts, since the server reuses it.
+// handler serves one request; c ends when the server shuts down. The request context must not be the parent of other contexts,
+// since the server reuses it.
 type handler func(c context.Context, x *fasthttp.RequestCtx)
 
-// withoutContext is a handler that waits for nothing.
+// withoutContext adapts a handler that needs no context, because it waits for nothing.
 func withoutContext(f fasthttp.RequestHandler) handler {
 	return func(_ context.Context, x *fasthttp.RequestCtx) { f(x) }
 }
@@ -48,7 +49,7 @@
 	}
 }
 
-// Handle serves one request until c ends.
+// Handle serves one request. c bounds the calls that it makes.
 func (a *API) Handle(c context.Context, x *fasthttp.RequestCtx) {
 	if !a.hasOperatorToken(x) {
 		a.refuse(x, fasthttp.StatusUnauthorized, Refusal{Reason: "no operator's token, or one that this entry does not know"})
@@ -72,7 +73,7 @@
 	r.serve(c, x)
 }
 
-// unknownQueryField returns a query field that is not in known, or nothing.
+// unknownQueryField returns a query field that is not in known, or "".
 func unknownQueryField(x *fasthttp.RequestCtx, known []string) string {
 	for k := range x.QueryArgs().All() {
 		found := false
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// refuse answers a request that is not served and logs it.
+// refuse logs a refused request and answers it with r.
 func (a *API) refuse(x *fasthttp.RequestCtx, status int, r Refusal) {
 	a.log.Info().Str("step", "operate").Stringer("peer", x.RemoteAddr()).Bytes("path", x.Path()).
 		Int("status", status).Str("reason", r.Reason).Str("field", r.Field).Msg("operatorRefused")
@@ -105,7 +106,7 @@
 	x.SetBody(append(b, '\n'))
 }
 
-// refuseUnreadable answers a request that the server could not read.
+// refuseUnreadable answers a request that is too long or malformed.
 func refuseUnreadable(x *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		reply(x, fasthttp.StatusRequestEntityTooLarge, Refusal{
--- a/node/oper/show.go
+++ b/node/oper/show.go
@@ -9,7 +9,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// showDocument answers with the whole configuration in force.
+// showDocument answers with the configuration document in force.
 func (a *API) showDocument(x *fasthttp.RequestCtx) {
 	b, err := a.config.Document().Marshal()
 	if err != nil {
@@ -45,7 +45,7 @@
 	listObjects(a, x, d, d.Waves(), conf.PutWave, func(w conf.WaveSpec) string { return w.ID })
 }
 
-// listObjects answers with all objects, or with the one that the query names.
+// listObjects answers with all objects of kind k, or with the one that the query names.
 func listObjects[T any](a *API, x *fasthttp.RequestCtx, d *conf.Document, all []T, k conf.Kind, name func(T) string) {
 	want := string(x.QueryArgs().Peek("name"))
 	r := Objects[T]{Number: d.Number(), Items: []Object[T]{}}
@@ -61,7 +61,7 @@
 	reply(x, fasthttp.StatusOK, r)
 }
 
-// approvals answers with the approvals of the team and of the service that the query names.
+// approvals answers with the approvals, filtered by the team and the service of the query if given.
 func (a *API) approvals(x *fasthttp.RequestCtx) {
 	d := a.config.Document()
 	team, service := string(x.QueryArgs().Peek("team")), string(x.QueryArgs().Peek("service"))
@@ -89,14 +89,14 @@
 	reply(x, fasthttp.StatusOK, VMs{Items: vs})
 }
 
-// matches reports whether v is what was asked for; nothing asks for all.
+// matches reports whether v equals the wanted value; an empty want matches every value.
 func matches(want, v string) bool { return want == "" || want == v }
 
 func (a *API) entries(x *fasthttp.RequestCtx) {
 	reply(x, fasthttp.StatusOK, Entries{Items: a.fleet.Entries()})
 }
 
-// applied tells whether a change is in force here and at the entries that are heard.
+// applied answers whether a change is in force at every known entry. An entry without a recent heartbeat counts as not having it.
 func (a *API) applied(x *fasthttp.RequestCtx) {
 	r := Applied{Entry: a.name, Newest: a.config.Document().Number(), Entries: a.fleet.Entries()}
 	r.Number = r.Newest
--- a/node/oper/wire.go
+++ b/node/oper/wire.go
@@ -6,19 +6,19 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// Outcome tells what became of a change.
+// Outcome says whether a change or a job was accepted.
 type Outcome string
 
 const (
-	// Accepted means that the change has a number and comes into force everywhere.
+	// Accepted means that the change has a number and will come into force at every entry.
 	Accepted Outcome = "accepted"
-	// NotAccepted means that the change certainly was not accepted.
+	// NotAccepted means that the change was certainly not accepted.
 	NotAccepted Outcome = "notAccepted"
-	// Unknown means that the change may be accepted: ask again with its op.
+	// Unknown means that the change may have been accepted; GET /op/change with its op settles it.
 	Unknown Outcome = "unknown"
 )
 
-// ChangeReply answers a change.
+// ChangeReply answers a change, or a query for an operation. Field, Value and Allowed name an input that is not valid.
 type ChangeReply struct {
 	Outcome Outcome     `json:"outcome"`
 	Op      string      `json:"op"`
@@ -29,7 +29,7 @@
 	Allowed string      `json:"allowed,omitempty"`
 }
 
-// Refusal answers a request that the API does not serve; Field, Value and Allowed name a bad input.
+// Refusal answers a request that the API refuses; Field, Value and Allowed name an input that is not valid.
 type Refusal struct {
 	Reason  string `json:"reason"`
 	Field   string `json:"field,omitempty"`
@@ -37,28 +37,28 @@
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// Object is one object of the configuration with the number of its last change.
+// Object is a configuration object with the number of its last change.
 type Object[T any] struct {
 	Spec    T           `json:"spec"`
 	Changed conf.Number `json:"changed"`
 }
 
-// Objects is a list of objects as the entry has them in force.
+// Objects is a list of the objects in force at the entry; Number is the newest change in force.
 type Objects[T any] struct {
 	Number conf.Number `json:"n"`
 	Items  []Object[T] `json:"items"`
 }
 
-// VM is one VM as the entry sees it.
+// VM is the state of a VM as the entry knows it.
 type VM struct {
 	ID         string `json:"id"`
 	Addr       string `json:"addr"`
 	DataCentre string `json:"dataCentre"`
 	Rack       string `json:"rack"`
 	Pool       string `json:"pool"`
-	State      string `json:"state"`    // of the membership: what the system does with the VM.
-	Platform   string `json:"platform"` // of the platform's list: live, leaving or gone.
-	Wave       string `json:"wave,omitempty"`
+	State      string `json:"state"`          // state in the membership: how burdockreach uses the VM
+	Platform   string `json:"platform"`       // state in the platform's list: live, leaving or gone
+	Wave       string `json:"wave,omitempty"` // the running wave, or else the last finished one
 	Boot       int64  `json:"boot"`
 }
 
@@ -67,7 +67,7 @@
 	Items []VM `json:"items"`
 }
 
-// Entry is one entry as the asked one knows it; UnheardMs is the time since its last beat in milliseconds.
+// Entry is the state of an entry as the asked entry knows it; UnheardMs is the time since its last heartbeat in milliseconds.
 type Entry struct {
 	Entry      string      `json:"entry"`
 	DataCentre string      `json:"dataCentre"`
@@ -86,14 +86,14 @@
 	Items []Entry `json:"items"`
 }
 
-// Applied tells whether a change is in force at the asked entry and at those that it hears.
+// Applied says whether a change is in force at the asked entry and at all other entries that it knows.
 type Applied struct {
 	Entry    string      `json:"entry"`
-	Number   conf.Number `json:"n"`       // the change that was asked for, or the newest one.
-	Newest   conf.Number `json:"newest"`  // the newest change in force at the asked entry.
-	InForce  bool        `json:"inForce"` // at every entry in Entries.
-	At       time.Time   `json:"at"`      // when the change was made; zero when the entry keeps it no more.
-	AgeMs    int64       `json:"ageMs"`   // milliseconds since At by the entry's clock.
+	Number   conf.Number `json:"n"`       // the change in question; the newest one by default
+	Newest   conf.Number `json:"newest"`  // the newest change in force at the asked entry
+	InForce  bool        `json:"inForce"` // at every entry in Entries
+	At       time.Time   `json:"at"`      // when the change was made; zero when the entry no longer stores the change
+	AgeMs    int64       `json:"ageMs"`   // milliseconds since At by the asked entry's clock
 	Entries  []Entry     `json:"entries"`
 	Op       string      `json:"op,omitempty"`
 	ByPerson string      `json:"by,omitempty"`
