--- a/node/burn/burn_test.go
+++ b/node/burn/burn_test.go
@@ -34,7 +34,7 @@
 	// Output: 200% of the budget, 20 missed
 }
 
-// event is one count of the naive version, which keeps them all.
+// event is one count of the naive reference implementation, which keeps all events.
 type event struct {
 	step   int64
 	counts burn.Counts
@@ -60,7 +60,7 @@
 	})
 }
 
-// naive adds every event whose step lies within the window.
+// naive adds up the events whose step lies within the window.
 func naive(es []event, now time.Time, seconds int64) burn.Counts {
 	step := int64(30 * time.Second)
 	if seconds > 3600 {
@@ -116,7 +116,7 @@
 	i.Equal(a.Key, orders)
 	i.Equal(a.Speed, burn.Fast)
 	i.True(a.Rate > 19.99 && a.Rate < 20.01)
-	i.Equal(len(b.Update(burn.TickMsg{Now: start.Add(time.Minute)})), 0) // the same speed is told once
+	i.Equal(len(b.Update(burn.TickMsg{Now: start.Add(time.Minute)})), 0) // an unchanged speed is reported once
 	cs = b.Update(burn.TickMsg{Now: start.Add(6 * time.Minute)})
 	i.Equal(cs[0].(burn.AlertCmd).Speed, burn.Slow) // five minutes without misses
 	b.Update(burn.CountMsg{Now: start.Add(7 * time.Hour), Key: orders, Counts: burn.Counts{Good: 1}})
@@ -126,8 +126,8 @@
 	i.Equal(len(b.Report().Services), 0)
 }
 
-// led returns a leader's message an hour times n after the start; each VM stands as name, pool and last wave.
-func led(term int64, hours int, waves []burn.Wave, vms ...burn.Member) burn.LeadMsg {
+// leaderMsg returns a leader's message that is sent the given hours after start.
+func leaderMsg(term int64, hours int, waves []burn.Wave, vms ...burn.Member) burn.LeadMsg {
 	return burn.LeadMsg{Now: start.Add(time.Duration(hours) * time.Hour), Term: term, Members: vms, Spares: []string{"spare"}, Waves: waves}
 }
 
@@ -136,11 +136,11 @@
 	w := []burn.Wave{{ID: "w", Pools: []string{"p"}}}
 	v := func(vm, pool, wave string) burn.Member { return burn.Member{VM: vm, Pool: pool, Wave: wave} }
 	old, next := burn.New("e1", "a", start), burn.New("e2", "a", start)
-	old.Update(led(1, 0, w, v("1", "p", ""), v("2", "spare", ""), v("3", "spare", "")))
-	old.Update(led(1, 1, w, v("1", "p", "w"), v("2", "p", ""), v("3", "spare", "")))
-	next.Update(led(2, 2, w, v("1", "p", "w"), v("2", "p", "w"), v("3", "spare", "")))
-	next.Update(led(2, 3, nil, v("1", "p", "w"), v("2", "spare", "w"), v("3", "spare", "")))
-	old.Update(led(3, 9, nil, v("2", "p", "w"))) // neither spare time nor a move between its terms
+	old.Update(leaderMsg(1, 0, w, v("1", "p", ""), v("2", "spare", ""), v("3", "spare", "")))
+	old.Update(leaderMsg(1, 1, w, v("1", "p", "w"), v("2", "p", ""), v("3", "spare", "")))
+	next.Update(leaderMsg(2, 2, w, v("1", "p", "w"), v("2", "p", "w"), v("3", "spare", "")))
+	next.Update(leaderMsg(2, 3, nil, v("1", "p", "w"), v("2", "spare", "w"), v("3", "spare", "")))
+	old.Update(leaderMsg(3, 9, nil, v("2", "p", "w"))) // no spare time and no moves are counted between two terms
 	r := burn.Merge(next.Report(), old.Report())
 	i.Equal(r.Spares[0].VMs, 0)
 	i.Equal(r.Spares[0].VMHours, 3.0)
@@ -155,9 +155,9 @@
 func TestDroppedWaveEnds(t *testing.T) {
 	i := is.New(t)
 	b := burn.New("e1", "a", start)
-	b.Update(led(1, 0, []burn.Wave{{ID: "w", Pools: []string{"p"}}}, burn.Member{VM: "1", Pool: "p"}))
+	b.Update(leaderMsg(1, 0, []burn.Wave{{ID: "w", Pools: []string{"p"}}}, burn.Member{VM: "1", Pool: "p"}))
 	i.True(b.Report().Waves[0].Ended.IsZero())
-	b.Update(led(1, 1, nil, burn.Member{VM: "1", Pool: "p"}))
+	b.Update(leaderMsg(1, 1, nil, burn.Member{VM: "1", Pool: "p"}))
 	i.Equal(b.Report().Waves[0].Ended, start.Add(time.Hour))
 	i.Equal(b.Report().Waves[0].Done, 0)
 }
@@ -182,7 +182,7 @@
 	i.NoErr(g.Wait())
 	c := m.Report(start).Services[0].Windows[0].Counts
 	i.Equal(c, burn.Counts{Good: adders * adds / 2, Late: adders * adds / 2})
-	i.Equal(m.Report(start).Services[0].Windows[0].Counts, c) // what was flushed is not counted again
+	i.Equal(m.Report(start).Services[0].Windows[0].Counts, c) // flushed counts are not counted again
 	i.Equal(testing.AllocsPerRun(100, func() { m.Add(orders, burn.Good) }) <= 1, true)
 }
 
@@ -193,7 +193,7 @@
 	for n := range 5 {
 		b.Update(burn.CountMsg{Now: start.Add(time.Duration(n) * time.Hour), Key: orders, Counts: burn.Counts{Good: 90, Late: int64(n)}})
 	}
-	b.Update(led(1, 0, []burn.Wave{{ID: "w", Pools: []string{"p"}}}, burn.Member{VM: "1", Pool: "p"}))
+	b.Update(leaderMsg(1, 0, []burn.Wave{{ID: "w", Pools: []string{"p"}}}, burn.Member{VM: "1", Pool: "p"}))
 	b.Update(burn.TickMsg{Now: start.Add(5 * time.Hour)})
 	var text, svg bytes.Buffer
 	i.NoErr(b.Report().WriteText(&text))
@@ -203,7 +203,7 @@
 		i.NoErr(os.WriteFile(p, svg.Bytes(), 0o644))
 	}
 	assertXML(t, svg.Bytes())
-	i.NoErr(burn.Report{}.WriteSVG(io.Discard)) // nothing counted yet
+	i.NoErr(burn.Report{}.WriteSVG(io.Discard)) // an empty report can be drawn
 }
 
 func assertXML(t *testing.T, b []byte) {
--- a/node/oper/jobs_test.go
+++ b/node/oper/jobs_test.go
@@ -17,7 +17,7 @@
 
 const jobForm = `{"id":%q,"dataCentre":%q,"pool":%q,"team":"back","kind":"nightly","cores":1,"memoryMB":10,"runMs":%d,"finishBy":1}`
 
-// jobCall sends one call on jobs to an API that knows the data centres east and west and the pool ledger.
+// jobCall sends one request on jobs to an API with the data centres east and west and the pool ledger.
 func jobCall(t *testing.T, s keyval.Store, method, path, body string, want int) string {
 	t.Helper()
 	d, err := conf.NewDocument().Apply(conf.Change{Number: 1, Op: "op", Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "ledger"}})
@@ -50,7 +50,7 @@
 	}
 	accepted := `{"items":[{"id":"a","dataCentre":"west","outcome":"accepted"}]}` + "\n"
 	is.Equal(submit("a", "west", "ledger", 5), accepted)
-	is.Equal(submit("a", "west", "ledger", 5), accepted) // a repeat.
+	is.Equal(submit("a", "west", "ledger", 5), accepted) // a repeated submission is accepted
 	for _, c := range [][]any{{"a", "west", "ledger", 6}, {"b", "north", "ledger", 5}, {"b", "west", "none", 5}, {"b/1", "west", "ledger", 5}, {"b", "west", "ledger", 0}} {
 		out := submit(c[0].(string), c[1].(string), c[2].(string), c[3].(int))
 		assertHas(t, out, `"outcome":"notAccepted"`)
--- a/node/oper/oper_test.go
+++ b/node/oper/oper_test.go
@@ -27,7 +27,7 @@
 
 var noon = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
 
-// config is a configuration that accepts what its document accepts, until lost makes it lose its answers.
+// config is a Config that accepts every valid change. With lost set, Commit applies the change but reports an unknown outcome.
 type config struct {
 	doc  *conf.Document
 	log  []conf.Change
@@ -65,7 +65,7 @@
 	return 0, eris.Wrap(conf.ErrNotAccepted, "settle")
 }
 
-// fleet knows two VMs and two entries, the second of which has applied what behind leaves.
+// fleet is a Fleet of two VMs and two entries; the fields set the state of the second entry.
 type fleet struct {
 	applied conf.Number
 	heard   bool
@@ -83,8 +83,8 @@
 
 func (reporter) Report(time.Time) burn.Report { return burn.Report{At: noon} }
 
-// bench is an API on a connection in memory.
-type bench struct {
+// testAPI is an API behind an in-memory listener, with a client for it.
+type testAPI struct {
 	t      testing.TB
 	config *config
 	fleet  *fleet
@@ -96,9 +96,9 @@
 	return hex.EncodeToString(d[:])
 }
 
-func newBench(t testing.TB, digests ...string) *bench {
+func newTestAPI(t testing.TB, digests ...string) *testAPI {
 	t.Helper()
-	b := &bench{t: t, config: &config{doc: conf.NewDocument()}, fleet: &fleet{}}
+	b := &testAPI{t: t, config: &config{doc: conf.NewDocument()}, fleet: &fleet{}}
 	a := oper.New("e1", digests, b.config, b.fleet, reporter{}, oper.WithClock(func() time.Time { return noon }))
 	l := fasthttputil.NewInmemoryListener()
 	b.client = &fasthttp.Client{Dial: func(string) (net.Conn, error) { return l.Dial() }}
@@ -115,8 +115,8 @@
 	return b
 }
 
-// call sends a request with the token and returns the status and the answer's fields.
-func (b *bench) call(bearer, method, path, body string) (int, map[string]any) {
+// call sends a request with the bearer token, if any, and returns the status and the decoded JSON answer.
+func (b *testAPI) call(bearer, method, path, body string) (int, map[string]any) {
 	b.t.Helper()
 	var q fasthttp.Request
 	var r fasthttp.Response
@@ -151,24 +151,24 @@
 }
 
 func TestOnlyOperators(t *testing.T) {
-	defer goleak.VerifyNone(t, sleepers()...)
+	defer goleak.VerifyNone(t, ignoreFasthttpCleaners()...)
 	t.Run("calls", func(t *testing.T) {
-		open, shut := newBench(t, digest("other"), digest(token)), newBench(t)
+		withTokens, withoutTokens := newTestAPI(t, digest("other"), digest(token)), newTestAPI(t)
 		for _, p := range []string{"/op/change", "/op/conf", "/op/teams", "/op/vms", "/op/burn", "/debug/vars", "/none"} {
-			assertStatus(t, open, "", "GET", p, 401)
-			assertStatus(t, open, "wrong", "GET", p, 401)
-			assertStatus(t, open, digest(token), "POST", p, 401)
-			assertStatus(t, shut, token, "GET", p, 401)
+			assertStatus(t, withTokens, "", "GET", p, 401)
+			assertStatus(t, withTokens, "wrong", "GET", p, 401)
+			assertStatus(t, withTokens, digest(token), "POST", p, 401)
+			assertStatus(t, withoutTokens, token, "GET", p, 401)
 		}
-		assertStatus(t, open, token, "GET", "/debug/vars", 200)
-		assertStatus(t, open, "other", "GET", "/op/conf", 200)
-		assertStatus(t, open, token, "DELETE", "/op/conf", 404)
-		assertStatus(t, open, token, "GET", "/op/jobs", 501)
+		assertStatus(t, withTokens, token, "GET", "/debug/vars", 200)
+		assertStatus(t, withTokens, "other", "GET", "/op/conf", 200)
+		assertStatus(t, withTokens, token, "DELETE", "/op/conf", 404)
+		assertStatus(t, withTokens, token, "GET", "/op/jobs", 501)
 	})
 }
 
-// sleepers are the cleaners that fasthttp leaves asleep for some seconds after its servers and clients end.
-func sleepers() []goleak.Option {
+// ignoreFasthttpCleaners returns options that ignore the cleanup goroutines that fasthttp leaves sleeping for some seconds after its servers and clients end.
+func ignoreFasthttpCleaners() []goleak.Option {
 	var os []goleak.Option
 	for _, f := range []string{"(*Client).mCleaner", "(*HostClient).connsCleaner", "(*workerPool).Start.func2", "updateServerDate.func1"} {
 		os = append(os, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp."+f))
@@ -176,7 +176,7 @@
 	return os
 }
 
-func assertStatus(t *testing.T, b *bench, bearer, method, path string, want int) {
+func assertStatus(t *testing.T, b *testAPI, bearer, method, path string, want int) {
 	t.Helper()
 	if got, m := b.call(bearer, method, path, ""); got != want {
 		t.Fatalf("%s %s with %q: got %d %v, want %d", method, path, bearer, got, m, want)
@@ -185,7 +185,7 @@
 
 func TestChangeOutcomes(t *testing.T) {
 	i := is.New(t)
-	b := newBench(t, digest(token))
+	b := newTestAPI(t, digest(token))
 	b.config.lost = true
 	s, m := b.call(token, "POST", "/op/change", `{"op":"lost","kind":"putPool","pool":{"name":"p"}}`)
 	i.Equal(s, 504)
@@ -199,12 +199,12 @@
 	i.Equal(s, 409)
 	i.Equal(m["outcome"], "notAccepted")
 	_, m = b.call(token, "POST", "/op/change", `{"kind":"putPool","pool":{"name":"q"}}`)
-	i.True(len(m["op"].(string)) > 20) // an op is made where none is given
+	i.True(len(m["op"].(string)) > 20) // an operation id is generated if none is given
 	i.Equal(b.config.log[1].At, noon)
 }
 
 func TestBadChangesNameTheField(t *testing.T) {
-	b := newBench(t, digest(token))
+	b := newTestAPI(t, digest(token))
 	for body, field := range map[string]string{
 		``:  "body",
 		`[`: "body",
@@ -232,7 +232,7 @@
 }
 
 func TestShow(t *testing.T) {
-	b := newBench(t, digest(token))
+	b := newTestAPI(t, digest(token))
 	for _, c := range []string{
 		`{"kind":"putPool","pool":{"name":"p1"}}`, `{"kind":"putPool","pool":{"name":"p2"}}`,
 		`{"kind":"putProfile","profile":{"name":"gold"}}`,
@@ -263,21 +263,21 @@
 
 func TestAppliedEverywhere(t *testing.T) {
 	i := is.New(t)
-	b := newBench(t, digest(token))
+	b := newTestAPI(t, digest(token))
 	b.call(token, "POST", "/op/change", `{"op":"o","by":"amina","kind":"putPool","pool":{"name":"p1"}}`)
 	inForce := func() any {
 		_, m := b.call(token, "GET", "/op/applied?n=1", "")
 		return m["inForce"]
 	}
 	b.fleet.heard = true
-	i.Equal(inForce(), false) // the other entry lacks the change
+	i.Equal(inForce(), false) // the other entry has not applied the change
 	b.fleet.applied = 1
 	i.Equal(inForce(), true)
 	b.fleet.heard = false
-	i.Equal(inForce(), false) // an entry that is not heard is not taken to have it
+	i.Equal(inForce(), false) // an entry whose heartbeat is missing does not count as having the change
 	b.fleet.heard, b.fleet.applied = true, 2
 	_, m := b.call(token, "GET", "/op/applied?n=2", "")
-	i.Equal(m["inForce"], false) // the asked entry's own document lacks it
+	i.Equal(m["inForce"], false) // the asked entry itself does not have the change
 	assertStatus(t, b, token, "GET", "/op/applied?n=-1", 400)
 	assertStatus(t, b, token, "GET", "/op/applied?n=x", 400)
 }
