--- a/node/entry/broken.go
+++ b/node/entry/broken.go
@@ -14,31 +14,31 @@
 	"burdockreach.dev/node/burn"
 )
 
-// broken answers what the server could not read as a request; nothing was run.
-func (e *Entry) broken(x *fasthttp.RequestCtx, err error) {
+// serveUnreadable answers what the server could not read as a request; nothing was run.
+func (e *Entry) serveUnreadable(x *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	r := notRun(fasthttp.StatusBadRequest, "parse", "the request cannot be read as HTTP")
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		r = notRun(fasthttp.StatusRequestEntityTooLarge, "parse", fmt.Sprintf("the body is over %d bytes", e.set.MaxBodyBytes()))
+		r = notRun(fasthttp.StatusRequestEntityTooLarge, "parse", fmt.Sprintf("the body is over %d bytes", e.settings.MaxBodyBytes()))
 	case errors.As(err, &small):
-		r = notRun(fasthttp.StatusRequestHeaderFieldsTooLarge, "parse", fmt.Sprintf("the header is over %d bytes", readBuffer))
+		r = notRun(fasthttp.StatusRequestHeaderFieldsTooLarge, "parse", fmt.Sprintf("the header is over %d bytes", maxHeaderBytes))
 	}
-	e.count.refused.Add(1)
-	r.write(x, e.ids.next())
+	e.counters.refused.Add(1)
+	r.write(x, e.requestIDs.next())
 }
 
-// ids makes request ids that are unique in the fleet and over restarts.
-type ids struct {
+// requestIDs makes request requestIDs that are unique in the fleet and over restarts.
+type requestIDs struct {
 	prefix string
 	n      atomic.Uint64
 }
 
-func newIDs(name string) *ids {
-	return &ids{prefix: name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36) + "-"}
+func newRequestIDs(name string) *requestIDs {
+	return &requestIDs{prefix: name + "-" + strconv.FormatInt(time.Now().UnixNano(), 36) + "-"}
 }
 
-func (i *ids) next() string { return i.prefix + strconv.FormatUint(i.n.Add(1), 36) }
+func (i *requestIDs) next() string { return i.prefix + strconv.FormatUint(i.n.Add(1), 36) }
 
 // noKeys refuses every keyed request.
 type noKeys struct{}
@@ -48,11 +48,11 @@
 	return Decision{Verdict: Unheld, Why: "no holder of keys is configured"}
 }
 
-// noBurner counts nothing.
-type noBurner struct{}
+// noOutcomeCounter counts nothing.
+type noOutcomeCounter struct{}
 
 // Add does nothing.
-func (noBurner) Add(burn.Key, burn.Outcome) {}
+func (noOutcomeCounter) Add(burn.Key, burn.Outcome) {}
 
 func className(c sched.Class) string {
 	switch c {
@@ -64,25 +64,25 @@
 	return "normal"
 }
 
-func (e *Entry) burn(o order, b burn.Outcome) {
-	e.burner.Add(burn.Key{Service: o.service, Class: className(o.class)}, b)
+func (e *Entry) countOutcome(o checkedRequest, b burn.Outcome) {
+	e.outcomeCounter.Add(burn.Key{Service: o.service, Class: className(o.class)}, b)
 }
 
-// spent counts a request without a target's answer.
-func (e *Entry) spent(o order, r *Refusal) {
+// countUnanswered counts a request without a target's answer.
+func (e *Entry) countUnanswered(o checkedRequest, r *Refusal) {
 	switch r.Outcome {
 	case OutcomeRepeat:
-		e.count.repeated.Add(1)
+		e.counters.repeated.Add(1)
 		return
 	case OutcomeUnknown:
-		e.count.unknown.Add(1)
+		e.counters.unknown.Add(1)
 		if r.Step != stepClaim {
-			e.burn(o, burn.Failed)
+			e.countOutcome(o, burn.Failed)
 		}
 	default:
-		e.count.ended.Add(1)
+		e.counters.ended.Add(1)
 		if r.status >= fasthttp.StatusInternalServerError {
-			e.burn(o, burn.Refused)
+			e.countOutcome(o, burn.Refused)
 		}
 	}
 }
--- a/node/entry/call.go
+++ b/node/entry/call.go
@@ -15,198 +15,198 @@
 
 // call is one request from its arrival to its final answer.
 type call struct {
-	e        *Entry
-	x        *fasthttp.RequestCtx
-	o        order
-	v        *service
-	id       sched.ID
-	ch       chan sched.Cmd
-	request  string
-	start    time.Time
-	deadline time.Time
-	claim    Claim
-	held     bool // x.Response holds the target's own failure
+	entry        *Entry
+	http         *fasthttp.RequestCtx
+	req          checkedRequest
+	svc          *service
+	schedID      sched.ID
+	cmds         chan sched.Cmd
+	requestID    string
+	arrivedAt    time.Time
+	deadline     time.Time
+	claim        Claim
+	targetFailed bool // x.Response holds the target's own failure
 }
 
 // serve takes one request through all its steps.
 func (e *Entry) serve(x *fasthttp.RequestCtx) {
-	id := e.ids.next()
+	id := e.requestIDs.next()
 	if string(x.Request.Header.RequestURI()) == healthPath {
-		e.showHealth(x)
+		e.serveHealth(x)
 		return
 	}
-	if !e.begin() {
+	if !e.beginRequest() {
 		notRun(fasthttp.StatusServiceUnavailable, "accept", "the entry is stopping").after(time.Second).write(x, id)
 		x.SetConnectionClose()
 		return
 	}
-	defer e.end(x)
-	if n := int64(len(x.Request.Body())); e.bodies.Add(n) > e.set.MaxQueueBytes() {
-		e.bodies.Add(-n)
-		e.refused(x, order{}, id, notRun(fasthttp.StatusServiceUnavailable, "accept", "too many bytes of bodies are waiting").after(time.Second))
+	defer e.endRequest(x)
+	if n := int64(len(x.Request.Body())); e.bodyBytes.Add(n) > e.settings.MaxQueueBytes() {
+		e.bodyBytes.Add(-n)
+		e.refuse(x, checkedRequest{}, id, notRun(fasthttp.StatusServiceUnavailable, "accept", "too many bytes of bodies are waiting").after(time.Second))
 		return
 	}
-	defer e.bodies.Add(-int64(len(x.Request.Body())))
-	o, r := e.check(x, e.conf.Document())
+	defer e.bodyBytes.Add(-int64(len(x.Request.Body())))
+	o, r := e.check(x, e.documents.Document())
 	if r != nil {
-		e.refused(x, o, id, r)
+		e.refuse(x, o, id, r)
 		return
 	}
-	c := call{e: e, x: x, o: o, v: e.service(o.service), request: id, start: time.Now()}
-	c.deadline = c.start.Add(o.timeout)
-	c.run(e.ctx)
+	c := call{entry: e, http: x, req: o, svc: e.service(o.service), requestID: id, arrivedAt: time.Now()}
+	c.deadline = c.arrivedAt.Add(o.timeout)
+	c.run(e.requestCtx)
 }
 
-// refused answers a request that did not pass its checks.
-func (e *Entry) refused(x *fasthttp.RequestCtx, o order, id string, r *Refusal) {
+// refuse answers a request that did not pass its checks.
+func (e *Entry) refuse(x *fasthttp.RequestCtx, o checkedRequest, id string, r *Refusal) {
 	e.log.Info().Str("request", id).Str("step", r.Step).Str("team", o.team).Str("reason", r.Reason).Msg("refused")
-	e.count.refused.Add(1)
+	e.counters.refused.Add(1)
 	r.write(x, id)
 }
 
 // run follows the scheduler's commands until there is a final answer.
 func (c *call) run(ctx context.Context) {
-	c.prepare()
-	c.id, c.ch = c.v.arrive(sched.ArriveMsg{
-		Now: c.start, Team: c.o.team, Class: c.o.class, Deadline: c.deadline, Idempotent: c.o.idempotent,
+	c.rewriteRequest()
+	c.schedID, c.cmds = c.svc.arrive(sched.ArriveMsg{
+		Now: c.arrivedAt, Team: c.req.team, Class: c.req.class, Deadline: c.deadline, Idempotent: c.req.idempotent,
 	})
-	defer c.v.leave(c.id, c.ch)
+	defer c.svc.forget(c.schedID, c.cmds)
 	for {
-		switch m := (<-c.ch).(type) {
+		switch m := (<-c.cmds).(type) {
 		case sched.EndCmd:
 			c.giveUp(m)
 			return
 		case sched.SendCmd:
-			if c.try(ctx, m) {
+			if c.attempt(ctx, m) {
 				return
 			}
 		}
 	}
 }
 
-// prepare turns the caller's request into the one that targets see.
-func (c *call) prepare() {
-	h := &c.x.Request.Header
-	c.x.Request.SetRequestURIBytes(c.o.path)
+// rewriteRequest turns the caller's request into the one that targets see.
+func (c *call) rewriteRequest() {
+	h := &c.http.Request.Header
+	c.http.Request.SetRequestURIBytes(c.req.path)
 	h.Del(fasthttp.HeaderAuthorization)
 	h.Del(fasthttp.HeaderConnection)
-	h.Set(headerRequest, c.request)
-	h.Set(headerTeam, c.o.team)
+	h.Set(headerRequest, c.requestID)
+	h.Set(headerTeam, c.req.team)
 }
 
-// try makes one attempt and reports whether the caller has its final answer.
-func (c *call) try(ctx context.Context, m sched.SendCmd) bool {
-	if m.Attempt == 1 && time.Since(c.start) > goneAfter && conns.Gone(c.x.Conn()) {
-		c.done(m, sched.Withdrawn, false)
-		c.e.count.cancelled.Add(1)
-		c.x.Response.Reset()
+// attempt makes one attempt and reports whether the caller has its final answer.
+func (c *call) attempt(ctx context.Context, m sched.SendCmd) bool {
+	if m.Attempt == 1 && time.Since(c.arrivedAt) > goneCheckDelay && conns.Gone(c.http.Conn()) {
+		c.reportDone(m, sched.Withdrawn, false)
+		c.entry.counters.cancelled.Add(1)
+		c.http.Response.Reset()
 		return true
 	}
-	if r := c.mayStart(); r != nil {
-		c.done(m, sched.Withdrawn, false)
+	if r := c.checkClaimAge(); r != nil {
+		c.reportDone(m, sched.Withdrawn, false)
 		c.finish(r)
 		return true
 	}
 	if r := c.claimKey(ctx); r != nil {
-		c.done(m, sched.Withdrawn, false)
+		c.reportDone(m, sched.Withdrawn, false)
 		c.finish(r)
 		return true
 	}
 	result, leaving := c.send(ctx, m)
-	c.done(m, result, leaving)
+	c.reportDone(m, result, leaving)
 	if result == sched.Answered {
-		c.answered()
+		c.passAnswer()
 	}
 	return result == sched.Answered
 }
 
-func (c *call) done(m sched.SendCmd, r sched.Result, leaving bool) {
+func (c *call) reportDone(m sched.SendCmd, r sched.Result, leaving bool) {
 	if leaving {
-		c.e.left(m.Target)
+		c.entry.markLeaving(m.Target)
 	}
-	c.v.done(sched.DoneMsg{Now: time.Now(), ID: c.id, Target: m.Target, Result: r, Leaving: leaving})
+	c.svc.sendDone(sched.DoneMsg{Now: time.Now(), ID: c.schedID, Target: m.Target, Result: r, Leaving: leaving})
 }
 
 // send passes the request to the target once and tells what became of it.
 func (c *call) send(ctx context.Context, m sched.SendCmd) (r sched.Result, leaving bool) {
-	c.held = false
-	t := c.e.target(m.Target)
+	c.targetFailed = false
+	t := c.entry.target(m.Target)
 	if t == nil {
 		return sched.NotRun, true
 	}
-	limit := c.limit(m)
-	h := &c.x.Request.Header
+	limit := c.attemptDeadline(m)
+	h := &c.http.Request.Header
 	h.SetHost(t.addr)
 	h.Set(headerDeadline, strconv.FormatInt(time.Until(c.deadline).Milliseconds(), 10))
-	err := t.conns.Send(ctx, &c.x.Request, &c.x.Response, limit, !c.o.idempotent)
+	err := t.conns.Send(ctx, &c.http.Request, &c.http.Response, limit, !c.req.idempotent)
 	switch {
 	case errors.Is(err, conns.ErrNotSent):
-		c.e.health.sick(m.Target, true, time.Now())
-		c.lost(m, "connect", err)
+		c.entry.health.recordFailure(m.Target, true, time.Now())
+		c.logSendFailure(m, "connect", err)
 		return sched.NotRun, false
 	case err != nil:
-		c.e.health.sick(m.Target, false, time.Now())
-		c.lost(m, "send", err)
+		c.entry.health.recordFailure(m.Target, false, time.Now())
+		c.logSendFailure(m, "send", err)
 		return sched.Unknown, false
 	}
-	return c.judge(m.Target)
+	return c.classifyAnswer(m.Target)
 }
 
-// limit bounds an idempotent attempt so that time is left for one on another connection.
-func (c *call) limit(m sched.SendCmd) time.Time {
-	if !c.o.idempotent || m.Attempt > 1 {
+// attemptDeadline bounds an idempotent attempt so that time is left for one on another connection.
+func (c *call) attemptDeadline(m sched.SendCmd) time.Time {
+	if !c.req.idempotent || m.Attempt > 1 {
 		return c.deadline
 	}
 	left := time.Until(c.deadline)
-	if left < minSplit {
+	if left < minRetryTime {
 		return c.deadline
 	}
 	return c.deadline.Add(-left / 2)
 }
 
-// goneAfter is the least wait after which a caller may have gone away.
-const goneAfter = 5 * time.Millisecond
+// goneCheckDelay is the least wait after which a caller may have gone away.
+const goneCheckDelay = 5 * time.Millisecond
 
-// minSplit is the least time left that is worth two attempts.
-const minSplit = 200 * time.Millisecond
+// minRetryTime is the least time left that is worth two attempts.
+const minRetryTime = 200 * time.Millisecond
 
-// judge tells what the target's answer means.
-func (c *call) judge(vm string) (r sched.Result, leaving bool) {
-	h := &c.x.Response.Header
-	status := c.x.Response.StatusCode()
+// classifyAnswer tells what the target's answer means.
+func (c *call) classifyAnswer(vm string) (r sched.Result, leaving bool) {
+	h := &c.http.Response.Header
+	status := c.http.Response.StatusCode()
 	if status == fasthttp.StatusServiceUnavailable && len(h.Peek(headerNotRun)) > 0 {
 		return sched.NotRun, len(h.Peek(headerLeaving)) > 0
 	}
 	if status >= fasthttp.StatusInternalServerError {
-		c.held = true
-		c.e.health.sick(vm, false, time.Now())
+		c.targetFailed = true
+		c.entry.health.recordFailure(vm, false, time.Now())
 		return sched.Failed, false
 	}
-	c.e.health.well(vm)
+	c.entry.health.recordSuccess(vm)
 	return sched.Answered, false
 }
 
-func (c *call) lost(m sched.SendCmd, step string, err error) {
-	c.e.count.lost.Add(1)
-	c.e.log.Warn().Str("request", c.request).Str("step", step).Str("peer", m.Target).Err(err).Msg("sendFailed")
+func (c *call) logSendFailure(m sched.SendCmd, step string, err error) {
+	c.entry.counters.lost.Add(1)
+	c.entry.log.Warn().Str("request", c.requestID).Str("step", step).Str("peer", m.Target).Err(err).Msg("sendFailed")
 }
 
-// answered passes the target's whole answer on.
-func (c *call) answered() {
-	c.settle(OutcomeAnswered)
-	h := &c.x.Response.Header
+// passAnswer passes the target's whole answer on.
+func (c *call) passAnswer() {
+	c.settleClaim(OutcomeAnswered)
+	h := &c.http.Response.Header
 	h.ResetConnectionClose()
-	h.Set(headerRequest, c.request)
+	h.Set(headerRequest, c.requestID)
 	h.Set(headerOutcome, string(OutcomeAnswered))
-	h.Set(headerEntry, c.e.set.Name())
-	c.e.burn(c.o, c.outcome())
-	c.e.count.answered.Add(1)
+	h.Set(headerEntry, c.entry.settings.Name())
+	c.entry.countOutcome(c.req, c.burnOutcome())
+	c.entry.counters.answered.Add(1)
 }
 
-// outcome tells how the answer counts against the objective.
-func (c *call) outcome() burn.Outcome {
+// burnOutcome tells how the answer counts against the objective.
+func (c *call) burnOutcome() burn.Outcome {
 	switch {
-	case c.held:
+	case c.targetFailed:
 		return burn.Failed
 	case time.Now().After(c.deadline):
 		return burn.Late
@@ -216,8 +216,8 @@
 
 // giveUp gives the final answer that the scheduler decided on; a failure that the target itself answered is passed on.
 func (c *call) giveUp(m sched.EndCmd) {
-	if c.held {
-		c.answered()
+	if c.targetFailed {
+		c.passAnswer()
 		return
 	}
 	c.finish(ended(m))
@@ -225,9 +225,9 @@
 
 // finish gives the caller an answer that is not the target's.
 func (c *call) finish(r *Refusal) {
-	c.settle(r.Outcome)
-	c.e.log.Info().Str("request", c.request).Str("step", r.Step).Str("team", c.o.team).Str("service", c.o.service).
+	c.settleClaim(r.Outcome)
+	c.entry.log.Info().Str("request", c.requestID).Str("step", r.Step).Str("team", c.req.team).Str("service", c.req.service).
 		Str("outcome", string(r.Outcome)).Str("reason", r.Reason).Msg("ended")
-	c.e.spent(c.o, r)
-	r.write(c.x, c.request)
+	c.entry.countUnanswered(c.req, r)
+	r.write(c.http, c.requestID)
 }
--- a/node/entry/check.go
+++ b/node/entry/check.go
@@ -16,8 +16,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// order is what a checked request asks for.
-type order struct {
+// checkedRequest is what a checked request asks for.
+type checkedRequest struct {
 	service    string
 	path       []byte
 	team       string
@@ -33,13 +33,13 @@
 )
 
 // check reads and checks a request; a refusal says what is wrong, and nothing was run.
-func (e *Entry) check(x *fasthttp.RequestCtx, d *conf.Document) (order, *Refusal) {
-	var o order
-	name, path, ok := route(x.Request.Header.RequestURI())
+func (e *Entry) check(x *fasthttp.RequestCtx, d *conf.Document) (checkedRequest, *Refusal) {
+	var o checkedRequest
+	name, path, ok := splitPath(x.Request.Header.RequestURI())
 	if !ok {
 		return o, notRun(fasthttp.StatusNotFound, "route", "path must be /call/{service}/{path}")
 	}
-	t, r := team(x, d)
+	t, r := authenticate(x, d)
 	if r != nil {
 		return o, r
 	}
@@ -50,15 +50,15 @@
 	if !d.Approved(t, v.Name) {
 		return o, notRun(fasthttp.StatusForbidden, "approve", fmt.Sprintf("team %q is not approved for service %q", t, v.Name))
 	}
-	o = order{service: v.Name, path: path, team: t}
-	if r := e.urgency(x, d, v, &o); r != nil {
+	o = checkedRequest{service: v.Name, path: path, team: t}
+	if r := e.readClassAndTimeout(x, d, v, &o); r != nil {
 		return o, r
 	}
-	return o, keyed(x, &o)
+	return o, readKey(x, &o)
 }
 
-// route splits /call/{service}/{path} without changing the path.
-func route(uri []byte) (service, path []byte, ok bool) {
+// splitPath splits /call/{service}/{path} without changing the path.
+func splitPath(uri []byte) (service, path []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(uri, []byte(callPrefix))
 	if !ok {
 		return nil, nil, false
@@ -73,8 +73,8 @@
 	return rest[:n], rest[n:], n > 0
 }
 
-// team returns the calling team by the digest of its token.
-func team(x *fasthttp.RequestCtx, d *conf.Document) (string, *Refusal) {
+// authenticate returns the calling authenticate by the digest of its token.
+func authenticate(x *fasthttp.RequestCtx, d *conf.Document) (string, *Refusal) {
 	const scheme = "Bearer "
 	h := x.Request.Header.Peek(fasthttp.HeaderAuthorization)
 	if len(h) <= len(scheme) || !strings.EqualFold(string(h[:len(scheme)]), scheme) {
@@ -90,8 +90,8 @@
 	return t.Name, nil
 }
 
-// urgency reads the class and the deadline.
-func (e *Entry) urgency(x *fasthttp.RequestCtx, d *conf.Document, v conf.ServiceSpec, o *order) *Refusal {
+// readClassAndTimeout reads the class and the deadline.
+func (e *Entry) readClassAndTimeout(x *fasthttp.RequestCtx, d *conf.Document, v conf.ServiceSpec, o *checkedRequest) *Refusal {
 	switch c := string(x.Request.Header.Peek(headerClass)); conf.Class(c) {
 	case conf.Urgent:
 		o.class = sched.Urgent
@@ -102,7 +102,7 @@
 	default:
 		return notRun(fasthttp.StatusBadRequest, "parse", fmt.Sprintf("%s %.32q must be urgent, normal or background", headerClass, c))
 	}
-	o.timeout = e.set.DefaultDeadline()
+	o.timeout = e.settings.DefaultDeadline()
 	if p, ok := d.Profile(v.Profile); ok && p.DeadlineMillis > 0 {
 		o.timeout = time.Duration(p.DeadlineMillis) * time.Millisecond
 	}
@@ -111,18 +111,18 @@
 		return nil
 	}
 	n, err := strconv.ParseInt(string(h), 10, 64)
-	if limit := e.set.MaxDeadline().Milliseconds(); err != nil || n < 1 || n > limit {
+	if limit := e.settings.MaxDeadline().Milliseconds(); err != nil || n < 1 || n > limit {
 		return notRun(fasthttp.StatusBadRequest, "parse", fmt.Sprintf("%s %.32q must be 1 to %d milliseconds", headerTimeout, h, limit))
 	}
 	o.timeout = time.Duration(n) * time.Millisecond
 	return nil
 }
 
-// keyed reads the idempotency key, which every method that is not idempotent needs.
-func keyed(x *fasthttp.RequestCtx, o *order) *Refusal {
+// readKey reads the idempotency key, which every method that is not idempotent needs.
+func readKey(x *fasthttp.RequestCtx, o *checkedRequest) *Refusal {
 	k := x.Request.Header.Peek(headerKey)
 	o.idempotent = len(k) == 0
-	if len(k) == 0 && !idempotent(string(x.Method())) {
+	if len(k) == 0 && !isIdempotent(string(x.Method())) {
 		return notRun(fasthttp.StatusBadRequest, "parse", fmt.Sprintf("method %.16q needs the header %s", x.Method(), headerKey))
 	}
 	if len(k) > maxKeyBytes {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func idempotent(method string) bool {
+func isIdempotent(method string) bool {
 	switch method {
 	case fasthttp.MethodGet, fasthttp.MethodHead, fasthttp.MethodOptions, fasthttp.MethodPut, fasthttp.MethodDelete:
 		return true
--- a/node/entry/claim.go
+++ b/node/entry/claim.go
@@ -63,8 +63,8 @@
 	RetryAfter time.Duration
 }
 
-// mayStart refuses a further send under a claim that has grown too old.
-func (c *call) mayStart() *Refusal {
+// checkClaimAge refuses a further send under a claim that has grown too old.
+func (c *call) checkClaimAge() *Refusal {
 	if c.claim == nil || time.Now().Before(c.claim.Until()) {
 		return nil
 	}
@@ -73,12 +73,12 @@
 
 // claimKey claims the request's key before its first send; a refusal or a kept answer ends the request.
 func (c *call) claimKey(ctx context.Context) *Refusal {
-	if c.o.key == "" || c.claim != nil {
+	if c.req.key == "" || c.claim != nil {
 		return nil
 	}
 	x, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	d := c.e.keys.Claim(x, c.scope(), c.request, c.digest())
+	d := c.entry.keys.Claim(x, c.scopedKey(), c.requestID, c.digest())
 	switch d.Verdict {
 	case Granted:
 		c.claim = d.Claim
@@ -86,11 +86,11 @@
 	case Repeated:
 		return &Refusal{Outcome: OutcomeRepeat, Step: stepClaim, kept: &d.Kept}
 	case Running:
-		return conflict(OutcomeUnknown, "an earlier copy of this key is still running").after(time.Second)
+		return claimConflict(OutcomeUnknown, "an earlier copy of this key is still running").after(time.Second)
 	case Lost:
-		return conflict(OutcomeUnknown, "an earlier copy of this key may have run: "+d.Why)
+		return claimConflict(OutcomeUnknown, "an earlier copy of this key may have run: "+d.Why)
 	case Mismatched:
-		return conflict(OutcomeNotRun, "the key was used for another request")
+		return claimConflict(OutcomeNotRun, "the key was used for another request")
 	case Unasked:
 		r := notRun(fasthttp.StatusServiceUnavailable, stepClaim, "this copy was not sent; whether an earlier one ran cannot be asked now: "+d.Why)
 		r.Outcome = OutcomeUnknown
@@ -105,22 +105,22 @@
 	minClaimRetry = 100 * time.Millisecond
 )
 
-func conflict(o Outcome, reason string) *Refusal {
+func claimConflict(o Outcome, reason string) *Refusal {
 	return &Refusal{Outcome: o, Step: stepClaim, Reason: reason, status: fasthttp.StatusConflict}
 }
 
-// scope returns the key as the holders know it: keys of different teams or services are different.
-func (c *call) scope() string {
-	return c.o.key + scopeMark + c.o.team + scopeMark + c.o.service
+// scopedKey returns the key as the holders know it: keys of different teams or services are different.
+func (c *call) scopedKey() string {
+	return c.req.key + scopeSeparator + c.req.team + scopeSeparator + c.req.service
 }
 
-// scopeMark stands in no key.
-const scopeMark = "\x1f"
+// scopeSeparator stands in no key.
+const scopeSeparator = "\x1f"
 
 // digest covers all that makes two requests the same.
 func (c *call) digest() []byte {
 	h := sha256.New()
-	for _, b := range [][]byte{[]byte(c.o.service), []byte(c.o.team), c.x.Method(), c.x.Request.Header.RequestURI(), c.x.Request.Body()} {
+	for _, b := range [][]byte{[]byte(c.req.service), []byte(c.req.team), c.http.Method(), c.http.Request.Header.RequestURI(), c.http.Request.Body()} {
 		var n [8]byte
 		binary.LittleEndian.PutUint64(n[:], uint64(len(b)))
 		h.Write(n[:])
@@ -132,17 +132,17 @@
 // digestBytes is the length of a request's digest.
 const digestBytes = 16
 
-// settle tells the key's holders how the request ended; they keep the target's answer when answered.
-func (c *call) settle(o Outcome) {
+// settleClaim tells the key's holders how the request ended; they keep the target's answer when answered.
+func (c *call) settleClaim(o Outcome) {
 	if c.claim == nil {
 		return
 	}
 	switch o {
 	case OutcomeAnswered:
 		c.claim.Answered(Kept{
-			Status:      c.x.Response.StatusCode(),
-			ContentType: string(c.x.Response.Header.ContentType()),
-			Body:        append([]byte(nil), c.x.Response.Body()...),
+			Status:      c.http.Response.StatusCode(),
+			ContentType: string(c.http.Response.Header.ContentType()),
+			Body:        append([]byte(nil), c.http.Response.Body()...),
 		})
 	case OutcomeNotRun:
 		c.claim.NotRun()
--- a/node/entry/count.go
+++ b/node/entry/count.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// counts are the entry's own counters.
-type counts struct {
+// counters are the entry's own counters.
+type counters struct {
 	answered, refused, ended, lost, cancelled, unknown, repeated atomic.Int64
 }
 
@@ -20,7 +20,7 @@
 
 // Counts returns the entry's counters.
 func (e *Entry) Counts() Counts {
-	c := &e.count
+	c := &e.counters
 	return Counts{
 		Answered: c.answered.Load(), Repeated: c.repeated.Load(), Refused: c.refused.Load(), Ended: c.ended.Load(),
 		Unknown: c.unknown.Load(), Cancelled: c.cancelled.Load(), Lost: c.lost.Load(),
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	tickEvery    = 10 * time.Millisecond // the scheduler's time while requests wait
-	refreshEvery = time.Second           // the table's, while a VM is leaving
-	restRefresh  = 10 * time.Second      // the table's, when nothing has changed
-	reapEvery    = time.Second
-	healthPath   = "/health"
-	readBuffer   = 16 << 10 // bytes; the longest request header
-	readTimeout  = 30 * time.Second
-	writeTimeout = 30 * time.Second
-	idleTimeout  = 75 * time.Second
+	tickInterval           = 10 * time.Millisecond // the scheduler's time while requests wait
+	leavingRefreshInterval = time.Second           // the table's, while a VM is leaving
+	idleRefreshInterval    = 10 * time.Second      // the table's, when nothing has changed
+	reapInterval           = time.Second
+	healthPath             = "/health"
+	maxHeaderBytes         = 16 << 10 // bytes; the longest request header
+	readTimeout            = 30 * time.Second
+	writeTimeout           = 30 * time.Second
+	idleTimeout            = 75 * time.Second
 )
 
 // Documents gives the configuration in force.
@@ -45,38 +45,38 @@
 
 // Entry serves callers; New makes one and Run runs it.
 type Entry struct {
-	set    setup.Settings
-	log    zerolog.Logger
-	conf   Documents
-	view   *view.Shelf
-	keys   Keys
-	burner Burner
-	gate   func() bool
-	self   string
-	asks   chan Ask
-
-	hasLeader func() bool
-	onLeaving func()
-	ids       *ids
-	ctx       context.Context
-
-	health   *health
-	services sync.Map // name → *service
-	table    atomic.Pointer[table]
-	count    counts
-	bodies   atomic.Int64 // bytes of the bodies of requests in flight
-
-	tableMu sync.Mutex
-	leaving map[string]mark // VMs that refused as leaving
-	listed  *view.View      // the view that the services' lists were made from
-	roster  share.RosterMsg // the newest one
-	quotas  sched.QuotasMsg
-
-	stopMu   sync.Mutex
-	stopping bool // the health page is unhealthy
-	closed   bool // new requests are refused
-	inFlight int
-	empty    chan struct{}
+	settings       setup.Settings
+	log            zerolog.Logger
+	documents      Documents
+	view           *view.Shelf
+	keys           Keys
+	outcomeCounter Burner
+	readyCheck     func() bool
+	shareName      string
+	borrowRequests chan Ask
+
+	hasLeader  func() bool
+	onLeaving  func()
+	requestIDs *requestIDs
+	requestCtx context.Context
+
+	health    *health
+	services  sync.Map // name → *service
+	table     atomic.Pointer[table]
+	counters  counters
+	bodyBytes atomic.Int64 // bytes of the bodies of requests in flight
+
+	tableMu     sync.Mutex
+	leaving     map[string]leavingMark // VMs that refused as leaving
+	targetsView *view.View             // the view that the services' lists were made from
+	roster      share.RosterMsg        // the newest one
+	quotas      sched.QuotasMsg
+
+	stopMu    sync.Mutex
+	stopping  bool // the health page is unhealthy
+	refusing  bool // new requests are refused
+	inFlight  int
+	drainedCh chan struct{}
 }
 
 // Option changes an Entry when it is made.
@@ -87,13 +87,13 @@
 
 // WithSelf sets the name of this life of the entry among those that share slots; a restarted entry needs another one.
 // Without it the entry shares with nobody.
-func WithSelf(name string) Option { return func(e *Entry) { e.self = name } }
+func WithSelf(name string) Option { return func(e *Entry) { e.shareName = name } }
 
 // WithBurner sets what counts requests against objectives.
-func WithBurner(b Burner) Option { return func(e *Entry) { e.burner = b } }
+func WithBurner(b Burner) Option { return func(e *Entry) { e.outcomeCounter = b } }
 
 // WithGate sets what must hold besides before the entry is ready, such as its place among its peers.
-func WithGate(ok func() bool) Option { return func(e *Entry) { e.gate = ok } }
+func WithGate(ok func() bool) Option { return func(e *Entry) { e.readyCheck = ok } }
 
 // WithLeader sets what tells whether the data centre has a leader at work.
 func WithLeader(ok func() bool) Option { return func(e *Entry) { e.hasLeader = ok } }
@@ -101,24 +101,24 @@
 // WithOnLeaving sets what is called when a VM is found to be leaving.
 func WithOnLeaving(f func()) Option { return func(e *Entry) { e.onLeaving = f } }
 
-// admitted reports whether the gate is open.
-func (e *Entry) admitted() bool { return e.gate == nil || e.gate() }
+// readyCheckPasses reports whether the gate is open.
+func (e *Entry) readyCheckPasses() bool { return e.readyCheck == nil || e.readyCheck() }
 
 // New returns an entry over the configuration and the view.
 func New(s setup.Settings, l zerolog.Logger, d Documents, v *view.Shelf, opts ...Option) *Entry {
 	e := &Entry{
-		set: s, log: l, conf: d, view: v, keys: noKeys{}, burner: noBurner{}, ids: newIDs(s.Name()), health: newHealth(),
-		asks:    make(chan Ask, maxAsks),
-		ctx:     context.Background(),
-		leaving: make(map[string]mark), listed: v.View(), empty: make(chan struct{}, 1),
+		settings: s, log: l, documents: d, view: v, keys: noKeys{}, outcomeCounter: noOutcomeCounter{}, requestIDs: newRequestIDs(s.Name()), health: newHealth(),
+		borrowRequests: make(chan Ask, maxBorrowRequests),
+		requestCtx:     context.Background(),
+		leaving:        make(map[string]leavingMark), targetsView: v.View(), drainedCh: make(chan struct{}, 1),
 	}
 	e.table.Store(&table{})
 	for _, o := range opts {
 		o(e)
 	}
-	if e.self == "" {
-		e.self = s.Name()
-		e.roster = share.RosterMsg{Now: time.Now(), Number: 1, Entries: []string{e.self}}
+	if e.shareName == "" {
+		e.shareName = s.Name()
+		e.roster = share.RosterMsg{Now: time.Now(), Number: 1, Entries: []string{e.shareName}}
 	}
 	return e
 }
@@ -127,12 +127,12 @@
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	e.ctx = work
+	e.requestCtx = work
 	s := e.server()
 	g, x := errgroup.WithContext(work)
 	g.Go(func() error { return eris.Wrapf(s.Serve(ln), "step=serve peer=%s", ln.Addr()) })
-	g.Go(func() error { return e.loop(x) })
-	g.Go(func() error { return e.follow(x) })
+	g.Go(func() error { return e.runTicks(x) })
+	g.Go(func() error { return e.watchChanges(x) })
 	g.Go(func() error { return e.probe(x) })
 	g.Go(func() error {
 		select {
@@ -149,23 +149,23 @@
 
 func (e *Entry) server() *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler: e.serve, ErrorHandler: e.broken, Name: "burdockreach",
-		MaxRequestBodySize: e.set.MaxBodyBytes(), ReadBufferSize: readBuffer,
+		Handler: e.serve, ErrorHandler: e.serveUnreadable, Name: "burdockreach",
+		MaxRequestBodySize: e.settings.MaxBodyBytes(), ReadBufferSize: maxHeaderBytes,
 		ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		Concurrency: e.set.MaxCallerConns(), NoDefaultContentType: true, NoDefaultDate: true,
-		NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: quietLogger{},
+		Concurrency: e.settings.MaxCallerConns(), NoDefaultContentType: true, NoDefaultDate: true,
+		NoDefaultServerHeader: true, CloseOnShutdown: true, Logger: discardLogger{},
 	}
 }
 
-// quietLogger drops the server's own lines; what a caller did wrong is counted and answered.
-type quietLogger struct{}
+// discardLogger drops the server's own lines; what a caller did wrong is counted and answered.
+type discardLogger struct{}
 
 // Printf drops the line.
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// loop lets the services' time pass.
-func (e *Entry) loop(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+// runTicks lets the services' time pass.
+func (e *Entry) runTicks(ctx context.Context) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	var reaped, refreshed time.Time
 	for {
@@ -174,11 +174,11 @@
 			return nil
 		case now := <-t.C:
 			e.eachService(func(v *service) { v.tick(now) })
-			if now.Sub(reaped) >= reapEvery {
-				e.reap(now)
+			if now.Sub(reaped) >= reapInterval {
+				e.reapConns(now)
 				reaped = now
 			}
-			if now.Sub(refreshed) >= refreshEvery && (e.anyLeaving() || now.Sub(refreshed) >= restRefresh) {
+			if now.Sub(refreshed) >= leavingRefreshInterval && (e.anyLeaving() || now.Sub(refreshed) >= idleRefreshInterval) {
 				e.refresh(now)
 				refreshed = now
 			}
@@ -186,8 +186,8 @@
 	}
 }
 
-// follow rebuilds the table when the view or the configuration changes.
-func (e *Entry) follow(ctx context.Context) error {
+// watchChanges rebuilds the table when the view or the configuration changes.
+func (e *Entry) watchChanges(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		for {
@@ -200,9 +200,9 @@
 	})
 	g.Go(func() error {
 		for {
-			n := e.conf.Document().Number()
+			n := e.documents.Document().Number()
 			e.refresh(time.Now())
-			if e.conf.Wait(x, n+1) != nil {
+			if e.documents.Wait(x, n+1) != nil {
 				return nil
 			}
 		}
@@ -210,7 +210,7 @@
 	return g.Wait()
 }
 
-func (e *Entry) reap(now time.Time) {
+func (e *Entry) reapConns(now time.Time) {
 	for _, t := range *e.table.Load() {
 		t.conns.Reap(now)
 	}
@@ -223,9 +223,9 @@
 	return m
 }
 
-// usable reports whether the entry has slots of some service's targets, or knows that no service is configured.
-func (e *Entry) usable() bool {
-	if d := e.conf.Document(); len(d.Services()) == 0 {
+// canServe reports whether the entry has slots of some service's targets, or knows that no service is configured.
+func (e *Entry) canServe() bool {
+	if d := e.documents.Document(); len(d.Services()) == 0 {
 		return d.Number() > 0
 	}
 	ok := false
@@ -237,5 +237,5 @@
 func (e *Entry) Ready() bool {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
-	return !e.stopping && e.admitted() && e.usable()
+	return !e.stopping && e.readyCheckPasses() && e.canServe()
 }
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := fasthttp.Server{Handler: h, CloseOnShutdown: true, Logger: quietLogger{}}
+	s := fasthttp.Server{Handler: h, CloseOnShutdown: true, Logger: discardLogger{}}
 	var g errgroup.Group
 	g.Go(func() error { return s.Serve(ln) })
 	t.Cleanup(func() {
--- a/node/entry/health.go
+++ b/node/entry/health.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	failingAfter = 3                // failures in a row
-	probeEvery   = time.Second      // between connects to a VM that could not be reached
-	retryFailing = 60 * time.Second // after which a VM that failed requests is given another chance
-	maxFailing   = 0.5              // of a pool's VMs that may be reported for failing requests
+	failingAfter    = 3                // failures in a row
+	probeInterval   = time.Second      // between connects to a VM that could not be reached
+	failureExpiry   = 60 * time.Second // after which a VM that failed requests is given another chance
+	maxFailingShare = 0.5              // of a pool's VMs that may be reported for failing requests
 )
 
-// ailment is what is wrong with a VM.
-type ailment struct {
-	failures int
-	connect  bool // the last failure was to connect
-	since    time.Time
+// failureRecord is what is wrong with a VM.
+type failureRecord struct {
+	failures        int
+	unreachable     bool // the last failure was to connect
+	retryDelayStart time.Time
 }
 
 // health tells which VMs fail everything that this entry sends; it is safe for concurrent use.
 type health struct {
-	mu  sync.Mutex
-	ill map[string]*ailment
+	mu      sync.Mutex
+	records map[string]*failureRecord
 }
 
-func newHealth() *health { return &health{ill: make(map[string]*ailment)} }
+func newHealth() *health { return &health{records: make(map[string]*failureRecord)} }
 
-// well notes an answer of the VM.
-func (h *health) well(vm string) {
+// recordSuccess notes an answer of the VM.
+func (h *health) recordSuccess(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.ill, vm)
+	delete(h.records, vm)
 }
 
-// sick notes a failure of the VM; connect means that it could not be reached.
-func (h *health) sick(vm string, connect bool, now time.Time) {
+// recordFailure notes a failure of the VM; connect means that it could not be reached.
+func (h *health) recordFailure(vm string, connect bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.ill[vm]
+	a := h.records[vm]
 	if a == nil {
-		a = &ailment{since: now}
-		h.ill[vm] = a
+		a = &failureRecord{retryDelayStart: now}
+		h.records[vm] = a
 	}
 	a.failures++
-	a.connect = connect
+	a.unreachable = connect
 	if a.failures == failingAfter {
-		a.since = now
+		a.retryDelayStart = now
 	}
 }
 
@@ -57,21 +57,21 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var l []string
-	for vm, a := range h.ill {
-		if a.failures >= failingAfter && a.connect == connect {
+	for vm, a := range h.records {
+		if a.failures >= failingAfter && a.unreachable == connect {
 			l = append(l, vm)
 		}
 	}
 	return l
 }
 
-// pardon forgets failures of requests that are long ago.
-func (h *health) pardon(now time.Time) {
+// expireFailures forgets failures of requests that are long ago.
+func (h *health) expireFailures(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for vm, a := range h.ill {
-		if !a.connect && now.Sub(a.since) > retryFailing {
-			delete(h.ill, vm)
+	for vm, a := range h.records {
+		if !a.unreachable && now.Sub(a.retryDelayStart) > failureExpiry {
+			delete(h.records, vm)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, vm := range rest {
-		if t, ok := v.Target(vm); ok && float64(bad[t.Pool]) <= maxFailing*float64(pools[t.Pool]) {
+		if t, ok := v.Target(vm); ok && float64(bad[t.Pool]) <= maxFailingShare*float64(pools[t.Pool]) {
 			l = append(l, vm)
 		}
 	}
@@ -101,32 +101,32 @@
 
 // probe connects to the VMs that could not be reached, so that their return is noticed without a request.
 func (e *Entry) probe(ctx context.Context) error {
-	t := time.NewTicker(probeEvery)
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			e.health.pardon(now)
+			e.health.expireFailures(now)
 			for _, vm := range e.health.failing(true) {
-				e.probeOne(ctx, vm)
+				e.probeVM(ctx, vm)
 			}
 		}
 	}
 }
 
-func (e *Entry) probeOne(ctx context.Context, vm string) {
+func (e *Entry) probeVM(ctx context.Context, vm string) {
 	t := e.target(vm)
 	if t == nil {
-		e.health.well(vm)
+		e.health.recordSuccess(vm)
 		return
 	}
-	d := net.Dialer{Timeout: e.set.ConnectTimeout()}
+	d := net.Dialer{Timeout: e.settings.ConnectTimeout()}
 	c, err := d.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return
 	}
 	_ = c.Close()
-	e.health.well(vm)
+	e.health.recordSuccess(vm)
 }
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -6,13 +6,13 @@
 	"burdockreach.dev/node/view"
 )
 
-// trialAfter is the time after which a VM that refused as leaving is tried again, while a leader says that it serves.
-const trialAfter = 30 * time.Second
+// leavingRetryDelay is the time after which a VM that refused as leaving is tried again, while a leader says that it serves.
+const leavingRetryDelay = 30 * time.Second
 
-// mark is word that a VM is leaving, older than what any later view says.
-type mark struct {
+// leavingMark is word that a VM is leaving, older than what any later view says.
+type leavingMark struct {
 	version view.Version
-	at      time.Time
+	notedAt time.Time
 }
 
 // Leaving is a VM that refused as leaving, and the newest view of the entry that it refused.
@@ -21,13 +21,15 @@
 	Version view.Version `json:"v"`
 }
 
-// left takes a target that refused as leaving off every list until a newer view says that it serves.
-func (e *Entry) left(vm string) { e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}}) }
+// markLeaving takes a target that refused as leaving off every list until a newer view says that it serves.
+func (e *Entry) markLeaving(vm string) {
+	e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}})
+}
 
 // Learn takes in word, of this entry or of another one, that VMs are leaving; word older than the view is passed over.
 func (e *Entry) Learn(word []Leaving) {
 	now := time.Now()
-	if e.note(now, word) {
+	if e.recordLeaving(now, word) {
 		e.refresh(now)
 		if e.onLeaving != nil {
 			e.onLeaving()
@@ -35,7 +37,7 @@
 	}
 }
 
-func (e *Entry) note(now time.Time, word []Leaving) (changed bool) {
+func (e *Entry) recordLeaving(now time.Time, word []Leaving) (changed bool) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	v := e.view.View()
@@ -45,7 +47,7 @@
 		if !ok || known || t.Serving && v.Version().After(l.Version) {
 			continue
 		}
-		e.leaving[l.VM] = mark{version: l.Version, at: now}
+		e.leaving[l.VM] = leavingMark{version: l.Version, notedAt: now}
 		e.log.Info().Str("step", "route").Str("peer", l.VM).Msg("targetLeaving")
 		changed = true
 	}
@@ -70,18 +72,18 @@
 	return l
 }
 
-// open reports whether the target may get new work; e.tableMu is held.
-func (e *Entry) open(now time.Time, t view.Target, v view.Version) bool {
+// acceptsWork reports whether the target may get new work; e.tableMu is held.
+func (e *Entry) acceptsWork(now time.Time, t view.Target, v view.Version) bool {
 	m, ok := e.leaving[t.VM]
-	if ok && t.Serving && (v.After(m.version) || e.led() && now.Sub(m.at) > trialAfter) {
+	if ok && t.Serving && (v.After(m.version) || e.leaderActive() && now.Sub(m.notedAt) > leavingRetryDelay) {
 		delete(e.leaving, t.VM)
 		ok = false
 	}
 	return t.Serving && !ok
 }
 
-// led reports whether a leader is at work, so that the view is lately known to be true.
-func (e *Entry) led() bool { return e.hasLeader != nil && e.hasLeader() }
+// leaderActive reports whether a leader is at work, so that the view is lately known to be true.
+func (e *Entry) leaderActive() bool { return e.hasLeader != nil && e.hasLeader() }
 
 // Quit is a VM that this entry sends nothing to and has nothing in flight at.
 type Quit struct {
@@ -95,16 +97,16 @@
 	defer e.tableMu.Unlock()
 	now := time.Now()
 	var q []Quit
-	for _, t := range e.listed.Targets() {
-		if !t.Serving && e.quit(t.VM, now) {
+	for _, t := range e.targetsView.Targets() {
+		if !t.Serving && e.drained(t.VM, now) {
 			q = append(q, Quit{VM: t.VM, Number: t.Number})
 		}
 	}
 	return q
 }
 
-func (e *Entry) quit(vm string, now time.Time) bool {
+func (e *Entry) drained(vm string, now time.Time) bool {
 	q := true
-	e.eachService(func(v *service) { q = q && v.quitFor(vm, now) })
+	e.eachService(func(v *service) { q = q && v.drained(vm, now) })
 	return q
 }
--- a/node/entry/loans.go
+++ b/node/entry/loans.go
@@ -7,11 +7,11 @@
 	"burdockreach.dev/flow/share"
 )
 
-// quietEvery is the time between looks at the loans of a service where nothing waits, is lent or is borrowed.
-const quietEvery = time.Second
+// idleLoadInterval is the time between looks at the loans of a service where nothing waits, is lent or is borrowed.
+const idleLoadInterval = time.Second
 
-// maxAsks is the number of requests for slots that wait to be sent; more are dropped and made again.
-const maxAsks = 64
+// maxBorrowRequests is the number of requests for slots that wait to be sent; more are dropped and made again.
+const maxBorrowRequests = 64
 
 // Ask is a request for another entry's idle slots of a service.
 type Ask struct {
@@ -20,7 +20,7 @@
 }
 
 // Asks returns the requests for slots that are to be sent to other entries.
-func (e *Entry) Asks() <-chan Ask { return e.asks }
+func (e *Entry) Asks() <-chan Ask { return e.borrowRequests }
 
 // SetRoster tells which entries share the slots of the data centre's targets; a lower number than the newest is passed over.
 func (e *Entry) SetRoster(now time.Time, number int64, entries []string) {
@@ -28,7 +28,7 @@
 	e.tableMu.Lock()
 	e.roster = m
 	e.tableMu.Unlock()
-	e.eachService(func(v *service) { v.lend(m) })
+	e.eachService(func(v *service) { v.updateLoans(m) })
 }
 
 // Settled returns the number of the roster that every service of this entry keeps to, or 0.
@@ -46,7 +46,7 @@
 
 // SetSettled tells that another entry keeps to the roster with the number.
 func (e *Entry) SetSettled(now time.Time, from string, number int64) {
-	e.eachService(func(v *service) { v.lend(share.SettledMsg{Now: now, From: from, Number: number}) })
+	e.eachService(func(v *service) { v.updateLoans(share.SettledMsg{Now: now, From: from, Number: number}) })
 }
 
 // Lend answers another entry's request for slots of the service.
@@ -55,51 +55,51 @@
 	if !ok {
 		return share.LentCmd{}, false
 	}
-	return x.(*service).answer(m)
+	return x.(*service).answerBorrow(m)
 }
 
 // Lent brings another entry's answer to an Ask back.
 func (e *Entry) Lent(name string, m share.LentMsg) {
 	if x, ok := e.services.Load(name); ok {
-		x.(*service).lend(m)
+		x.(*service).updateLoans(m)
 	}
 }
 
-// lend takes a message of the loans in and uses the shares that follow.
-func (v *service) lend(m share.Msg) {
+// updateLoans takes a message of the loans in and uses the shares that follow.
+func (v *service) updateLoans(m share.Msg) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.shareOut(m)
+	v.applyLoansMsg(m)
 }
 
-// answer lends what is idle now; nothing is sent in between, since v.mu is held.
-func (v *service) answer(m share.BorrowMsg) (c share.LentCmd, ok bool) {
+// answerBorrow lends what is idle now; nothing is sent in between, since v.mu is held.
+func (v *service) answerBorrow(m share.BorrowMsg) (c share.LentCmd, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	m.Load = v.load()
-	v.awake.Store(true)
-	return v.shareOut(m)
+	m.Load = v.currentLoad()
+	v.active.Store(true)
+	return v.applyLoansMsg(m)
 }
 
-// lendIdle looks at the loans while nothing is asked; v.mu is held.
-func (v *service) lendIdle(now time.Time) {
-	if len(v.waiting) == 0 && v.loans.Quiet() && now.Sub(v.looked) < quietEvery {
+// updateLoad looks at the loans while nothing is asked; v.mu is held.
+func (v *service) updateLoad(now time.Time) {
+	if len(v.waiting) == 0 && v.loans.Quiet() && now.Sub(v.lastLoadMsg) < idleLoadInterval {
 		return
 	}
-	v.looked = now
-	v.shareOut(share.LoadMsg{Now: now, Load: v.load()})
+	v.lastLoadMsg = now
+	v.applyLoansMsg(share.LoadMsg{Now: now, Load: v.currentLoad()})
 }
 
-// load tells what is busy and what waits; v.mu is held.
-func (v *service) load() share.Load {
-	s := v.s.Stats()
+// currentLoad tells what is busy and what waits; v.mu is held.
+func (v *service) currentLoad() share.Load {
+	s := v.scheduler.Stats()
 	clear(v.busy)
-	v.s.Taken(v.busy)
+	v.scheduler.Taken(v.busy)
 	return share.Load{Queued: s.Pressing(), Yielding: s.Yielding(), Keep: s.Held(), Busy: v.busy}
 }
 
-// shareOut updates the loans and performs their commands; v.mu is held.
-func (v *service) shareOut(m share.Msg) (lent share.LentCmd, ok bool) {
+// applyLoansMsg updates the loans and performs their commands; v.mu is held.
+func (v *service) applyLoansMsg(m share.Msg) (lent share.LentCmd, ok bool) {
 	var shares map[string]int
 	for _, c := range v.loans.Update(m) {
 		switch c := c.(type) {
@@ -109,19 +109,19 @@
 			lent, ok = c, true
 		case share.BorrowCmd:
 			select {
-			case v.asks <- Ask{Service: v.name, BorrowCmd: c}:
+			case v.borrowRequests <- Ask{Service: v.name, BorrowCmd: c}:
 			default:
 			}
 		}
 	}
 	if shares != nil {
-		v.perform(v.s.Update(sched.SharesMsg{Now: v.now(m), Shares: shares}))
+		v.dispatch(v.scheduler.Update(sched.SharesMsg{Now: v.msgTime(m), Shares: shares}))
 	}
 	return lent, ok
 }
 
-// now returns the time of the message.
-func (v *service) now(m share.Msg) time.Time {
+// msgTime returns the time of the message.
+func (v *service) msgTime(m share.Msg) time.Time {
 	switch m := m.(type) {
 	case share.RosterMsg:
 		return m.Now
@@ -143,15 +143,15 @@
 func (v *service) setTargets(now time.Time, targets []sched.Target) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	clear(v.listed)
+	clear(v.targets)
 	slots := make(map[string]int, len(targets))
 	for _, t := range targets {
-		v.listed[t.Name()] = true
+		v.targets[t.Name()] = true
 		slots[t.Name()] = t.Slots()
 	}
-	v.shareOut(share.TargetsMsg{Now: now, Slots: slots})
+	v.applyLoansMsg(share.TargetsMsg{Now: now, Slots: slots})
 	for k, t := range targets {
 		targets[k] = sched.NewTarget(t.Name(), t.Rack(), v.loans.Usable(t.Name()))
 	}
-	v.perform(v.s.Update(sched.TargetsMsg{Now: now, Targets: targets}))
+	v.dispatch(v.scheduler.Update(sched.TargetsMsg{Now: now, Targets: targets}))
 }
--- a/node/entry/refuse.go
+++ b/node/entry/refuse.go
@@ -92,7 +92,7 @@
 
 // ended returns the final answer of a request that the scheduler gave up on.
 func ended(c sched.EndCmd) *Refusal {
-	status, text := reasons(c.Reason)
+	status, text := reasonStatus(c.Reason)
 	r := &Refusal{Outcome: OutcomeUnknown, Step: stepSchedule, Reason: text, status: fasthttp.StatusGatewayTimeout}
 	if c.NotRun {
 		r.Outcome, r.status = OutcomeNotRun, status
@@ -100,7 +100,7 @@
 	return r.after(c.RetryAfter)
 }
 
-func reasons(r sched.Reason) (status int, text string) {
+func reasonStatus(r sched.Reason) (status int, text string) {
 	switch r {
 	case sched.ReasonDeadline:
 		return fasthttp.StatusGatewayTimeout, "the deadline has passed"
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -14,35 +14,35 @@
 // ErrLeft reports requests that the drain wait did not see the end of.
 var ErrLeft = eris.New("entry: requests left at the end of the drain wait")
 
-// begin counts a request in; false means that the entry is stopping.
-func (e *Entry) begin() bool {
+// beginRequest counts a request in; false means that the entry is stopping.
+func (e *Entry) beginRequest() bool {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
-	if e.closed {
+	if e.refusing {
 		return false
 	}
 	e.inFlight++
 	return true
 }
 
-// end counts a request out; while the entry stops, its connection is closed after the answer.
-func (e *Entry) end(x *fasthttp.RequestCtx) {
+// endRequest counts a request out; while the entry stops, its connection is closed after the answer.
+func (e *Entry) endRequest(x *fasthttp.RequestCtx) {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
 	e.inFlight--
 	if e.stopping {
 		x.SetConnectionClose()
 	}
-	if e.closed && e.inFlight == 0 {
+	if e.refusing && e.inFlight == 0 {
 		select {
-		case e.empty <- struct{}{}:
+		case e.drainedCh <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// showHealth answers the balancer.
-func (e *Entry) showHealth(x *fasthttp.RequestCtx) {
+// serveHealth answers the balancer.
+func (e *Entry) serveHealth(x *fasthttp.RequestCtx) {
 	if e.Ready() {
 		x.SetBodyString("ok\n")
 		return
@@ -54,13 +54,13 @@
 func (e *Entry) stop(s *fasthttp.Server) error {
 	e.log.Info().Str("step", "stop").Msg("stopping")
 	e.setStopping()
-	wait(balancerWait)
-	left := e.closeDoor()
-	limit := time.NewTimer(e.set.DrainWait())
+	sleep(balancerWait)
+	left := e.refuseNew()
+	limit := time.NewTimer(e.settings.DrainWait())
 	defer limit.Stop()
 	if left > 0 {
 		select {
-		case <-e.empty:
+		case <-e.drainedCh:
 		case <-limit.C:
 		}
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func wait(d time.Duration) {
+func sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	<-t.C
@@ -87,11 +87,11 @@
 	e.stopping = true
 }
 
-// closeDoor refuses new requests from now on and returns the number in flight.
-func (e *Entry) closeDoor() int {
+// refuseNew refuses new requests from now on and returns the number in flight.
+func (e *Entry) refuseNew() int {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
-	e.closed = true
+	e.refusing = true
 	return e.inFlight
 }
 
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -27,16 +27,16 @@
 	}
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
-	return e.make(name)
+	return e.ensureService(name)
 }
 
-// make returns the service's runner, new if need be; e.tableMu is held, so that it misses no roster.
-func (e *Entry) make(name string) *service {
+// ensureService returns the service's runner, new if need be; e.tableMu is held, so that it misses no roster.
+func (e *Entry) ensureService(name string) *service {
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
 	}
-	v := newService(name, e.self, e.asks, sched.WithBound(e.set.MaxQueueRequests()))
-	v.lend(e.roster)
+	v := newService(name, e.shareName, e.borrowRequests, sched.WithBound(e.settings.MaxQueueRequests()))
+	v.updateLoans(e.roster)
 	if !e.quotas.Now.IsZero() {
 		v.update(e.quotas)
 	}
@@ -70,14 +70,14 @@
 	next := make(table, v.Len())
 	pools := make(map[string][]view.Target)
 	for _, t := range v.Targets() {
-		next[t.VM] = e.keep(old[t.VM], t)
-		if e.open(now, t, v.Version()) {
+		next[t.VM] = e.reuseTarget(old[t.VM], t)
+		if e.acceptsWork(now, t, v.Version()) {
 			pools[t.Pool] = append(pools[t.Pool], t)
 		}
 	}
 	e.table.Store(&next)
-	e.list(now, pools)
-	e.listed = v
+	e.assignTargets(now, pools)
+	e.targetsView = v
 	for vm, t := range old {
 		if next[vm] != t {
 			t.conns.Close()
@@ -85,26 +85,26 @@
 	}
 }
 
-// keep returns the old target if it still stands at its address.
-func (e *Entry) keep(old *target, t view.Target) *target {
+// reuseTarget returns the old target if it still stands at its address.
+func (e *Entry) reuseTarget(old *target, t view.Target) *target {
 	if old != nil && old.addr == t.Addr {
 		return old
 	}
 	return &target{vm: t.VM, addr: t.Addr, conns: conns.New(t.Addr,
-		conns.WithIdle(e.set.IdleConn()), conns.WithConnect(e.set.ConnectTimeout()), conns.WithMaxAnswer(e.set.MaxAnswerBytes()))}
+		conns.WithIdle(e.settings.IdleConn()), conns.WithConnect(e.settings.ConnectTimeout()), conns.WithMaxAnswer(e.settings.MaxAnswerBytes()))}
 }
 
-// list gives each service its targets; e.tableMu is held.
-func (e *Entry) list(now time.Time, pools map[string][]view.Target) {
-	d := e.conf.Document()
+// assignTargets gives each service its targets; e.tableMu is held.
+func (e *Entry) assignTargets(now time.Time, pools map[string][]view.Target) {
+	d := e.documents.Document()
 	for _, s := range d.Services() {
 		var ts []sched.Target
 		for _, t := range pools[s.Pool] {
 			ts = append(ts, sched.NewTarget(t.VM, t.Rack, s.Slots))
 		}
-		v := e.make(s.Name)
+		v := e.ensureService(s.Name)
 		if p, ok := d.Profile(s.Profile); ok {
-			v.follow(now, p)
+			v.applyProfile(now, p)
 		}
 		v.setTargets(now, ts)
 	}
