--- a/node/entry/check.go
+++ b/node/entry/check.go
@@ -82,9 +82,9 @@
 	}
 	sum := sha256.Sum256(h[len(scheme):])
 	t, ok := d.TeamByDigest(sum)
-	var hexed [2 * sha256.Size]byte
-	hex.Encode(hexed[:], sum[:])
-	if !ok || subtle.ConstantTimeCompare(hexed[:], []byte(strings.ToLower(t.TokenDigest))) != 1 {
+	var hexDigest [2 * sha256.Size]byte
+	hex.Encode(hexDigest[:], sum[:])
+	if !ok || subtle.ConstantTimeCompare(hexDigest[:], []byte(strings.ToLower(t.TokenDigest))) != 1 {
 		return "", notRun(fasthttp.StatusUnauthorized, "authenticate", "the token belongs to no team")
 	}
 	return t.Name, nil
--- a/node/entry/health.go
+++ b/node/entry/health.go
@@ -37,7 +37,7 @@
 }
 
 // recordFailure notes a failure of the VM; connect means that it could not be reached.
-func (h *health) recordFailure(vm string, connect bool, now time.Time) {
+func (h *health) recordFailure(vm string, unreachable bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.records[vm]
@@ -46,19 +46,19 @@
 		h.records[vm] = a
 	}
 	a.failures++
-	a.unreachable = connect
+	a.unreachable = unreachable
 	if a.failures == failingAfter {
 		a.retryDelayStart = now
 	}
 }
 
 // failing returns the VMs with enough failures in a row; connect tells which of the two kinds.
-func (h *health) failing(connect bool) []string {
+func (h *health) failing(unreachable bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var l []string
 	for vm, a := range h.records {
-		if a.failures >= failingAfter && a.unreachable == connect {
+		if a.failures >= failingAfter && a.unreachable == unreachable {
 			l = append(l, vm)
 		}
 	}
@@ -80,19 +80,19 @@
 func (e *Entry) Failing() []string {
 	v := e.view.View()
 	l := e.health.failing(true)
-	pools := make(map[string]int)
+	vmsInPool := make(map[string]int)
 	for _, t := range v.Targets() {
-		pools[t.Pool]++
+		vmsInPool[t.Pool]++
 	}
-	bad := make(map[string]int)
-	rest := e.health.failing(false)
-	for _, vm := range rest {
+	failingInPool := make(map[string]int)
+	failing := e.health.failing(false)
+	for _, vm := range failing {
 		if t, ok := v.Target(vm); ok {
-			bad[t.Pool]++
+			failingInPool[t.Pool]++
 		}
 	}
-	for _, vm := range rest {
-		if t, ok := v.Target(vm); ok && float64(bad[t.Pool]) <= maxFailingShare*float64(pools[t.Pool]) {
+	for _, vm := range failing {
+		if t, ok := v.Target(vm); ok && float64(failingInPool[t.Pool]) <= maxFailingShare*float64(vmsInPool[t.Pool]) {
 			l = append(l, vm)
 		}
 	}
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -27,9 +27,9 @@
 }
 
 // Learn takes in word, of this entry or of another one, that VMs are leaving; word older than the view is passed over.
-func (e *Entry) Learn(word []Leaving) {
+func (e *Entry) Learn(vms []Leaving) {
 	now := time.Now()
-	if e.recordLeaving(now, word) {
+	if e.recordLeaving(now, vms) {
 		e.refresh(now)
 		if e.onLeaving != nil {
 			e.onLeaving()
@@ -37,11 +37,11 @@
 	}
 }
 
-func (e *Entry) recordLeaving(now time.Time, word []Leaving) (changed bool) {
+func (e *Entry) recordLeaving(now time.Time, vms []Leaving) (changed bool) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	v := e.view.View()
-	for _, l := range word {
+	for _, l := range vms {
 		t, ok := v.Target(l.VM)
 		_, known := e.leaving[l.VM]
 		if !ok || known || t.Serving && v.Version().After(l.Version) {
