--- a/node/entry/call.go
+++ b/node/entry/call.go
@@ -13,7 +13,7 @@
 	"burdockreach.dev/node/conns"
 )
 
-// call is one request from its arrival to its final answer.
+// call handles one request from its arrival to its final answer.
 type call struct {
 	entry        *Entry
 	http         *fasthttp.RequestCtx
@@ -25,10 +25,10 @@
 	arrivedAt    time.Time
 	deadline     time.Time
 	claim        Claim
-	targetFailed bool // x.Response holds the target's own failure
+	targetFailed bool // http.Response holds a 5xx answer of the target
 }
 
-// serve takes one request through all its steps.
+// serve handles one request: health check, admission, checks, then scheduling and sending.
 func (e *Entry) serve(x *fasthttp.RequestCtx) {
 	id := e.requestIDs.next()
 	if string(x.Request.Header.RequestURI()) == healthPath {
@@ -57,14 +57,14 @@
 	c.run(e.requestCtx)
 }
 
-// refuse answers a request that did not pass its checks.
+// refuse logs, counts and answers a request that did not pass its checks.
 func (e *Entry) refuse(x *fasthttp.RequestCtx, o checkedRequest, id string, r *Refusal) {
 	e.log.Info().Str("request", id).Str("step", r.Step).Str("team", o.team).Str("reason", r.Reason).Msg("refused")
 	e.counters.refused.Add(1)
 	r.write(x, id)
 }
 
-// run follows the scheduler's commands until there is a final answer.
+// run executes the scheduler's commands until the caller has its final answer.
 func (c *call) run(ctx context.Context) {
 	c.rewriteRequest()
 	c.schedID, c.cmds = c.svc.arrive(sched.ArriveMsg{
@@ -84,7 +84,7 @@
 	}
 }
 
-// rewriteRequest turns the caller's request into the one that targets see.
+// rewriteRequest rewrites the caller's request for the target: it sets the path, removes the token and adds the entry's headers.
 func (c *call) rewriteRequest() {
 	h := &c.http.Request.Header
 	c.http.Request.SetRequestURIBytes(c.req.path)
@@ -94,7 +94,7 @@
 	h.Set(headerTeam, c.req.team)
 }
 
-// attempt makes one attempt and reports whether the caller has its final answer.
+// attempt sends the request once, if it still may be sent, and reports whether the caller has its final answer.
 func (c *call) attempt(ctx context.Context, m sched.SendCmd) bool {
 	if m.Attempt == 1 && time.Since(c.arrivedAt) > goneCheckDelay && conns.Gone(c.http.Conn()) {
 		c.reportDone(m, sched.Withdrawn, false)
@@ -127,7 +127,7 @@
 	c.svc.sendDone(sched.DoneMsg{Now: time.Now(), ID: c.schedID, Target: m.Target, Result: r, Leaving: leaving})
 }
 
-// send passes the request to the target once and tells what became of it.
+// send sends the request to the target once and returns the result; leaving reports that the target is leaving.
 func (c *call) send(ctx context.Context, m sched.SendCmd) (r sched.Result, leaving bool) {
 	c.targetFailed = false
 	t := c.entry.target(m.Target)
@@ -152,7 +152,8 @@
 	return c.classifyAnswer(m.Target)
 }
 
-// attemptDeadline bounds an idempotent attempt so that time is left for one on another connection.
+// attemptDeadline returns the deadline of one attempt. The first attempt of an idempotent request gets half of the time left, so that a
+// retry on another connection remains possible.
 func (c *call) attemptDeadline(m sched.SendCmd) time.Time {
 	if !c.req.idempotent || m.Attempt > 1 {
 		return c.deadline
@@ -164,13 +165,13 @@
 	return c.deadline.Add(-left / 2)
 }
 
-// goneCheckDelay is the least wait after which a caller may have gone away.
+// goneCheckDelay is the wait from which the entry checks, before the first attempt, whether the caller has closed its connection.
 const goneCheckDelay = 5 * time.Millisecond
 
-// minRetryTime is the least time left that is worth two attempts.
+// minRetryTime is the least time left that is split between two attempts.
 const minRetryTime = 200 * time.Millisecond
 
-// classifyAnswer tells what the target's answer means.
+// classifyAnswer maps the target's status and headers to a result.
 func (c *call) classifyAnswer(vm string) (r sched.Result, leaving bool) {
 	h := &c.http.Response.Header
 	status := c.http.Response.StatusCode()
@@ -191,7 +192,7 @@
 	c.entry.log.Warn().Str("request", c.requestID).Str("step", step).Str("peer", m.Target).Err(err).Msg("sendFailed")
 }
 
-// passAnswer passes the target's whole answer on.
+// passAnswer completes the target's answer with the entry's headers and counts it.
 func (c *call) passAnswer() {
 	c.settleClaim(OutcomeAnswered)
 	h := &c.http.Response.Header
@@ -203,7 +204,7 @@
 	c.entry.counters.answered.Add(1)
 }
 
-// burnOutcome tells how the answer counts against the objective.
+// burnOutcome returns how the answer counts against the objective.
 func (c *call) burnOutcome() burn.Outcome {
 	switch {
 	case c.targetFailed:
@@ -214,7 +215,7 @@
 	return burn.Good
 }
 
-// giveUp gives the final answer that the scheduler decided on; a failure that the target itself answered is passed on.
+// giveUp answers a request that the scheduler ended. If the last attempt got a 5xx answer of the target, the caller gets that.
 func (c *call) giveUp(m sched.EndCmd) {
 	if c.targetFailed {
 		c.passAnswer()
@@ -223,7 +224,7 @@
 	c.finish(ended(m))
 }
 
-// finish gives the caller an answer that is not the target's.
+// finish answers the caller with a refusal, or with the stored answer of an earlier copy.
 func (c *call) finish(r *Refusal) {
 	c.settleClaim(r.Outcome)
 	c.entry.log.Info().Str("request", c.requestID).Str("step", r.Step).Str("team", c.req.team).Str("service", c.req.service).
--- a/node/entry/check.go
+++ b/node/entry/check.go
@@ -16,7 +16,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// checkedRequest is what a checked request asks for.
+// checkedRequest holds the parameters of a request that passed its checks.
 type checkedRequest struct {
 	service    string
 	path       []byte
@@ -32,7 +32,7 @@
 	maxKeyBytes = 200
 )
 
-// check reads and checks a request; a refusal says what is wrong, and nothing was run.
+// check authenticates, authorises and parses a request. A refusal says what is wrong; the request was not run.
 func (e *Entry) check(x *fasthttp.RequestCtx, d *conf.Document) (checkedRequest, *Refusal) {
 	var o checkedRequest
 	name, path, ok := splitPath(x.Request.Header.RequestURI())
@@ -57,7 +57,7 @@
 	return o, readKey(x, &o)
 }
 
-// splitPath splits /call/{service}/{path} without changing the path.
+// splitPath splits /call/{service}/{path} into service and path. Query and percent-encoding stay in the path unchanged.
 func splitPath(uri []byte) (service, path []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(uri, []byte(callPrefix))
 	if !ok {
@@ -73,7 +73,7 @@
 	return rest[:n], rest[n:], n > 0
 }
 
-// authenticate returns the calling authenticate by the digest of its token.
+// authenticate returns the team whose token digest matches the bearer token.
 func authenticate(x *fasthttp.RequestCtx, d *conf.Document) (string, *Refusal) {
 	const scheme = "Bearer "
 	h := x.Request.Header.Peek(fasthttp.HeaderAuthorization)
@@ -90,7 +90,7 @@
 	return t.Name, nil
 }
 
-// readClassAndTimeout reads the class and the deadline.
+// readClassAndTimeout reads the class and the timeout; the timeout defaults to the profile's, then to the settings'.
 func (e *Entry) readClassAndTimeout(x *fasthttp.RequestCtx, d *conf.Document, v conf.ServiceSpec, o *checkedRequest) *Refusal {
 	switch c := string(x.Request.Header.Peek(headerClass)); conf.Class(c) {
 	case conf.Urgent:
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// readKey reads the idempotency key, which every method that is not idempotent needs.
+// readKey reads the idempotency key. Methods that are not idempotent require one; a request with a key is not treated as idempotent.
 func readKey(x *fasthttp.RequestCtx, o *checkedRequest) *Refusal {
 	k := x.Request.Header.Peek(headerKey)
 	o.idempotent = len(k) == 0
--- a/node/entry/claim.go
+++ b/node/entry/claim.go
@@ -9,36 +9,36 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Verdict is what the holders of a key say.
+// Verdict is the result of claiming a key.
 type Verdict uint8
 
 const (
 	// Granted means that the request may be sent.
 	Granted Verdict = iota
-	// Repeated means that an earlier copy has its answer, which is kept.
+	// Repeated means that an earlier copy was answered and its answer is stored.
 	Repeated
-	// Running means that an earlier copy has no answer yet.
+	// Running means that an earlier copy is still in progress.
 	Running
-	// Lost means that an earlier copy may have run and its answer is not known or not kept.
+	// Lost means that an earlier copy may have run and its answer is unknown or not stored.
 	Lost
-	// Mismatched means that the key was used for another request.
+	// Mismatched means that the key was used for a different request.
 	Mismatched
-	// Unheld means that the key could not be claimed; nothing was sent.
+	// Unheld means that the key could not be claimed and the request was not sent.
 	Unheld
-	// Unasked means that this copy was not sent and that it cannot be known now whether an earlier one was.
+	// Unasked means that this copy was not sent, and that it is unknown for now whether an earlier copy was.
 	Unasked
 )
 
-// Kept is the answer of an earlier copy.
+// Kept is the stored answer of an earlier copy.
 type Kept struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Claim is the right to send one keyed request; exactly one of Settle's outcomes ends it.
+// Claim is the right to send one keyed request. Exactly one call of Answered, Unknown or NotRun ends it.
 type Claim interface {
-	// Until is the time after which the request must not be sent any more.
+	// Until returns the time after which the request must not be sent.
 	Until() time.Time
 	// Answered records the target's answer.
 	Answered(k Kept)
@@ -48,22 +48,22 @@
 	NotRun()
 }
 
-// Keys claims idempotency keys in all of the fleet.
+// Keys claims idempotency keys fleet-wide.
 type Keys interface {
-	// Claim asks the key's holders.
+	// Claim asks the entries that hold the key's record; attempt names this copy and digest identifies the request.
 	Claim(ctx context.Context, key, attempt string, digest []byte) Decision
 }
 
-// Decision is what came of a claim.
+// Decision is the outcome of a claim.
 type Decision struct {
 	Verdict    Verdict
-	Claim      Claim // for Granted
-	Kept       Kept  // for Repeated
+	Claim      Claim // set for Granted
+	Kept       Kept  // set for Repeated
 	Why        string
 	RetryAfter time.Duration
 }
 
-// checkClaimAge refuses a further send under a claim that has grown too old.
+// checkClaimAge refuses another attempt under an expired claim.
 func (c *call) checkClaimAge() *Refusal {
 	if c.claim == nil || time.Now().Before(c.claim.Until()) {
 		return nil
@@ -71,7 +71,7 @@
 	return notRun(fasthttp.StatusServiceUnavailable, stepClaim, "the claim of the key grew too old before a target took the request").after(time.Second)
 }
 
-// claimKey claims the request's key before its first send; a refusal or a kept answer ends the request.
+// claimKey claims the request's key before the first attempt. A refusal, which may carry a stored answer, ends the request.
 func (c *call) claimKey(ctx context.Context) *Refusal {
 	if c.req.key == "" || c.claim != nil {
 		return nil
@@ -100,7 +100,7 @@
 }
 
 const (
-	// stepClaim is the step at which the holders of a key are asked.
+	// stepClaim is the step that claims the key.
 	stepClaim     = "claim"
 	minClaimRetry = 100 * time.Millisecond
 )
@@ -109,15 +109,15 @@
 	return &Refusal{Outcome: o, Step: stepClaim, Reason: reason, status: fasthttp.StatusConflict}
 }
 
-// scopedKey returns the key as the holders know it: keys of different teams or services are different.
+// scopedKey returns the key qualified by team and service, so that equal keys of different teams or services do not collide.
 func (c *call) scopedKey() string {
 	return c.req.key + scopeSeparator + c.req.team + scopeSeparator + c.req.service
 }
 
-// scopeSeparator stands in no key.
+// scopeSeparator separates the parts of a scoped key; keys are printable ASCII and cannot contain it.
 const scopeSeparator = "\x1f"
 
-// digest covers all that makes two requests the same.
+// digest returns the hash by which two requests with the same key are compared. It covers service, team, method, path and body.
 func (c *call) digest() []byte {
 	h := sha256.New()
 	for _, b := range [][]byte{[]byte(c.req.service), []byte(c.req.team), c.http.Method(), c.http.Request.Header.RequestURI(), c.http.Request.Body()} {
@@ -132,7 +132,7 @@
 // digestBytes is the length of a request's digest.
 const digestBytes = 16
 
-// settleClaim tells the key's holders how the request ended; they keep the target's answer when answered.
+// settleClaim reports the outcome to the holders of the key, which store the target's answer if there is one.
 func (c *call) settleClaim(o Outcome) {
 	if c.claim == nil {
 		return
--- a/node/entry/count.go
+++ b/node/entry/count.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// counters are the entry's own counters.
+// counters count requests by how they ended.
 type counters struct {
 	answered, refused, ended, lost, cancelled, unknown, repeated atomic.Int64
 }
 
-// Counts tell how many requests ended in which way since the start.
+// Counts holds the numbers of requests since the start, by how they ended.
 type Counts struct {
-	Answered  int64 `json:"answered"`  // with the target's whole answer
-	Repeated  int64 `json:"repeated"`  // with the kept answer of an earlier copy
-	Refused   int64 `json:"refused"`   // for the caller's own fault; not run
-	Ended     int64 `json:"ended"`     // given up on; not run
+	Answered  int64 `json:"answered"`  // got the target's complete answer
+	Repeated  int64 `json:"repeated"`  // got the stored answer of an earlier copy
+	Refused   int64 `json:"refused"`   // failed the checks; not run
+	Ended     int64 `json:"ended"`     // ended without an answer of a target; not run
 	Unknown   int64 `json:"unknown"`   // may have run
-	Cancelled int64 `json:"cancelled"` // the caller went away before the send
-	Lost      int64 `json:"lost"`      // sends without a whole answer, of which some were repeated
+	Cancelled int64 `json:"cancelled"` // the caller closed its connection before the first attempt
+	Lost      int64 `json:"lost"`      // attempts without a complete answer, some of which were retried
 }
 
 // Counts returns the entry's counters.
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	tickInterval           = 10 * time.Millisecond // the scheduler's time while requests wait
-	leavingRefreshInterval = time.Second           // the table's, while a VM is leaving
-	idleRefreshInterval    = 10 * time.Second      // the table's, when nothing has changed
+	tickInterval           = 10 * time.Millisecond // interval of scheduler ticks while requests wait
+	leavingRefreshInterval = time.Second           // table rebuild interval while a VM is leaving
+	idleRefreshInterval    = 10 * time.Second      // table rebuild interval when nothing has changed
 	reapInterval           = time.Second
 	healthPath             = "/health"
-	maxHeaderBytes         = 16 << 10 // bytes; the longest request header
+	maxHeaderBytes         = 16 << 10 // longest request header
 	readTimeout            = 30 * time.Second
 	writeTimeout           = 30 * time.Second
 	idleTimeout            = 75 * time.Second
 )
 
-// Documents gives the configuration in force.
+// Documents provides the configuration in force.
 type Documents interface {
 	Document() *conf.Document
 	Wait(ctx context.Context, n conf.Number) error
 }
 
-// Burner counts requests against the objective of their service and class.
+// Burner counts the outcomes of requests against the objective of their service and class.
 type Burner interface {
 	Add(k burn.Key, o burn.Outcome)
 }
 
-// Entry serves callers; New makes one and Run runs it.
+// Entry accepts callers' requests and forwards them to targets. New creates an Entry and Run serves its callers.
 type Entry struct {
 	settings       setup.Settings
 	log            zerolog.Logger
@@ -64,47 +64,47 @@
 	services  sync.Map // name → *service
 	table     atomic.Pointer[table]
 	counters  counters
-	bodyBytes atomic.Int64 // bytes of the bodies of requests in flight
+	bodyBytes atomic.Int64 // total body size of the requests in flight
 
 	tableMu     sync.Mutex
-	leaving     map[string]leavingMark // VMs that refused as leaving
-	targetsView *view.View             // the view that the services' lists were made from
-	roster      share.RosterMsg        // the newest one
+	leaving     map[string]leavingMark // by VM: VMs that refused a request because they are leaving
+	targetsView *view.View             // the view from which the services' targets were last set
+	roster      share.RosterMsg        // newest roster
 	quotas      sched.QuotasMsg
 
 	stopMu    sync.Mutex
-	stopping  bool // the health page is unhealthy
-	refusing  bool // new requests are refused
+	stopping  bool // the health check fails
+	refusing  bool // new requests are refused with 503
 	inFlight  int
 	drainedCh chan struct{}
 }
 
-// Option changes an Entry when it is made.
+// Option configures an Entry in New.
 type Option func(*Entry)
 
-// WithKeys sets where idempotency keys are claimed; without it, no keyed request is taken.
+// WithKeys sets where idempotency keys are claimed. Without it, every request with a key is refused.
 func WithKeys(k Keys) Option { return func(e *Entry) { e.keys = k } }
 
-// WithSelf sets the name of this life of the entry among those that share slots; a restarted entry needs another one.
-// Without it the entry shares with nobody.
+// WithSelf sets the name under which this process shares slots with the other entries. A restarted entry needs another
+// name, since it has lost its loans. Without a name the entry shares slots with no other entry.
 func WithSelf(name string) Option { return func(e *Entry) { e.shareName = name } }
 
-// WithBurner sets what counts requests against objectives.
+// WithBurner sets what counts the outcomes of requests against objectives.
 func WithBurner(b Burner) Option { return func(e *Entry) { e.outcomeCounter = b } }
 
-// WithGate sets what must hold besides before the entry is ready, such as its place among its peers.
+// WithGate adds a condition for the entry to be ready, such as membership in its data centre's roster.
 func WithGate(ok func() bool) Option { return func(e *Entry) { e.readyCheck = ok } }
 
-// WithLeader sets what tells whether the data centre has a leader at work.
+// WithLeader sets the function that reports whether the data centre has an active leader.
 func WithLeader(ok func() bool) Option { return func(e *Entry) { e.hasLeader = ok } }
 
-// WithOnLeaving sets what is called when a VM is found to be leaving.
+// WithOnLeaving sets the function that is called when a VM is newly marked as leaving.
 func WithOnLeaving(f func()) Option { return func(e *Entry) { e.onLeaving = f } }
 
-// readyCheckPasses reports whether the gate is open.
+// readyCheckPasses reports whether the additional condition for being ready, if one is set, holds.
 func (e *Entry) readyCheckPasses() bool { return e.readyCheck == nil || e.readyCheck() }
 
-// New returns an entry over the configuration and the view.
+// New returns an entry that reads the configuration from d and the targets from v.
 func New(s setup.Settings, l zerolog.Logger, d Documents, v *view.Shelf, opts ...Option) *Entry {
 	e := &Entry{
 		settings: s, log: l, documents: d, view: v, keys: noKeys{}, outcomeCounter: noOutcomeCounter{}, requestIDs: newRequestIDs(s.Name()), health: newHealth(),
@@ -123,7 +123,7 @@
 	return e
 }
 
-// Run serves callers on ln until the context ends, then finishes what it has accepted, for at most the settings' drain wait.
+// Run serves callers on ln until ctx ends. It then waits for accepted requests, for at most the drain wait of the settings.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -157,13 +157,13 @@
 	}
 }
 
-// discardLogger drops the server's own lines; what a caller did wrong is counted and answered.
+// discardLogger drops the HTTP server's log lines: callers' errors are counted and answered instead.
 type discardLogger struct{}
 
 // Printf drops the line.
 func (discardLogger) Printf(string, ...any) {}
 
-// runTicks lets the services' time pass.
+// runTicks ticks the services, closes idle connections and rebuilds the target table periodically.
 func (e *Entry) runTicks(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -186,7 +186,7 @@
 	}
 }
 
-// watchChanges rebuilds the table when the view or the configuration changes.
+// watchChanges rebuilds the target table when the view or the configuration changes.
 func (e *Entry) watchChanges(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -216,14 +216,14 @@
 	}
 }
 
-// Loads returns the use of each service's slots at this entry.
+// Loads returns the scheduler statistics of each service at this entry.
 func (e *Entry) Loads() map[string]sched.Stats {
 	m := make(map[string]sched.Stats)
 	e.eachService(func(v *service) { m[v.name] = v.stats() })
 	return m
 }
 
-// canServe reports whether the entry has slots of some service's targets, or knows that no service is configured.
+// canServe reports whether the entry has slots at some service's targets, or has a configuration without services.
 func (e *Entry) canServe() bool {
 	if d := e.documents.Document(); len(d.Services()) == 0 {
 		return d.Number() > 0
--- a/node/entry/health.go
+++ b/node/entry/health.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	failingAfter    = 3                // failures in a row
-	probeInterval   = time.Second      // between connects to a VM that could not be reached
-	failureExpiry   = 60 * time.Second // after which a VM that failed requests is given another chance
-	maxFailingShare = 0.5              // of a pool's VMs that may be reported for failing requests
+	failingAfter    = 3                // consecutive failures until a VM counts as failing
+	probeInterval   = time.Second      // between connection attempts to an unreachable VM
+	failureExpiry   = 60 * time.Second // after which the failed requests of a VM are forgotten, so that it is tried again
+	maxFailingShare = 0.5              // largest share of a pool's VMs that may be reported for failed requests
 )
 
-// failureRecord is what is wrong with a VM.
+// failureRecord counts the consecutive failures of a VM.
 type failureRecord struct {
 	failures        int
-	unreachable     bool // the last failure was to connect
-	retryDelayStart time.Time
+	unreachable     bool      // the last failure was a failed connection
+	retryDelayStart time.Time // the first failure, or the moment when the VM began to count as failing
 }
 
-// health tells which VMs fail everything that this entry sends; it is safe for concurrent use.
+// health tracks the VMs whose requests fail; it is safe for concurrent use.
 type health struct {
 	mu      sync.Mutex
 	records map[string]*failureRecord
@@ -29,14 +29,14 @@
 
 func newHealth() *health { return &health{records: make(map[string]*failureRecord)} }
 
-// recordSuccess notes an answer of the VM.
+// recordSuccess forgets the failures of a VM that answered.
 func (h *health) recordSuccess(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.records, vm)
 }
 
-// recordFailure notes a failure of the VM; connect means that it could not be reached.
+// recordFailure counts a failure of the VM; unreachable means that the connection failed.
 func (h *health) recordFailure(vm string, unreachable bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +52,8 @@
 	}
 }
 
-// failing returns the VMs with enough failures in a row; connect tells which of the two kinds.
+// failing returns the VMs with enough consecutive failures: the unreachable ones if unreachable is
+// true, else those that fail requests.
 func (h *health) failing(unreachable bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,7 +66,7 @@
 	return l
 }
 
-// expireFailures forgets failures of requests that are long ago.
+// expireFailures forgets failed requests after failureExpiry; unreachable VMs stay until they are probed.
 func (h *health) expireFailures(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// Failing returns the VMs that cannot be reached, and those that fail every request while most of their pool does not.
+// Failing returns the unreachable VMs, and those that fail requests while no more than maxFailingShare of their pool does.
 func (e *Entry) Failing() []string {
 	v := e.view.View()
 	l := e.health.failing(true)
@@ -99,7 +100,7 @@
 	return l
 }
 
-// probe connects to the VMs that could not be reached, so that their return is noticed without a request.
+// probe connects to unreachable VMs periodically, so that a recovery is detected without sending a request.
 func (e *Entry) probe(ctx context.Context) error {
 	t := time.NewTicker(probeInterval)
 	defer t.Stop()
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -6,27 +6,29 @@
 	"burdockreach.dev/node/view"
 )
 
-// leavingRetryDelay is the time after which a VM that refused as leaving is tried again, while a leader says that it serves.
+// leavingRetryDelay is the time after which a VM that refused a request as leaving gets requests again, if the view has it as
+// serving and the data centre has an active leader.
 const leavingRetryDelay = 30 * time.Second
 
-// leavingMark is word that a VM is leaving, older than what any later view says.
+// leavingMark records that a VM refused a request as leaving. A view newer than version overrides it.
 type leavingMark struct {
 	version view.Version
 	notedAt time.Time
 }
 
-// Leaving is a VM that refused as leaving, and the newest view of the entry that it refused.
+// Leaving is a VM that refused a request as leaving, with the newest view version that the refused entry had.
 type Leaving struct {
 	VM      string       `json:"vm"`
 	Version view.Version `json:"v"`
 }
 
-// markLeaving takes a target that refused as leaving off every list until a newer view says that it serves.
+// markLeaving stops sending to a VM that refused a request as leaving, until a newer view has it as serving.
 func (e *Entry) markLeaving(vm string) {
 	e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}})
 }
 
-// Learn takes in word, of this entry or of another one, that VMs are leaving; word older than the view is passed over.
+// Learn records VMs that this entry or another one found to be leaving. A report older than the view is ignored if the view
+// has the VM as serving.
 func (e *Entry) Learn(vms []Leaving) {
 	now := time.Now()
 	if e.recordLeaving(now, vms) {
@@ -61,7 +63,7 @@
 	return len(e.leaving) > 0
 }
 
-// Leavings returns the VMs that refused as leaving, for the other entries.
+// Leavings returns the VMs that are marked as leaving, to be sent to the other entries.
 func (e *Entry) Leavings() []Leaving {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
@@ -72,7 +74,7 @@
 	return l
 }
 
-// acceptsWork reports whether the target may get new work; e.tableMu is held.
+// acceptsWork reports whether the target may get new work, and removes an outdated leaving mark; e.tableMu is held.
 func (e *Entry) acceptsWork(now time.Time, t view.Target, v view.Version) bool {
 	m, ok := e.leaving[t.VM]
 	if ok && t.Serving && (v.After(m.version) || e.leaderActive() && now.Sub(m.notedAt) > leavingRetryDelay) {
@@ -82,16 +84,16 @@
 	return t.Serving && !ok
 }
 
-// leaderActive reports whether a leader is at work, so that the view is lately known to be true.
+// leaderActive reports whether the data centre has an active leader, so that the view has been confirmed lately.
 func (e *Entry) leaderActive() bool { return e.hasLeader != nil && e.hasLeader() }
 
-// Quit is a VM that this entry sends nothing to and has nothing in flight at.
+// Quit is a drained VM: this entry no longer sends to it and has no request in flight there.
 type Quit struct {
 	VM     string `json:"vm"`
-	Number int64  `json:"n"` // version of the membership shard that told this entry to stop sending.
+	Number int64  `json:"n"` // version of the membership shard in which the VM stopped serving
 }
 
-// Quits returns the VMs that this entry has let go.
+// Quits returns the VMs that this entry has drained.
 func (e *Entry) Quits() []Quit {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
--- a/node/entry/loans.go
+++ b/node/entry/loans.go
@@ -7,22 +7,22 @@
 	"burdockreach.dev/flow/share"
 )
 
-// idleLoadInterval is the time between looks at the loans of a service where nothing waits, is lent or is borrowed.
+// idleLoadInterval is the time between load updates of a service where nothing waits, is lent or is borrowed.
 const idleLoadInterval = time.Second
 
-// maxBorrowRequests is the number of requests for slots that wait to be sent; more are dropped and made again.
+// maxBorrowRequests bounds the requests for slots that wait to be sent. Further ones are dropped; the loans make them again.
 const maxBorrowRequests = 64
 
-// Ask is a request for another entry's idle slots of a service.
+// Ask is a request to borrow another entry's idle slots of a service.
 type Ask struct {
 	Service string
 	share.BorrowCmd
 }
 
-// Asks returns the requests for slots that are to be sent to other entries.
+// Asks returns the channel of requests to be sent to other entries.
 func (e *Entry) Asks() <-chan Ask { return e.borrowRequests }
 
-// SetRoster tells which entries share the slots of the data centre's targets; a lower number than the newest is passed over.
+// SetRoster sets the entries that share the slots of the data centre's targets. Services ignore a number lower than the newest.
 func (e *Entry) SetRoster(now time.Time, number int64, entries []string) {
 	m := share.RosterMsg{Now: now, Number: number, Entries: entries}
 	e.tableMu.Lock()
@@ -31,7 +31,7 @@
 	e.eachService(func(v *service) { v.updateLoans(m) })
 }
 
-// Settled returns the number of the roster that every service of this entry keeps to, or 0.
+// Settled returns the number of the roster whose shares every service of this entry keeps to, or 0 while some service does not.
 func (e *Entry) Settled() int64 {
 	e.tableMu.Lock()
 	n := e.roster.Number
@@ -44,12 +44,12 @@
 	return n
 }
 
-// SetSettled tells that another entry keeps to the roster with the number.
+// SetSettled records that another entry keeps to the shares of the roster with the number.
 func (e *Entry) SetSettled(now time.Time, from string, number int64) {
 	e.eachService(func(v *service) { v.updateLoans(share.SettledMsg{Now: now, From: from, Number: number}) })
 }
 
-// Lend answers another entry's request for slots of the service.
+// Lend answers another entry's request for slots of the service; false means that this entry does not know the service.
 func (e *Entry) Lend(name string, m share.BorrowMsg) (share.LentCmd, bool) {
 	x, ok := e.services.Load(name)
 	if !ok {
@@ -58,21 +58,21 @@
 	return x.(*service).answerBorrow(m)
 }
 
-// Lent brings another entry's answer to an Ask back.
+// Lent applies another entry's answer to a request for slots.
 func (e *Entry) Lent(name string, m share.LentMsg) {
 	if x, ok := e.services.Load(name); ok {
 		x.(*service).updateLoans(m)
 	}
 }
 
-// updateLoans takes a message of the loans in and uses the shares that follow.
+// updateLoans applies a loan message and the slot shares that result.
 func (v *service) updateLoans(m share.Msg) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.applyLoansMsg(m)
 }
 
-// answerBorrow lends what is idle now; nothing is sent in between, since v.mu is held.
+// answerBorrow lends idle slots to another entry. v.mu is held, so no request takes a slot between the load reading and the loan.
 func (v *service) answerBorrow(m share.BorrowMsg) (c share.LentCmd, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -81,7 +81,7 @@
 	return v.applyLoansMsg(m)
 }
 
-// updateLoad looks at the loans while nothing is asked; v.mu is held.
+// updateLoad passes the current load to the loans, less often while they are quiet; v.mu is held.
 func (v *service) updateLoad(now time.Time) {
 	if len(v.waiting) == 0 && v.loans.Quiet() && now.Sub(v.lastLoadMsg) < idleLoadInterval {
 		return
@@ -90,7 +90,7 @@
 	v.applyLoansMsg(share.LoadMsg{Now: now, Load: v.currentLoad()})
 }
 
-// currentLoad tells what is busy and what waits; v.mu is held.
+// currentLoad returns the busy slots and the waiting requests; v.mu is held.
 func (v *service) currentLoad() share.Load {
 	s := v.scheduler.Stats()
 	clear(v.busy)
@@ -98,7 +98,7 @@
 	return share.Load{Queued: s.Pressing(), Yielding: s.Yielding(), Keep: s.Held(), Busy: v.busy}
 }
 
-// applyLoansMsg updates the loans and performs their commands; v.mu is held.
+// applyLoansMsg applies a message to the loans and executes their commands; v.mu is held.
 func (v *service) applyLoansMsg(m share.Msg) (lent share.LentCmd, ok bool) {
 	var shares map[string]int
 	for _, c := range v.loans.Update(m) {
@@ -120,7 +120,7 @@
 	return lent, ok
 }
 
-// msgTime returns the time of the message.
+// msgTime returns the time that the message carries.
 func (v *service) msgTime(m share.Msg) time.Time {
 	switch m := m.(type) {
 	case share.RosterMsg:
@@ -139,7 +139,7 @@
 	return time.Now()
 }
 
-// setTargets replaces the targets that may get new work; each has the slots that this entry may use.
+// setTargets replaces the targets that may get new work. It overwrites each target's total slots in targets with those this entry may use.
 func (v *service) setTargets(now time.Time, targets []sched.Target) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/node/entry/refuse.go
+++ b/node/entry/refuse.go
@@ -26,24 +26,24 @@
 	headerKey        = "Idempotency-Key"
 )
 
-// stepSchedule is the step at which the scheduler gave a request up.
+// stepSchedule is the step of a request that the scheduler ended.
 const stepSchedule = "schedule"
 
-// Outcome tells a caller what became of its request.
+// Outcome says whether a caller's request ran.
 type Outcome string
 
 const (
-	// OutcomeAnswered means that the answer is the target's own, whole.
+	// OutcomeAnswered means that the caller gets the target's complete answer.
 	OutcomeAnswered Outcome = "answered"
 	// OutcomeNotRun means that the request was certainly not run.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeRepeat means that the answer is the kept one of an earlier copy.
+	// OutcomeRepeat means that the caller gets the stored answer of an earlier copy.
 	OutcomeRepeat Outcome = "repeat"
 )
 
-// Refusal is the body of every answer that is not a target's.
+// Refusal is the JSON body of an answer that does not come from a target. With kept set, that stored answer is written instead.
 type Refusal struct {
 	RequestID    string  `json:"requestId"`
 	Outcome      Outcome `json:"outcome"`
@@ -64,7 +64,7 @@
 	return r
 }
 
-// write gives the caller its final answer.
+// write sets the caller's final answer.
 func (r *Refusal) write(x *fasthttp.RequestCtx, id string) {
 	r.RequestID = id
 	x.Response.Reset()
@@ -90,7 +90,7 @@
 	}
 }
 
-// ended returns the final answer of a request that the scheduler gave up on.
+// ended returns the final answer of a request that the scheduler ended without an answer of a target.
 func ended(c sched.EndCmd) *Refusal {
 	status, text := reasonStatus(c.Reason)
 	r := &Refusal{Outcome: OutcomeUnknown, Step: stepSchedule, Reason: text, status: fasthttp.StatusGatewayTimeout}
@@ -120,5 +120,5 @@
 	return fasthttp.StatusServiceUnavailable, string(r)
 }
 
-// statusClientClosed is the customary status for a caller that has gone.
+// statusClientClosed is the customary, non-standard status for a closed client connection.
 const statusClientClosed = 499
--- a/node/entry/service.go
+++ b/node/entry/service.go
@@ -10,24 +10,24 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// service runs one service's requests at this entry; mu guards all below it.
+// service schedules one service's requests at this entry; mu guards the fields below it.
 type service struct {
 	name     string
 	active   atomic.Bool // something waits, is lent or is borrowed
-	lastTick time.Time   // of the entry's loop alone
+	lastTick time.Time   // used only by the entry's tick loop
 
 	mu             sync.Mutex
 	scheduler      *sched.Scheduler
 	lastID         sched.ID
 	waiting        map[sched.ID]chan sched.Cmd
-	inFlight       map[string]int // requests handed out for sending, by VM
-	targets        map[string]bool
+	inFlight       map[string]int  // requests being sent, by VM
+	targets        map[string]bool // VMs that may get new work
 	loans          *share.Loans
 	borrowRequests chan<- Ask
-	busy           map[string]int // slots that are or may be taken, by VM; kept for the next look
+	busy           map[string]int // slots that are or may be taken, by VM; reused by each load reading
 	lastLoadMsg    time.Time
 	profile        conf.ProfileSpec
-	lostAt         map[string]time.Time // when an answer of the VM was last lost
+	lostAt         map[string]time.Time // by VM: when an answer was last lost
 }
 
 func newService(name, self string, asks chan<- Ask, opts ...sched.Option) *service {
@@ -37,13 +37,13 @@
 	}
 }
 
-// maxPendingCmds is the number of commands that one call can have before it: one send and one end.
+// maxPendingCmds is the most commands that can wait for one call: one send and one end.
 const maxPendingCmds = 2
 
-// cmdChannels holds the channels that calls wait on.
+// cmdChannels pools the channels on which calls receive commands.
 var cmdChannels = sync.Pool{New: func() any { return make(chan sched.Cmd, maxPendingCmds) }}
 
-// arrive hands a new request to the scheduler and returns its id and the channel of its commands.
+// arrive passes a new request to the scheduler and returns its id and its command channel.
 func (v *service) arrive(m sched.ArriveMsg) (sched.ID, chan sched.Cmd) {
 	ch := cmdChannels.Get().(chan sched.Cmd)
 	v.mu.Lock()
@@ -56,7 +56,7 @@
 	return m.ID, ch
 }
 
-// sendDone tells the scheduler how a send ended.
+// sendDone reports the result of an attempt to the scheduler.
 func (v *service) sendDone(m sched.DoneMsg) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -70,7 +70,7 @@
 	v.dispatch(v.scheduler.Update(m))
 }
 
-// forget forgets a call that has its final answer.
+// forget removes a call that has its final answer and recycles its channel.
 func (v *service) forget(id sched.ID, ch chan sched.Cmd) {
 	v.mu.Lock()
 	delete(v.waiting, id)
@@ -81,7 +81,7 @@
 	cmdChannels.Put(ch)
 }
 
-// applyProfile applies the profile when it has changed.
+// applyProfile passes the profile to the scheduler if it has changed.
 func (v *service) applyProfile(now time.Time, p conf.ProfileSpec) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,14 +94,14 @@
 	}))
 }
 
-// update passes a message on to the scheduler.
+// update passes a message to the scheduler and dispatches the resulting commands.
 func (v *service) update(m sched.Msg) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.dispatch(v.scheduler.Update(m))
 }
 
-// dispatch hands each command to the call that waits for it; v.mu is held.
+// dispatch sends each command to the call that it concerns; v.mu is held.
 func (v *service) dispatch(cmds []sched.Cmd) {
 	for _, c := range cmds {
 		switch c := c.(type) {
@@ -120,10 +120,10 @@
 	}
 }
 
-// idleTickInterval is the time between looks at a service where nothing waits, is lent or is borrowed.
+// idleTickInterval is the tick interval of a service where nothing waits, is lent or is borrowed.
 const idleTickInterval = 200 * time.Millisecond
 
-// tick lets the scheduler's time pass while anything waits, and looks at the loans; only the entry's loop calls it.
+// tick advances the scheduler while requests wait, and updates the loans. Only the entry's tick loop calls it.
 func (v *service) tick(now time.Time) {
 	if !v.active.Load() && now.Sub(v.lastTick) < idleTickInterval {
 		return
@@ -138,10 +138,10 @@
 	v.active.Store(len(v.waiting) > 0 || !v.loans.Quiet())
 }
 
-// lostAnswerHold is how long a request whose answer was lost may still run at its target.
+// lostAnswerHold is how long a request whose answer was lost is assumed to run on at its target.
 const lostAnswerHold = 10 * time.Second
 
-// drained reports whether the VM is off the list and nothing is in flight to it, not even a request whose answer was lost.
+// drained reports whether the VM is no target any more and has no request in flight, including requests whose answer was lost.
 func (v *service) drained(vm string, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -8,13 +8,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// balancerWait is the time for the balancer to see the health page before new requests are refused.
+// balancerWait is the time for the load balancer to see the failing health check before new requests are refused.
 const balancerWait = 500 * time.Millisecond
 
-// ErrLeft reports requests that the drain wait did not see the end of.
+// ErrLeft reports that requests were still in flight at the end of the drain wait.
 var ErrLeft = eris.New("entry: requests left at the end of the drain wait")
 
-// beginRequest counts a request in; false means that the entry is stopping.
+// beginRequest counts a request as in flight; false means that the entry refuses new requests.
 func (e *Entry) beginRequest() bool {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
@@ -25,7 +25,7 @@
 	return true
 }
 
-// endRequest counts a request out; while the entry stops, its connection is closed after the answer.
+// endRequest counts a request as finished. While the entry stops, the caller's connection is closed after the answer.
 func (e *Entry) endRequest(x *fasthttp.RequestCtx) {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveHealth answers the balancer.
+// serveHealth answers the load balancer's health check.
 func (e *Entry) serveHealth(x *fasthttp.RequestCtx) {
 	if e.Ready() {
 		x.SetBodyString("ok\n")
@@ -50,7 +50,7 @@
 	x.Error("not ready\n", fasthttp.StatusServiceUnavailable)
 }
 
-// stop turns the health page first, then refuses new requests, then waits for those in flight.
+// stop first fails the health check, then refuses new requests, then waits for those in flight.
 func (e *Entry) stop(s *fasthttp.Server) error {
 	e.log.Info().Str("step", "stop").Msg("stopping")
 	e.setStopping()
@@ -87,7 +87,7 @@
 	e.stopping = true
 }
 
-// refuseNew refuses new requests from now on and returns the number in flight.
+// refuseNew makes the entry refuse new requests and returns the number in flight.
 func (e *Entry) refuseNew() int {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
@@ -95,7 +95,7 @@
 	return e.inFlight
 }
 
-// InFlight returns the number of accepted requests without a final answer.
+// InFlight returns the number of admitted requests that have no final answer yet.
 func (e *Entry) InFlight() int {
 	e.stopMu.Lock()
 	defer e.stopMu.Unlock()
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -14,13 +14,13 @@
 	conns    *conns.Pool
 }
 
-// table maps VMs to targets; it is replaced, never changed.
+// table maps VMs to targets; a change replaces the whole table.
 type table map[string]*target
 
 // target returns the target on the VM, or nil.
 func (e *Entry) target(vm string) *target { return (*e.table.Load())[vm] }
 
-// service returns the runner of the named service and makes it when it is new.
+// service returns the named service and creates it if needed.
 func (e *Entry) service(name string) *service {
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
@@ -30,7 +30,7 @@
 	return e.ensureService(name)
 }
 
-// ensureService returns the service's runner, new if need be; e.tableMu is held, so that it misses no roster.
+// ensureService returns the named service and creates it if needed. e.tableMu is held, so that a new service does not miss a roster.
 func (e *Entry) ensureService(name string) *service {
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
@@ -53,7 +53,7 @@
 	e.eachService(func(v *service) { v.update(m) })
 }
 
-// eachService calls f with every service.
+// eachService calls f for every service.
 func (e *Entry) eachService(f func(v *service)) {
 	e.services.Range(func(_, v any) bool {
 		f(v.(*service))
@@ -61,7 +61,7 @@
 	})
 }
 
-// refresh builds the table and the services' lists from the view, the configuration and the shares.
+// refresh rebuilds the table and the services' targets from the view, the configuration and the slot shares.
 func (e *Entry) refresh(now time.Time) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// reuseTarget returns the old target if it still stands at its address.
+// reuseTarget returns the old target if its address is unchanged, or else a new one.
 func (e *Entry) reuseTarget(old *target, t view.Target) *target {
 	if old != nil && old.addr == t.Addr {
 		return old
@@ -94,7 +94,7 @@
 		conns.WithIdle(e.settings.IdleConn()), conns.WithConnect(e.settings.ConnectTimeout()), conns.WithMaxAnswer(e.settings.MaxAnswerBytes()))}
 }
 
-// assignTargets gives each service its targets; e.tableMu is held.
+// assignTargets sets the targets of each service, and none for services that are no longer configured; e.tableMu is held.
 func (e *Entry) assignTargets(now time.Time, pools map[string][]view.Target) {
 	d := e.documents.Document()
 	for _, s := range d.Services() {
--- a/node/entry/broken.go
+++ b/node/entry/unreadable.go
@@ -14,7 +14,7 @@
 	"burdockreach.dev/node/burn"
 )
 
-// serveUnreadable answers what the server could not read as a request; nothing was run.
+// serveUnreadable answers a request that the HTTP server could not parse; it was not run.
 func (e *Entry) serveUnreadable(x *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	r := notRun(fasthttp.StatusBadRequest, "parse", "the request cannot be read as HTTP")
@@ -28,7 +28,7 @@
 	r.write(x, e.requestIDs.next())
 }
 
-// requestIDs makes request requestIDs that are unique in the fleet and over restarts.
+// requestIDs generates request ids that are unique in the fleet and across restarts: name, start time and a counter.
 type requestIDs struct {
 	prefix string
 	n      atomic.Uint64
@@ -40,15 +40,15 @@
 
 func (i *requestIDs) next() string { return i.prefix + strconv.FormatUint(i.n.Add(1), 36) }
 
-// noKeys refuses every keyed request.
+// noKeys is the default Keys: it refuses every request with a key.
 type noKeys struct{}
 
-// Claim refuses.
+// Claim refuses the key.
 func (noKeys) Claim(context.Context, string, string, []byte) Decision {
 	return Decision{Verdict: Unheld, Why: "no holder of keys is configured"}
 }
 
-// noOutcomeCounter counts nothing.
+// noOutcomeCounter is the default counter: it counts nothing.
 type noOutcomeCounter struct{}
 
 // Add does nothing.
@@ -68,7 +68,7 @@
 	e.outcomeCounter.Add(burn.Key{Service: o.service, Class: className(o.class)}, b)
 }
 
-// countUnanswered counts a request without a target's answer.
+// countUnanswered counts a request that got no answer from a target.
 func (e *Entry) countUnanswered(o checkedRequest, r *Refusal) {
 	switch r.Outcome {
 	case OutcomeRepeat:
