--- a/node/entry/bench_test.go
+++ b/node/entry/bench_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// BenchmarkEntry sends requests through an entry with all promises on.
+// BenchmarkEntry measures requests through a complete entry.
 func BenchmarkEntry(b *testing.B) {
 	t := listen(b, answerer)
 	r := start(b, []string{t})
@@ -38,7 +38,7 @@
 	_ = r.done.Wait()
 }
 
-// BenchmarkBareRelay sends the same through one handler with one client.
+// BenchmarkBareRelay measures the same requests through a plain proxy, as the baseline.
 func BenchmarkBareRelay(b *testing.B) {
 	t := listen(b, answerer)
 	c := fasthttp.HostClient{Addr: t, MaxConns: 1000}
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -23,10 +23,10 @@
 
 const testToken = "kitchen-token"
 
-// rig is an entry in front of one target.
-type rig struct {
+// testEntry is a running entry and the view that gives it its targets.
+type testEntry struct {
 	t     testing.TB
-	e     *Entry
+	entry *Entry
 	addr  string
 	shelf *view.Shelf
 	stop  context.CancelFunc
@@ -80,26 +80,26 @@
 	return s
 }
 
-// start runs an entry in front of the targets.
-func start(t testing.TB, targets []string, opts ...Option) *rig {
+// start runs an entry whose view has the targets.
+func start(t testing.TB, targets []string, opts ...Option) *testEntry {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, addr: ln.Addr().String(), shelf: view.NewShelf()}
-	r.show(1, true, targets...)
-	r.e = New(settings(t), zerolog.Nop(), document(t), r.shelf, opts...)
+	r := &testEntry{t: t, addr: ln.Addr().String(), shelf: view.NewShelf()}
+	r.publish(1, true, targets...)
+	r.entry = New(settings(t), zerolog.Nop(), document(t), r.shelf, opts...)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop, r.done = cancel, &errgroup.Group{}
-	r.done.Go(func() error { return r.e.Run(ctx, ln) })
+	r.done.Go(func() error { return r.entry.Run(ctx, ln) })
 	t.Cleanup(cancel)
-	r.e.refresh(time.Now())
+	r.entry.refresh(time.Now())
 	return r
 }
 
-// show puts a view of the targets on the shelf.
-func (r *rig) show(n int64, serving bool, targets ...string) {
+// publish publishes a view of the targets.
+func (r *testEntry) publish(n int64, serving bool, targets ...string) {
 	var ts []view.Target
 	for _, a := range targets {
 		ts = append(ts, view.Target{VM: "vm-" + a, Addr: a, Rack: "r", Pool: "p", Serving: serving, Number: n})
@@ -109,8 +109,8 @@
 	}
 }
 
-// ask sends one request; head is name and value by turns.
-func (r *rig) ask(method, path, body string, head ...string) (status int, outcome string, f Refusal, got string) {
+// send sends one request; head alternates header names and values.
+func (r *testEntry) send(method, path, body string, head ...string) (status int, outcome string, f Refusal, got string) {
 	r.t.Helper()
 	var q fasthttp.Request
 	var a fasthttp.Response
@@ -128,13 +128,13 @@
 	return a.StatusCode(), string(a.Header.Peek(headerOutcome)), f, string(a.Body())
 }
 
-// memory is a holder of keys for one entry.
-type memory struct {
+// memoryKeys claims keys in memory, for one entry.
+type memoryKeys struct {
 	mu   sync.Mutex
 	kept map[string]*Kept
 }
 
-func (m *memory) Claim(_ context.Context, key, _ string, _ []byte) Decision {
+func (m *memoryKeys) Claim(_ context.Context, key, _ string, _ []byte) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k, ok := m.kept[key]
@@ -149,7 +149,7 @@
 }
 
 type memoryClaim struct {
-	m   *memory
+	m   *memoryKeys
 	key string
 }
 
@@ -170,7 +170,7 @@
 func TestRefusalsSayWhatIsWrong(t *testing.T) {
 	var runs atomic.Int64
 	a := listen(t, func(x *fasthttp.RequestCtx) { runs.Add(1) })
-	r := start(t, []string{a}, WithKeys(&memory{kept: map[string]*Kept{}}))
+	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*Kept{}}))
 	big := string(make([]byte, 2000))
 	for _, c := range []struct {
 		name, method, path, body string
@@ -190,7 +190,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			s, o, f, _ := r.ask(c.method, c.path, c.body, c.head...)
+			s, o, f, _ := r.send(c.method, c.path, c.body, c.head...)
 			i.Equal(s, c.status)
 			i.Equal(o, string(OutcomeNotRun))
 			i.Equal(f.Step, c.step)
@@ -210,13 +210,13 @@
 		x.SetStatusCode(201)
 		x.SetBody(append([]byte("made "), x.PostBody()...))
 	})
-	r := start(t, []string{a}, WithKeys(&memory{kept: map[string]*Kept{}}))
-	s, o, _, b := r.ask("POST", "/call/orders/trays/7?x=1%2F2", "soup", headerKey, "k1")
+	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*Kept{}}))
+	s, o, _, b := r.send("POST", "/call/orders/trays/7?x=1%2F2", "soup", headerKey, "k1")
 	i.Equal(s, 201)
 	i.Equal(o, string(OutcomeAnswered))
 	i.Equal(b, "made soup")
-	i.Equal(*seen.Load(), "/trays/7?x=1%2F2 kitchen ") // path unchanged, team told, token kept back
-	s, o, _, b = r.ask("POST", "/call/orders/trays/7?x=1%2F2", "soup", headerKey, "k1")
+	i.Equal(*seen.Load(), "/trays/7?x=1%2F2 kitchen ") // path unchanged, team header set, token removed
+	s, o, _, b = r.send("POST", "/call/orders/trays/7?x=1%2F2", "soup", headerKey, "k1")
 	i.Equal(s, 201)
 	i.Equal(o, string(OutcomeRepeat))
 	i.Equal(b, "made soup")
@@ -234,11 +234,11 @@
 	b := listen(t, func(x *fasthttp.RequestCtx) { ran.Add(1) })
 	r := start(t, []string{a, b})
 	for range 50 {
-		s, _, _, _ := r.ask("GET", "/call/orders/x", "")
+		s, _, _, _ := r.send("GET", "/call/orders/x", "")
 		i.Equal(s, 200)
 	}
 	i.Equal(ran.Load(), int64(50))
-	i.True(refused.Load() <= 1) // word of its leaving suffices, without the platform
+	i.True(refused.Load() <= 1) // the refusal alone marks it as leaving, without a new view
 }
 
 func TestStopFinishesWhatIsInFlight(t *testing.T) {
@@ -252,18 +252,18 @@
 	r := start(t, []string{a})
 	var g errgroup.Group
 	g.Go(func() error {
-		s, _, _, b := r.ask("GET", "/call/orders/x", "")
+		s, _, _, b := r.send("GET", "/call/orders/x", "")
 		i.Equal(s, 200)
 		i.Equal(b, "whole")
 		return nil
 	})
 	<-in
 	r.stop()
-	for r.e.Ready() {
+	for r.entry.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	s, _, _, _ := r.ask("GET", healthPath, "")
-	i.Equal(s, 503) // the balancer sees it before the door closes
+	s, _, _, _ := r.send("GET", healthPath, "")
+	i.Equal(s, 503) // the health check fails before new requests are refused
 	close(out)
 	i.NoErr(g.Wait())
 	i.NoErr(r.done.Wait())
@@ -278,15 +278,15 @@
 	})
 	r := start(t, []string{a})
 	var g errgroup.Group
-	g.Go(func() error { r.ask("GET", "/call/orders/x", ""); return nil })
+	g.Go(func() error { r.send("GET", "/call/orders/x", ""); return nil })
 	<-in
-	r.show(2, false, a)
-	r.e.refresh(time.Now())
-	i.Equal(len(r.e.Quits()), 0) // one is in flight
+	r.publish(2, false, a)
+	r.entry.refresh(time.Now())
+	i.Equal(len(r.entry.Quits()), 0) // one request is in flight
 	close(out)
 	i.NoErr(g.Wait())
-	i.Equal(r.e.Quits(), []Quit{{VM: "vm-" + a, Number: 2}})
-	s, _, f, _ := r.ask("GET", "/call/orders/x", "")
+	i.Equal(r.entry.Quits(), []Quit{{VM: "vm-" + a, Number: 2}})
+	s, _, f, _ := r.send("GET", "/call/orders/x", "")
 	i.Equal(s, 503)
 	i.True(f.RetryAfterMs > 0)
 }
@@ -297,10 +297,10 @@
 	a := listen(t, func(x *fasthttp.RequestCtx) { <-out })
 	t.Cleanup(func() { close(out) }) // before the target is stopped
 	r := start(t, []string{a})
-	s, o, _, _ := r.ask("GET", "/call/orders/x", "", headerTimeout, "100")
+	s, o, _, _ := r.send("GET", "/call/orders/x", "", headerTimeout, "100")
 	i.Equal(s, 504)
-	i.Equal(o, string(OutcomeUnknown)) // the caller was told so at once
-	r.show(2, false, a)
-	r.e.refresh(time.Now())
-	i.Equal(len(r.e.Quits()), 0) // the target may still run it
+	i.Equal(o, string(OutcomeUnknown)) // the caller's timeout ended the request
+	r.publish(2, false, a)
+	r.entry.refresh(time.Now())
+	i.Equal(len(r.entry.Quits()), 0) // the target may still run it
 }
--- a/node/oper/oper_test.go
+++ b/node/oper/oper_test.go
@@ -167,7 +167,8 @@
 	})
 }
 
-// ignoreFasthttpCleaners returns options that ignore the cleanup goroutines that fasthttp leaves sleeping for some seconds after its servers and clients end.
+// ignoreFasthttpCleaners returns options that ignore the cleanup goroutines that fasthttp leaves sleeping for some seconds after
+// its servers and clients end.
 func ignoreFasthttpCleaners() []goleak.Option {
 	var os []goleak.Option
 	for _, f := range []string{"(*Client).mCleaner", "(*HostClient).connsCleaner", "(*workerPool).Start.func2", "updateServerDate.func1"} {
