--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -299,7 +299,7 @@
 	r := start(t, []string{a})
 	s, o, _, _ := r.send("GET", "/call/orders/x", "", headerTimeout, "100")
 	i.Equal(s, 504)
-	i.Equal(o, string(OutcomeUnknown)) // the caller's timeout ended the request
+	i.Equal(o, string(OutcomeUnknown)) // the caller gets its answer at its timeout
 	r.publish(2, false, a)
 	r.entry.refresh(time.Now())
 	i.Equal(len(r.entry.Quits()), 0) // the target may still run it
