--- a/node/entry/claim.go
+++ b/node/entry/claim.go
@@ -29,7 +29,7 @@
 	Unasked
 )
 
-// Kept is the stored answer of an earlier copy.
+// Kept is the target's answer to an earlier copy.
 type Kept struct {
 	Status      int
 	ContentType string
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -87,7 +87,7 @@
 // leaderActive reports whether the data centre has an active leader, so that the view has been confirmed lately.
 func (e *Entry) leaderActive() bool { return e.hasLeader != nil && e.hasLeader() }
 
-// Quit is a drained VM: this entry no longer sends to it and has no request in flight there.
+// Quit is a VM to which this entry no longer sends and at which it has no request in flight.
 type Quit struct {
 	VM     string `json:"vm"`
 	Number int64  `json:"n"` // version of the membership shard in which the VM stopped serving
--- a/node/oper/wire.go
+++ b/node/oper/wire.go
@@ -67,14 +67,14 @@
 	Items []VM `json:"items"`
 }
 
-// Entry is the state of an entry as the asked entry knows it; UnheardMs is the time since its last heartbeat in milliseconds.
+// Entry is the state of an entry as the asked entry knows it.
 type Entry struct {
 	Entry      string      `json:"entry"`
 	DataCentre string      `json:"dataCentre"`
 	PeerAddr   string      `json:"peerAddr"`
 	Self       bool        `json:"self"`
 	Heard      bool        `json:"heard"`
-	UnheardMs  int64       `json:"unheardMs"`
+	UnheardMs  int64       `json:"unheardMs"` // milliseconds since the last heartbeat
 	Applied    conf.Number `json:"applied"`
 	Roster     int64       `json:"roster"`
 	Leader     bool        `json:"leader"`
@@ -93,7 +93,7 @@
 	Newest   conf.Number `json:"newest"`  // the newest change in force at the asked entry
 	InForce  bool        `json:"inForce"` // at every entry in Entries
 	At       time.Time   `json:"at"`      // when the change was made; zero when the entry no longer stores the change
-	AgeMs    int64       `json:"ageMs"`   // milliseconds since At by the asked entry's clock
+	AgeMs    int64       `json:"ageMs"`   // milliseconds since the change was made, by the asked entry's clock
 	Entries  []Entry     `json:"entries"`
 	Op       string      `json:"op,omitempty"`
 	ByPerson string      `json:"by,omitempty"`
