--- a/node/burn/burn.go
+++ b/node/burn/burn.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Burn holds the service-level figures of one entry; it is changed by Update alone and owns no clock.
+// Burn holds the service-level figures of one entry. Only Update changes it, and it takes the time from the messages.
 type Burn struct {
 	entry, dataCentre string
-	since             time.Time
+	countingSince     time.Time
 	now               time.Time
 	series            map[Key]*series
-	goals             map[string]ObjectiveMsg
-	lead              lead
+	objectives        map[string]ObjectiveMsg
+	leader            leaderFigures
 }
 
-// New returns the empty figures of the entry, which begin at now.
+// New returns empty figures of the entry; counting starts at now.
 func New(entry, dataCentre string, now time.Time) *Burn {
 	return &Burn{
-		entry: entry, dataCentre: dataCentre, since: now, now: now,
-		series: make(map[Key]*series), goals: make(map[string]ObjectiveMsg),
-		lead: newLead(),
+		entry: entry, dataCentre: dataCentre, countingSince: now, now: now,
+		series: make(map[Key]*series), objectives: make(map[string]ObjectiveMsg),
+		leader: newLeaderFigures(),
 	}
 }
 
-// Update applies m and returns the alerts that follow from it.
+// Update applies m and returns the resulting alerts.
 func (b *Burn) Update(m Msg) []Cmd {
 	switch m := m.(type) {
 	case CountMsg:
-		b.count(m)
+		b.addCounts(m)
 	case ObjectiveMsg:
-		b.goals[m.Service] = m
+		b.objectives[m.Service] = m
 	case ForgetMsg:
 		b.forget(m.Service)
 	case LeadMsg:
-		b.lead.update(m)
+		b.leader.update(m)
 	case TickMsg:
 		return b.tick(m.Now)
 	}
 	return nil
 }
 
-func (b *Burn) count(m CountMsg) {
+func (b *Burn) addCounts(m CountMsg) {
 	s, ok := b.series[m.Key]
 	if !ok {
 		s = newSeries()
@@ -52,7 +52,7 @@
 }
 
 func (b *Burn) forget(service string) {
-	delete(b.goals, service)
+	delete(b.objectives, service)
 	for k := range b.series {
 		if k.Service == service {
 			delete(b.series, k)
@@ -60,14 +60,14 @@
 	}
 }
 
-// tick clears what is too old and reports the series whose speed has changed.
+// tick drops counts outside the windows and returns an alert for each series whose speed has changed.
 func (b *Burn) tick(now time.Time) []Cmd {
 	b.now = now
 	var cs []Cmd
 	for _, k := range b.keys() {
 		s := b.series[k]
 		s.advance(now)
-		ws, goal := s.wins(), b.goals[k.Service].Objective
+		ws, goal := s.allWindows(), b.objectives[k.Service].Objective
 		if v := speedOf(ws, goal); v != s.speed {
 			s.speed = v
 			cs = append(cs, AlertCmd{Key: k, Speed: v, Rate: ws[1].Counts.Rate(goal)})
@@ -76,7 +76,7 @@
 	return cs
 }
 
-// keys returns the keys of all series in order.
+// keys returns the sorted keys of all series.
 func (b *Burn) keys() []Key {
 	ks := make([]Key, 0, len(b.series))
 	for k := range b.series {
--- a/node/burn/meter.go
+++ b/node/burn/meter.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// shards is the number of counter sets among which concurrent requests spread; a power of two.
-const shards = 8
+// cellCount is the number of cells over which concurrent requests are spread, to reduce contention; a power of two.
+const cellCount = 8
 
 // Counter counts the requests of one series; Add is safe for concurrent use and takes no lock.
 type Counter struct {
-	cells [shards]cell
-	taken Counts // what Flush has passed on; held under the meter's lock.
+	cells   [cellCount]cell
+	flushed Counts // counts that Flush has passed to the Burn; guarded by Meter.mu
 }
 
-// cell fills a cache line of 64 bytes.
+// cell holds one set of counters, padded to a cache line of 64 bytes.
 type cell struct {
-	n [outcomes]atomic.Int64
-	_ [32]byte
+	counts [outcomeCount]atomic.Int64
+	_      [32]byte
 }
 
 // Add counts one request.
 func (c *Counter) Add(o Outcome) {
-	c.cells[rand.Uint32()%shards].n[o].Add(1)
+	c.cells[rand.Uint32()%cellCount].counts[o].Add(1)
 }
 
-// total returns all that was counted.
+// total returns the sum of all cells.
 func (c *Counter) total() Counts {
-	var n [outcomes]int64
+	var n [outcomeCount]int64
 	for i := range c.cells {
 		for o := range n {
-			n[o] += c.cells[i].n[o].Load()
+			n[o] += c.cells[i].counts[o].Load()
 		}
 	}
 	return Counts{n[Good], n[Late], n[Failed], n[Refused]}
 }
 
-// Meter counts on the request path and passes the counts on to a Burn; it is safe for concurrent use.
+// Meter counts requests on the request path and passes the counts to a Burn; it is safe for concurrent use.
 type Meter struct {
-	counters sync.Map // Key to *Counter
+	counters sync.Map // Key → *Counter
 	mu       sync.Mutex
 	burn     *Burn
 }
 
-// NewMeter returns the meter of the entry, which begins at now.
+// NewMeter returns the meter of the entry; counting starts at now.
 func NewMeter(entry, dataCentre string, now time.Time) *Meter {
 	return &Meter{burn: New(entry, dataCentre, now)}
 }
 
-// Counter returns the counter of k, which the caller may keep.
+// Counter returns the counter of k, creating it if needed. The caller may keep it.
 func (m *Meter) Counter(k Key) *Counter {
 	if c, ok := m.counters.Load(k); ok {
 		return c.(*Counter)
@@ -62,35 +62,35 @@
 // Add counts one request of k.
 func (m *Meter) Add(k Key, o Outcome) { m.Counter(k).Add(o) }
 
-// Update passes a message that is not from the request path on to the Burn.
+// Update passes a message other than counts to the Burn.
 func (m *Meter) Update(g Msg) []Cmd {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.burn.Update(g)
 }
 
-// Flush passes the counts since the last Flush on and lets time pass to now; it is called about once a second.
+// Flush passes the counts since the last Flush to the Burn and advances its time to now. It is called about once a second.
 func (m *Meter) Flush(now time.Time) []Cmd {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counters.Range(func(k, v any) bool {
-		m.flushOne(now, k.(Key), v.(*Counter))
+		m.flushCounter(now, k.(Key), v.(*Counter))
 		return true
 	})
 	return m.burn.Update(TickMsg{Now: now})
 }
 
-func (m *Meter) flushOne(now time.Time, k Key, c *Counter) {
+func (m *Meter) flushCounter(now time.Time, k Key, c *Counter) {
 	t := c.total()
-	d := Counts{t.Good - c.taken.Good, t.Late - c.taken.Late, t.Failed - c.taken.Failed, t.Refused - c.taken.Refused}
+	d := Counts{t.Good - c.flushed.Good, t.Late - c.flushed.Late, t.Failed - c.flushed.Failed, t.Refused - c.flushed.Refused}
 	if d.Total() == 0 {
 		return
 	}
-	c.taken = t
+	c.flushed = t
 	m.burn.Update(CountMsg{Now: now, Key: k, Counts: d})
 }
 
-// Report flushes and returns the figures up to now.
+// Report flushes the counts and returns the figures up to now.
 func (m *Meter) Report(now time.Time) Report {
 	m.Flush(now)
 	m.mu.Lock()
--- a/node/entry/health.go
+++ b/node/entry/health.go
@@ -8,125 +8,126 @@
 )
 
 const (
-	failingAfter = 3                // failures in a row
-	probeEvery   = time.Second      // between connects to a VM that could not be reached
-	retryFailing = 60 * time.Second // after which a VM that failed requests is given another chance
-	maxFailing   = 0.5              // of a pool's VMs that may be reported for failing requests
+	failingAfter    = 3                // consecutive failures until a VM counts as failing
+	probeInterval   = time.Second      // between connection attempts to an unreachable VM
+	failureExpiry   = 60 * time.Second // after which the failed requests of a VM are forgotten, so that it is tried again
+	maxFailingShare = 0.5              // largest share of a pool's VMs that may be reported for failed requests
 )
 
-// ailment is what is wrong with a VM.
-type ailment struct {
-	failures int
-	connect  bool // the last failure was to connect
-	since    time.Time
+// failureRecord counts the consecutive failures of a VM.
+type failureRecord struct {
+	failures        int
+	unreachable     bool      // the last failure was a failed connection
+	retryDelayStart time.Time // the first failure, or the moment when the VM began to count as failing
 }
 
-// health tells which VMs fail everything that this entry sends; it is safe for concurrent use.
+// health tracks the VMs whose requests fail; it is safe for concurrent use.
 type health struct {
-	mu  sync.Mutex
-	ill map[string]*ailment
+	mu      sync.Mutex
+	records map[string]*failureRecord
 }
 
-func newHealth() *health { return &health{ill: make(map[string]*ailment)} }
+func newHealth() *health { return &health{records: make(map[string]*failureRecord)} }
 
-// well notes an answer of the VM.
-func (h *health) well(vm string) {
+// recordSuccess forgets the failures of a VM that answered.
+func (h *health) recordSuccess(vm string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.ill, vm)
+	delete(h.records, vm)
 }
 
-// sick notes a failure of the VM; connect means that it could not be reached.
-func (h *health) sick(vm string, connect bool, now time.Time) {
+// recordFailure counts a failure of the VM; unreachable means that the connection failed.
+func (h *health) recordFailure(vm string, unreachable bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.ill[vm]
+	a := h.records[vm]
 	if a == nil {
-		a = &ailment{since: now}
-		h.ill[vm] = a
+		a = &failureRecord{retryDelayStart: now}
+		h.records[vm] = a
 	}
 	a.failures++
-	a.connect = connect
+	a.unreachable = unreachable
 	if a.failures == failingAfter {
-		a.since = now
+		a.retryDelayStart = now
 	}
 }
 
-// failing returns the VMs with enough failures in a row; connect tells which of the two kinds.
-func (h *health) failing(connect bool) []string {
+// failing returns the VMs with enough consecutive failures: the unreachable ones if unreachable is
+// true, else those that fail requests.
+func (h *health) failing(unreachable bool) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var l []string
-	for vm, a := range h.ill {
-		if a.failures >= failingAfter && a.connect == connect {
+	for vm, a := range h.records {
+		if a.failures >= failingAfter && a.unreachable == unreachable {
 			l = append(l, vm)
 		}
 	}
 	return l
 }
 
-// pardon forgets failures of requests that are long ago.
-func (h *health) pardon(now time.Time) {
+// expireFailures forgets failed requests after failureExpiry; unreachable VMs stay until they are probed.
+func (h *health) expireFailures(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for vm, a := range h.ill {
-		if !a.connect && now.Sub(a.since) > retryFailing {
-			delete(h.ill, vm)
+	for vm, a := range h.records {
+		if !a.unreachable && now.Sub(a.retryDelayStart) > failureExpiry {
+			delete(h.records, vm)
 		}
 	}
 }
 
-// Failing returns the VMs that cannot be reached, and those that fail every request while most of their pool does not.
+// Failing returns the unreachable VMs, and those that fail requests while no more than maxFailingShare of their pool does.
 func (e *Entry) Failing() []string {
 	v := e.view.View()
 	l := e.health.failing(true)
-	pools := make(map[string]int)
+	vmsInPool := make(map[string]int)
 	for _, t := range v.Targets() {
-		pools[t.Pool]++
+		vmsInPool[t.Pool]++
 	}
-	bad := make(map[string]int)
-	rest := e.health.failing(false)
-	for _, vm := range rest {
+	failingInPool := make(map[string]int)
+	failing := e.health.failing(false)
+	for _, vm := range failing {
 		if t, ok := v.Target(vm); ok {
-			bad[t.Pool]++
+			failingInPool[t.Pool]++
 		}
 	}
-	for _, vm := range rest {
-		if t, ok := v.Target(vm); ok && float64(bad[t.Pool]) <= maxFailing*float64(pools[t.Pool]) {
+	for _, vm := range failing {
+		if t, ok := v.Target(vm); ok && float64(failingInPool[t.Pool]) <= maxFailingShare*float64(vmsInPool[t.Pool]) {
 			l = append(l, vm)
 		}
 	}
 	return l
 }
 
-// probe connects to the VMs that could not be reached, so that their return is noticed without a request.
+// probe connects to unreachable VMs periodically, so that a recovery is detected without sending a request.
 func (e *Entry) probe(ctx context.Context) error {
-	t := time.NewTicker(probeEvery)
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			e.health.pardon(now)
+			e.health.expireFailures(now)
 			for _, vm := range e.health.failing(true) {
-				e.probeOne(ctx, vm)
+				e.probeVM(ctx, vm)
 			}
 		}
 	}
 }
 
-func (e *Entry) probeOne(ctx context.Context, vm string) {
+func (e *Entry) probeVM(ctx context.Context, vm string) {
 	t := e.target(vm)
 	if t == nil {
-		e.health.well(vm)
+		e.health.recordSuccess(vm)
 		return
 	}
-	d := net.Dialer{Timeout: e.set.ConnectTimeout()}
+	d := net.Dialer{Timeout: e.settings.ConnectTimeout()}
 	c, err := d.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return
 	}
 	_ = c.Close()
-	e.health.well(vm)
+	e.health.recordSuccess(vm)
 }
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -6,28 +6,32 @@
 	"burdockreach.dev/node/view"
 )
 
-// trialAfter is the time after which a VM that refused as leaving is tried again, while a leader says that it serves.
-const trialAfter = 30 * time.Second
+// leavingRetryDelay is the time after which a VM that refused a request as leaving gets requests again, if the view has it as
+// serving and the data centre has an active leader.
+const leavingRetryDelay = 30 * time.Second
 
-// mark is word that a VM is leaving, older than what any later view says.
-type mark struct {
+// leavingMark records that a VM refused a request as leaving. A view newer than version overrides it.
+type leavingMark struct {
 	version view.Version
-	at      time.Time
+	notedAt time.Time
 }
 
-// Leaving is a VM that refused as leaving, and the newest view of the entry that it refused.
+// Leaving is a VM that refused a request as leaving, with the newest view version that the refused entry had.
 type Leaving struct {
 	VM      string       `json:"vm"`
 	Version view.Version `json:"v"`
 }
 
-// left takes a target that refused as leaving off every list until a newer view says that it serves.
-func (e *Entry) left(vm string) { e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}}) }
+// markLeaving stops sending to a VM that refused a request as leaving, until a newer view has it as serving.
+func (e *Entry) markLeaving(vm string) {
+	e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}})
+}
 
-// Learn takes in word, of this entry or of another one, that VMs are leaving; word older than the view is passed over.
-func (e *Entry) Learn(word []Leaving) {
+// Learn records VMs that this entry or another one found to be leaving. A report older than the view is ignored if the view
+// has the VM as serving.
+func (e *Entry) Learn(vms []Leaving) {
 	now := time.Now()
-	if e.note(now, word) {
+	if e.recordLeaving(now, vms) {
 		e.refresh(now)
 		if e.onLeaving != nil {
 			e.onLeaving()
@@ -35,17 +39,17 @@
 	}
 }
 
-func (e *Entry) note(now time.Time, word []Leaving) (changed bool) {
+func (e *Entry) recordLeaving(now time.Time, vms []Leaving) (changed bool) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	v := e.view.View()
-	for _, l := range word {
+	for _, l := range vms {
 		t, ok := v.Target(l.VM)
 		_, known := e.leaving[l.VM]
 		if !ok || known || t.Serving && v.Version().After(l.Version) {
 			continue
 		}
-		e.leaving[l.VM] = mark{version: l.Version, at: now}
+		e.leaving[l.VM] = leavingMark{version: l.Version, notedAt: now}
 		e.log.Info().Str("step", "route").Str("peer", l.VM).Msg("targetLeaving")
 		changed = true
 	}
@@ -59,7 +63,7 @@
 	return len(e.leaving) > 0
 }
 
-// Leavings returns the VMs that refused as leaving, for the other entries.
+// Leavings returns the VMs that are marked as leaving, to be sent to the other entries.
 func (e *Entry) Leavings() []Leaving {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
@@ -70,41 +74,41 @@
 	return l
 }
 
-// open reports whether the target may get new work; e.tableMu is held.
-func (e *Entry) open(now time.Time, t view.Target, v view.Version) bool {
+// acceptsWork reports whether the target may get new work, and removes an outdated leaving mark; e.tableMu is held.
+func (e *Entry) acceptsWork(now time.Time, t view.Target, v view.Version) bool {
 	m, ok := e.leaving[t.VM]
-	if ok && t.Serving && (v.After(m.version) || e.led() && now.Sub(m.at) > trialAfter) {
+	if ok && t.Serving && (v.After(m.version) || e.leaderActive() && now.Sub(m.notedAt) > leavingRetryDelay) {
 		delete(e.leaving, t.VM)
 		ok = false
 	}
 	return t.Serving && !ok
 }
 
-// led reports whether a leader is at work, so that the view is lately known to be true.
-func (e *Entry) led() bool { return e.hasLeader != nil && e.hasLeader() }
+// leaderActive reports whether the data centre has an active leader, so that the view has been confirmed lately.
+func (e *Entry) leaderActive() bool { return e.hasLeader != nil && e.hasLeader() }
 
-// Quit is a VM that this entry sends nothing to and has nothing in flight at.
+// Quit is a VM to which this entry no longer sends and at which it has no request in flight.
 type Quit struct {
 	VM     string `json:"vm"`
-	Number int64  `json:"n"` // version of the membership shard that told this entry to stop sending.
+	Number int64  `json:"n"` // version of the membership shard in which the VM stopped serving
 }
 
-// Quits returns the VMs that this entry has let go.
+// Quits returns the VMs that this entry has drained.
 func (e *Entry) Quits() []Quit {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	now := time.Now()
 	var q []Quit
-	for _, t := range e.listed.Targets() {
-		if !t.Serving && e.quit(t.VM, now) {
+	for _, t := range e.targetsView.Targets() {
+		if !t.Serving && e.drained(t.VM, now) {
 			q = append(q, Quit{VM: t.VM, Number: t.ShardVersion})
 		}
 	}
 	return q
 }
 
-func (e *Entry) quit(vm string, now time.Time) bool {
+func (e *Entry) drained(vm string, now time.Time) bool {
 	q := true
-	e.eachService(func(v *service) { q = q && v.quitFor(vm, now) })
+	e.eachService(func(v *service) { q = q && v.drained(vm, now) })
 	return q
 }
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -14,29 +14,29 @@
 	conns    *conns.Pool
 }
 
-// table maps VMs to targets; it is replaced, never changed.
+// table maps VMs to targets; a change replaces the whole table.
 type table map[string]*target
 
 // target returns the target on the VM, or nil.
 func (e *Entry) target(vm string) *target { return (*e.table.Load())[vm] }
 
-// service returns the runner of the named service and makes it when it is new.
+// service returns the named service and creates it if needed.
 func (e *Entry) service(name string) *service {
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
 	}
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
-	return e.make(name)
+	return e.ensureService(name)
 }
 
-// make returns the service's runner, new if need be; e.tableMu is held, so that it misses no roster.
-func (e *Entry) make(name string) *service {
+// ensureService returns the named service and creates it if needed. e.tableMu is held, so that a new service does not miss a roster.
+func (e *Entry) ensureService(name string) *service {
 	if v, ok := e.services.Load(name); ok {
 		return v.(*service)
 	}
-	v := newService(name, e.self, e.asks, sched.WithMaxQueued(e.set.MaxQueueRequests()))
-	v.lend(e.roster)
+	v := newService(name, e.shareName, e.borrowRequests, sched.WithMaxQueued(e.settings.MaxQueueRequests()))
+	v.updateLoans(e.roster)
 	if !e.quotas.Now.IsZero() {
 		v.update(e.quotas)
 	}
@@ -53,7 +53,7 @@
 	e.eachService(func(v *service) { v.update(m) })
 }
 
-// eachService calls f with every service.
+// eachService calls f for every service.
 func (e *Entry) eachService(f func(v *service)) {
 	e.services.Range(func(_, v any) bool {
 		f(v.(*service))
@@ -61,7 +61,7 @@
 	})
 }
 
-// refresh builds the table and the services' lists from the view, the configuration and the shares.
+// refresh rebuilds the table and the services' targets from the view, the configuration and the slot shares.
 func (e *Entry) refresh(now time.Time) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
@@ -70,14 +70,14 @@
 	next := make(table, v.Len())
 	pools := make(map[string][]view.Target)
 	for _, t := range v.Targets() {
-		next[t.VM] = e.keep(old[t.VM], t)
-		if e.open(now, t, v.Version()) {
+		next[t.VM] = e.reuseTarget(old[t.VM], t)
+		if e.acceptsWork(now, t, v.Version()) {
 			pools[t.Pool] = append(pools[t.Pool], t)
 		}
 	}
 	e.table.Store(&next)
-	e.list(now, pools)
-	e.listed = v
+	e.assignTargets(now, pools)
+	e.targetsView = v
 	for vm, t := range old {
 		if next[vm] != t {
 			t.conns.Close()
@@ -85,26 +85,26 @@
 	}
 }
 
-// keep returns the old target if it still stands at its address.
-func (e *Entry) keep(old *target, t view.Target) *target {
+// reuseTarget returns the old target if its address is unchanged, or else a new one.
+func (e *Entry) reuseTarget(old *target, t view.Target) *target {
 	if old != nil && old.addr == t.Addr {
 		return old
 	}
 	return &target{vm: t.VM, addr: t.Addr, conns: conns.New(t.Addr,
-		conns.WithIdleTimeout(e.set.IdleConn()), conns.WithConnectTimeout(e.set.ConnectTimeout()), conns.WithMaxAnswer(e.set.MaxAnswerBytes()))}
+		conns.WithIdleTimeout(e.settings.IdleConn()), conns.WithConnectTimeout(e.settings.ConnectTimeout()), conns.WithMaxAnswer(e.settings.MaxAnswerBytes()))}
 }
 
-// list gives each service its targets; e.tableMu is held.
-func (e *Entry) list(now time.Time, pools map[string][]view.Target) {
-	d := e.conf.Document()
+// assignTargets sets the targets of each service, and none for services that are no longer configured; e.tableMu is held.
+func (e *Entry) assignTargets(now time.Time, pools map[string][]view.Target) {
+	d := e.documents.Document()
 	for _, s := range d.Services() {
 		var ts []sched.Target
 		for _, t := range pools[s.Pool] {
 			ts = append(ts, sched.NewTarget(t.VM, t.Rack, s.Slots))
 		}
-		v := e.make(s.Name)
+		v := e.ensureService(s.Name)
 		if p, ok := d.Profile(s.Profile); ok {
-			v.follow(now, p)
+			v.applyProfile(now, p)
 		}
 		v.setTargets(now, ts)
 	}
--- a/node/oper/change.go
+++ b/node/oper/change.go
@@ -16,11 +16,11 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// maxOpBytes is the longest operation's id.
+// maxOpBytes is the maximum length of an operation id.
 const maxOpBytes = 128
 
-// change commits the change in the body.
-func (a *API) change(c context.Context, x *fasthttp.RequestCtx) {
+// commitChange commits the change in the request body.
+func (a *API) commitChange(c context.Context, x *fasthttp.RequestCtx) {
 	g, bad := parseChange(x.PostBody())
 	if bad != nil {
 		a.refuse(x, fasthttp.StatusBadRequest, *bad)
@@ -39,12 +39,12 @@
 	reply(x, changeStatus(r), r)
 }
 
-// settle tells what became of an operation.
-func (a *API) settle(c context.Context, x *fasthttp.RequestCtx) {
+// settleChange answers whether an operation was accepted.
+func (a *API) settleChange(c context.Context, x *fasthttp.RequestCtx) {
 	op := string(x.QueryArgs().Peek("op"))
 	if op == "" || len(op) > maxOpBytes {
 		a.refuse(x, fasthttp.StatusBadRequest, Refusal{
-			Reason: "bad query", Field: "op", Value: cut(op), Allowed: fmt.Sprintf("1 to %d bytes", maxOpBytes),
+			Reason: "bad query", Field: "op", Value: truncate(op), Allowed: fmt.Sprintf("1 to %d bytes", maxOpBytes),
 		})
 		return
 	}
@@ -55,7 +55,7 @@
 	reply(x, changeStatus(r), r)
 }
 
-// parseChange reads a change that has no number yet.
+// parseChange parses a change; number and prev must be unset, since they are set on acceptance.
 func parseChange(b []byte) (conf.Change, *Refusal) {
 	var c conf.Change
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -70,12 +70,12 @@
 		return c, &Refusal{Reason: "malformed change", Field: "n", Value: fmt.Sprint(c.Number), Allowed: "none: the number is given on acceptance"}
 	}
 	if c.Prev != "" {
-		return c, &Refusal{Reason: "malformed change", Field: "prev", Value: cut(c.Prev), Allowed: "none: it is set on acceptance"}
+		return c, &Refusal{Reason: "malformed change", Field: "prev", Value: truncate(c.Prev), Allowed: "none: it is set on acceptance"}
 	}
 	return c, nil
 }
 
-// jsonRefusal names the field and value at which JSON could not be read.
+// jsonRefusal returns a refusal that names the field and value of a JSON decoding error.
 func jsonRefusal(err error) *Refusal {
 	r := &Refusal{Reason: "malformed change", Field: "body", Value: "not readable", Allowed: "one JSON object: " + err.Error()}
 	var t *json.UnmarshalTypeError
@@ -88,14 +88,14 @@
 	return r
 }
 
-// changeReply tells what err leaves of the operation.
+// changeReply returns the reply to an operation that ended with n or err.
 func changeReply(op string, n conf.Number, err error) ChangeReply {
 	var f *conf.FieldError
 	switch {
 	case err == nil:
 		return ChangeReply{Outcome: Accepted, Op: op, Number: n}
 	case errors.As(err, &f):
-		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: "not valid", Field: f.Field(), Value: cut(f.Value()), Allowed: f.Allowed()}
+		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: "not valid", Field: f.Field(), Value: truncate(f.Value()), Allowed: f.Allowed()}
 	case errors.Is(err, conf.ErrNotAccepted), errors.Is(err, conf.ErrInvalid):
 		return ChangeReply{Outcome: NotAccepted, Op: op, Reason: eris.ToString(err, false)}
 	default:
@@ -117,11 +117,11 @@
 	}
 }
 
-// maxShownBytes bounds the part of a value that an answer repeats.
+// maxShownBytes is the maximum length of a value that an answer repeats.
 const maxShownBytes = 200
 
-// cut returns s as an answer repeats it.
-func cut(s string) string {
+// truncate shortens s to maxShownBytes for use in an answer.
+func truncate(s string) string {
 	if len(s) > maxShownBytes {
 		return s[:maxShownBytes] + "..."
 	}
--- a/node/oper/jobs.go
+++ b/node/oper/jobs.go
@@ -15,42 +15,42 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// MaxJobs is the number of jobs that one call may name.
+// MaxJobs is the maximum number of jobs in one request.
 const MaxJobs = 100
 
-// maxJobCalls is the number of jobs that one call submits or cancels at once.
+// maxJobCalls is the number of jobs of one request that are submitted or canceled concurrently.
 const maxJobCalls = 8
 
-// Jobs is what the API needs of the data centres' jobs.
+// Jobs is the access to the job queues of the data centres that the API needs.
 type Jobs interface {
-	// Submit adds the job; a repeat is no error.
+	// Submit adds the job. Submitting the same job again is no error.
 	Submit(ctx context.Context, s jobs.Spec) error
-	// Cancel takes the job back and returns its record.
+	// Cancel cancels the job and returns its record.
 	Cancel(ctx context.Context, dataCentre, id string) (jobs.Record, error)
 	// List returns the data centre's jobs.
 	List(ctx context.Context, dataCentre string) ([]jobs.Record, error)
 }
 
-// WithJobs lets operators submit and cancel jobs of the data centres; without it the API answers 501 to calls on jobs.
+// WithJobs lets operators list, submit and cancel jobs of the data centres. Without it, the API answers requests on jobs with 501.
 func WithJobs(j Jobs, dataCentres []string) Option {
-	return func(a *API) { a.queue, a.dataCentres = j, dataCentres }
+	return func(a *API) { a.jobQueue, a.dataCentres = j, dataCentres }
 }
 
-// JobsRequest holds jobs to be submitted; to be canceled they need only data centre and id.
+// JobsRequest holds jobs to submit or cancel. To cancel a job, data centre and id suffice.
 type JobsRequest struct {
 	Jobs []jobs.Spec `json:"jobs"`
 }
 
-// JobReply tells what became of one job's submission or cancellation.
+// JobReply is the outcome of the submission or cancellation of one job.
 type JobReply struct {
 	ID         string     `json:"id"`
 	DataCentre string     `json:"dataCentre"`
 	Outcome    Outcome    `json:"outcome"`
-	State      jobs.State `json:"state,omitempty"` // after a cancellation.
+	State      jobs.State `json:"state,omitempty"` // set after a cancellation
 	Reason     string     `json:"reason,omitempty"`
 }
 
-// JobsReply answers a submission or cancellation, job by job.
+// JobsReply answers a submission or cancellation with one reply for each job.
 type JobsReply struct {
 	Items []JobReply `json:"items"`
 }
@@ -60,10 +60,10 @@
 	Items []jobs.Record `json:"items"`
 }
 
-// withQueue is the handler h, or a refusal when there are no jobs.
-func (a *API) withQueue(h handler) handler {
+// requireJobs wraps h: it answers 501 when the entry runs no jobs, and limits h to commitTimeout.
+func (a *API) requireJobs(h handler) handler {
 	return func(c context.Context, x *fasthttp.RequestCtx) {
-		if a.queue == nil {
+		if a.jobQueue == nil {
 			a.refuse(x, fasthttp.StatusNotImplemented, Refusal{Reason: "this entry runs no jobs"})
 			return
 		}
@@ -73,15 +73,15 @@
 	}
 }
 
-// jobs answers with the jobs that match the query, of all data centres unless it names one.
-func (a *API) jobs(c context.Context, x *fasthttp.RequestCtx) {
+// listJobs answers with the jobs that match the query, from all data centres unless the query names one.
+func (a *API) listJobs(c context.Context, x *fasthttp.RequestCtx) {
 	arg := func(k string) string { return string(x.QueryArgs().Peek(k)) }
 	r := JobList{Items: []jobs.Record{}}
 	for _, d := range a.dataCentres {
 		if !matches(arg("dataCentre"), d) {
 			continue
 		}
-		l, err := a.queue.List(c, d)
+		l, err := a.jobQueue.List(c, d)
 		if err != nil {
 			a.refuse(x, fasthttp.StatusGatewayTimeout, Refusal{Reason: eris.ToString(err, false)})
 			return
@@ -96,23 +96,23 @@
 }
 
 func (a *API) submitJobs(c context.Context, x *fasthttp.RequestCtx) {
-	a.eachJob(c, x, "submitJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
+	a.forEachJob(c, x, "submitJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
 		if _, ok := a.config.Document().Pool(s.Pool); !ok {
-			return "", eris.Wrapf(jobs.ErrMalformed, "pool %q: an existing pool", cut(s.Pool))
+			return "", eris.Wrapf(jobs.ErrMalformed, "pool %q: an existing pool", truncate(s.Pool))
 		}
-		return "", a.queue.Submit(c, s)
+		return "", a.jobQueue.Submit(c, s)
 	})
 }
 
 func (a *API) cancelJobs(c context.Context, x *fasthttp.RequestCtx) {
-	a.eachJob(c, x, "cancelJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
-		r, err := a.queue.Cancel(c, s.DataCentre, s.ID)
+	a.forEachJob(c, x, "cancelJob", func(c context.Context, s jobs.Spec) (jobs.State, error) {
+		r, err := a.jobQueue.Cancel(c, s.DataCentre, s.ID)
 		return r.State, err
 	})
 }
 
-// eachJob does f with the jobs of the body, some at once, and answers what became of each.
-func (a *API) eachJob(c context.Context, x *fasthttp.RequestCtx, step string, f func(context.Context, jobs.Spec) (jobs.State, error)) {
+// forEachJob calls f for each job of the request body, at most maxJobCalls at a time, and answers with the outcome of each.
+func (a *API) forEachJob(c context.Context, x *fasthttp.RequestCtx, step string, f func(context.Context, jobs.Spec) (jobs.State, error)) {
 	q, bad := parseJobs(x.PostBody())
 	if bad != nil {
 		a.refuse(x, fasthttp.StatusBadRequest, *bad)
@@ -123,11 +123,11 @@
 	g.SetLimit(maxJobCalls)
 	for n, s := range q.Jobs {
 		g.Go(func() error {
-			r.Items[n] = a.oneJob(c, s, f)
+			r.Items[n] = a.applyToJob(c, s, f)
 			return nil
 		})
 	}
-	_ = g.Wait() // each reply holds its own error.
+	_ = g.Wait() // errors are in the replies
 	for _, i := range r.Items {
 		a.log.Info().Str("step", step).Stringer("peer", x.RemoteAddr()).Str("job", i.ID).Str("dataCentre", i.DataCentre).
 			Str("outcome", string(i.Outcome)).Str("reason", i.Reason).Msg("job")
@@ -135,8 +135,8 @@
 	reply(x, fasthttp.StatusOK, r)
 }
 
-func (a *API) oneJob(c context.Context, s jobs.Spec, f func(context.Context, jobs.Spec) (jobs.State, error)) JobReply {
-	r := JobReply{ID: cut(s.ID), DataCentre: cut(s.DataCentre), Outcome: NotAccepted}
+func (a *API) applyToJob(c context.Context, s jobs.Spec, f func(context.Context, jobs.Spec) (jobs.State, error)) JobReply {
+	r := JobReply{ID: truncate(s.ID), DataCentre: truncate(s.DataCentre), Outcome: NotAccepted}
 	if !slices.Contains(a.dataCentres, s.DataCentre) {
 		r.Reason = "dataCentre: one of " + strings.Join(a.dataCentres, ", ")
 		return r
