--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -46,12 +46,12 @@
 
 // bulletin is what node/daemon puts into the members field of a beat.
 type bulletin struct {
-	Version view.Version    `json:"v"`
-	Leading bool            `json:"lead,omitempty"`
-	Quits   []entry.Quit    `json:"quits,omitempty"`
-	Leaving []entry.Leaving `json:"leaving,omitempty"`
-	Delta   *view.Delta     `json:"delta,omitempty"`
-	Shares  int64           `json:"shares,omitempty"`
+	Version view.Version      `json:"v"`
+	Leading bool              `json:"lead,omitempty"`
+	Quits   []entry.DrainedVM `json:"quits,omitempty"`
+	Leaving []entry.LeavingVM `json:"leaving,omitempty"`
+	Delta   *view.Delta       `json:"delta,omitempty"`
+	Shares  int64             `json:"shares,omitempty"`
 }
 
 // carrier is an entry with so many services at which nothing changes.
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		panic(fmt.Sprint("bench: listen: ", err))
 	}
-	e := entry.New(settings(), zerolog.Nop(), h, v, entry.WithSelf("entry-0"))
+	e := entry.New(settings(), zerolog.Nop(), h, v, entry.WithShareName("entry-0"))
 	var g errgroup.Group
 	g.Go(func() error { return e.Run(ctx, l) })
 	time.Sleep(idleWarm / 3)
@@ -95,7 +95,7 @@
 	}
 	e.SetRoster(now, 2, names)
 	for _, n := range names {
-		e.SetSettled(now, n, 2)
+		e.SetPeerSettled(now, n, 2)
 	}
 	e.SetQuotas(now, rates)
 	time.Sleep(idleWarm)
--- a/cmd/burdockreach/job.go
+++ b/cmd/burdockreach/job.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	var all oper.JobsReply
-	for part := range slices.Chunk(q, oper.MaxJobs) {
+	for part := range slices.Chunk(q, oper.MaxJobsPerRequest) {
 		b, err := json.Marshal(oper.JobsRequest{Jobs: part})
 		if err != nil {
 			return eris.Wrap(err, "encode jobs")
--- a/cmd/burdockreach/main_test.go
+++ b/cmd/burdockreach/main_test.go
@@ -58,7 +58,7 @@
 	return d
 }
 
-func (s *fake) At(n conf.Number) (conf.Change, bool) {
+func (s *fake) ChangeAt(n conf.Number) (conf.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n < 1 || int(n) > len(s.log) {
@@ -101,14 +101,14 @@
 }
 
 func (s *fake) Entries() []oper.Entry {
-	self := oper.Entry{Entry: s.name, DataCentre: s.name[:1], Self: true, Heard: true, Applied: s.Document().Number()}
+	self := oper.Entry{Name: s.name, DataCentre: s.name[:1], Self: true, Reachable: true, Applied: s.Document().Number()}
 	return append([]oper.Entry{self}, s.beats...)
 }
 
 func (s *fake) Report(now time.Time) burn.Report {
 	b := burn.New(s.name, s.name[:1], now)
 	b.Update(burn.ObjectiveMsg{Service: "orders", Profile: "gold", Objective: 0.9})
-	b.Update(burn.CountMsg{Now: now, Key: burn.Key{Service: "orders", Class: "urgent"}, Counts: burn.Counts{Good: 9, Late: 1}})
+	b.Update(burn.CountMsg{Now: now, Key: burn.SeriesKey{Service: "orders", Class: "urgent"}, Counts: burn.Counts{Good: 9, Late: 1}})
 	b.Update(burn.TickMsg{Now: now})
 	return b.Report()
 }
@@ -233,7 +233,7 @@
 
 func TestWaitNamesWhoLacksTheChange(t *testing.T) {
 	behind := &fake{name: "b1", seen: func(conf.Number) conf.Number { return 0 }}
-	s := newSite(t, &fake{name: "a1", beats: []oper.Entry{{Entry: "b1"}, {Entry: "c1", Heard: false}}}, behind)
+	s := newSite(t, &fake{name: "a1", beats: []oper.Entry{{Name: "b1"}, {Name: "c1", Reachable: false}}}, behind)
 	s.assertRun(0, "accepted as change 1", "pool", "put", "kitchen")
 	s.assertRun(1, "is not in force everywhere after 200ms: b1 has 0; c1 is not heard by a1", "wait", "-change", "1", "-longest", "200ms")
 }
--- a/cmd/burdockreach/report.go
+++ b/cmd/burdockreach/report.go
@@ -49,7 +49,7 @@
 	heard := false
 	for _, r := range rs {
 		if r.err != nil {
-			all = append(all, burn.Report{Entries: []burn.EntryReport{{Entry: r.addr, Unheard: eris.ToString(r.err, false)}}})
+			all = append(all, burn.Report{Entries: []burn.EntryReport{{Entry: r.addr, MissingReason: eris.ToString(r.err, false)}}})
 			continue
 		}
 		heard = true
--- a/cmd/burdockreach/state.go
+++ b/cmd/burdockreach/state.go
@@ -170,8 +170,8 @@
 			lost = append(lost, eris.ToString(r.err, false))
 		}
 		for _, e := range r.value.Items {
-			if o, known := es[e.Entry]; !known || e.Self || !o.Self && !o.Heard {
-				es[e.Entry] = e
+			if o, known := es[e.Name]; !known || e.Self || !o.Self && !o.Reachable {
+				es[e.Name] = e
 			}
 		}
 	}
@@ -179,14 +179,14 @@
 	for _, e := range es {
 		l2 = append(l2, e)
 	}
-	slices.SortFunc(l2, func(a, b oper.Entry) int { return cmp.Compare(a.Entry, b.Entry) })
+	slices.SortFunc(l2, func(a, b oper.Entry) int { return cmp.Compare(a.Name, b.Name) })
 	return l2, lost, nil
 }
 
 func (a *app) writeStatus(es []oper.Entry, vs []oper.VM) error {
 	var rows [][]string
 	for _, e := range es {
-		rows = append(rows, texts(e.Entry, e.DataCentre, e.Heard, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
+		rows = append(rows, texts(e.Name, e.DataCentre, e.Reachable, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
 	}
 	if err := a.table([]string{"ENTRY", "DATA CENTRE", "HEARD", "LEADER", "LEAVING", "APPLIED", "ROSTER", "PEER ADDRESS"}, rows); err != nil {
 		return err
--- a/cmd/burdockreach/wait.go
+++ b/cmd/burdockreach/wait.go
@@ -107,12 +107,12 @@
 	for _, r := range rs {
 		for _, e := range r.value.Entries {
 			switch {
-			case own[e.Entry]:
+			case own[e.Name]:
 				continue
-			case !e.Heard:
-				ms = append(ms, e.Entry+" is not heard by "+r.value.Entry)
+			case !e.Reachable:
+				ms = append(ms, e.Name+" is not heard by "+r.value.Entry)
 			case e.Applied < n:
-				ms = append(ms, fmt.Sprintf("%s has %d", e.Entry, e.Applied))
+				ms = append(ms, fmt.Sprintf("%s has %d", e.Name, e.Applied))
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		took = max(took, time.Duration(r.value.AgeMs)*time.Millisecond)
 		names[r.value.Entry] = true
 		for _, e := range r.value.Entries {
-			names[e.Entry] = true
+			names[e.Name] = true
 		}
 	}
 	if !began.IsZero() {
--- a/fakes/demo/replace.go
+++ b/fakes/demo/replace.go
@@ -46,7 +46,7 @@
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		return eris.Wrap(err, "read status")
 	}
-	i := slices.IndexFunc(r.Entries, func(e oper.Entry) bool { return e.Entry == n.name })
+	i := slices.IndexFunc(r.Entries, func(e oper.Entry) bool { return e.Name == n.name })
 	if i < 0 || r.Entries[i].Applied != r.Entries[0].Applied {
 		return eris.Errorf("%s lacks changes", n.name)
 	}
--- a/node/burn/burn.go
+++ b/node/burn/burn.go
@@ -11,7 +11,7 @@
 	entry, dataCentre string
 	countingSince     time.Time
 	now               time.Time
-	series            map[Key]*series
+	series            map[SeriesKey]*series
 	objectives        map[string]ObjectiveMsg
 	leader            leaderFigures
 }
@@ -20,7 +20,7 @@
 func New(entry, dataCentre string, now time.Time) *Burn {
 	return &Burn{
 		entry: entry, dataCentre: dataCentre, countingSince: now, now: now,
-		series: make(map[Key]*series), objectives: make(map[string]ObjectiveMsg),
+		series: make(map[SeriesKey]*series), objectives: make(map[string]ObjectiveMsg),
 		leader: newLeaderFigures(),
 	}
 }
@@ -34,7 +34,7 @@
 		b.objectives[m.Service] = m
 	case ForgetMsg:
 		b.forget(m.Service)
-	case LeadMsg:
+	case LeaderMsg:
 		b.leader.update(m)
 	case TickMsg:
 		return b.tick(m.Now)
@@ -77,8 +77,8 @@
 }
 
 // keys returns the sorted keys of all series.
-func (b *Burn) keys() []Key {
-	ks := make([]Key, 0, len(b.series))
+func (b *Burn) keys() []SeriesKey {
+	ks := make([]SeriesKey, 0, len(b.series))
 	for k := range b.series {
 		ks = append(ks, k)
 	}
@@ -86,6 +86,6 @@
 	return ks
 }
 
-func compareKeys(a, b Key) int {
+func compareKeys(a, b SeriesKey) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class))
 }
--- a/node/burn/burn_test.go
+++ b/node/burn/burn_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC)
 
-var orders = burn.Key{Service: "orders", Class: "urgent"}
+var orders = burn.SeriesKey{Service: "orders", Class: "urgent"}
 
 func Example() {
 	b := burn.New("entry-a-1", "a", start)
@@ -30,7 +30,7 @@
 	b.Update(burn.CountMsg{Now: start, Key: orders, Counts: burn.Counts{Good: 980, Late: 15, Refused: 5}})
 	b.Update(burn.TickMsg{Now: start.Add(time.Second)})
 	s := b.Report().Services[0]
-	fmt.Printf("%.0f%% of the budget, %d missed\n", s.Spent()*100, s.Windows[0].Counts.Bad())
+	fmt.Printf("%.0f%% of the budget, %d missed\n", s.BudgetSpent()*100, s.Windows[0].Counts.Missed())
 	// Output: 200% of the budget, 20 missed
 }
 
@@ -83,7 +83,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "counts") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1800).Draw(t, "gap")) * time.Second)
 			m := burn.CountMsg{Now: now, Counts: burn.Counts{Good: 1, Late: rapid.Int64Range(0, 3).Draw(t, "late")},
-				Key: burn.Key{Service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), Class: "normal"}}
+				Key: burn.SeriesKey{Service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"), Class: "normal"}}
 			all.Update(m)
 			rapid.SampledFrom(parts).Draw(t, "entry").Update(m)
 		}
@@ -114,27 +114,27 @@
 	i.Equal(len(cs), 1)
 	a := cs[0].(burn.AlertCmd)
 	i.Equal(a.Key, orders)
-	i.Equal(a.Speed, burn.Fast)
+	i.Equal(a.Speed, burn.SpeedFast)
 	i.True(a.Rate > 19.99 && a.Rate < 20.01)
 	i.Equal(len(b.Update(burn.TickMsg{Now: start.Add(time.Minute)})), 0) // an unchanged speed is reported once
 	cs = b.Update(burn.TickMsg{Now: start.Add(6 * time.Minute)})
-	i.Equal(cs[0].(burn.AlertCmd).Speed, burn.Slow) // five minutes without misses
+	i.Equal(cs[0].(burn.AlertCmd).Speed, burn.SpeedSlow) // five minutes without misses
 	b.Update(burn.CountMsg{Now: start.Add(7 * time.Hour), Key: orders, Counts: burn.Counts{Good: 1}})
 	cs = b.Update(burn.TickMsg{Now: start.Add(7 * time.Hour)})
-	i.Equal(cs[0].(burn.AlertCmd).Speed, burn.Within)
+	i.Equal(cs[0].(burn.AlertCmd).Speed, burn.SpeedWithin)
 	b.Update(burn.ForgetMsg{Service: "orders"})
 	i.Equal(len(b.Report().Services), 0)
 }
 
 // leaderMsg returns a leader's message that is sent the given hours after start.
-func leaderMsg(term int64, hours int, waves []burn.Wave, vms ...burn.Member) burn.LeadMsg {
-	return burn.LeadMsg{Now: start.Add(time.Duration(hours) * time.Hour), Term: term, Members: vms, Spares: []string{"spare"}, Waves: waves}
+func leaderMsg(term int64, hours int, waves []burn.Wave, vms ...burn.Member) burn.LeaderMsg {
+	return burn.LeaderMsg{Now: start.Add(time.Duration(hours) * time.Hour), Term: term, Members: vms, Spares: []string{"spare"}, Waves: waves}
 }
 
 func TestLeadersFiguresMerge(t *testing.T) {
 	i := is.New(t)
 	w := []burn.Wave{{ID: "w", Pools: []string{"p"}}}
-	v := func(vm, pool, wave string) burn.Member { return burn.Member{VM: vm, Pool: pool, Wave: wave} }
+	v := func(vm, pool, wave string) burn.Member { return burn.Member{VM: vm, Pool: pool, FinishedWave: wave} }
 	old, next := burn.New("e1", "a", start), burn.New("e2", "a", start)
 	old.Update(leaderMsg(1, 0, w, v("1", "p", ""), v("2", "spare", ""), v("3", "spare", "")))
 	old.Update(leaderMsg(1, 1, w, v("1", "p", "w"), v("2", "p", ""), v("3", "spare", "")))
--- a/node/burn/leader.go
+++ b/node/burn/leader.go
@@ -30,7 +30,7 @@
 }
 
 // update applies m. VM moves and spare time are derived only between messages of the same term.
-func (l *leaderFigures) update(m LeadMsg) {
+func (l *leaderFigures) update(m LeaderMsg) {
 	if m.Term != l.term {
 		l.term = m.Term
 		clear(l.poolOfVM)
@@ -49,7 +49,7 @@
 }
 
 // countSpares adds the VM seconds since the last message and records the present number of VMs of each spare pool.
-func (l *leaderFigures) countSpares(m LeadMsg) {
+func (l *leaderFigures) countSpares(m LeaderMsg) {
 	n := make(map[string]int)
 	for _, v := range m.Members {
 		n[v.Pool]++
@@ -64,22 +64,22 @@
 }
 
 // updateWaves updates the progress of the waves. A wave has ended when it is done or no longer configured.
-func (l *leaderFigures) updateWaves(m LeadMsg) {
+func (l *leaderFigures) updateWaves(m LeaderMsg) {
 	for _, w := range m.Waves {
 		l.waves[w.ID] = l.waves[w.ID].updated(m, w)
 	}
 	for id, r := range l.waves {
 		listed := slices.ContainsFunc(m.Waves, func(w Wave) bool { return w.ID == id })
 		if !listed && r.Ended.IsZero() {
-			r.At, r.Ended = m.Now, m.Now
+			r.UpdatedAt, r.Ended = m.Now, m.Now
 			l.waves[id] = r
 		}
 	}
 }
 
 // updated returns the wave's report after m.
-func (r WaveReport) updated(m LeadMsg, w Wave) WaveReport {
-	n := WaveReport{ID: w.ID, At: m.Now, Started: r.Started, Ended: r.Ended}
+func (r WaveReport) updated(m LeaderMsg, w Wave) WaveReport {
+	n := WaveReport{ID: w.ID, UpdatedAt: m.Now, Started: r.Started, Ended: r.Ended}
 	if n.Started.IsZero() {
 		n.Started = m.Now
 	}
@@ -88,7 +88,7 @@
 			continue
 		}
 		n.Total++
-		if v.Wave == w.ID {
+		if v.FinishedWave == w.ID {
 			n.Done++
 		}
 	}
@@ -105,7 +105,7 @@
 	var rs []SpareReport
 	for _, p := range slices.Sorted(maps.Keys(l.spareByPool)) {
 		s := l.spareByPool[p]
-		rs = append(rs, SpareReport{DataCentre: dataCentre, Pool: p, At: s.countedAt, VMs: s.vms, VMHours: s.seconds / time.Hour.Seconds()})
+		rs = append(rs, SpareReport{DataCentre: dataCentre, Pool: p, CountedAt: s.countedAt, VMs: s.vms, VMHours: s.seconds / time.Hour.Seconds()})
 	}
 	return rs
 }
--- a/node/burn/merge.go
+++ b/node/burn/merge.go
@@ -10,14 +10,14 @@
 // the progress of waves come from the latest report of the data centre.
 func Merge(rs ...Report) Report {
 	m := Report{}
-	services := make(map[Key]ServiceReport)
+	services := make(map[SeriesKey]ServiceReport)
 	for _, r := range rs {
 		if r.At.After(m.At) {
 			m.At = r.At
 		}
 		m.Entries = append(m.Entries, r.Entries...)
 		for _, s := range r.Services {
-			k := Key{s.Service, s.Class}
+			k := SeriesKey{s.Service, s.Class}
 			services[k] = mergeService(services[k], s)
 		}
 	}
@@ -28,7 +28,7 @@
 	m.Spares, m.Moves, m.Waves = mergeSpares(rs), mergeMoves(rs), mergeWaves(rs)
 	slices.SortFunc(m.Entries, func(a, b EntryReport) int { return cmp.Compare(a.Entry, b.Entry) })
 	slices.SortFunc(m.Services, func(a, b ServiceReport) int {
-		return compareKeys(Key{a.Service, a.Class}, Key{b.Service, b.Class})
+		return compareKeys(SeriesKey{a.Service, a.Class}, SeriesKey{b.Service, b.Class})
 	})
 	return m
 }
@@ -81,7 +81,7 @@
 				continue
 			}
 			hours := out[i].VMHours + s.VMHours
-			if s.At.After(out[i].At) {
+			if s.CountedAt.After(out[i].CountedAt) {
 				out[i] = s
 			}
 			out[i].VMHours = hours
@@ -111,7 +111,7 @@
 			switch {
 			case i < 0:
 				out = append(out, w)
-			case w.At.After(out[i].At):
+			case w.UpdatedAt.After(out[i].UpdatedAt):
 				out[i] = w
 			}
 		}
--- a/node/burn/meter.go
+++ b/node/burn/meter.go
@@ -51,7 +51,7 @@
 }
 
 // Counter returns the counter of k, creating it if needed. The caller may keep it.
-func (m *Meter) Counter(k Key) *Counter {
+func (m *Meter) Counter(k SeriesKey) *Counter {
 	if c, ok := m.counters.Load(k); ok {
 		return c.(*Counter)
 	}
@@ -60,7 +60,7 @@
 }
 
 // Add counts one request of k.
-func (m *Meter) Add(k Key, o Outcome) { m.Counter(k).Add(o) }
+func (m *Meter) Add(k SeriesKey, o Outcome) { m.Counter(k).Add(o) }
 
 // Update passes a message other than counts to the Burn.
 func (m *Meter) Update(g Msg) []Cmd {
@@ -74,13 +74,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counters.Range(func(k, v any) bool {
-		m.flushCounter(now, k.(Key), v.(*Counter))
+		m.flushCounter(now, k.(SeriesKey), v.(*Counter))
 		return true
 	})
 	return m.burn.Update(TickMsg{Now: now})
 }
 
-func (m *Meter) flushCounter(now time.Time, k Key, c *Counter) {
+func (m *Meter) flushCounter(now time.Time, k SeriesKey, c *Counter) {
 	t := c.total()
 	d := Counts{t.Good - c.flushed.Good, t.Late - c.flushed.Late, t.Failed - c.flushed.Failed, t.Refused - c.flushed.Refused}
 	if d.Total() == 0 {
--- a/node/burn/msg.go
+++ b/node/burn/msg.go
@@ -27,10 +27,10 @@
 }
 
 // Total returns the number of requests of all outcomes.
-func (c Counts) Total() int64 { return c.Good + c.Bad() }
+func (c Counts) Total() int64 { return c.Good + c.Missed() }
 
-// Bad returns the number of requests that missed the objective.
-func (c Counts) Bad() int64 { return c.Late + c.Failed + c.Refused }
+// Missed returns the number of requests that missed the objective.
+func (c Counts) Missed() int64 { return c.Late + c.Failed + c.Refused }
 
 // Plus returns the sum of c and d.
 func (c Counts) Plus(d Counts) Counts {
@@ -42,14 +42,14 @@
 	if c.Total() == 0 {
 		return 0
 	}
-	return float64(c.Bad()) / float64(c.Total()) / max(1-objective, minBudget)
+	return float64(c.Missed()) / float64(c.Total()) / max(1-objective, minBudget)
 }
 
 // minBudget is the smallest error budget, as a share of requests, that Rate divides by: an objective of 1 allows no bad requests.
 const minBudget = 1e-6
 
-// Key identifies a series by service and request class.
-type Key struct {
+// SeriesKey identifies a series by service and request class.
+type SeriesKey struct {
 	Service string
 	Class   string
 }
@@ -60,7 +60,7 @@
 // CountMsg adds the requests of a series that ended since the last CountMsg.
 type CountMsg struct {
 	Now    time.Time
-	Key    Key
+	Key    SeriesKey
 	Counts Counts
 }
 
@@ -74,8 +74,8 @@
 // ForgetMsg removes a service that is no longer configured.
 type ForgetMsg struct{ Service string }
 
-// LeadMsg carries the membership and the waves of the data centre. It is sent about once a second while this entry leads.
-type LeadMsg struct {
+// LeaderMsg carries the membership and the waves of the data centre. It is sent about once a second while this entry leads.
+type LeaderMsg struct {
 	Now     time.Time
 	Term    int64 // fence of the leader's term; figures of different terms are not compared
 	Members []Member
@@ -85,7 +85,7 @@
 
 // Member is one VM of the data centre, with its pool and the last wave that it has finished.
 type Member struct {
-	VM, Pool, Wave string
+	VM, Pool, FinishedWave string
 }
 
 // Wave is a maintenance wave over the VMs of the named pools.
@@ -100,7 +100,7 @@
 func (CountMsg) isMsg()     {}
 func (ObjectiveMsg) isMsg() {}
 func (ForgetMsg) isMsg()    {}
-func (LeadMsg) isMsg()      {}
+func (LeaderMsg) isMsg()    {}
 func (TickMsg) isMsg()      {}
 
 // Cmd is an output of Burn.Update, which the caller executes.
@@ -108,7 +108,7 @@
 
 // AlertCmd reports that the speed at which a series spends its error budget has changed. Rate is the burn rate of the last hour.
 type AlertCmd struct {
-	Key   Key
+	Key   SeriesKey
 	Speed Speed
 	Rate  float64
 }
--- a/node/burn/report.go
+++ b/node/burn/report.go
@@ -18,10 +18,10 @@
 
 // EntryReport gives the time since which an entry has counted, or the reason why its report is missing.
 type EntryReport struct {
-	Entry      string    `json:"entry"`
-	DataCentre string    `json:"dataCentre"`
-	Since      time.Time `json:"since"`
-	Unheard    string    `json:"unheard,omitempty"` // why the entry's report is missing
+	Entry         string    `json:"entry"`
+	DataCentre    string    `json:"dataCentre"`
+	CountingSince time.Time `json:"since"`
+	MissingReason string    `json:"unheard,omitempty"` // why the entry's report is missing
 }
 
 // ServiceReport is the burn of one series: a service and a request class.
@@ -52,7 +52,7 @@
 type SpareReport struct {
 	DataCentre string    `json:"dataCentre"`
 	Pool       string    `json:"pool"`
-	At         time.Time `json:"at"`
+	CountedAt  time.Time `json:"at"`
 	VMs        int       `json:"vms"`
 	VMHours    float64   `json:"vmHours"`
 }
@@ -73,31 +73,31 @@
 type WaveReport struct {
 	ID         string    `json:"id"`
 	DataCentre string    `json:"dataCentre"`
-	At         time.Time `json:"at"`
+	UpdatedAt  time.Time `json:"at"`
 	Done       int       `json:"done"`
 	Total      int       `json:"total"`
 	Started    time.Time `json:"started"`
 	Ended      time.Time `json:"ended"`
 }
 
-// Spent returns the spent share of the error budget of the longest window; 1 is all of it.
-func (s ServiceReport) Spent() float64 {
+// BudgetSpent returns the spent share of the error budget of the longest window; 1 is all of it.
+func (s ServiceReport) BudgetSpent() float64 {
 	if len(s.Windows) == 0 {
 		return 0
 	}
 	return s.Windows[len(s.Windows)-1].Counts.Rate(s.Objective)
 }
 
-// Worst returns up to n hours, those with the most requests that missed the objective first.
-func (s ServiceReport) Worst(n int) []Point {
-	ps := slices.DeleteFunc(slices.Clone(s.Hours), func(p Point) bool { return p.Counts.Bad() == 0 })
-	slices.SortStableFunc(ps, func(a, b Point) int { return cmp.Compare(b.Counts.Bad(), a.Counts.Bad()) })
+// WorstHours returns up to n hours, those with the most requests that missed the objective first.
+func (s ServiceReport) WorstHours(n int) []Point {
+	ps := slices.DeleteFunc(slices.Clone(s.Hours), func(p Point) bool { return p.Counts.Missed() == 0 })
+	slices.SortStableFunc(ps, func(a, b Point) int { return cmp.Compare(b.Counts.Missed(), a.Counts.Missed()) })
 	return ps[:min(n, len(ps))]
 }
 
 // Report returns the figures as of the last tick.
 func (b *Burn) Report() Report {
-	r := Report{At: b.now, Entries: []EntryReport{{Entry: b.entry, DataCentre: b.dataCentre, Since: b.countingSince}}}
+	r := Report{At: b.now, Entries: []EntryReport{{Entry: b.entry, DataCentre: b.dataCentre, CountingSince: b.countingSince}}}
 	for _, k := range b.keys() {
 		s, g := b.series[k], b.objectives[k.Service]
 		ws := s.allWindows()
--- a/node/burn/series.go
+++ b/node/burn/series.go
@@ -6,12 +6,12 @@
 type Speed string
 
 const (
-	// Within means that neither of the other two applies.
-	Within Speed = "within"
-	// Slow means that the burn rate is at least 1, over both six hours and three days: the budget will not last.
-	Slow Speed = "slow"
-	// Fast means that the burn rate is at least 14.4, over both five minutes and an hour: an hour spends 2% of the budget of 30 days.
-	Fast Speed = "fast"
+	// SpeedWithin means that neither of the other two applies.
+	SpeedWithin Speed = "within"
+	// SpeedSlow means that the burn rate is at least 1, over both six hours and three days: the budget will not last.
+	SpeedSlow Speed = "slow"
+	// SpeedFast means that the burn rate is at least 14.4, over both five minutes and an hour: an hour spends 2% of the budget of 30 days.
+	SpeedFast Speed = "fast"
 )
 
 const (
@@ -31,7 +31,7 @@
 }
 
 func newSeries() *series {
-	return &series{fine: newRing(fineStep, fineBuckets), coarse: newRing(coarseStep, coarseBuckets), speed: Within}
+	return &series{fine: newRing(fineStep, fineBuckets), coarse: newRing(coarseStep, coarseBuckets), speed: SpeedWithin}
 }
 
 func (s *series) add(now time.Time, c Counts) {
@@ -66,10 +66,10 @@
 	over := func(i int, rate float64) bool { return len(ws) > i && ws[i].Counts.Rate(objective) >= rate }
 	switch {
 	case over(0, fastRate) && over(1, fastRate):
-		return Fast
+		return SpeedFast
 	case over(2, slowRate) && over(3, slowRate):
-		return Slow
+		return SpeedSlow
 	default:
-		return Within
+		return SpeedWithin
 	}
 }
--- a/node/burn/text.go
+++ b/node/burn/text.go
@@ -33,11 +33,11 @@
 func (r Report) writeEntries(w *strings.Builder) {
 	fmt.Fprintf(w, "ENTRY\tDATA CENTRE\tCOUNTS SINCE\n")
 	for _, e := range r.Entries {
-		if e.Unheard != "" {
-			fmt.Fprintf(w, "%s\t%s\tnot heard: %s\n", e.Entry, e.DataCentre, e.Unheard)
+		if e.MissingReason != "" {
+			fmt.Fprintf(w, "%s\t%s\tnot heard: %s\n", e.Entry, e.DataCentre, e.MissingReason)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", e.Entry, e.DataCentre, e.Since.UTC().Format(minuteFormat))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", e.Entry, e.DataCentre, e.CountingSince.UTC().Format(minuteFormat))
 	}
 }
 
@@ -49,7 +49,7 @@
 			c = s.Windows[n-1].Counts
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g%%\t%d\t%d\t%d\t%d\t%.1f%%", s.Service, s.Class, s.Profile, s.Objective*100,
-			c.Total(), c.Late, c.Failed, c.Refused, s.Spent()*100)
+			c.Total(), c.Late, c.Failed, c.Refused, s.BudgetSpent()*100)
 		for _, x := range s.Windows {
 			fmt.Fprintf(w, "\t%.2f", x.Counts.Rate(s.Objective))
 		}
@@ -60,11 +60,11 @@
 func (r Report) writeWorstHours(w *strings.Builder) {
 	head := "\nWORST HOUR\tSERVICE\tCLASS\tREQUESTS\tMISSED\tBURN\n"
 	for _, s := range r.Services {
-		for _, p := range s.Worst(worstHours) {
+		for _, p := range s.WorstHours(worstHours) {
 			w.WriteString(head)
 			head = ""
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\n", p.Start.UTC().Format(minuteFormat), s.Service, s.Class,
-				p.Counts.Total(), p.Counts.Bad(), p.Counts.Rate(s.Objective))
+				p.Counts.Total(), p.Counts.Missed(), p.Counts.Rate(s.Objective))
 		}
 	}
 }
--- a/node/daemon/burn.go
+++ b/node/daemon/burn.go
@@ -44,10 +44,10 @@
 }
 
 // leaderMsg returns the members, spare pools and waves that the leader knows, for the burn meter.
-func (d *Daemon) leaderMsg(now time.Time, fence int64, doc *conf.Document) burn.LeadMsg {
-	m := burn.LeadMsg{Now: now, Term: fence}
+func (d *Daemon) leaderMsg(now time.Time, fence int64, doc *conf.Document) burn.LeaderMsg {
+	m := burn.LeaderMsg{Now: now, Term: fence}
 	for _, v := range d.loop.Stats().Members() {
-		m.Members = append(m.Members, burn.Member{VM: v.VM, Pool: v.Pool, Wave: v.FinishedWave})
+		m.Members = append(m.Members, burn.Member{VM: v.VM, Pool: v.Pool, FinishedWave: v.FinishedWave})
 	}
 	for _, p := range doc.Pools() {
 		if p.Spare {
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -86,8 +86,8 @@
 	s := d.settings
 	d.slotLoans = &slotLoans{d: d}
 	d.entry = entry.New(s, d.log, d.conf, d.views,
-		entry.WithKeys(keyClaimer{d.keeper}), entry.WithSelf(instanceName(d.self)), entry.WithBurner(d.burn), entry.WithGate(d.hasPlace),
-		entry.WithLeader(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.BeatNow))
+		entry.WithKeys(keyClaimer{d.keeper}), entry.WithShareName(instanceName(d.self)), entry.WithOutcomeCounter(d.burn), entry.WithReadyCheck(d.hasPlace),
+		entry.WithLeaderCheck(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.BeatNow))
 	d.loop = leader.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
 		leader.WithTick(s.Tick()), leader.WithLogger(d.log), leader.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
 		leader.WithOnEntriesGone(d.keeper.SetGone))
--- a/node/daemon/gossip.go
+++ b/node/daemon/gossip.go
@@ -25,13 +25,13 @@
 
 // peerReport is an entry's report about targets to the other entries of its data centre.
 type peerReport struct {
-	Version       view.Version    `json:"v"`
-	Leading       bool            `json:"lead,omitempty"`
-	Drained       []entry.Quit    `json:"quits,omitempty"`
-	Leaving       []entry.Leaving `json:"leaving,omitempty"`
-	Delta         *view.Delta     `json:"delta,omitempty"`
-	SettledRoster int64           `json:"shares,omitempty"`  // number of the roster that all services of the entry follow in sharing slots
-	ShardVersions []int64         `json:"numbers,omitempty"` // version of each membership shard in the entry's view
+	Version       view.Version      `json:"v"`
+	Leading       bool              `json:"lead,omitempty"`
+	Drained       []entry.DrainedVM `json:"quits,omitempty"`
+	Leaving       []entry.LeavingVM `json:"leaving,omitempty"`
+	Delta         *view.Delta       `json:"delta,omitempty"`
+	SettledRoster int64             `json:"shares,omitempty"`  // number of the roster that all services of the entry follow in sharing slots
+	ShardVersions []int64           `json:"numbers,omitempty"` // version of each membership shard in the entry's view
 }
 
 // gossip exchanges configuration changes, view deltas and reports with the other entries.
@@ -125,7 +125,7 @@
 func (n *gossip) peerReport() peerReport {
 	now := time.Now()
 	_, lead := n.d.lease.Held()
-	b := peerReport{Version: n.d.views.View().Version(), Leading: lead, Drained: n.d.entry.Quits(), Leaving: n.d.entry.Leavings(), SettledRoster: n.d.entry.Settled(), ShardVersions: shardVersions(n.d.views.View())}
+	b := peerReport{Version: n.d.views.View().Version(), Leading: lead, Drained: n.d.entry.DrainedVMs(), Leaving: n.d.entry.LeavingVMs(), SettledRoster: n.d.entry.SettledRoster(), ShardVersions: shardVersions(n.d.views.View())}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.viewVersion != b.Version {
@@ -174,7 +174,7 @@
 	if b.Delta != nil {
 		n.applyDelta(*b.Delta)
 	}
-	n.d.entry.Learn(b.Leaving)
+	n.d.entry.MergeLeaving(b.Leaving)
 	n.d.slotLoans.rosterSettled(p, b.SettledRoster)
 	n.d.loop.Wake()
 }
@@ -207,7 +207,7 @@
 // EntryReports implements leader.Peers.
 func (n *gossip) EntryReports() []leader.EntryReport {
 	now := time.Now()
-	l := []leader.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.Quits()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
+	l := []leader.EntryReport{{Entry: n.d.settings.Name(), ReceivedAt: now, Drained: drainedVMs(n.d.entry.DrainedVMs()), Failing: n.failing(), Loads: n.ownLoads(), ShardVersions: shardVersions(n.d.views.View())}}
 	for _, p := range n.d.beater.Peers() {
 		e := p.Address().Entry()
 		n.mu.Lock()
@@ -237,10 +237,10 @@
 }
 
 // drainedVMs converts the entry's list of drained VMs to the leader's form.
-func drainedVMs(l []entry.Quit) []leader.DrainedVM {
+func drainedVMs(l []entry.DrainedVM) []leader.DrainedVM {
 	r := make([]leader.DrainedVM, 0, len(l))
 	for _, q := range l {
-		r = append(r, leader.DrainedVM{VM: q.VM, ShardVersion: q.Number})
+		r = append(r, leader.DrainedVM{VM: q.VM, ShardVersion: q.ShardVersion})
 	}
 	return slices.Clip(r)
 }
--- a/node/daemon/operapi.go
+++ b/node/daemon/operapi.go
@@ -18,8 +18,8 @@
 // Document implements oper.Config.
 func (c configAPI) Document() *conf.Document { return c.d.conf.Document() }
 
-// At implements oper.Config.
-func (c configAPI) At(n conf.Number) (conf.Change, bool) { return c.d.conf.ChangeAt(n) }
+// ChangeAt implements oper.Config.
+func (c configAPI) ChangeAt(n conf.Number) (conf.Change, bool) { return c.d.conf.ChangeAt(n) }
 
 // Commit implements oper.Config.
 func (c configAPI) Commit(ctx context.Context, h conf.Change) (conf.Number, error) {
@@ -105,15 +105,15 @@
 	d := f.d
 	_, lead := d.lease.Held()
 	l := []oper.Entry{{
-		Entry: d.settings.Name(), DataCentre: d.settings.DataCentre(), PeerAddr: d.settings.PeerAddr(), Self: true, Heard: true,
+		Name: d.settings.Name(), DataCentre: d.settings.DataCentre(), PeerAddr: d.settings.PeerAddr(), Self: true, Reachable: true,
 		Applied: d.conf.Document().Number(), Roster: d.keeper.Roster(d.settings.DataCentre()).Number(), Leader: lead,
 	}}
 	now := time.Now()
 	for _, p := range d.beater.Peers() {
 		silent := now.Sub(p.HeardAt())
 		l = append(l, oper.Entry{
-			Entry: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
-			Heard: silent < d.settings.EntryUnheard(), UnheardMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
+			Name: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
+			Reachable: silent < d.settings.EntryUnheard(), SinceHeartbeatMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
 			Roster: p.Roster(), Leaving: p.Stopping(),
 		})
 	}
--- a/node/daemon/shares.go
+++ b/node/daemon/shares.go
@@ -166,7 +166,7 @@
 // rosterSettled records the number of the roster that another entry follows.
 func (s *slotLoans) rosterSettled(p relay.Peer, number int64) {
 	if number > 0 {
-		s.d.entry.SetSettled(time.Now(), instanceName(ledger.Member{Entry: p.Address().Entry(), Incarnation: p.Incarnation()}), number)
+		s.d.entry.SetPeerSettled(time.Now(), instanceName(ledger.Member{Entry: p.Address().Entry(), Incarnation: p.Incarnation()}), number)
 	}
 }
 
@@ -176,7 +176,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case a := <-s.d.entry.Asks():
+		case a := <-s.d.entry.BorrowRequests():
 			s.requestSlots(ctx, a)
 		}
 	}
@@ -184,7 +184,7 @@
 
 // requestSlots asks another entry for slots and passes its reply to this entry. It drops the request if that entry is no longer in the
 // roster or does not reply.
-func (s *slotLoans) requestSlots(ctx context.Context, a entry.Ask) {
+func (s *slotLoans) requestSlots(ctx context.Context, a entry.BorrowRequest) {
 	var to ledger.Member
 	for _, m := range s.d.keeper.Roster(s.d.settings.DataCentre()).Members() {
 		if instanceName(m) == a.To {
@@ -204,7 +204,7 @@
 	for _, g := range r.GetGrants() {
 		m.Grants = append(m.Grants, share.Grant{ID: g.GetId(), Target: g.GetTarget()})
 	}
-	s.d.entry.Lent(a.Service, m)
+	s.d.entry.HandleBorrowReply(a.Service, m)
 }
 
 // Borrow implements relay.Lender.
--- a/node/entry/claim.go
+++ b/node/entry/claim.go
@@ -17,20 +17,20 @@
 	Granted Verdict = iota
 	// Repeated means that an earlier copy was answered and its answer is stored.
 	Repeated
-	// Running means that an earlier copy is still in progress.
-	Running
-	// Lost means that an earlier copy may have run and its answer is unknown or not stored.
-	Lost
+	// InProgress means that an earlier copy is still in progress.
+	InProgress
+	// AnswerLost means that an earlier copy may have run and its answer is unknown or not stored.
+	AnswerLost
 	// Mismatched means that the key was used for a different request.
 	Mismatched
-	// Unheld means that the key could not be claimed and the request was not sent.
-	Unheld
-	// Unasked means that this copy was not sent, and that it is unknown for now whether an earlier copy was.
-	Unasked
+	// ClaimFailed means that the key could not be claimed and the request was not sent.
+	ClaimFailed
+	// EarlierUnknown means that this copy was not sent, and that it is unknown for now whether an earlier copy was.
+	EarlierUnknown
 )
 
-// Kept is the target's answer to an earlier copy.
-type Kept struct {
+// StoredAnswer is the target's answer to an earlier copy.
+type StoredAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -38,10 +38,10 @@
 
 // Claim is the right to send one keyed request. Exactly one call of Answered, Unknown or NotRun ends it.
 type Claim interface {
-	// Until returns the time after which the request must not be sent.
-	Until() time.Time
+	// SendBefore returns the time after which the request must not be sent.
+	SendBefore() time.Time
 	// Answered records the target's answer.
-	Answered(k Kept)
+	Answered(k StoredAnswer)
 	// Unknown records that the request may have run.
 	Unknown()
 	// NotRun records that the request was certainly not run, so that the key can be claimed again.
@@ -51,21 +51,21 @@
 // Keys claims idempotency keys fleet-wide.
 type Keys interface {
 	// Claim asks the entries that hold the key's record; attempt names this copy and digest identifies the request.
-	Claim(ctx context.Context, key, attempt string, digest []byte) Decision
+	Claim(ctx context.Context, key, attempt string, digest []byte) ClaimResult
 }
 
-// Decision is the outcome of a claim.
-type Decision struct {
+// ClaimResult is the outcome of a claim.
+type ClaimResult struct {
 	Verdict    Verdict
-	Claim      Claim // set for Granted
-	Kept       Kept  // set for Repeated
-	Why        string
+	Claim      Claim        // set for Granted
+	Stored     StoredAnswer // set for Repeated
+	Reason     string
 	RetryAfter time.Duration
 }
 
 // checkClaimAge refuses another attempt under an expired claim.
 func (c *call) checkClaimAge() *Refusal {
-	if c.claim == nil || time.Now().Before(c.claim.Until()) {
+	if c.claim == nil || time.Now().Before(c.claim.SendBefore()) {
 		return nil
 	}
 	return notRun(fasthttp.StatusServiceUnavailable, stepClaim, "the claim of the key grew too old before a target took the request").after(time.Second)
@@ -84,19 +84,19 @@
 		c.claim = d.Claim
 		return nil
 	case Repeated:
-		return &Refusal{Outcome: OutcomeRepeat, Step: stepClaim, kept: &d.Kept}
-	case Running:
+		return &Refusal{Outcome: OutcomeRepeat, Step: stepClaim, kept: &d.Stored}
+	case InProgress:
 		return claimConflict(OutcomeUnknown, "an earlier copy of this key is still running").after(time.Second)
-	case Lost:
-		return claimConflict(OutcomeUnknown, "an earlier copy of this key may have run: "+d.Why)
+	case AnswerLost:
+		return claimConflict(OutcomeUnknown, "an earlier copy of this key may have run: "+d.Reason)
 	case Mismatched:
 		return claimConflict(OutcomeNotRun, "the key was used for another request")
-	case Unasked:
-		r := notRun(fasthttp.StatusServiceUnavailable, stepClaim, "this copy was not sent; whether an earlier one ran cannot be asked now: "+d.Why)
+	case EarlierUnknown:
+		r := notRun(fasthttp.StatusServiceUnavailable, stepClaim, "this copy was not sent; whether an earlier one ran cannot be asked now: "+d.Reason)
 		r.Outcome = OutcomeUnknown
 		return r.after(d.RetryAfter)
 	}
-	return notRun(fasthttp.StatusServiceUnavailable, stepClaim, d.Why).after(max(d.RetryAfter, minClaimRetry))
+	return notRun(fasthttp.StatusServiceUnavailable, stepClaim, d.Reason).after(max(d.RetryAfter, minClaimRetry))
 }
 
 const (
@@ -139,7 +139,7 @@
 	}
 	switch o {
 	case OutcomeAnswered:
-		c.claim.Answered(Kept{
+		c.claim.Answered(StoredAnswer{
 			Status:      c.http.Response.StatusCode(),
 			ContentType: string(c.http.Response.Header.ContentType()),
 			Body:        append([]byte(nil), c.http.Response.Body()...),
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -38,9 +38,9 @@
 	Wait(ctx context.Context, n conf.Number) error
 }
 
-// Burner counts the outcomes of requests against the objective of their service and class.
-type Burner interface {
-	Add(k burn.Key, o burn.Outcome)
+// OutcomeCounter counts the outcomes of requests against the objective of their service and class.
+type OutcomeCounter interface {
+	Add(k burn.SeriesKey, o burn.Outcome)
 }
 
 // Entry accepts callers' requests and forwards them to targets. New creates an Entry and Run serves its callers.
@@ -50,10 +50,10 @@
 	documents      Documents
 	view           *view.Holder
 	keys           Keys
-	outcomeCounter Burner
+	outcomeCounter OutcomeCounter
 	readyCheck     func() bool
 	shareName      string
-	borrowRequests chan Ask
+	borrowRequests chan BorrowRequest
 
 	hasLeader  func() bool
 	onLeaving  func()
@@ -85,18 +85,18 @@
 // WithKeys sets where idempotency keys are claimed. Without it, every request with a key is refused.
 func WithKeys(k Keys) Option { return func(e *Entry) { e.keys = k } }
 
-// WithSelf sets the name under which this process shares slots with the other entries. A restarted entry needs another
+// WithShareName sets the name under which this process shares slots with the other entries. A restarted entry needs another
 // name, since it has lost its loans. Without a name the entry shares slots with no other entry.
-func WithSelf(name string) Option { return func(e *Entry) { e.shareName = name } }
+func WithShareName(name string) Option { return func(e *Entry) { e.shareName = name } }
 
-// WithBurner sets what counts the outcomes of requests against objectives.
-func WithBurner(b Burner) Option { return func(e *Entry) { e.outcomeCounter = b } }
+// WithOutcomeCounter sets what counts the outcomes of requests against objectives.
+func WithOutcomeCounter(b OutcomeCounter) Option { return func(e *Entry) { e.outcomeCounter = b } }
 
-// WithGate adds a condition for the entry to be ready, such as membership in its data centre's roster.
-func WithGate(ok func() bool) Option { return func(e *Entry) { e.readyCheck = ok } }
+// WithReadyCheck adds a condition for the entry to be ready, such as membership in its data centre's roster.
+func WithReadyCheck(ok func() bool) Option { return func(e *Entry) { e.readyCheck = ok } }
 
-// WithLeader sets the function that reports whether the data centre has an active leader.
-func WithLeader(ok func() bool) Option { return func(e *Entry) { e.hasLeader = ok } }
+// WithLeaderCheck sets the function that reports whether the data centre has an active leader.
+func WithLeaderCheck(ok func() bool) Option { return func(e *Entry) { e.hasLeader = ok } }
 
 // WithOnLeaving sets the function that is called when a VM is newly marked as leaving.
 func WithOnLeaving(f func()) Option { return func(e *Entry) { e.onLeaving = f } }
@@ -108,7 +108,7 @@
 func New(s setup.Settings, l zerolog.Logger, d Documents, v *view.Holder, opts ...Option) *Entry {
 	e := &Entry{
 		settings: s, log: l, documents: d, view: v, keys: noKeys{}, outcomeCounter: noOutcomeCounter{}, requestIDs: newRequestIDs(s.Name()), health: newHealth(),
-		borrowRequests: make(chan Ask, maxBorrowRequests),
+		borrowRequests: make(chan BorrowRequest, maxBorrowRequests),
 		requestCtx:     context.Background(),
 		leaving:        make(map[string]leavingMark), targetsView: v.View(), drainedCh: make(chan struct{}, 1),
 	}
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -131,21 +131,21 @@
 // memoryKeys claims keys in memory, for one entry.
 type memoryKeys struct {
 	mu   sync.Mutex
-	kept map[string]*Kept
+	kept map[string]*StoredAnswer
 }
 
-func (m *memoryKeys) Claim(_ context.Context, key, _ string, _ []byte) Decision {
+func (m *memoryKeys) Claim(_ context.Context, key, _ string, _ []byte) ClaimResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k, ok := m.kept[key]
 	switch {
 	case !ok:
 		m.kept[key] = nil
-		return Decision{Claim: &memoryClaim{m, key}}
+		return ClaimResult{Claim: &memoryClaim{m, key}}
 	case k == nil:
-		return Decision{Verdict: Lost, Why: "not settled"}
+		return ClaimResult{Verdict: AnswerLost, Reason: "not settled"}
 	}
-	return Decision{Verdict: Repeated, Kept: *k}
+	return ClaimResult{Verdict: Repeated, Stored: *k}
 }
 
 type memoryClaim struct {
@@ -153,7 +153,7 @@
 	key string
 }
 
-func (c *memoryClaim) set(k *Kept, drop bool) {
+func (c *memoryClaim) set(k *StoredAnswer, drop bool) {
 	c.m.mu.Lock()
 	defer c.m.mu.Unlock()
 	if drop {
@@ -162,15 +162,15 @@
 	}
 	c.m.kept[c.key] = k
 }
-func (c *memoryClaim) Until() time.Time { return time.Now().Add(time.Minute) }
-func (c *memoryClaim) Answered(k Kept)  { c.set(&k, false) }
-func (c *memoryClaim) Unknown()         { c.set(nil, false) }
-func (c *memoryClaim) NotRun()          { c.set(nil, true) }
+func (c *memoryClaim) SendBefore() time.Time   { return time.Now().Add(time.Minute) }
+func (c *memoryClaim) Answered(k StoredAnswer) { c.set(&k, false) }
+func (c *memoryClaim) Unknown()                { c.set(nil, false) }
+func (c *memoryClaim) NotRun()                 { c.set(nil, true) }
 
 func TestRefusalsSayWhatIsWrong(t *testing.T) {
 	var runs atomic.Int64
 	a := listen(t, func(x *fasthttp.RequestCtx) { runs.Add(1) })
-	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*Kept{}}))
+	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*StoredAnswer{}}))
 	big := string(make([]byte, 2000))
 	for _, c := range []struct {
 		name, method, path, body string
@@ -210,7 +210,7 @@
 		x.SetStatusCode(201)
 		x.SetBody(append([]byte("made "), x.PostBody()...))
 	})
-	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*Kept{}}))
+	r := start(t, []string{a}, WithKeys(&memoryKeys{kept: map[string]*StoredAnswer{}}))
 	s, o, _, b := r.send("POST", "/call/orders/trays/7?x=1%2F2", "soup", headerKey, "k1")
 	i.Equal(s, 201)
 	i.Equal(o, string(OutcomeAnswered))
@@ -282,10 +282,10 @@
 	<-in
 	r.publish(2, false, a)
 	r.entry.refresh(time.Now())
-	i.Equal(len(r.entry.Quits()), 0) // one request is in flight
+	i.Equal(len(r.entry.DrainedVMs()), 0) // one request is in flight
 	close(out)
 	i.NoErr(g.Wait())
-	i.Equal(r.entry.Quits(), []Quit{{VM: "vm-" + a, Number: 2}})
+	i.Equal(r.entry.DrainedVMs(), []DrainedVM{{VM: "vm-" + a, ShardVersion: 2}})
 	s, _, f, _ := r.send("GET", "/call/orders/x", "")
 	i.Equal(s, 503)
 	i.True(f.RetryAfterMs > 0)
@@ -302,5 +302,5 @@
 	i.Equal(o, string(OutcomeUnknown)) // the caller gets its answer at its timeout
 	r.publish(2, false, a)
 	r.entry.refresh(time.Now())
-	i.Equal(len(r.entry.Quits()), 0) // the target may still run it
+	i.Equal(len(r.entry.DrainedVMs()), 0) // the target may still run it
 }
--- a/node/entry/leave.go
+++ b/node/entry/leave.go
@@ -16,20 +16,20 @@
 	notedAt time.Time
 }
 
-// Leaving is a VM that refused a request as leaving, with the newest view version that the refused entry had.
-type Leaving struct {
+// LeavingVM is a VM that refused a request as leaving, with the newest view version that the refused entry had.
+type LeavingVM struct {
 	VM      string       `json:"vm"`
 	Version view.Version `json:"v"`
 }
 
 // markLeaving stops sending to a VM that refused a request as leaving, until a newer view has it as serving.
 func (e *Entry) markLeaving(vm string) {
-	e.Learn([]Leaving{{VM: vm, Version: e.view.View().Version()}})
+	e.MergeLeaving([]LeavingVM{{VM: vm, Version: e.view.View().Version()}})
 }
 
-// Learn records VMs that this entry or another one found to be leaving. A report older than the view is ignored if the view
+// MergeLeaving records VMs that this entry or another one found to be leaving. A report older than the view is ignored if the view
 // has the VM as serving.
-func (e *Entry) Learn(vms []Leaving) {
+func (e *Entry) MergeLeaving(vms []LeavingVM) {
 	now := time.Now()
 	if e.recordLeaving(now, vms) {
 		e.refresh(now)
@@ -39,7 +39,7 @@
 	}
 }
 
-func (e *Entry) recordLeaving(now time.Time, vms []Leaving) (changed bool) {
+func (e *Entry) recordLeaving(now time.Time, vms []LeavingVM) (changed bool) {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	v := e.view.View()
@@ -63,13 +63,13 @@
 	return len(e.leaving) > 0
 }
 
-// Leavings returns the VMs that are marked as leaving, to be sent to the other entries.
-func (e *Entry) Leavings() []Leaving {
+// LeavingVMs returns the VMs that are marked as leaving, to be sent to the other entries.
+func (e *Entry) LeavingVMs() []LeavingVM {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
-	var l []Leaving
+	var l []LeavingVM
 	for vm, m := range e.leaving {
-		l = append(l, Leaving{VM: vm, Version: m.version})
+		l = append(l, LeavingVM{VM: vm, Version: m.version})
 	}
 	return l
 }
@@ -87,21 +87,21 @@
 // leaderActive reports whether the data centre has an active leader, so that the view has been confirmed lately.
 func (e *Entry) leaderActive() bool { return e.hasLeader != nil && e.hasLeader() }
 
-// Quit is a VM to which this entry no longer sends and at which it has no request in flight.
-type Quit struct {
-	VM     string `json:"vm"`
-	Number int64  `json:"n"` // version of the membership shard in which the VM stopped serving
+// DrainedVM is a VM to which this entry no longer sends and at which it has no request in flight.
+type DrainedVM struct {
+	VM           string `json:"vm"`
+	ShardVersion int64  `json:"n"` // version of the membership shard in which the VM stopped serving
 }
 
-// Quits returns the VMs that this entry has drained.
-func (e *Entry) Quits() []Quit {
+// DrainedVMs returns the VMs that this entry has drained.
+func (e *Entry) DrainedVMs() []DrainedVM {
 	e.tableMu.Lock()
 	defer e.tableMu.Unlock()
 	now := time.Now()
-	var q []Quit
+	var q []DrainedVM
 	for _, t := range e.targetsView.Targets() {
 		if !t.Serving && e.drained(t.VM, now) {
-			q = append(q, Quit{VM: t.VM, Number: t.ShardVersion})
+			q = append(q, DrainedVM{VM: t.VM, ShardVersion: t.ShardVersion})
 		}
 	}
 	return q
--- a/node/entry/loans.go
+++ b/node/entry/loans.go
@@ -13,14 +13,14 @@
 // maxBorrowRequests bounds the requests for slots that wait to be sent. Further ones are dropped; the loans make them again.
 const maxBorrowRequests = 64
 
-// Ask is a request to borrow another entry's idle slots of a service.
-type Ask struct {
+// BorrowRequest is a request to borrow another entry's idle slots of a service.
+type BorrowRequest struct {
 	Service string
 	share.BorrowCmd
 }
 
-// Asks returns the channel of requests to be sent to other entries.
-func (e *Entry) Asks() <-chan Ask { return e.borrowRequests }
+// BorrowRequests returns the channel of requests to be sent to other entries.
+func (e *Entry) BorrowRequests() <-chan BorrowRequest { return e.borrowRequests }
 
 // SetRoster sets the entries that share the slots of the data centre's targets. Services ignore a number lower than the newest.
 func (e *Entry) SetRoster(now time.Time, number int64, entries []string) {
@@ -31,8 +31,8 @@
 	e.eachService(func(v *service) { v.updateLoans(m) })
 }
 
-// Settled returns the number of the roster whose shares every service of this entry keeps to, or 0 while some service does not.
-func (e *Entry) Settled() int64 {
+// SettledRoster returns the number of the roster whose shares every service of this entry keeps to, or 0 while some service does not.
+func (e *Entry) SettledRoster() int64 {
 	e.tableMu.Lock()
 	n := e.roster.Number
 	e.tableMu.Unlock()
@@ -44,8 +44,8 @@
 	return n
 }
 
-// SetSettled records that another entry keeps to the shares of the roster with the number.
-func (e *Entry) SetSettled(now time.Time, from string, number int64) {
+// SetPeerSettled records that another entry keeps to the shares of the roster with the number.
+func (e *Entry) SetPeerSettled(now time.Time, from string, number int64) {
 	e.eachService(func(v *service) { v.updateLoans(share.RosterAdoptedMsg{Now: now, From: from, Number: number}) })
 }
 
@@ -58,8 +58,8 @@
 	return x.(*service).answerBorrow(m)
 }
 
-// Lent applies another entry's answer to a request for slots.
-func (e *Entry) Lent(name string, m share.LentMsg) {
+// HandleBorrowReply applies another entry's answer to a request for slots.
+func (e *Entry) HandleBorrowReply(name string, m share.LentMsg) {
 	if x, ok := e.services.Load(name); ok {
 		x.(*service).updateLoans(m)
 	}
@@ -109,7 +109,7 @@
 			lent, ok = c, true
 		case share.BorrowCmd:
 			select {
-			case v.borrowRequests <- Ask{Service: v.name, BorrowCmd: c}:
+			case v.borrowRequests <- BorrowRequest{Service: v.name, BorrowCmd: c}:
 			default:
 			}
 		}
--- a/node/entry/refuse.go
+++ b/node/entry/refuse.go
@@ -52,7 +52,7 @@
 	RetryAfterMs int64   `json:"retryAfterMs,omitempty"`
 
 	status int
-	kept   *Kept
+	kept   *StoredAnswer
 }
 
 func notRun(status int, step, reason string) *Refusal {
--- a/node/entry/service.go
+++ b/node/entry/service.go
@@ -23,14 +23,14 @@
 	inFlight       map[string]int  // requests being sent, by VM
 	targets        map[string]bool // VMs that may get new work
 	loans          *share.Loans
-	borrowRequests chan<- Ask
+	borrowRequests chan<- BorrowRequest
 	busy           map[string]int // slots that are or may be taken, by VM; reused by each load reading
 	lastLoadMsg    time.Time
 	profile        conf.ProfileSpec
 	lostAt         map[string]time.Time // by VM: when an answer was last lost
 }
 
-func newService(name, self string, asks chan<- Ask, opts ...sched.Option) *service {
+func newService(name, self string, asks chan<- BorrowRequest, opts ...sched.Option) *service {
 	return &service{
 		name: name, scheduler: sched.New(name, opts...), loans: share.New(self), borrowRequests: asks,
 		waiting: make(map[sched.ID]chan sched.Cmd), inFlight: make(map[string]int), targets: make(map[string]bool), busy: make(map[string]int), lostAt: make(map[string]time.Time),
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -11,8 +11,8 @@
 // balancerWait is the time for the load balancer to see the failing health check before new requests are refused.
 const balancerWait = 500 * time.Millisecond
 
-// ErrLeft reports that requests were still in flight at the end of the drain wait.
-var ErrLeft = eris.New("entry: requests left at the end of the drain wait")
+// ErrRequestsLeft reports that requests were still in flight at the end of the drain wait.
+var ErrRequestsLeft = eris.New("entry: requests left at the end of the drain wait")
 
 // beginRequest counts a request as in flight; false means that the entry refuses new requests.
 func (e *Entry) beginRequest() bool {
@@ -69,7 +69,7 @@
 	_ = s.ShutdownWithContext(x)
 	if n := e.InFlight(); n > 0 {
 		e.log.Error().Str("step", "stop").Int("left", n).Msg("stoppedWithRequestsLeft")
-		return eris.Wrapf(ErrLeft, "step=stop left=%d", n)
+		return eris.Wrapf(ErrRequestsLeft, "step=stop left=%d", n)
 	}
 	e.log.Info().Str("step", "stop").Msg("stopped")
 	return nil
--- a/node/entry/unreadable.go
+++ b/node/entry/unreadable.go
@@ -44,15 +44,15 @@
 type noKeys struct{}
 
 // Claim refuses the key.
-func (noKeys) Claim(context.Context, string, string, []byte) Decision {
-	return Decision{Verdict: Unheld, Why: "no holder of keys is configured"}
+func (noKeys) Claim(context.Context, string, string, []byte) ClaimResult {
+	return ClaimResult{Verdict: ClaimFailed, Reason: "no holder of keys is configured"}
 }
 
 // noOutcomeCounter is the default counter: it counts nothing.
 type noOutcomeCounter struct{}
 
 // Add does nothing.
-func (noOutcomeCounter) Add(burn.Key, burn.Outcome) {}
+func (noOutcomeCounter) Add(burn.SeriesKey, burn.Outcome) {}
 
 func className(c sched.Class) string {
 	switch c {
@@ -65,7 +65,7 @@
 }
 
 func (e *Entry) countOutcome(o checkedRequest, b burn.Outcome) {
-	e.outcomeCounter.Add(burn.Key{Service: o.service, Class: className(o.class)}, b)
+	e.outcomeCounter.Add(burn.SeriesKey{Service: o.service, Class: className(o.class)}, b)
 }
 
 // countUnanswered counts a request that got no answer from a target.
--- a/node/oper/api.go
+++ b/node/oper/api.go
@@ -33,8 +33,8 @@
 type Config interface {
 	// Document returns the document in force at this entry.
 	Document() *conf.Document
-	// At returns a recent change by its number; false means that it is not stored any more, or not yet.
-	At(n conf.Number) (conf.Change, bool)
+	// ChangeAt returns a recent change by its number; false means that it is not stored any more, or not yet.
+	ChangeAt(n conf.Number) (conf.Change, bool)
 	// Commit appends c as the next change and returns its number. After an error that matches conf.ErrUnsettled, the outcome is unknown.
 	Commit(ctx context.Context, c conf.Change) (conf.Number, error)
 	// Settle returns the number under which op was accepted, or conf.ErrNotAccepted if it was not and will not be accepted.
--- a/node/oper/jobs.go
+++ b/node/oper/jobs.go
@@ -15,8 +15,8 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// MaxJobs is the maximum number of jobs in one request.
-const MaxJobs = 100
+// MaxJobsPerRequest is the maximum number of jobs in one request.
+const MaxJobsPerRequest = 100
 
 // maxJobCalls is the number of jobs of one request that are submitted or canceled concurrently.
 const maxJobCalls = 8
@@ -164,7 +164,7 @@
 		f.Reason = "malformed jobs"
 		return q, f
 	}
-	if len(q.Jobs) == 0 || len(q.Jobs) > MaxJobs {
+	if len(q.Jobs) == 0 || len(q.Jobs) > MaxJobsPerRequest {
 		return q, &Refusal{Reason: "malformed jobs", Field: "jobs", Value: "too few or too many", Allowed: "1 to 100 jobs"}
 	}
 	return q, nil
--- a/node/oper/oper_test.go
+++ b/node/oper/oper_test.go
@@ -36,7 +36,7 @@
 
 func (c *config) Document() *conf.Document { return c.doc }
 
-func (c *config) At(n conf.Number) (conf.Change, bool) {
+func (c *config) ChangeAt(n conf.Number) (conf.Change, bool) {
 	if n < 1 || int(n) > len(c.log) {
 		return conf.Change{}, false
 	}
@@ -76,7 +76,7 @@
 }
 
 func (f *fleet) Entries() []oper.Entry {
-	return []oper.Entry{{Entry: "e1", Self: true, Heard: true, Applied: 9}, {Entry: "e2", Heard: f.heard, Applied: f.applied}}
+	return []oper.Entry{{Name: "e1", Self: true, Reachable: true, Applied: 9}, {Name: "e2", Reachable: f.heard, Applied: f.applied}}
 }
 
 type reporter struct{}
--- a/node/oper/show.go
+++ b/node/oper/show.go
@@ -110,10 +110,10 @@
 	}
 	r.InForce = r.Newest >= r.Number
 	for _, e := range r.Entries {
-		r.InForce = r.InForce && e.Heard && e.Applied >= r.Number
+		r.InForce = r.InForce && e.Reachable && e.Applied >= r.Number
 	}
-	if c, ok := a.config.At(r.Number); ok {
-		r.At, r.AgeMs, r.Op, r.ByPerson = c.At, a.now().Sub(c.At).Milliseconds(), c.Op, c.By
+	if c, ok := a.config.ChangeAt(r.Number); ok {
+		r.ChangedAt, r.AgeMs, r.Op, r.ChangedBy = c.At, a.now().Sub(c.At).Milliseconds(), c.Op, c.By
 	}
 	reply(x, fasthttp.StatusOK, r)
 }
--- a/node/oper/wire.go
+++ b/node/oper/wire.go
@@ -69,16 +69,16 @@
 
 // Entry is the state of an entry as the asked entry knows it.
 type Entry struct {
-	Entry      string      `json:"entry"`
-	DataCentre string      `json:"dataCentre"`
-	PeerAddr   string      `json:"peerAddr"`
-	Self       bool        `json:"self"`
-	Heard      bool        `json:"heard"`
-	UnheardMs  int64       `json:"unheardMs"` // milliseconds since the last heartbeat
-	Applied    conf.Number `json:"applied"`
-	Roster     int64       `json:"roster"`
-	Leader     bool        `json:"leader"`
-	Leaving    bool        `json:"leaving"`
+	Name             string      `json:"entry"`
+	DataCentre       string      `json:"dataCentre"`
+	PeerAddr         string      `json:"peerAddr"`
+	Self             bool        `json:"self"`
+	Reachable        bool        `json:"heard"`
+	SinceHeartbeatMs int64       `json:"unheardMs"` // milliseconds since the last heartbeat
+	Applied          conf.Number `json:"applied"`
+	Roster           int64       `json:"roster"`
+	Leader           bool        `json:"leader"`
+	Leaving          bool        `json:"leaving"`
 }
 
 // Entries is a list of entries.
@@ -88,13 +88,13 @@
 
 // Applied says whether a change is in force at the asked entry and at all other entries that it knows.
 type Applied struct {
-	Entry    string      `json:"entry"`
-	Number   conf.Number `json:"n"`       // the change in question; the newest one by default
-	Newest   conf.Number `json:"newest"`  // the newest change in force at the asked entry
-	InForce  bool        `json:"inForce"` // at every entry in Entries
-	At       time.Time   `json:"at"`      // when the change was made; zero when the entry no longer stores the change
-	AgeMs    int64       `json:"ageMs"`   // milliseconds since the change was made, by the asked entry's clock
-	Entries  []Entry     `json:"entries"`
-	Op       string      `json:"op,omitempty"`
-	ByPerson string      `json:"by,omitempty"`
+	Entry     string      `json:"entry"`
+	Number    conf.Number `json:"n"`       // the change in question; the newest one by default
+	Newest    conf.Number `json:"newest"`  // the newest change in force at the asked entry
+	InForce   bool        `json:"inForce"` // at every entry in Entries
+	ChangedAt time.Time   `json:"at"`      // when the change was made; zero when the entry no longer stores the change
+	AgeMs     int64       `json:"ageMs"`   // milliseconds since the change was made, by the asked entry's clock
+	Entries   []Entry     `json:"entries"`
+	Op        string      `json:"op,omitempty"`
+	ChangedBy string      `json:"by,omitempty"`
 }
