--- a/cmd/burdockreach/app.go
+++ b/cmd/burdockreach/app.go
@@ -38,14 +38,14 @@
 		return subcommands.ExitUsageError
 	}
 	t := r.Execute(c)
-	if t == subcommands.ExitUsageError && slices.ContainsFunc(args, asksHelp) {
+	if t == subcommands.ExitUsageError && slices.ContainsFunc(args, isHelpFlag) {
 		return subcommands.ExitSuccess
 	}
 	return t
 }
 
-// asksHelp reports whether the word asks for a command's usage, which the flag package takes for an error.
-func asksHelp(w string) bool { return slices.Contains([]string{"-h", "-help", "--h", "--help"}, w) }
+// isHelpFlag reports whether the word asks for a command's usage, which the flag package takes for an error.
+func isHelpFlag(w string) bool { return slices.Contains([]string{"-h", "-help", "--h", "--help"}, w) }
 
 // commander returns an empty commander that writes where the app does.
 func (a *app) commander(f *flag.FlagSet, name string) *subcommands.Commander {
@@ -104,32 +104,32 @@
 	case err == nil:
 		return subcommands.ExitSuccess
 	case errors.Is(err, errUsage):
-		c.app.complain("%s\nusage: %s\n", eris.ToString(err, false), c.usage)
+		c.app.errorf("%s\nusage: %s\n", eris.ToString(err, false), c.usage)
 		return subcommands.ExitUsageError
-	case errors.Is(err, errTold):
+	case errors.Is(err, errReported):
 		return subcommands.ExitFailure
-	case errors.Is(err, errSettings):
+	case errors.Is(err, errUsageReported):
 		return subcommands.ExitUsageError
 	default:
-		c.app.complain("%s: %s\n", program, eris.ToString(err, false))
+		c.app.errorf("%s: %s\n", program, eris.ToString(err, false))
 		return subcommands.ExitFailure
 	}
 }
 
-// errTold is a failure of which the command has told all there is to say.
-var errTold = eris.New("failed")
+// errReported is a failure of which the command has told all there is to say.
+var errReported = eris.New("failed")
 
-// complain writes to the error output; a failure to do so has no one to go to.
-func (a *app) complain(form string, args ...any) { _, _ = fmt.Fprintf(a.err, form, args...) }
+// errorf writes to the error output; a failure to do so has no one to go to.
+func (a *app) errorf(form string, args ...any) { _, _ = fmt.Fprintf(a.err, form, args...) }
 
-// say writes to the output.
-func (a *app) say(form string, args ...any) error {
+// printf writes to the output.
+func (a *app) printf(form string, args ...any) error {
 	_, err := fmt.Fprintf(a.out, form, args...)
 	return eris.Wrap(err, "write output")
 }
 
-// group returns a command of commands, as in "profile list".
-func (a *app) group(name, synopsis string, subs ...*command) *command {
+// commandGroup returns a command of commands, as in "profile list".
+func (a *app) commandGroup(name, synopsis string, subs ...*command) *command {
 	g := &command{app: a, name: name, synopsis: synopsis, usage: program + " " + name + " COMMAND"}
 	names := ""
 	for _, s := range subs {
@@ -139,7 +139,7 @@
 	g.run = func(c context.Context, f *flag.FlagSet) error {
 		for _, s := range subs {
 			if f.Arg(0) == s.name {
-				return s.nested(c, name, f.Args()[1:])
+				return s.runSubcommand(c, name, f.Args()[1:])
 			}
 		}
 		return eris.Wrapf(errUsage, "%s %q is not a command", name, f.Arg(0))
@@ -147,23 +147,23 @@
 	return g
 }
 
-// nested parses the flags of a command within a group and runs it.
-func (c *command) nested(x context.Context, group string, args []string) error {
+// runSubcommand parses the flags of a command within a group and runs it.
+func (c *command) runSubcommand(x context.Context, group string, args []string) error {
 	f := flag.NewFlagSet(group+" "+c.name, flag.ContinueOnError)
 	f.Usage = func() {
-		c.app.complain("%s", c.Usage())
+		c.app.errorf("%s", c.Usage())
 		f.PrintDefaults()
 	}
 	c.SetFlags(f)
 	if err := f.Parse(args); errors.Is(err, flag.ErrHelp) {
 		return nil
 	} else if err != nil {
-		return errSettings // the flag package has told what is wrong.
+		return errUsageReported // the flag package has told what is wrong.
 	}
 	err := c.run(x, f)
 	if errors.Is(err, errUsage) {
-		c.app.complain("%s\nusage: %s\n", eris.ToString(err, false), c.usage)
-		return errSettings
+		c.app.errorf("%s\nusage: %s\n", eris.ToString(err, false), c.usage)
+		return errUsageReported
 	}
 	return err
 }
--- a/cmd/burdockreach/approve.go
+++ b/cmd/burdockreach/approve.go
@@ -12,15 +12,15 @@
 )
 
 func (a *app) approveCommand() *command {
-	return a.approvalChange("approve", "let a team call a service", conf.Approve)
+	return a.approvalChangeCommand("approve", "let a team call a service", conf.Approve)
 }
 
 func (a *app) withdrawCommand() *command {
-	return a.approvalChange("withdraw", "take the approval of a team for a service back", conf.Withdraw)
+	return a.approvalChangeCommand("withdraw", "take the approval of a team for a service back", conf.Withdraw)
 }
 
-// approvalChange returns a command that changes one approval.
-func (a *app) approvalChange(name, synopsis string, k conf.Kind) *command {
+// approvalChangeCommand returns a command that changes one approval.
+func (a *app) approvalChangeCommand(name, synopsis string, k conf.Kind) *command {
 	s := a.newSubmitter()
 	return &command{
 		app: a, name: name, synopsis: synopsis, usage: fmt.Sprintf("%s %s [flags] TEAM SERVICE", program, name), flags: s.flags,
@@ -35,8 +35,8 @@
 
 // approvalCommand lists approvals.
 func (a *app) approvalCommand() *command {
-	l, team, service := a.newLink(), "", ""
-	return a.group("approval", "list approvals", &command{
+	l, team, service := a.newAPIClient(), "", ""
+	return a.commandGroup("approval", "list approvals", &command{
 		app: a, name: "list", synopsis: "list approvals", usage: program + " approval list [flags]",
 		flags: func(f *flag.FlagSet) {
 			l.flags(f)
@@ -53,7 +53,7 @@
 			}
 			var rows [][]string
 			for _, o := range r.Items {
-				rows = append(rows, texts(o.Spec.Team, o.Spec.Service, o.Changed))
+				rows = append(rows, formatRow(o.Spec.Team, o.Spec.Service, o.Changed))
 			}
 			return a.table([]string{"TEAM", "SERVICE", "CHANGED"}, rows)
 		},
--- a/cmd/burdockreach/entry.go
+++ b/cmd/burdockreach/entry.go
@@ -19,7 +19,7 @@
 			if path == "" {
 				return eris.Wrap(errUsage, "-settings is missing")
 			}
-			s, err := a.load(path)
+			s, err := a.loadSettings(path)
 			if err != nil {
 				return err
 			}
@@ -31,7 +31,7 @@
 				Str("operators", s.OperatorAddr()).Msg("start")
 			if err := serve(c, s, l); err != nil {
 				l.Error().Str("step", "run").Str("reason", eris.ToString(err, false)).Msg("failed")
-				return errTold
+				return errReported
 			}
 			l.Info().Msg("stopped")
 			return nil
--- a/cmd/burdockreach/job.go
+++ b/cmd/burdockreach/job.go
@@ -17,16 +17,16 @@
 	"burdockreach.dev/node/oper"
 )
 
-// maxJobsBytes bounds a file with jobs.
-const maxJobsBytes = 16 << 20
+// maxJobsFileBytes bounds a file with jobs.
+const maxJobsFileBytes = 16 << 20
 
 // jobCommand submits, lists, shows and cancels jobs.
 func (a *app) jobCommand() *command {
-	return a.group("job", "submit, list, show or cancel jobs", a.jobSubmit(), a.jobList(), a.jobShow(), a.jobCancel())
+	return a.commandGroup("job", "submit, list, show or cancel jobs", a.jobSubmitCommand(), a.jobListCommand(), a.jobShowCommand(), a.jobCancelCommand())
 }
 
-func (a *app) jobSubmit() *command {
-	l, file, within := a.newLink(), "", time.Duration(0)
+func (a *app) jobSubmitCommand() *command {
+	l, file, within := a.newAPIClient(), "", time.Duration(0)
 	var s jobs.Spec
 	var run time.Duration
 	return &command{
@@ -52,7 +52,7 @@
 				if err != nil {
 					return err
 				}
-				return l.changeJobs(c, "/op/jobs", q)
+				return l.postJobs(c, "/op/jobs", q)
 			}
 			id, err := oneArg(f)
 			if err != nil {
@@ -62,7 +62,7 @@
 				return eris.Wrap(errUsage, "-within is missing")
 			}
 			s.ID, s.RunMillis, s.FinishBy = id, run.Milliseconds(), time.Now().Add(within).UnixMilli()
-			return l.changeJobs(c, "/op/jobs", []jobs.Spec{s})
+			return l.postJobs(c, "/op/jobs", []jobs.Spec{s})
 		},
 	}
 }
@@ -78,13 +78,13 @@
 		r = f
 	}
 	var q []jobs.Spec
-	d := json.NewDecoder(io.LimitReader(r, maxJobsBytes))
+	d := json.NewDecoder(io.LimitReader(r, maxJobsFileBytes))
 	d.DisallowUnknownFields()
 	return q, eris.Wrapf(d.Decode(&q), "read jobs of %s", file)
 }
 
-func (a *app) jobCancel() *command {
-	l, dc := a.newLink(), ""
+func (a *app) jobCancelCommand() *command {
+	l, dc := a.newAPIClient(), ""
 	return &command{
 		app: a, name: "cancel", synopsis: "take jobs back", usage: program + " job cancel [flags] ID...",
 		flags: func(f *flag.FlagSet) {
@@ -99,14 +99,14 @@
 			for _, id := range f.Args() {
 				q = append(q, jobs.Spec{ID: id, DataCentre: dc})
 			}
-			return l.changeJobs(c, "/op/jobs/cancel", q)
+			return l.postJobs(c, "/op/jobs/cancel", q)
 		},
 	}
 }
 
-// changeJobs sends the jobs in parts to the first entry that answers; submitting and canceling may be repeated.
-func (l *link) changeJobs(c context.Context, path string, q []jobs.Spec) error {
-	as, err := l.open()
+// postJobs sends the jobs in parts to the first entry that answers; submitting and canceling may be repeated.
+func (l *apiClient) postJobs(c context.Context, path string, q []jobs.Spec) error {
+	as, err := l.prepare()
 	if err != nil {
 		return err
 	}
@@ -119,27 +119,27 @@
 		var r oper.JobsReply
 		for _, a := range as {
 			err = l.call(c, a, fasthttp.MethodPost, path, b, &r)
-			if !errors.Is(err, errNotSent) && !errors.Is(err, errLost) {
+			if !errors.Is(err, errNotSent) && !errors.Is(err, errNoAnswer) {
 				break
 			}
 		}
 		if err != nil {
-			return errors.Join(l.tellJobs(all), err)
+			return errors.Join(l.writeJobOutcomes(all), err)
 		}
 		all.Items = append(all.Items, r.Items...)
 	}
-	return l.tellJobs(all)
+	return l.writeJobOutcomes(all)
 }
 
-// tellJobs says what became of each job; it is a success when all are accepted.
-func (l *link) tellJobs(r oper.JobsReply) error {
+// writeJobOutcomes says what became of each job; it is a success when all are accepted.
+func (l *apiClient) writeJobOutcomes(r oper.JobsReply) error {
 	var err error
 	var rows [][]string
 	for _, i := range r.Items {
 		if i.Outcome != oper.Accepted {
-			err = errTold
+			err = errReported
 		}
-		rows = append(rows, texts(i.ID, i.DataCentre, i.Outcome, i.State, i.Reason))
+		rows = append(rows, formatRow(i.ID, i.DataCentre, i.Outcome, i.State, i.Reason))
 	}
 	if l.asJSON {
 		return errors.Join(l.app.writeJSON(r), err)
@@ -147,8 +147,8 @@
 	return errors.Join(l.app.table([]string{"JOB", "DATA CENTRE", "OUTCOME", "STATE", "REASON"}, rows), err)
 }
 
-func (a *app) jobList() *command {
-	l, dc, pool, state := a.newLink(), "", "", ""
+func (a *app) jobListCommand() *command {
+	l, dc, pool, state := a.newAPIClient(), "", "", ""
 	return &command{
 		app: a, name: "list", synopsis: "list jobs", usage: program + " job list [flags]",
 		flags: func(f *flag.FlagSet) {
@@ -163,8 +163,8 @@
 	}
 }
 
-func (a *app) jobShow() *command {
-	l, dc := a.newLink(), ""
+func (a *app) jobShowCommand() *command {
+	l, dc := a.newAPIClient(), ""
 	return &command{
 		app: a, name: "show", synopsis: "show one job", usage: program + " job show [flags] ID",
 		flags: func(f *flag.FlagSet) {
@@ -182,7 +182,7 @@
 }
 
 // writeJobs lists the jobs that match the query; some says that none is a failure.
-func (l *link) writeJobs(c context.Context, query string, some bool) error {
+func (l *apiClient) writeJobs(c context.Context, query string, some bool) error {
 	var r oper.JobList
 	if err := l.get(c, "/op/jobs"+query, &r); err != nil {
 		return err
@@ -196,13 +196,13 @@
 	var rows [][]string
 	for _, j := range r.Items {
 		s := j.Spec
-		rows = append(rows, texts(s.ID, s.DataCentre, s.Pool, s.Kind, j.State, j.Attempt, j.Worker, clock(s.FinishBy), clock(j.Ended), j.Reason))
+		rows = append(rows, formatRow(s.ID, s.DataCentre, s.Pool, s.Kind, j.State, j.Attempt, j.Worker, formatUnixMillis(s.FinishBy), formatUnixMillis(j.Ended), j.Reason))
 	}
 	return l.app.table([]string{"JOB", "DATA CENTRE", "POOL", "KIND", "STATE", "ATTEMPT", "WORKER", "FINISH BY", "ENDED", "REASON"}, rows)
 }
 
-// clock writes Unix milliseconds as a time of day with its date; zero is nothing.
-func clock(ms int64) string {
+// formatUnixMillis writes Unix milliseconds as a time of day with its date; zero is nothing.
+func formatUnixMillis(ms int64) string {
 	if ms == 0 {
 		return ""
 	}
--- a/cmd/burdockreach/kind.go
+++ b/cmd/burdockreach/kind.go
@@ -17,31 +17,31 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// maxFileBytes bounds a file with an object.
-const maxFileBytes = 64 << 10
+// maxObjectFileBytes bounds a file with an object.
+const maxObjectFileBytes = 64 << 10
 
-// kind tells how one kind of object is listed, shown, put and dropped.
-type kind[T any] struct {
+// objectKind tells how one objectKind of object is listed, shown, put and dropped.
+type objectKind[T any] struct {
 	name      string // as the command is called
 	path      string // of its list in the operators' API
-	drop      conf.Kind
-	change    func(v T) conf.Change
+	dropKind      conf.Kind
+	putChange    func(v T) conf.Change
 	flags     func(f *flag.FlagSet, v *T)
-	named     func(v *T) *string
+	nameField     func(v *T) *string
 	columns   []string
 	row       func(v T) []string
 	putExtra  func(a *app, f *flag.FlagSet, v *T) error           // fills what does not come from flags
-	showExtra func(c context.Context, l *link, name string) error // tells more of a shown object
+	showExtra func(c context.Context, l *apiClient, name string) error // tells more of a shown object
 }
 
 // kindCommand returns the command of a kind.
-func kindCommand[T any](a *app, k kind[T]) *command {
-	return a.group(k.name, fmt.Sprintf("list, show, put or drop: %s", k.path),
+func kindCommand[T any](a *app, k objectKind[T]) *command {
+	return a.commandGroup(k.name, fmt.Sprintf("list, show, put or drop: %s", k.path),
 		k.listCommand(a), k.showCommand(a), k.putCommand(a), k.dropCommand(a))
 }
 
-func (k kind[T]) listCommand(a *app) *command {
-	l := a.newLink()
+func (k objectKind[T]) listCommand(a *app) *command {
+	l := a.newAPIClient()
 	return &command{
 		app: a, name: "list", synopsis: "list the " + k.path, usage: fmt.Sprintf("%s %s list [flags]", program, k.name), flags: l.flags,
 		run: func(c context.Context, _ *flag.FlagSet) error {
@@ -52,13 +52,13 @@
 			if l.asJSON {
 				return a.writeJSON(r)
 			}
-			return k.write(a, r)
+			return k.writeTable(a, r)
 		},
 	}
 }
 
-// write writes the objects as a table.
-func (k kind[T]) write(a *app, r oper.Objects[T]) error {
+// writeTable writes the objects as a table.
+func (k objectKind[T]) writeTable(a *app, r oper.Objects[T]) error {
 	var rows [][]string
 	for _, o := range r.Items {
 		rows = append(rows, append(k.row(o.Spec), fmt.Sprint(o.Changed)))
@@ -66,8 +66,8 @@
 	return a.table(append(append([]string{}, k.columns...), "CHANGED"), rows)
 }
 
-func (k kind[T]) showCommand(a *app) *command {
-	l := a.newLink()
+func (k objectKind[T]) showCommand(a *app) *command {
+	l := a.newAPIClient()
 	return &command{
 		app: a, name: "show", synopsis: "show one", usage: fmt.Sprintf("%s %s show [flags] NAME", program, k.name), flags: l.flags,
 		run: func(c context.Context, f *flag.FlagSet) error {
@@ -94,7 +94,7 @@
 }
 
 // describe writes one object, a field a line.
-func (k kind[T]) describe(a *app, o oper.Object[T]) error {
+func (k objectKind[T]) describe(a *app, o oper.Object[T]) error {
 	var b bytes.Buffer
 	v, err := json.Marshal(o.Spec)
 	if err != nil {
@@ -103,24 +103,24 @@
 	if err := json.Indent(&b, v, "", "  "); err != nil {
 		return eris.Wrap(err, "encode output")
 	}
-	return a.say("%s, last changed by change %d\n%s\n", k.name, o.Changed, b.String())
+	return a.printf("%s, last changed by change %d\n%s\n", k.name, o.Changed, b.String())
 }
 
 // find returns the object of that name as the first entry that answers has it.
-func (k kind[T]) find(c context.Context, l *link, name string) (oper.Object[T], bool, error) {
+func (k objectKind[T]) find(c context.Context, l *apiClient, name string) (oper.Object[T], bool, error) {
 	var r oper.Objects[T]
 	if err := l.get(c, "/op/"+k.path, &r); err != nil {
 		return oper.Object[T]{}, false, err
 	}
 	for _, o := range r.Items {
-		if *k.named(&o.Spec) == name {
+		if *k.nameField(&o.Spec) == name {
 			return o, true, nil
 		}
 	}
 	return oper.Object[T]{}, false, nil
 }
 
-func (k kind[T]) putCommand(a *app) *command {
+func (k objectKind[T]) putCommand(a *app) *command {
 	s, file := a.newSubmitter(), ""
 	var scratch T
 	return &command{
@@ -136,13 +136,13 @@
 			if err != nil {
 				return err
 			}
-			return s.submit(c, k.change(v))
+			return s.submit(c, k.putChange(v))
 		},
 	}
 }
 
 // build returns the object to put: the file's, or the present one with the fields that flags name.
-func (k kind[T]) build(c context.Context, s *submitter, f *flag.FlagSet, file string) (T, error) {
+func (k objectKind[T]) build(c context.Context, s *submitter, f *flag.FlagSet, file string) (T, error) {
 	var v T
 	if file != "" {
 		return k.read(s.app, f, file)
@@ -151,19 +151,19 @@
 	if err != nil {
 		return v, err
 	}
-	o, found, err := k.find(c, s.link, name)
+	o, found, err := k.find(c, s.apiClient, name)
 	if err != nil {
 		return v, err
 	}
 	v = o.Spec
-	if s.expect == 0 {
-		s.expect = int64(conf.ExpectAbsent)
+	if s.expectedChange == 0 {
+		s.expectedChange = int64(conf.ExpectAbsent)
 		if found {
-			s.expect = int64(o.Changed)
+			s.expectedChange = int64(o.Changed)
 		}
 	}
-	*k.named(&v) = name
-	if err := k.replay(f, &v); err != nil {
+	*k.nameField(&v) = name
+	if err := k.applyFlags(f, &v); err != nil {
 		return v, err
 	}
 	if k.putExtra != nil {
@@ -172,8 +172,8 @@
 	return v, nil
 }
 
-// replay sets the fields of v for which flags were given.
-func (k kind[T]) replay(f *flag.FlagSet, v *T) error {
+// applyFlags sets the fields of v for which flags were given.
+func (k objectKind[T]) applyFlags(f *flag.FlagSet, v *T) error {
 	g := flag.NewFlagSet(k.name, flag.ContinueOnError)
 	k.flags(g, v)
 	var err error
@@ -186,7 +186,7 @@
 }
 
 // read returns the object in the file; a name on the command line must be the same.
-func (k kind[T]) read(a *app, f *flag.FlagSet, file string) (T, error) {
+func (k objectKind[T]) read(a *app, f *flag.FlagSet, file string) (T, error) {
 	var v T
 	b, err := a.readFile(file)
 	if err != nil {
@@ -197,8 +197,8 @@
 	if err := d.Decode(&v); err != nil {
 		return v, eris.Wrapf(err, "read %s", file)
 	}
-	if f.NArg() > 1 || f.NArg() == 1 && f.Arg(0) != *k.named(&v) {
-		return v, eris.Wrapf(errUsage, "the file is about %q, not %q", *k.named(&v), strings.Join(f.Args(), " "))
+	if f.NArg() > 1 || f.NArg() == 1 && f.Arg(0) != *k.nameField(&v) {
+		return v, eris.Wrapf(errUsage, "the file is about %q, not %q", *k.nameField(&v), strings.Join(f.Args(), " "))
 	}
 	return v, nil
 }
@@ -214,14 +214,14 @@
 		defer func() { _ = f.Close() }()
 		r = f
 	}
-	b, err := io.ReadAll(io.LimitReader(r, maxFileBytes+1))
-	if err == nil && len(b) > maxFileBytes {
-		err = eris.Errorf("over %d bytes", maxFileBytes)
+	b, err := io.ReadAll(io.LimitReader(r, maxObjectFileBytes+1))
+	if err == nil && len(b) > maxObjectFileBytes {
+		err = eris.Errorf("over %d bytes", maxObjectFileBytes)
 	}
 	return b, eris.Wrapf(err, "read %s", path)
 }
 
-func (k kind[T]) dropCommand(a *app) *command {
+func (k objectKind[T]) dropCommand(a *app) *command {
 	s := a.newSubmitter()
 	return &command{
 		app: a, name: "drop", synopsis: "remove one", usage: fmt.Sprintf("%s %s drop [flags] NAME", program, k.name), flags: s.flags,
@@ -230,7 +230,7 @@
 			if err != nil {
 				return err
 			}
-			return s.submit(c, conf.Change{Kind: k.drop, Name: name})
+			return s.submit(c, conf.Change{Kind: k.dropKind, Name: name})
 		},
 	}
 }
--- a/cmd/burdockreach/kinds.go
+++ b/cmd/burdockreach/kinds.go
@@ -13,16 +13,16 @@
 	"burdockreach.dev/plat/conf"
 )
 
-func profileKind() kind[conf.ProfileSpec] {
-	return kind[conf.ProfileSpec]{
-		name: "profile", path: "profiles", drop: conf.DropProfile,
-		change: func(v conf.ProfileSpec) conf.Change { return conf.Change{Kind: conf.PutProfile, Profile: &v} },
-		named:  func(v *conf.ProfileSpec) *string { return &v.Name },
+func profileKind() objectKind[conf.ProfileSpec] {
+	return objectKind[conf.ProfileSpec]{
+		name: "profile", path: "profiles", dropKind: conf.DropProfile,
+		putChange: func(v conf.ProfileSpec) conf.Change { return conf.Change{Kind: conf.PutProfile, Profile: &v} },
+		nameField:  func(v *conf.ProfileSpec) *string { return &v.Name },
 		flags:  profileFlags,
 		columns: []string{"PROFILE", "MIN VMS", "MAX VMS", "MAX OUT", "RACKS", "USE", "DRAIN s", "REBOOT s",
 			"DEADLINE ms", "URGENT START ms", "OBJECTIVE", "RETRY %"},
 		row: func(v conf.ProfileSpec) []string {
-			return texts(v.Name, v.MinVMs, v.MaxVMs, v.MaxOut, v.SurviveRacks, v.TargetUse, v.DrainSeconds, v.RebootSeconds,
+			return formatRow(v.Name, v.MinVMs, v.MaxVMs, v.MaxOut, v.SurviveRacks, v.TargetUse, v.DrainSeconds, v.RebootSeconds,
 				v.DeadlineMillis, v.UrgentStartMillis, v.Objective, v.RetryBudgetPercent)
 		},
 	}
@@ -44,11 +44,11 @@
 	f.IntVar(&v.RetryBudgetPercent, "retry-percent", v.RetryBudgetPercent, "retries per hundred first sends")
 }
 
-func serviceKind() kind[conf.ServiceSpec] {
-	return kind[conf.ServiceSpec]{
-		name: "service", path: "services", drop: conf.DropService,
-		change: func(v conf.ServiceSpec) conf.Change { return conf.Change{Kind: conf.PutService, Service: &v} },
-		named:  func(v *conf.ServiceSpec) *string { return &v.Name },
+func serviceKind() objectKind[conf.ServiceSpec] {
+	return objectKind[conf.ServiceSpec]{
+		name: "service", path: "services", dropKind: conf.DropService,
+		putChange: func(v conf.ServiceSpec) conf.Change { return conf.Change{Kind: conf.PutService, Service: &v} },
+		nameField:  func(v *conf.ServiceSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.ServiceSpec) {
 			f.StringVar(&v.Profile, "profile", v.Profile, "name of the profile that the service runs under")
 			f.StringVar(&v.Pool, "pool", v.Pool, "name of the pool whose VMs serve it")
@@ -57,32 +57,32 @@
 		},
 		columns: []string{"SERVICE", "PROFILE", "POOL", "SLOTS", "CONNECTIONS"},
 		row: func(v conf.ServiceSpec) []string {
-			return texts(v.Name, v.Profile, v.Pool, v.Slots, v.Conns)
+			return formatRow(v.Name, v.Profile, v.Pool, v.Slots, v.Conns)
 		},
 	}
 }
 
-func poolKind() kind[conf.PoolSpec] {
-	return kind[conf.PoolSpec]{
-		name: "pool", path: "pools", drop: conf.DropPool,
-		change: func(v conf.PoolSpec) conf.Change { return conf.Change{Kind: conf.PutPool, Pool: &v} },
-		named:  func(v *conf.PoolSpec) *string { return &v.Name },
+func poolKind() objectKind[conf.PoolSpec] {
+	return objectKind[conf.PoolSpec]{
+		name: "pool", path: "pools", dropKind: conf.DropPool,
+		putChange: func(v conf.PoolSpec) conf.Change { return conf.Change{Kind: conf.PutPool, Pool: &v} },
+		nameField:  func(v *conf.PoolSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.PoolSpec) {
 			f.BoolVar(&v.Spare, "spare", v.Spare, "whether the pool lends its VMs to the others")
 		},
 		columns: []string{"POOL", "SPARE"},
-		row:     func(v conf.PoolSpec) []string { return texts(v.Name, v.Spare) },
+		row:     func(v conf.PoolSpec) []string { return formatRow(v.Name, v.Spare) },
 	}
 }
 
 // tokenFlag names the file of a team's token; its digest alone goes into the configuration.
 const tokenFlag = "token-file"
 
-func teamKind() kind[conf.TeamSpec] {
-	return kind[conf.TeamSpec]{
-		name: "team", path: "teams", drop: conf.DropTeam,
-		change: func(v conf.TeamSpec) conf.Change { return conf.Change{Kind: conf.PutTeam, Team: &v} },
-		named:  func(v *conf.TeamSpec) *string { return &v.Name },
+func teamKind() objectKind[conf.TeamSpec] {
+	return objectKind[conf.TeamSpec]{
+		name: "team", path: "teams", dropKind: conf.DropTeam,
+		putChange: func(v conf.TeamSpec) conf.Change { return conf.Change{Kind: conf.PutTeam, Team: &v} },
+		nameField:  func(v *conf.TeamSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.TeamSpec) {
 			f.IntVar(&v.QuotaPerSec, "quota", v.QuotaPerSec, "requests a second in all data centres; 0 means no quota of its own")
 			if f.Lookup(tokenFlag) == nil {
@@ -90,18 +90,18 @@
 			}
 		},
 		columns:  []string{"TEAM", "TOKEN DIGEST", "QUOTA /s"},
-		row:      func(v conf.TeamSpec) []string { return texts(v.Name, shortDigest(v.TokenDigest), v.QuotaPerSec) },
-		putExtra: putToken,
+		row:      func(v conf.TeamSpec) []string { return formatRow(v.Name, shortDigest(v.TokenDigest), v.QuotaPerSec) },
+		putExtra: setTokenDigest,
 	}
 }
 
-// shownDigest is the number of hexadecimal digits of a digest that a list shows.
-const shownDigest = 12
+// shownDigestDigits is the number of hexadecimal digits of a digest that a list shows.
+const shownDigestDigits = 12
 
-func shortDigest(s string) string { return s[:min(len(s), shownDigest)] }
+func shortDigest(s string) string { return s[:min(len(s), shownDigestDigits)] }
 
-// putToken reads the team's token and sets its digest.
-func putToken(a *app, f *flag.FlagSet, v *conf.TeamSpec) error {
+// setTokenDigest reads the team's token and sets its digest.
+func setTokenDigest(a *app, f *flag.FlagSet, v *conf.TeamSpec) error {
 	path := f.Lookup(tokenFlag).Value.String()
 	if path == "" {
 		if v.TokenDigest == "" {
@@ -125,35 +125,35 @@
 // minTokenBytes is the shortest token of a team.
 const minTokenBytes = 16
 
-func waveKind() kind[conf.WaveSpec] {
-	return kind[conf.WaveSpec]{
-		name: "wave", path: "waves", drop: conf.DropWave,
-		change: func(v conf.WaveSpec) conf.Change { return conf.Change{Kind: conf.PutWave, Wave: &v} },
-		named:  func(v *conf.WaveSpec) *string { return &v.ID },
+func waveKind() objectKind[conf.WaveSpec] {
+	return objectKind[conf.WaveSpec]{
+		name: "wave", path: "waves", dropKind: conf.DropWave,
+		putChange: func(v conf.WaveSpec) conf.Change { return conf.Change{Kind: conf.PutWave, Wave: &v} },
+		nameField:  func(v *conf.WaveSpec) *string { return &v.ID },
 		flags: func(f *flag.FlagSet, v *conf.WaveSpec) {
-			f.Var((*list)(&v.Pools), "pools", "pools whose VMs are maintained, separated by commas")
+			f.Var((*nameList)(&v.Pools), "pools", "pools whose VMs are maintained, separated by commas")
 			f.BoolVar(&v.Paused, "paused", v.Paused, "whether no further VM is taken out")
 		},
 		columns:   []string{"WAVE", "POOLS", "PAUSED"},
-		row:       func(v conf.WaveSpec) []string { return texts(v.ID, strings.Join(v.Pools, ","), v.Paused) },
-		showExtra: func(c context.Context, l *link, name string) error { return l.waveProgress(c, name) },
+		row:       func(v conf.WaveSpec) []string { return formatRow(v.ID, strings.Join(v.Pools, ","), v.Paused) },
+		showExtra: func(c context.Context, l *apiClient, name string) error { return l.writeWaveProgress(c, name) },
 	}
 }
 
-// list is a flag of names separated by commas.
-type list []string
+// nameList is a flag of names separated by commas.
+type nameList []string
 
 // String returns the names.
-func (l *list) String() string { return strings.Join(*l, ",") }
+func (l *nameList) String() string { return strings.Join(*l, ",") }
 
 // Set replaces the names.
-func (l *list) Set(s string) error {
+func (l *nameList) Set(s string) error {
 	*l = strings.Split(s, ",")
 	return nil
 }
 
-// texts returns the values as a row.
-func texts(vs ...any) []string {
+// formatRow returns the values as a row.
+func formatRow(vs ...any) []string {
 	r := make([]string, 0, len(vs))
 	for _, v := range vs {
 		switch v := v.(type) {
--- a/cmd/burdockreach/link.go
+++ b/cmd/burdockreach/link.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	entriesVar     = "BURDOCKREACH_ENTRIES"
-	tokenVar       = "BURDOCKREACH_TOKEN_FILE"
+	entriesEnv     = "BURDOCKREACH_ENTRIES"
+	tokenFileEnv       = "BURDOCKREACH_TOKEN_FILE"
 	maxTokenBytes  = 4 << 10
 	maxReplyBytes  = 64 << 20
 	dialTimeout    = 2 * time.Second
 	defaultTimeout = 10 * time.Second
-	maxEntries     = 64 // entries asked at once
+	maxConcurrentCalls     = 64 // entries asked at once
 )
 
 var (
 	// errNotSent reports a request that never reached the entry.
 	errNotSent = eris.New("entry cannot be reached")
-	// errLost reports a request whose answer did not come.
-	errLost = eris.New("no answer from the entry")
+	// errNoAnswer reports a request whose answer did not come.
+	errNoAnswer = eris.New("no answer from the entry")
 )
 
-// link reaches the entries' operators' API.
-type link struct {
+// apiClient reaches the entries' operators' API.
+type apiClient struct {
 	app       *app
 	entries   string
 	tokenFile string
@@ -46,18 +46,18 @@
 	client    *fasthttp.Client
 }
 
-func (a *app) newLink() *link { return &link{app: a} }
+func (a *app) newAPIClient() *apiClient { return &apiClient{app: a} }
 
 // flags defines the flags by which a command finds the entries.
-func (l *link) flags(f *flag.FlagSet) {
-	f.StringVar(&l.entries, "entries", os.Getenv(entriesVar), "operator addresses of entries, IP:port, separated by commas; default from "+entriesVar)
-	f.StringVar(&l.tokenFile, "operator-token-file", os.Getenv(tokenVar), "file with the operator's token; default from "+tokenVar)
+func (l *apiClient) flags(f *flag.FlagSet) {
+	f.StringVar(&l.entries, "entries", os.Getenv(entriesEnv), "operator addresses of entries, IP:port, separated by commas; default from "+entriesEnv)
+	f.StringVar(&l.tokenFile, "operator-token-file", os.Getenv(tokenFileEnv), "file with the operator's token; default from "+tokenFileEnv)
 	f.DurationVar(&l.timeout, "timeout", defaultTimeout, "longest wait for an answer")
 	f.BoolVar(&l.asJSON, "json", false, "write JSON")
 }
 
-// open reads the token and returns the addresses of the entries.
-func (l *link) open() ([]string, error) {
+// prepare reads the token and returns the addresses of the entries.
+func (l *apiClient) prepare() ([]string, error) {
 	var as []string
 	for _, s := range strings.Split(l.entries, ",") {
 		s = strings.TrimSpace(s)
@@ -67,7 +67,7 @@
 		as = append(as, s)
 	}
 	if l.tokenFile == "" {
-		return nil, eris.Wrapf(errUsage, "-operator-token-file is missing; it may also come from %s", tokenVar)
+		return nil, eris.Wrapf(errUsage, "-operator-token-file is missing; it may also come from %s", tokenFileEnv)
 	}
 	b, err := os.ReadFile(l.tokenFile)
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // call sends one request to one entry and reads the answer into v when the status is one of ok, and as a refusal otherwise.
-func (l *link) call(c context.Context, addr, method, path string, body []byte, v any, ok ...int) error {
+func (l *apiClient) call(c context.Context, addr, method, path string, body []byte, v any, ok ...int) error {
 	q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(r)
@@ -110,18 +110,18 @@
 		if errors.Is(err, errNotSent) {
 			return eris.Wrapf(errNotSent, "%s", addr)
 		}
-		return eris.Wrapf(errLost, "%s: %v", addr, err)
+		return eris.Wrapf(errNoAnswer, "%s: %v", addr, err)
 	}
 	for _, s := range append(ok, fasthttp.StatusOK) {
 		if r.StatusCode() == s {
 			return eris.Wrapf(json.Unmarshal(r.Body(), v), "%s: read answer", addr)
 		}
 	}
-	return refusal(addr, r)
+	return refusalError(addr, r)
 }
 
-// refusal returns what the entry said instead of serving the request.
-func refusal(addr string, r *fasthttp.Response) error {
+// refusalError returns what the entry said instead of serving the request.
+func refusalError(addr string, r *fasthttp.Response) error {
 	var f oper.Refusal
 	if json.Unmarshal(r.Body(), &f) != nil || f.Reason == "" {
 		return eris.Errorf("%s: status %d", addr, r.StatusCode())
@@ -133,14 +133,14 @@
 }
 
 // get asks the entries in turn until one answers.
-func (l *link) get(c context.Context, path string, v any) error {
-	as, err := l.open()
+func (l *apiClient) get(c context.Context, path string, v any) error {
+	as, err := l.prepare()
 	if err != nil {
 		return err
 	}
 	for _, a := range as {
 		err = l.call(c, a, fasthttp.MethodGet, path, nil, v)
-		if !errors.Is(err, errNotSent) && !errors.Is(err, errLost) {
+		if !errors.Is(err, errNotSent) && !errors.Is(err, errNoAnswer) {
 			return err
 		}
 	}
@@ -154,20 +154,20 @@
 	err   error
 }
 
-// askAll asks every entry at once.
-func askAll[T any](c context.Context, l *link, path string) ([]reply[T], error) {
-	as, err := l.open()
+// getAll asks every entry at once.
+func getAll[T any](c context.Context, l *apiClient, path string) ([]reply[T], error) {
+	as, err := l.prepare()
 	if err != nil {
 		return nil, err
 	}
-	return askEach[T](c, l, as, path), nil
+	return getEach[T](c, l, as, path), nil
 }
 
-// askEach asks the entries at as at once.
-func askEach[T any](c context.Context, l *link, as []string, path string) []reply[T] {
+// getEach asks the entries at as at once.
+func getEach[T any](c context.Context, l *apiClient, as []string, path string) []reply[T] {
 	rs := make([]reply[T], len(as))
 	var g errgroup.Group
-	g.SetLimit(maxEntries)
+	g.SetLimit(maxConcurrentCalls)
 	for i, a := range as {
 		g.Go(func() error {
 			rs[i].addr = a
--- a/cmd/burdockreach/report.go
+++ b/cmd/burdockreach/report.go
@@ -14,7 +14,7 @@
 
 // reportCommand merges the service-level burn of all entries.
 func (a *app) reportCommand() *command {
-	l, svg := a.newLink(), ""
+	l, svg := a.newAPIClient(), ""
 	return &command{
 		app: a, name: "report", synopsis: "report the service-level burn of all entries together", usage: program + " report [flags]",
 		flags: func(f *flag.FlagSet) {
@@ -22,7 +22,7 @@
 			f.StringVar(&svg, "svg", "", "file that gets the picture")
 		},
 		run: func(c context.Context, _ *flag.FlagSet) error {
-			r, err := l.burn(c)
+			r, err := l.burnReport(c)
 			if err != nil {
 				return err
 			}
@@ -39,9 +39,9 @@
 	}
 }
 
-// burn asks every entry and merges the answers; entries that gave none are named in the report.
-func (l *link) burn(c context.Context) (burn.Report, error) {
-	rs, err := askAll[burn.Report](c, l, "/op/burn")
+// burnReport asks every entry and merges the answers; entries that gave none are named in the report.
+func (l *apiClient) burnReport(c context.Context) (burn.Report, error) {
+	rs, err := getAll[burn.Report](c, l, "/op/burn")
 	if err != nil {
 		return burn.Report{}, err
 	}
@@ -73,9 +73,9 @@
 	return eris.Wrap(f.Close(), "write picture")
 }
 
-// waveProgress tells how far a wave has come in each data centre.
-func (l *link) waveProgress(c context.Context, id string) error {
-	r, err := l.burn(c)
+// writeWaveProgress tells how far a wave has come in each data centre.
+func (l *apiClient) writeWaveProgress(c context.Context, id string) error {
+	r, err := l.burnReport(c)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		if !w.Ended.IsZero() {
 			took = fmt.Sprint(w.Ended.Sub(w.Started).Round(time.Second / 10))
 		}
-		rows = append(rows, texts(w.DataCentre, w.Done, w.Total, took))
+		rows = append(rows, formatRow(w.DataCentre, w.Done, w.Total, took))
 	}
 	return l.app.table([]string{"DATA CENTRE", "DONE", "OF", "TOOK"}, rows)
 }
--- a/cmd/burdockreach/settings.go
+++ b/cmd/burdockreach/settings.go
@@ -12,22 +12,22 @@
 	"burdockreach.dev/node/setup"
 )
 
-// errSettings marks settings or flags whose faults were told; the status is 2.
-var errSettings = eris.New("settings are not allowed")
+// errUsageReported marks settings or flags whose faults were told; the status is 2.
+var errUsageReported = eris.New("settings are not allowed")
 
-// load reads settings and tells every fault.
-func (a *app) load(path string) (setup.Settings, error) {
+// loadSettings reads settings and tells every fault.
+func (a *app) loadSettings(path string) (setup.Settings, error) {
 	s, err := setup.Load(path)
 	var e *setup.Error
 	if errors.As(err, &e) {
 		for _, f := range e.Faults() {
-			a.complain("%s: %s\n", path, f)
+			a.errorf("%s: %s\n", path, f)
 		}
-		return s, errSettings
+		return s, errUsageReported
 	}
 	if err != nil {
-		a.complain("%s: %s\n", path, eris.ToString(err, false))
-		return s, errSettings
+		a.errorf("%s: %s\n", path, eris.ToString(err, false))
+		return s, errUsageReported
 	}
 	return s, nil
 }
@@ -41,11 +41,11 @@
 			if err != nil {
 				return err
 			}
-			s, err := a.load(path)
+			s, err := a.loadSettings(path)
 			if err != nil {
 				return err
 			}
-			return a.say("%s: allowed, for entry %s of data centre %s\n", path, s.Name(), s.DataCentre())
+			return a.printf("%s: allowed, for entry %s of data centre %s\n", path, s.Name(), s.DataCentre())
 		},
 	}
 }
@@ -59,7 +59,7 @@
 			if b, ok := debug.ReadBuildInfo(); ok {
 				v = b.Main.Version
 			}
-			return a.say("%s %s, %s\n", program, v, runtime.Version())
+			return a.printf("%s %s, %s\n", program, v, runtime.Version())
 		},
 	}
 }
--- a/cmd/burdockreach/site.go
+++ b/cmd/burdockreach/site.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// fleetWithin bounds the reading of the store.
-const fleetWithin = 10 * time.Second
+// fleetTimeout bounds the reading of the store.
+const fleetTimeout = 10 * time.Second
 
 // fleetCommand prints what the platform's store holds of the entries and their work, or of one job.
 func (a *app) fleetCommand() *command {
@@ -64,7 +64,7 @@
 			if err != nil {
 				return err
 			}
-			c, cancel := context.WithTimeout(c, fleetWithin)
+			c, cancel := context.WithTimeout(c, fleetTimeout)
 			defer cancel()
 			var v any
 			if p := newPlatform(s); job != "" {
--- a/cmd/burdockreach/state.go
+++ b/cmd/burdockreach/state.go
@@ -14,9 +14,9 @@
 
 // vmCommand lists and shows VMs.
 func (a *app) vmCommand() *command {
-	l, pool, state, dc := a.newLink(), "", "", ""
-	s := a.newLink()
-	return a.group("vm", "list or show VMs",
+	l, pool, state, dc := a.newAPIClient(), "", "", ""
+	s := a.newAPIClient()
+	return a.commandGroup("vm", "list or show VMs",
 		&command{
 			app: a, name: "list", synopsis: "list VMs", usage: program + " vm list [flags]",
 			flags: func(f *flag.FlagSet) {
@@ -26,7 +26,7 @@
 				f.StringVar(&dc, "data-centre", "", "only in this data centre")
 			},
 			run: func(c context.Context, _ *flag.FlagSet) error {
-				vs, err := l.vms(c, "?pool="+escape(pool)+"&state="+escape(state)+"&dataCentre="+escape(dc))
+				vs, err := l.getVMs(c, "?pool="+escape(pool)+"&state="+escape(state)+"&dataCentre="+escape(dc))
 				if err != nil {
 					return err
 				}
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				vs, err := s.vms(c, "?name="+escape(name))
+				vs, err := s.getVMs(c, "?name="+escape(name))
 				if err != nil {
 					return err
 				}
@@ -51,27 +51,27 @@
 
 // Whose word on a VM counts most.
 const (
-	elsewhere = iota + 1 // an entry of another data centre
-	nearby               // an entry of the VM's data centre
-	leading              // the leader of the VM's data centre
+	rankOtherDataCentre = iota + 1 // an entry of another data centre
+	rankSameDataCentre               // an entry of the VM's data centre
+	rankLeader              // the leader of the VM's data centre
 )
 
-// vms asks every entry for VMs; of a VM, the word of the leader of its data centre counts first, then that of its other entries.
-func (l *link) vms(c context.Context, query string) ([]oper.VM, error) {
-	rs, err := askAll[oper.VMs](c, l, "/op/vms"+query)
+// getVMs asks every entry for VMs; of a VM, the word of the leader of its data centre counts first, then that of its other entries.
+func (l *apiClient) getVMs(c context.Context, query string) ([]oper.VM, error) {
+	rs, err := getAll[oper.VMs](c, l, "/op/vms"+query)
 	if err != nil {
 		return nil, err
 	}
-	homes := l.homes(c)
+	homes := l.selfReports(c)
 	vms, ranks := make(map[string]oper.VM), make(map[string]int)
 	heard := false
 	for _, r := range rs {
 		heard = heard || r.err == nil
 		if r.err != nil {
-			l.app.complain("no answer: %s\n", eris.ToString(r.err, false))
+			l.app.errorf("no answer: %s\n", eris.ToString(r.err, false))
 		}
 		for _, v := range r.value.Items {
-			if k := rank(homes[r.addr], v); k > ranks[v.ID] {
+			if k := reportRank(homes[r.addr], v); k > ranks[v.ID] {
 				vms[v.ID], ranks[v.ID] = v, k
 			}
 		}
@@ -89,22 +89,22 @@
 	return vs, nil
 }
 
-// rank tells how much the word of entry e on v counts.
-func rank(e oper.Entry, v oper.VM) int {
+// reportRank tells how much the word of entry e on v counts.
+func reportRank(e oper.Entry, v oper.VM) int {
 	switch {
 	case e.DataCentre != v.DataCentre:
-		return elsewhere
+		return rankOtherDataCentre
 	case e.Leader:
-		return leading
+		return rankLeader
 	default:
-		return nearby
+		return rankSameDataCentre
 	}
 }
 
-// homes returns what each entry that answers says of itself, by its operator address.
-func (l *link) homes(c context.Context) map[string]oper.Entry {
+// selfReports returns what each entry that answers says of itself, by its operator address.
+func (l *apiClient) selfReports(c context.Context) map[string]oper.Entry {
 	m := make(map[string]oper.Entry)
-	rs, err := askAll[oper.Entries](c, l, "/op/entries")
+	rs, err := getAll[oper.Entries](c, l, "/op/entries")
 	if err != nil {
 		return m
 	}
@@ -118,28 +118,28 @@
 	return m
 }
 
-func (l *link) writeVMs(vs []oper.VM) error {
+func (l *apiClient) writeVMs(vs []oper.VM) error {
 	if l.asJSON {
 		return l.app.writeJSON(oper.VMs{Items: vs})
 	}
 	var rows [][]string
 	for _, v := range vs {
-		rows = append(rows, texts(v.ID, v.Pool, v.State, v.Platform, v.DataCentre, v.Rack, v.Addr, v.Wave, v.Boot))
+		rows = append(rows, formatRow(v.ID, v.Pool, v.State, v.Platform, v.DataCentre, v.Rack, v.Addr, v.Wave, v.Boot))
 	}
 	return l.app.table([]string{"VM", "POOL", "STATE", "PLATFORM", "DATA CENTRE", "RACK", "ADDRESS", "WAVE", "BOOT"}, rows)
 }
 
 // statusCommand tells of entries and pools.
 func (a *app) statusCommand() *command {
-	l := a.newLink()
+	l := a.newAPIClient()
 	return &command{
 		app: a, name: "status", synopsis: "tell the state of entries and pools", usage: program + " status [flags]", flags: l.flags,
 		run: func(c context.Context, _ *flag.FlagSet) error {
-			es, lost, err := l.status(c)
+			es, lost, err := l.getEntries(c)
 			if err != nil {
 				return err
 			}
-			vs, err := l.vms(c, "")
+			vs, err := l.getVMs(c, "")
 			if err != nil {
 				return err
 			}
@@ -158,9 +158,9 @@
 	VMs      []oper.VM    `json:"vms"`
 }
 
-// status returns the entries, and the addresses that gave no answer. What an entry says of itself goes before what others say of it.
-func (l *link) status(c context.Context) ([]oper.Entry, []string, error) {
-	rs, err := askAll[oper.Entries](c, l, "/op/entries")
+// getEntries returns the entries, and the addresses that gave no answer. What an entry says of itself goes before what others say of it.
+func (l *apiClient) getEntries(c context.Context) ([]oper.Entry, []string, error) {
+	rs, err := getAll[oper.Entries](c, l, "/op/entries")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -186,12 +186,12 @@
 func (a *app) writeStatus(es []oper.Entry, vs []oper.VM) error {
 	var rows [][]string
 	for _, e := range es {
-		rows = append(rows, texts(e.Entry, e.DataCentre, e.Heard, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
+		rows = append(rows, formatRow(e.Entry, e.DataCentre, e.Heard, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
 	}
 	if err := a.table([]string{"ENTRY", "DATA CENTRE", "HEARD", "LEADER", "LEAVING", "APPLIED", "ROSTER", "PEER ADDRESS"}, rows); err != nil {
 		return err
 	}
-	if err := a.say("\n"); err != nil {
+	if err := a.printf("\n"); err != nil {
 		return err
 	}
 	return a.table([]string{"POOL", "DATA CENTRE", "STATE", "VMS"}, poolRows(vs))
--- a/cmd/burdockreach/submit.go
+++ b/cmd/burdockreach/submit.go
@@ -18,21 +18,21 @@
 
 // submitter sends changes and tells what became of them.
 type submitter struct {
-	*link
-	op, by  string
-	expect  int64
-	inForce time.Duration
+	*apiClient
+	opID, operator  string
+	expectedChange  int64
+	maxWait time.Duration
 }
 
-func (a *app) newSubmitter() *submitter { return &submitter{link: a.newLink()} }
+func (a *app) newSubmitter() *submitter { return &submitter{apiClient: a.newAPIClient()} }
 
 // flags defines the flags of commands that change the configuration.
 func (s *submitter) flags(f *flag.FlagSet) {
-	s.link.flags(f)
-	f.StringVar(&s.op, "op", "", "id of the operation, by which a lost answer is settled; default a new one")
-	f.StringVar(&s.by, "by", userName(), "name of the operator, for the log")
-	f.Int64Var(&s.expect, "expect", 0, "number of the change that must be the object's latest; -1 demands that it does not exist, 0 is any")
-	f.DurationVar(&s.inForce, "wait", 0, "longest wait until the change is in force on every entry; 0 does not wait")
+	s.apiClient.flags(f)
+	f.StringVar(&s.opID, "op", "", "id of the operation, by which a lost answer is settled; default a new one")
+	f.StringVar(&s.operator, "by", userName(), "name of the operator, for the log")
+	f.Int64Var(&s.expectedChange, "expect", 0, "number of the change that must be the object's latest; -1 demands that it does not exist, 0 is any")
+	f.DurationVar(&s.maxWait, "wait", 0, "longest wait until the change is in force on every entry; 0 does not wait")
 }
 
 // userName returns who runs the command.
@@ -45,26 +45,26 @@
 
 // submit sends the change, says what became of it and waits until it is in force if that is asked for.
 func (s *submitter) submit(c context.Context, g conf.Change) error {
-	as, err := s.open()
+	as, err := s.prepare()
 	if err != nil {
 		return err
 	}
-	if s.op == "" {
-		s.op = uuid.NewString()
+	if s.opID == "" {
+		s.opID = uuid.NewString()
 	}
-	g.Op, g.By = s.op, s.by
-	if s.expect != 0 {
-		g.Expect = conf.Number(s.expect)
+	g.Op, g.By = s.opID, s.operator
+	if s.expectedChange != 0 {
+		g.Expect = conf.Number(s.expectedChange)
 	}
 	began := time.Now()
 	r, err := s.send(c, as, g)
 	if err != nil {
 		return err
 	}
-	if err := s.tell(r); err != nil || s.inForce == 0 {
+	if err := s.writeOutcome(r); err != nil || s.maxWait == 0 {
 		return err
 	}
-	return s.link.untilInForce(c, as, r.Number, began, s.inForce)
+	return s.apiClient.waitInForce(c, as, r.Number, began, s.maxWait)
 }
 
 // send gives the change to the first entry that can be reached; an answer that is lost is settled at every entry.
@@ -80,16 +80,16 @@
 		if errors.Is(err, errNotSent) {
 			continue
 		}
-		if errors.Is(err, errLost) || err == nil && r.Outcome == oper.Unknown {
-			return s.settle(c, as, g.Op), nil
+		if errors.Is(err, errNoAnswer) || err == nil && r.Outcome == oper.Unknown {
+			return s.findOutcome(c, as, g.Op), nil
 		}
 		return r, err
 	}
 	return r, eris.Wrap(err, "not accepted: no entry was reached")
 }
 
-// settle asks the entries what became of the operation.
-func (l *link) settle(c context.Context, as []string, op string) oper.ChangeReply {
+// findOutcome asks the entries what became of the operation.
+func (l *apiClient) findOutcome(c context.Context, as []string, op string) oper.ChangeReply {
 	r := oper.ChangeReply{Outcome: oper.Unknown, Op: op}
 	for _, a := range as {
 		var v oper.ChangeReply
@@ -105,8 +105,8 @@
 	return r
 }
 
-// tell says what became of a change; only an accepted one is a success.
-func (l *link) tell(r oper.ChangeReply) error {
+// writeOutcome says what became of a change; only an accepted one is a success.
+func (l *apiClient) writeOutcome(r oper.ChangeReply) error {
 	if l.asJSON {
 		if err := l.app.writeJSON(r); err != nil {
 			return err
@@ -117,17 +117,17 @@
 		if l.asJSON {
 			return nil
 		}
-		return l.app.say("accepted as change %d\n", r.Number)
+		return l.app.printf("accepted as change %d\n", r.Number)
 	case oper.NotAccepted:
-		l.app.complain("not accepted: %s\n", why(r))
+		l.app.errorf("not accepted: %s\n", refusalReason(r))
 	default:
-		l.app.complain("unknown whether accepted: %s\nask again with: %s change -op %s\n", r.Reason, program, r.Op)
+		l.app.errorf("unknown whether accepted: %s\nask again with: %s change -op %s\n", r.Reason, program, r.Op)
 	}
-	return errTold
+	return errReported
 }
 
-// why returns the reason of a change that was not accepted.
-func why(r oper.ChangeReply) string {
+// refusalReason returns the reason of a change that was not accepted.
+func refusalReason(r oper.ChangeReply) string {
 	if r.Field == "" {
 		return r.Reason
 	}
@@ -139,7 +139,7 @@
 
 // changeCommand settles an operation whose outcome was unknown.
 func (a *app) changeCommand() *command {
-	l, op := a.newLink(), ""
+	l, op := a.newAPIClient(), ""
 	return &command{
 		app: a, name: "change", synopsis: "tell what became of the operation with that id", usage: program + " change -op ID",
 		flags: func(f *flag.FlagSet) {
@@ -150,11 +150,11 @@
 			if op == "" {
 				return eris.Wrap(errUsage, "-op is missing")
 			}
-			as, err := l.open()
+			as, err := l.prepare()
 			if err != nil {
 				return err
 			}
-			return l.tell(l.settle(c, as, op))
+			return l.writeOutcome(l.findOutcome(c, as, op))
 		},
 	}
 }
--- a/cmd/burdockreach/table.go
+++ b/cmd/burdockreach/table.go
@@ -32,5 +32,5 @@
 	if err != nil {
 		return eris.Wrap(err, "encode output")
 	}
-	return a.say("%s\n", b)
+	return a.printf("%s\n", b)
 }
--- a/cmd/burdockreach/wait.go
+++ b/cmd/burdockreach/wait.go
@@ -17,43 +17,43 @@
 
 const (
 	pollInterval   = 20 * time.Millisecond
-	defaultInForce = 30 * time.Second
+	defaultMaxWait = 30 * time.Second
 )
 
 // waitCommand waits until a change is in force on every entry.
 func (a *app) waitCommand() *command {
-	l, n, latest, longest := a.newLink(), int64(0), false, time.Duration(0)
+	l, n, latest, longest := a.newAPIClient(), int64(0), false, time.Duration(0)
 	return &command{
 		app: a, name: "wait", synopsis: "wait until a change is in force on every entry", usage: program + " wait -change N | -latest [flags]",
 		flags: func(f *flag.FlagSet) {
 			l.flags(f)
 			f.Int64Var(&n, "change", 0, "number of the change")
 			f.BoolVar(&latest, "latest", false, "wait for the newest change that any of the entries has")
-			f.DurationVar(&longest, "longest", defaultInForce, "longest wait")
+			f.DurationVar(&longest, "longest", defaultMaxWait, "longest wait")
 		},
 		run: func(c context.Context, _ *flag.FlagSet) error {
 			if latest == (n > 0) {
 				return eris.Wrap(errUsage, "one of -change and -latest is needed")
 			}
-			as, err := l.open()
+			as, err := l.prepare()
 			if err != nil {
 				return err
 			}
 			if latest {
-				if n, err = l.newest(c, as); err != nil {
+				if n, err = l.newestChange(c, as); err != nil {
 					return err
 				}
 			}
-			return l.untilInForce(c, as, conf.Number(n), time.Time{}, longest)
+			return l.waitInForce(c, as, conf.Number(n), time.Time{}, longest)
 		},
 	}
 }
 
-// newest returns the number of the newest change that any of the entries has in force.
-func (l *link) newest(c context.Context, as []string) (int64, error) {
+// newestChange returns the number of the newestChange change that any of the entries has in force.
+func (l *apiClient) newestChange(c context.Context, as []string) (int64, error) {
 	var n conf.Number
 	var err error
-	for _, r := range askEach[oper.Applied](c, l, as, "/op/applied") {
+	for _, r := range getEach[oper.Applied](c, l, as, "/op/applied") {
 		n = max(n, r.value.Newest)
 		err = errors.Join(err, r.err)
 	}
@@ -66,19 +66,19 @@
 	return int64(n), err
 }
 
-// untilInForce waits until change n is in force on every entry and says how long that took since began, or since the change was made
+// waitInForce waits until change n is in force on every entry and says how long that took since began, or since the change was made
 // when began is zero.
-func (l *link) untilInForce(c context.Context, as []string, n conf.Number, began time.Time, longest time.Duration) error {
+func (l *apiClient) waitInForce(c context.Context, as []string, n conf.Number, began time.Time, longest time.Duration) error {
 	t, cancel := context.WithTimeout(c, longest)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	var missing []string
 	for {
-		rs := askEach[oper.Applied](t, l, as, fmt.Sprintf("/op/applied?n=%d", n))
-		m := lacking(rs, n)
+		rs := getEach[oper.Applied](t, l, as, fmt.Sprintf("/op/applied?n=%d", n))
+		m := entriesBehind(rs, n)
 		if len(m) == 0 {
-			return l.sayInForce(rs, n, began)
+			return l.writeInForce(rs, n, began)
 		}
 		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) { // answers that the end of the wait cut off say nothing.
 			missing = m
@@ -91,8 +91,8 @@
 	}
 }
 
-// lacking names the entries that lack the change or were not heard. What an entry says of itself goes before what others say of it.
-func lacking(rs []reply[oper.Applied], n conf.Number) []string {
+// entriesBehind names the entries that lack the change or were not heard. What an entry says of itself goes before what others say of it.
+func entriesBehind(rs []reply[oper.Applied], n conf.Number) []string {
 	own := make(map[string]bool)
 	var ms []string
 	for _, r := range rs {
@@ -120,14 +120,14 @@
 	return slices.Compact(ms)
 }
 
-// inForce is the answer of wait in JSON.
-type inForce struct {
+// waitResult is the answer of wait in JSON.
+type waitResult struct {
 	Number  conf.Number `json:"n"`
 	Entries int         `json:"entries"`
 	TookMs  int64       `json:"tookMs"`
 }
 
-func (l *link) sayInForce(rs []reply[oper.Applied], n conf.Number, began time.Time) error {
+func (l *apiClient) writeInForce(rs []reply[oper.Applied], n conf.Number, began time.Time) error {
 	names, took := make(map[string]bool), time.Duration(0)
 	for _, r := range rs {
 		took = max(took, time.Duration(r.value.AgeMs)*time.Millisecond)
@@ -140,7 +140,7 @@
 		took = time.Since(began)
 	}
 	if l.asJSON {
-		return l.app.writeJSON(inForce{Number: n, Entries: len(names), TookMs: took.Milliseconds()})
+		return l.app.writeJSON(waitResult{Number: n, Entries: len(names), TookMs: took.Milliseconds()})
 	}
-	return l.app.say("change %d is in force on all %d entries, %.3f s after it was made\n", n, len(names), took.Seconds())
+	return l.app.printf("change %d is in force on all %d entries, %.3f s after it was made\n", n, len(names), took.Seconds())
 }
--- a/node/setup/cross.go
+++ b/node/setup/cross.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// beatsBeforeUnheard is the least number of beats that fit into the unheard time.
-	beatsBeforeUnheard = 4
-	// ticksInLease is the least number of ticks that fit into the leader's lease.
-	ticksInLease = 3
+	// minBeatsBeforeUnheard is the least number of beats that fit into the unheard time.
+	minBeatsBeforeUnheard = 4
+	// minTicksInLease is the least number of ticks that fit into the leader's lease.
+	minTicksInLease = 3
 )
 
 // crossFaults returns the faults between fields, leaving out fields that are faulty alone.
 func crossFaults(d Document, alone []Fault) []Fault {
 	var fs []Fault
 	add := func(bad bool, f, value, allowed string, others ...string) {
-		if bad && !faulty(alone, append(others, f)) {
+		if bad && !hasFault(alone, append(others, f)) {
 			fs = append(fs, Fault{f, value, allowed})
 		}
 	}
@@ -25,14 +25,14 @@
 	add(d.OperatorAddr == d.CallerAddr || d.OperatorAddr == d.PeerAddr, "operatorAddr", d.OperatorAddr,
 		"an address other than callerAddr and peerAddr", "callerAddr", "peerAddr")
 	add(d.DefaultDeadlineMs > d.MaxDeadlineMs, "defaultDeadlineMs", fmt.Sprint(d.DefaultDeadlineMs), "at most maxDeadlineMs", "maxDeadlineMs")
-	add(d.BeatMs*beatsBeforeUnheard > d.EntryUnheardSeconds*1000, "entryUnheardSeconds", fmt.Sprint(d.EntryUnheardSeconds),
-		fmt.Sprintf("at least %d times beatMs", beatsBeforeUnheard), "beatMs")
-	add(d.TickMs*ticksInLease > d.LeaderLeaseMs, "leaderLeaseMs", fmt.Sprint(d.LeaderLeaseMs),
-		fmt.Sprintf("at least %d times tickMs", ticksInLease), "tickMs")
+	add(d.BeatMs*minBeatsBeforeUnheard > d.EntryUnheardSeconds*1000, "entryUnheardSeconds", fmt.Sprint(d.EntryUnheardSeconds),
+		fmt.Sprintf("at least %d times beatMs", minBeatsBeforeUnheard), "beatMs")
+	add(d.TickMs*minTicksInLease > d.LeaderLeaseMs, "leaderLeaseMs", fmt.Sprint(d.LeaderLeaseMs),
+		fmt.Sprintf("at least %d times tickMs", minTicksInLease), "tickMs")
 	return fs
 }
 
-// faulty reports whether any of names has a fault.
-func faulty(fs []Fault, names []string) bool {
+// hasFault reports whether any of names has a fault.
+func hasFault(fs []Fault, names []string) bool {
 	return slices.ContainsFunc(fs, func(f Fault) bool { return slices.Contains(names, f.field) })
 }
--- a/node/setup/logger.go
+++ b/node/setup/logger.go
@@ -16,40 +16,40 @@
 	}
 	c := zerolog.ConsoleWriter{
 		Out: w, NoColor: true,
-		FormatTimestamp:    pair("time"),
-		FormatLevel:        pair("level"),
-		FormatMessage:      pair("event"),
+		FormatTimestamp:    formatPair("time"),
+		FormatLevel:        formatPair("level"),
+		FormatMessage:      formatPair("event"),
 		FormatFieldName:    func(v any) string { return fmt.Sprintf("%s=", v) },
 		FormatErrFieldName: func(v any) string { return fmt.Sprintf("%s=", v) },
 		FieldsOrder:        []string{"entry", "request", "step", "peer"},
 	}
-	return zerolog.New(c).Level(l).Hook(zerolog.HookFunc(stamp)).With().Str("entry", name).Logger(), nil
+	return zerolog.New(c).Level(l).Hook(zerolog.HookFunc(addTimestamp)).With().Str("entry", name).Logger(), nil
 }
 
-// timeForm is the form of an event's time: UTC with milliseconds.
-const timeForm = "2006-01-02T15:04:05.000Z"
+// timeLayout is the form of an event's time: UTC with milliseconds.
+const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// stamp adds the time to an event that is logged.
-func stamp(e *zerolog.Event, _ zerolog.Level, _ string) {
-	e.Str(zerolog.TimestampFieldName, time.Now().UTC().Format(timeForm))
+// addTimestamp adds the time to an event that is logged.
+func addTimestamp(e *zerolog.Event, _ zerolog.Level, _ string) {
+	e.Str(zerolog.TimestampFieldName, time.Now().UTC().Format(timeLayout))
 }
 
-// pair returns a formatter that writes key=value and quotes the value when needed.
-func pair(key string) zerolog.Formatter {
+// formatPair returns a formatter that writes key=value and quotes the value when needed.
+func formatPair(key string) zerolog.Formatter {
 	return func(v any) string {
 		if v == nil {
 			return ""
 		}
 		s := fmt.Sprint(v)
-		if plain(s) {
+		if canStandUnquoted(s) {
 			return key + "=" + s
 		}
 		return fmt.Sprintf("%s=%q", key, s)
 	}
 }
 
-// plain reports whether s can stand unquoted.
-func plain(s string) bool {
+// canStandUnquoted reports whether s can stand unquoted.
+func canStandUnquoted(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r == '"' || r == '\\' || r == '=' || r >= 0x7f {
 			return false
--- a/node/setup/page.go
+++ b/node/setup/page.go
@@ -32,14 +32,14 @@
 	var b strings.Builder
 	b.WriteString(pageHead)
 	for _, f := range fields() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.name, f.unit, shownDefault(f.rule.def), f.rule.allowed, f.meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.name, f.unit, formatDefault(f.rule.defaultValue), f.rule.allowed, f.meaning)
 	}
-	fmt.Fprintf(&b, pageTail, beatsBeforeUnheard, ticksInLease)
+	fmt.Fprintf(&b, pageTail, minBeatsBeforeUnheard, minTicksInLease)
 	return b.String()
 }
 
-// shownDefault returns a default as the page shows it.
-func shownDefault(v any) string {
+// formatDefault returns a default as the page shows it.
+func formatDefault(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return "must be given"
--- a/node/setup/parse.go
+++ b/node/setup/parse.go
@@ -15,8 +15,8 @@
 // maxFileBytes bounds a settings file.
 const maxFileBytes = 1 << 20
 
-// maxShownBytes bounds the part of a value that a fault shows.
-const maxShownBytes = 120
+// maxExcerptBytes bounds the part of a value that a fault shows.
+const maxExcerptBytes = 120
 
 // Load reads the settings file at path; it returns *Error for fields that are not allowed.
 func Load(path string) (Settings, error) {
@@ -39,7 +39,7 @@
 	}
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(b, &m); err != nil {
-		return Settings{}, &Error{faults: []Fault{{"file", shown(b), "one JSON object: " + err.Error()}}}
+		return Settings{}, &Error{faults: []Fault{{"file", excerpt(b), "one JSON object: " + err.Error()}}}
 	}
 	var d Document
 	fs := decode(m, &d)
@@ -84,27 +84,27 @@
 
 // decodeField fills one field and reports its fault, if any.
 func decodeField(f field, m map[string]json.RawMessage, d *Document) (Fault, bool) {
-	p := f.ref(d)
+	p := f.pointer(d)
 	raw, given := m[f.name]
 	if !given {
-		if f.rule.def == nil {
+		if f.rule.defaultValue == nil {
 			return Fault{f.name, "missing", f.rule.allowed}, true
 		}
-		reflect.ValueOf(p).Elem().Set(reflect.ValueOf(f.rule.def))
+		reflect.ValueOf(p).Elem().Set(reflect.ValueOf(f.rule.defaultValue))
 		return Fault{}, false
 	}
 	null := string(bytes.TrimSpace(raw)) == "null"
-	if null || json.Unmarshal(raw, p) != nil || !f.rule.ok(p) {
-		return Fault{f.name, shown(raw), f.rule.allowed}, true
+	if null || json.Unmarshal(raw, p) != nil || !f.rule.valid(p) {
+		return Fault{f.name, excerpt(raw), f.rule.allowed}, true
 	}
 	return Fault{}, false
 }
 
-// shown returns b as a fault shows it.
-func shown(b []byte) string {
+// excerpt returns b as a fault shows it.
+func excerpt(b []byte) string {
 	s := strings.Join(strings.Fields(string(b)), " ")
-	if len(s) > maxShownBytes {
-		return s[:maxShownBytes] + "..."
+	if len(s) > maxExcerptBytes {
+		return s[:maxExcerptBytes] + "..."
 	}
 	return s
 }
--- a/node/setup/rules.go
+++ b/node/setup/rules.go
@@ -11,14 +11,14 @@
 // rule checks one value; ok gets the pointer that the field's ref returns.
 type rule struct {
 	allowed string
-	def     any
-	ok      func(v any) bool
+	defaultValue     any
+	valid      func(v any) bool
 }
 
 var (
-	nameForm   = regexp.MustCompile(`^[A-Za-z0-9._-]{1,63}$`)
-	digestForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	levels     = []string{"trace", "debug", "info", "warn", "error", "disabled"}
+	namePattern   = regexp.MustCompile(`^[A-Za-z0-9._-]{1,63}$`)
+	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	logLevels     = []string{"trace", "debug", "info", "warn", "error", "disabled"}
 )
 
 const (
@@ -27,55 +27,55 @@
 )
 
 // ValidName reports whether s may name a VM, data centre, pool, profile, service, team or wave.
-func ValidName(s string) bool { return nameForm.MatchString(s) }
+func ValidName(s string) bool { return namePattern.MatchString(s) }
 
 // NameAllowed says which names are valid.
 func NameAllowed() string { return nameAllowed }
 
 func nameRule() rule {
-	return rule{allowed: nameAllowed, ok: func(v any) bool { return ValidName(*v.(*string)) }}
+	return rule{allowed: nameAllowed, valid: func(v any) bool { return ValidName(*v.(*string)) }}
 }
 
 func namesRule() rule {
 	return rule{
 		allowed: "a list of one or more different names, each " + nameAllowed,
-		ok:      func(v any) bool { l := *v.(*[]string); return len(l) > 0 && distinct(l, ValidName) },
+		valid:      func(v any) bool { l := *v.(*[]string); return len(l) > 0 && distinct(l, ValidName) },
 	}
 }
 
 func addrRule() rule {
-	return rule{allowed: addrAllowed, ok: func(v any) bool { return validAddr(*v.(*string)) }}
+	return rule{allowed: addrAllowed, valid: func(v any) bool { return validAddr(*v.(*string)) }}
 }
 
 func addrsRule() rule {
 	return rule{
 		allowed: "a list of different addresses, each " + addrAllowed,
-		def:     []string(nil),
-		ok:      func(v any) bool { return distinct(*v.(*[]string), validAddr) },
+		defaultValue:     []string(nil),
+		valid:      func(v any) bool { return distinct(*v.(*[]string), validAddr) },
 	}
 }
 
 func digestsRule() rule {
 	return rule{
 		allowed: "a list of different SHA-256 digests, each 64 of 0-9 and a-f",
-		def:     []string(nil),
-		ok:      func(v any) bool { return distinct(*v.(*[]string), digestForm.MatchString) },
+		defaultValue:     []string(nil),
+		valid:      func(v any) bool { return distinct(*v.(*[]string), digestPattern.MatchString) },
 	}
 }
 
 func levelRule() rule {
 	return rule{
-		allowed: "one of " + strings.Join(levels, ", "),
-		def:     "info",
-		ok:      func(v any) bool { return slices.Contains(levels, *v.(*string)) },
+		allowed: "one of " + strings.Join(logLevels, ", "),
+		defaultValue:     "info",
+		valid:      func(v any) bool { return slices.Contains(logLevels, *v.(*string)) },
 	}
 }
 
 func numberRule(def, lo, hi int64) rule {
 	return rule{
 		allowed: fmt.Sprintf("a whole number from %d to %d", lo, hi),
-		def:     def,
-		ok:      func(v any) bool { n := *v.(*int64); return n >= lo && n <= hi },
+		defaultValue:     def,
+		valid:      func(v any) bool { n := *v.(*int64); return n >= lo && n <= hi },
 	}
 }
 
