--- a/node/setup/setup_test.go
+++ b/node/setup/setup_test.go
@@ -20,7 +20,7 @@
 
 const pagePath = "../../docs/SETTINGS.md"
 
-func good() setup.Document {
+func validDocument() setup.Document {
 	return setup.Document{
 		Name: "entry-a-1", DataCentre: "a", DataCentres: []string{"a", "b"},
 		CallerAddr: "127.0.0.1:7000", PeerAddr: "127.0.0.1:7001", OperatorAddr: "127.0.0.1:7002",
@@ -42,7 +42,7 @@
 
 func TestDefaults(t *testing.T) {
 	i := is.New(t)
-	s, err := setup.New(good())
+	s, err := setup.New(validDocument())
 	i.NoErr(err)
 	i.Equal(s.Beat(), 500*time.Millisecond)
 	i.Equal(s.MaxBodyBytes(), 1<<20)
@@ -89,10 +89,10 @@
 	l.Info().Str("peer", "10.0.0.1:9").Str("why", "two words").Str("step", "send").Int("n", 4).Msg("refused")
 	i.Equal(strings.Count(b.String(), "\n"), 1)
 	i.True(strings.HasSuffix(b.String(), "level=info event=refused entry=entry-a-1 step=send peer=10.0.0.1:9 n=4 why=\"two words\"\n"))
-	at, _, _ := strings.Cut(strings.TrimPrefix(b.String(), "time="), " ")
-	_, err = time.Parse(time.RFC3339, at)
+	timestamp, _, _ := strings.Cut(strings.TrimPrefix(b.String(), "time="), " ")
+	_, err = time.Parse(time.RFC3339, timestamp)
 	i.NoErr(err)
-	i.Equal(len(at), len("2026-03-02T06:00:00.000Z"))
+	i.Equal(len(timestamp), len("2026-03-02T06:00:00.000Z"))
 	_, err = setup.NewLogger(&b, "loud", "x")
 	assertFault(t, err, "logLevel")
 }
