--- a/node/setup/cross.go
+++ b/node/setup/cross.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// minBeatsBeforeUnheard is the least number of beats that fit into the unheard time.
+	// minBeatsBeforeUnheard is the minimum number of heartbeat intervals within entryUnheardSeconds.
 	minBeatsBeforeUnheard = 4
-	// minTicksInLease is the least number of ticks that fit into the leader's lease.
+	// minTicksInLease is the minimum number of intervals of the leader's loop within its lease.
 	minTicksInLease = 3
 )
 
-// crossFaults returns the faults between fields, leaving out fields that are faulty alone.
-func crossFaults(d Document, alone []Fault) []Fault {
+// crossFaults checks the rules between fields. It skips a rule if fieldFaults already has a fault of a field in it.
+func crossFaults(d Document, fieldFaults []Fault) []Fault {
 	var fs []Fault
 	add := func(bad bool, f, value, allowed string, others ...string) {
-		if bad && !hasFault(alone, append(others, f)) {
+		if bad && !hasFault(fieldFaults, append(others, f)) {
 			fs = append(fs, Fault{f, value, allowed})
 		}
 	}
@@ -32,7 +32,7 @@
 	return fs
 }
 
-// hasFault reports whether any of names has a fault.
+// hasFault reports whether fs contains a fault of one of the named fields.
 func hasFault(fs []Fault, names []string) bool {
 	return slices.ContainsFunc(fs, func(f Fault) bool { return slices.Contains(names, f.field) })
 }
--- a/node/setup/doc.go
+++ b/node/setup/doc.go
@@ -1,2 +1,2 @@
-// Package setup reads and checks an entry's settings file and makes the entry's logger.
+// Package setup reads and validates an entry's settings file and creates the entry's logger.
 package setup
--- a/node/setup/document.go
+++ b/node/setup/document.go
@@ -1,6 +1,7 @@
 package setup
 
-// Document is the settings file: JSON with exactly these fields; a number that is left out has its default.
+// Document is the JSON document in a settings file. Unknown fields are invalid.
+// The fields that are marked omitempty may be left out and then get their defaults.
 type Document struct {
 	Name                 string   `json:"name"`
 	DataCentre           string   `json:"dataCentre"`
--- a/node/setup/fault.go
+++ b/node/setup/fault.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Fault names one field that is not allowed.
+// Fault describes one invalid field.
 type Fault struct {
 	field, value, allowed string
 }
 
-// Field returns the field's name in the file.
+// Field returns the name of the field, or "file" if the file as a whole is invalid.
 func (f Fault) Field() string { return f.field }
 
-// Value returns the value that was found, as JSON, or "missing".
+// Value returns the invalid value, shortened if it is long, or a phrase such as "missing" or "unknown field".
 func (f Fault) Value() string { return f.value }
 
-// Allowed returns what would have been allowed.
+// Allowed describes the values that are allowed.
 func (f Fault) Allowed() string { return f.allowed }
 
 // String returns the fault as one line.
@@ -24,12 +24,13 @@
 	return fmt.Sprintf("%s: %s is not allowed; allowed: %s", f.field, f.value, f.allowed)
 }
 
-// Error holds every fault of a settings file, in the order of the table.
+// Error lists the faults of a settings file: first those of individual fields in the order of the field table,
+// then unknown fields in alphabetical order, then violated rules between fields.
 type Error struct {
 	faults []Fault
 }
 
-// Faults returns the faults, at least one.
+// Faults returns the faults. There is at least one.
 func (e *Error) Faults() []Fault { return e.faults }
 
 // Error returns one line for each fault.
--- a/node/setup/fields.go
+++ b/node/setup/fields.go
@@ -1,28 +1,29 @@
 package setup
 
-// Units of the fields.
+// Units of numeric fields, as the settings page prints them.
 const (
-	bytesUnit    = "bytes"
-	connectionsUnit    = "connections"
-	requestsUnit = "requests"
-	millisecondsUnit       = "milliseconds"
-	secondsUnit  = "seconds"
-	keysUnit     = "keys"
+	bytesUnit        = "bytes"
+	connectionsUnit  = "connections"
+	requestsUnit     = "requests"
+	millisecondsUnit = "milliseconds"
+	secondsUnit      = "seconds"
+	keysUnit         = "keys"
 )
 
-// field is one line of the table from which defaults, checks and the settings page come.
+// field describes one field of the settings file. Parse takes defaults and rules from it, and Page the documentation.
+// pointer returns a pointer to the field's value in a Document.
 type field struct {
 	name, unit, meaning string
 	rule                rule
-	pointer                 func(*Document) any
+	pointer             func(*Document) any
 }
 
-// fields returns the table in the order of the page.
+// fields returns all fields in the order of the settings page.
 func fields() []field {
 	return append(identityFields(), numberFields()...)
 }
 
-// identityFields returns the fields that say who and where the entry is.
+// identityFields returns the fields for the entry's name, data centre, addresses, operator tokens and log level.
 func identityFields() []field {
 	return []field{
 		{"name", "", "The entry's id: the name of its VM in the platform's list.", nameRule(), func(d *Document) any { return &d.Name }},
@@ -38,7 +39,7 @@
 	}
 }
 
-// numberFields returns the limits and times.
+// numberFields returns the numeric fields: limits, timeouts and intervals.
 func numberFields() []field {
 	return []field{
 		{"maxBodyBytes", bytesUnit, "Longest request body; a longer one is answered 413.", numberRule(1<<20, 1<<10, 64<<20), func(d *Document) any { return &d.MaxBodyBytes }},
--- a/node/setup/logger.go
+++ b/node/setup/logger.go
@@ -8,7 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger returns a logger that writes one line of key=value pairs an event to w; name is the entry's id.
+// NewLogger returns a logger that writes each event to w as one line of key=value pairs.
+// name is the entry's id. If level is invalid, the error is an *Error.
 func NewLogger(w io.Writer, level, name string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -26,15 +27,15 @@
 	return zerolog.New(c).Level(l).Hook(zerolog.HookFunc(addTimestamp)).With().Str("entry", name).Logger(), nil
 }
 
-// timeLayout is the form of an event's time: UTC with milliseconds.
+// timeLayout formats the timestamps of events, which are in UTC with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// addTimestamp adds the time to an event that is logged.
+// addTimestamp adds the current time to an event that is logged.
 func addTimestamp(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str(zerolog.TimestampFieldName, time.Now().UTC().Format(timeLayout))
 }
 
-// formatPair returns a formatter that writes key=value and quotes the value when needed.
+// formatPair returns a formatter that writes key=value and quotes the value if needed.
 func formatPair(key string) zerolog.Formatter {
 	return func(v any) string {
 		if v == nil {
@@ -48,7 +49,8 @@
 	}
 }
 
-// canStandUnquoted reports whether s can stand unquoted.
+// canStandUnquoted reports whether s can be written after "key=" without quotes: it is not empty and consists of
+// printable ASCII without spaces, double quotes, backslashes and equals signs.
 func canStandUnquoted(s string) bool {
 	for _, r := range s {
 		if r <= ' ' || r == '"' || r == '\\' || r == '=' || r >= 0x7f {
--- a/node/setup/page.go
+++ b/node/setup/page.go
@@ -27,7 +27,7 @@
 - ` + "`leaderLeaseMs`" + ` is at least %d times ` + "`tickMs`" + `.
 `
 
-// Page returns docs/SETTINGS.md as the table of fields gives it.
+// Page returns the content of docs/SETTINGS.md, generated from the table of fields.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
@@ -38,7 +38,7 @@
 	return b.String()
 }
 
-// formatDefault returns a default as the page shows it.
+// formatDefault returns the text of a default value in the settings page.
 func formatDefault(v any) string {
 	switch v := v.(type) {
 	case nil:
--- a/node/setup/parse.go
+++ b/node/setup/parse.go
@@ -12,13 +12,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file.
 const maxFileBytes = 1 << 20
 
-// maxExcerptBytes bounds the part of a value that a fault shows.
+// maxExcerptBytes is the maximum length of the invalid value that a Fault quotes.
 const maxExcerptBytes = 120
 
-// Load reads the settings file at path; it returns *Error for fields that are not allowed.
+// Load reads and validates the settings file at path. If the content is invalid, the error is an *Error.
 func Load(path string) (Settings, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return Parse(b)
 }
 
-// Parse reads settings from JSON; it returns *Error with every fault.
+// Parse reads and validates settings in JSON. If they are invalid, the error is an *Error that lists every fault.
 func Parse(b []byte) (Settings, error) {
 	if len(b) > maxFileBytes {
 		return Settings{}, &Error{faults: []Fault{{"file", "over 1048576 bytes", "a shorter file"}}}
@@ -50,7 +50,7 @@
 	return Settings{d: d}, nil
 }
 
-// New returns the settings of d, whose zero numbers mean the defaults; it returns *Error with every fault.
+// New validates d. A number that is zero gets its default. If d is invalid, the error is an *Error that lists every fault.
 func New(d Document) (Settings, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return Parse(b)
 }
 
-// decode fills d from m and returns the faults of single fields.
+// decode sets the fields of d from m and returns the faults of individual fields, including unknown ones.
 func decode(m map[string]json.RawMessage, d *Document) []Fault {
 	var fs []Fault
 	known := make(map[string]bool)
@@ -82,7 +82,7 @@
 	return fs
 }
 
-// decodeField fills one field and reports its fault, if any.
+// decodeField sets field f of d from m, or to its default if m lacks it. The bool reports whether it returns a fault.
 func decodeField(f field, m map[string]json.RawMessage, d *Document) (Fault, bool) {
 	p := f.pointer(d)
 	raw, given := m[f.name]
@@ -100,7 +100,7 @@
 	return Fault{}, false
 }
 
-// excerpt returns b as a fault shows it.
+// excerpt returns b on one line, shortened to maxExcerptBytes.
 func excerpt(b []byte) string {
 	s := strings.Join(strings.Fields(string(b)), " ")
 	if len(s) > maxExcerptBytes {
--- a/node/setup/settings.go
+++ b/node/setup/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings are the checked settings of one entry; they never change.
+// Settings holds the validated settings of one entry. It is immutable.
 type Settings struct {
 	d Document
 }
@@ -28,70 +28,70 @@
 // OperatorAddr returns the host:port for operators.
 func (s Settings) OperatorAddr() string { return s.d.OperatorAddr }
 
-// PlatformAddr returns the host:port of the platform's service.
+// PlatformAddr returns the host:port of the platform's API.
 func (s Settings) PlatformAddr() string { return s.d.PlatformAddr }
 
-// PeerAddrs returns the seed addresses of other entries.
+// PeerAddrs returns the peer addresses of other entries of the data centre, for a start while the platform is unreachable.
 func (s Settings) PeerAddrs() []string { return slices.Clone(s.d.PeerAddrs) }
 
-// OperatorTokenDigests returns the SHA-256 digests of the operators' tokens, in hex.
+// OperatorTokenDigests returns the SHA-256 digests of the operators' tokens in hexadecimal.
 func (s Settings) OperatorTokenDigests() []string { return slices.Clone(s.d.OperatorTokenDigests) }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the lowest level that is logged.
 func (s Settings) LogLevel() string { return s.d.LogLevel }
 
-// MaxBodyBytes returns the longest request body in bytes.
+// MaxBodyBytes returns the maximum size of a request body in bytes.
 func (s Settings) MaxBodyBytes() int { return int(s.d.MaxBodyBytes) }
 
-// MaxAnswerBytes returns the longest answer of a target in bytes.
+// MaxAnswerBytes returns the maximum size of a target's answer in bytes.
 func (s Settings) MaxAnswerBytes() int { return int(s.d.MaxAnswerBytes) }
 
-// MaxCallerConns returns the number of connections that callers may hold.
+// MaxCallerConns returns the maximum number of open connections from callers.
 func (s Settings) MaxCallerConns() int { return int(s.d.MaxCallerConns) }
 
-// MaxQueueRequests returns the number of requests that may wait for one service.
+// MaxQueueRequests returns the maximum number of requests that wait for one service.
 func (s Settings) MaxQueueRequests() int { return int(s.d.MaxQueueRequests) }
 
-// MaxQueueBytes returns the bytes that waiting bodies may hold together.
+// MaxQueueBytes returns the maximum total size in bytes of the bodies of waiting requests.
 func (s Settings) MaxQueueBytes() int64 { return s.d.MaxQueueBytes }
 
-// DefaultDeadline returns the deadline where neither request nor profile names one.
+// DefaultDeadline returns the deadline of a request if neither the request nor its profile sets one.
 func (s Settings) DefaultDeadline() time.Duration { return millis(s.d.DefaultDeadlineMs) }
 
-// MaxDeadline returns the longest deadline that a request may name.
+// MaxDeadline returns the longest deadline that a request may set.
 func (s Settings) MaxDeadline() time.Duration { return millis(s.d.MaxDeadlineMs) }
 
-// DrainWait returns the longest wait for requests in flight at the end.
+// DrainWait returns the time limit for requests in flight after SIGTERM.
 func (s Settings) DrainWait() time.Duration { return millis(s.d.DrainWaitMs) }
 
-// ConnectTimeout returns the longest wait for a connection to a target.
+// ConnectTimeout returns the timeout for connecting to a target.
 func (s Settings) ConnectTimeout() time.Duration { return millis(s.d.ConnectTimeoutMs) }
 
-// IdleConn returns the time after which an unused connection is closed.
+// IdleConn returns the time after which an idle connection to a target is closed.
 func (s Settings) IdleConn() time.Duration { return millis(s.d.IdleConnMs) }
 
-// PlatformTimeout returns the longest wait for the platform.
+// PlatformTimeout returns the timeout of a call to the platform. A watch may take WatchWait in addition.
 func (s Settings) PlatformTimeout() time.Duration { return millis(s.d.PlatformTimeoutMs) }
 
-// PeerTimeout returns the longest wait for another entry.
+// PeerTimeout returns the timeout of a call to another entry.
 func (s Settings) PeerTimeout() time.Duration { return millis(s.d.PeerTimeoutMs) }
 
 // Tick returns the interval of the leader's loop.
 func (s Settings) Tick() time.Duration { return millis(s.d.TickMs) }
 
-// Beat returns the interval of beats between entries.
+// Beat returns the interval of heartbeats between entries.
 func (s Settings) Beat() time.Duration { return millis(s.d.BeatMs) }
 
-// EntryUnheard returns the time without a beat after which an entry counts as unheard.
+// EntryUnheard returns the time without a heartbeat after which an entry counts as unreachable.
 func (s Settings) EntryUnheard() time.Duration { return seconds(s.d.EntryUnheardSeconds) }
 
-// LeaderLease returns the time to live of the leader's lease.
+// LeaderLease returns the time to live of the leader's lease. The lease lapses if it is not renewed within this time.
 func (s Settings) LeaderLease() time.Duration { return millis(s.d.LeaderLeaseMs) }
 
-// WatchWait returns the longest wait of one watch.
+// WatchWait returns how long one watch on the platform's key-value service waits for a change.
 func (s Settings) WatchWait() time.Duration { return millis(s.d.WatchWaitMs) }
 
-// MaxKeys returns the number of idempotency keys that the entry holds.
+// MaxKeys returns the maximum number of idempotency keys that the entry holds.
 func (s Settings) MaxKeys() int { return int(s.d.MaxKeys) }
 
 func millis(n int64) time.Duration  { return time.Duration(n) * time.Millisecond }
