--- a/Makefile
+++ b/Makefile
@@ -17,15 +17,15 @@
 	@go build -o $(BIN)/standin ./fakes/standin
 	@go build -o $(BIN)/demo ./fakes/demo
 
-# demo starts the platform's stand-in, two services of targets and four entries,
-# runs an order and a maintenance through them and stays until interrupted.
+# demo starts a stand-in for the platform, stand-ins for the targets of two services and four entries,
+# sends orders, runs a maintenance wave and keeps running until interrupted. ONCE=1 makes it exit by itself.
 demo: build
 	@$(BIN)/demo -bin $(BIN) $(if $(ONCE),-once)
 
-# test runs formatter, linter, vet, build and every test.
+# test runs the formatter, the linter, go vet, the build and every test.
 test: tools lint check build unit
 
-# tools installs the linter, and gopls for renames.
+# tools installs golangci-lint, and gopls for renaming identifiers.
 tools:
 	@command -v golangci-lint >/dev/null || test -x $(TOOLS)/golangci-lint || \
 	  GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
@@ -47,7 +47,8 @@
 slopes:
 	@go run ./bench/slopes -out docs/slopes.json -page docs/CAPACITY.md
 
-# soak runs the random tests, and failures together, for longer with the seed that is given.
+# soak runs the random tests for longer: CHECKS checks of each property test, SEEDS seeds of the simulations in fleet/batch
+# and of TestSoak, and STEPS failures in TestFailuresTogether. SEED sets the seed, except in fleet/batch.
 CHECKS ?= 5000
 STEPS ?= 100
 SEEDS ?= 50
