--- a/cmd/burdockreach/app.go
+++ b/cmd/burdockreach/app.go
@@ -120,11 +120,11 @@
 var errReported = eris.New("failed")
 
 // errorf writes to the error output; a failure to do so has no one to go to.
-func (a *app) errorf(form string, args ...any) { _, _ = fmt.Fprintf(a.err, form, args...) }
+func (a *app) errorf(format string, args ...any) { _, _ = fmt.Fprintf(a.err, format, args...) }
 
 // printf writes to the output.
-func (a *app) printf(form string, args ...any) error {
-	_, err := fmt.Fprintf(a.out, form, args...)
+func (a *app) printf(format string, args ...any) error {
+	_, err := fmt.Fprintf(a.out, format, args...)
 	return eris.Wrap(err, "write output")
 }
 
--- a/cmd/burdockreach/job.go
+++ b/cmd/burdockreach/job.go
@@ -106,7 +106,7 @@
 
 // postJobs sends the jobs in parts to the first entry that answers; submitting and canceling may be repeated.
 func (l *apiClient) postJobs(c context.Context, path string, q []jobs.Spec) error {
-	as, err := l.prepare()
+	addrs, err := l.prepare()
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 			return eris.Wrap(err, "encode jobs")
 		}
 		var r oper.JobsReply
-		for _, a := range as {
+		for _, a := range addrs {
 			err = l.call(c, a, fasthttp.MethodPost, path, b, &r)
 			if !errors.Is(err, errNotSent) && !errors.Is(err, errNoAnswer) {
 				break
@@ -182,12 +182,12 @@
 }
 
 // writeJobs lists the jobs that match the query; some says that none is a failure.
-func (l *apiClient) writeJobs(c context.Context, query string, some bool) error {
+func (l *apiClient) writeJobs(c context.Context, query string, mustExist bool) error {
 	var r oper.JobList
 	if err := l.get(c, "/op/jobs"+query, &r); err != nil {
 		return err
 	}
-	if some && len(r.Items) == 0 {
+	if mustExist && len(r.Items) == 0 {
 		return eris.New("no such job")
 	}
 	if l.asJSON {
--- a/cmd/burdockreach/job_test.go
+++ b/cmd/burdockreach/job_test.go
@@ -16,13 +16,13 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// newJobSite is an entry with jobs behind an address that nobody listens on.
-func newJobSite(t *testing.T) *site {
+// newJobCluster is an entry with jobs behind an address that nobody listens on.
+func newJobCluster(t *testing.T) *testCluster {
 	t.Helper()
-	s := newSite(t)
+	s := newTestCluster(t)
 	d, err := conf.NewDocument().Apply(conf.Change{Number: 1, Op: "op", Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "ledger"}})
 	is.New(t).NoErr(err)
-	f := &fake{name: "a1", shared: &shared{doc: d}}
+	f := &fakeEntry{name: "a1", sharedConfig: &sharedConfig{doc: d}}
 	sum := sha256.Sum256([]byte(operatorToken))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -39,7 +39,7 @@
 }
 
 func TestJobCommands(t *testing.T) {
-	s := newJobSite(t)
+	s := newJobCluster(t)
 	submit := []string{"job", "submit", "-data-centre", "east", "-pool", "ledger", "-team", "back", "-kind", "nightly", "-within", "7h", "-run-once"}
 	s.assertRun(0, "accepted", append(submit, "night-1")...)
 	s.assertRun(1, "id is taken by another job", append(submit, "-cores", "2", "night-1")...)
--- a/cmd/burdockreach/kind.go
+++ b/cmd/burdockreach/kind.go
@@ -24,13 +24,13 @@
 type objectKind[T any] struct {
 	name      string // as the command is called
 	path      string // of its list in the operators' API
-	dropKind      conf.Kind
-	putChange    func(v T) conf.Change
+	dropKind  conf.Kind
+	putChange func(v T) conf.Change
 	flags     func(f *flag.FlagSet, v *T)
-	nameField     func(v *T) *string
+	nameField func(v *T) *string
 	columns   []string
 	row       func(v T) []string
-	putExtra  func(a *app, f *flag.FlagSet, v *T) error           // fills what does not come from flags
+	putExtra  func(a *app, f *flag.FlagSet, v *T) error                // fills what does not come from flags
 	showExtra func(c context.Context, l *apiClient, name string) error // tells more of a shown object
 }
 
--- a/cmd/burdockreach/kinds.go
+++ b/cmd/burdockreach/kinds.go
@@ -17,8 +17,8 @@
 	return objectKind[conf.ProfileSpec]{
 		name: "profile", path: "profiles", dropKind: conf.DropProfile,
 		putChange: func(v conf.ProfileSpec) conf.Change { return conf.Change{Kind: conf.PutProfile, Profile: &v} },
-		nameField:  func(v *conf.ProfileSpec) *string { return &v.Name },
-		flags:  profileFlags,
+		nameField: func(v *conf.ProfileSpec) *string { return &v.Name },
+		flags:     profileFlags,
 		columns: []string{"PROFILE", "MIN VMS", "MAX VMS", "MAX OUT", "RACKS", "USE", "DRAIN s", "REBOOT s",
 			"DEADLINE ms", "URGENT START ms", "OBJECTIVE", "RETRY %"},
 		row: func(v conf.ProfileSpec) []string {
@@ -48,7 +48,7 @@
 	return objectKind[conf.ServiceSpec]{
 		name: "service", path: "services", dropKind: conf.DropService,
 		putChange: func(v conf.ServiceSpec) conf.Change { return conf.Change{Kind: conf.PutService, Service: &v} },
-		nameField:  func(v *conf.ServiceSpec) *string { return &v.Name },
+		nameField: func(v *conf.ServiceSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.ServiceSpec) {
 			f.StringVar(&v.Profile, "profile", v.Profile, "name of the profile that the service runs under")
 			f.StringVar(&v.Pool, "pool", v.Pool, "name of the pool whose VMs serve it")
@@ -66,7 +66,7 @@
 	return objectKind[conf.PoolSpec]{
 		name: "pool", path: "pools", dropKind: conf.DropPool,
 		putChange: func(v conf.PoolSpec) conf.Change { return conf.Change{Kind: conf.PutPool, Pool: &v} },
-		nameField:  func(v *conf.PoolSpec) *string { return &v.Name },
+		nameField: func(v *conf.PoolSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.PoolSpec) {
 			f.BoolVar(&v.Spare, "spare", v.Spare, "whether the pool lends its VMs to the others")
 		},
@@ -82,7 +82,7 @@
 	return objectKind[conf.TeamSpec]{
 		name: "team", path: "teams", dropKind: conf.DropTeam,
 		putChange: func(v conf.TeamSpec) conf.Change { return conf.Change{Kind: conf.PutTeam, Team: &v} },
-		nameField:  func(v *conf.TeamSpec) *string { return &v.Name },
+		nameField: func(v *conf.TeamSpec) *string { return &v.Name },
 		flags: func(f *flag.FlagSet, v *conf.TeamSpec) {
 			f.IntVar(&v.QuotaPerSec, "quota", v.QuotaPerSec, "requests a second in all data centres; 0 means no quota of its own")
 			if f.Lookup(tokenFlag) == nil {
@@ -129,7 +129,7 @@
 	return objectKind[conf.WaveSpec]{
 		name: "wave", path: "waves", dropKind: conf.DropWave,
 		putChange: func(v conf.WaveSpec) conf.Change { return conf.Change{Kind: conf.PutWave, Wave: &v} },
-		nameField:  func(v *conf.WaveSpec) *string { return &v.ID },
+		nameField: func(v *conf.WaveSpec) *string { return &v.ID },
 		flags: func(f *flag.FlagSet, v *conf.WaveSpec) {
 			f.Var((*nameList)(&v.Pools), "pools", "pools whose VMs are maintained, separated by commas")
 			f.BoolVar(&v.Paused, "paused", v.Paused, "whether no further VM is taken out")
--- a/cmd/burdockreach/link.go
+++ b/cmd/burdockreach/link.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	entriesEnv     = "BURDOCKREACH_ENTRIES"
+	entriesEnv         = "BURDOCKREACH_ENTRIES"
 	tokenFileEnv       = "BURDOCKREACH_TOKEN_FILE"
-	maxTokenBytes  = 4 << 10
-	maxReplyBytes  = 64 << 20
-	dialTimeout    = 2 * time.Second
-	defaultTimeout = 10 * time.Second
-	maxConcurrentCalls     = 64 // entries asked at once
+	maxTokenBytes      = 4 << 10
+	maxReplyBytes      = 64 << 20
+	dialTimeout        = 2 * time.Second
+	defaultTimeout     = 10 * time.Second
+	maxConcurrentCalls = 64 // entries asked at once
 )
 
 var (
@@ -58,13 +58,13 @@
 
 // prepare reads the token and returns the addresses of the entries.
 func (l *apiClient) prepare() ([]string, error) {
-	var as []string
+	var addrs []string
 	for _, s := range strings.Split(l.entries, ",") {
 		s = strings.TrimSpace(s)
 		if _, err := netip.ParseAddrPort(s); err != nil {
 			return nil, eris.Wrapf(errUsage, "-entries: %q is not allowed; allowed: IP:port, separated by commas", s)
 		}
-		as = append(as, s)
+		addrs = append(addrs, s)
 	}
 	if l.tokenFile == "" {
 		return nil, eris.Wrapf(errUsage, "-operator-token-file is missing; it may also come from %s", tokenFileEnv)
@@ -81,7 +81,7 @@
 		Dial: dial, MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxResponseBodySize: maxReplyBytes, NoDefaultUserAgentHeader: true,
 	}
-	return as, nil
+	return addrs, nil
 }
 
 // dial marks a failure to connect, after which nothing was sent.
@@ -134,11 +134,11 @@
 
 // get asks the entries in turn until one answers.
 func (l *apiClient) get(c context.Context, path string, v any) error {
-	as, err := l.prepare()
+	addrs, err := l.prepare()
 	if err != nil {
 		return err
 	}
-	for _, a := range as {
+	for _, a := range addrs {
 		err = l.call(c, a, fasthttp.MethodGet, path, nil, v)
 		if !errors.Is(err, errNotSent) && !errors.Is(err, errNoAnswer) {
 			return err
@@ -156,19 +156,19 @@
 
 // getAll asks every entry at once.
 func getAll[T any](c context.Context, l *apiClient, path string) ([]reply[T], error) {
-	as, err := l.prepare()
+	addrs, err := l.prepare()
 	if err != nil {
 		return nil, err
 	}
-	return getEach[T](c, l, as, path), nil
+	return getEach[T](c, l, addrs, path), nil
 }
 
 // getEach asks the entries at as at once.
-func getEach[T any](c context.Context, l *apiClient, as []string, path string) []reply[T] {
-	rs := make([]reply[T], len(as))
+func getEach[T any](c context.Context, l *apiClient, addrs []string, path string) []reply[T] {
+	rs := make([]reply[T], len(addrs))
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
-	for i, a := range as {
+	for i, a := range addrs {
 		g.Go(func() error {
 			rs[i].addr = a
 			rs[i].err = l.call(c, a, fasthttp.MethodGet, path, nil, &rs[i].value)
--- a/cmd/burdockreach/main_test.go
+++ b/cmd/burdockreach/main_test.go
@@ -29,36 +29,36 @@
 	teamToken     = "a-token-of-the-desk-team"
 )
 
-// fake is an entry's needs of the operators' API; its configuration is shared with the other fakes.
-type fake struct {
-	*shared
-	name  string
-	seen  func(n conf.Number) conf.Number // what of the newest number the entry has in force
-	beats []oper.Entry
-	loses bool // answers to changes
+// fakeEntry is an entry's needs of the operators' API; its configuration is shared with the other fakes.
+type fakeEntry struct {
+	*sharedConfig
+	name         string
+	applied      func(n conf.Number) conf.Number // what of the newest number the entry has in force
+	peers        []oper.Entry
+	losesAnswers bool // answers to changes
 }
 
-// shared is the configuration that all fakes see.
-type shared struct {
+// sharedConfig is the configuration that all fakes see.
+type sharedConfig struct {
 	mu  sync.Mutex
 	doc *conf.Document
 	log []conf.Change
 }
 
-func (s *fake) Document() *conf.Document {
+func (s *fakeEntry) Document() *conf.Document {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen == nil {
+	if s.applied == nil {
 		return s.doc
 	}
 	d := conf.NewDocument()
-	for _, g := range s.log[:s.seen(s.doc.Number())] {
+	for _, g := range s.log[:s.applied(s.doc.Number())] {
 		d, _ = d.Apply(g)
 	}
 	return d
 }
 
-func (s *fake) At(n conf.Number) (conf.Change, bool) {
+func (s *fakeEntry) At(n conf.Number) (conf.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n < 1 || int(n) > len(s.log) {
@@ -67,7 +67,7 @@
 	return s.log[n-1], true
 }
 
-func (s *fake) Commit(_ context.Context, g conf.Change) (conf.Number, error) {
+func (s *fakeEntry) Commit(_ context.Context, g conf.Change) (conf.Number, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g.Number = s.doc.Number() + 1
@@ -76,16 +76,16 @@
 		return 0, eris.Wrap(err, "commit")
 	}
 	s.doc, s.log = d, append(s.log, g)
-	if s.loses {
+	if s.losesAnswers {
 		return 0, eris.Wrap(conf.ErrUnsettled, "commit")
 	}
 	return g.Number, nil
 }
 
-func (s *fake) Settle(_ context.Context, op string) (conf.Number, error) {
+func (s *fakeEntry) Settle(_ context.Context, op string) (conf.Number, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.loses {
+	if s.losesAnswers {
 		return 0, eris.Wrap(conf.ErrUnsettled, "settle")
 	}
 	for _, g := range s.log {
@@ -96,16 +96,16 @@
 	return 0, eris.Wrap(conf.ErrNotAccepted, "settle")
 }
 
-func (s *fake) VMs() []oper.VM {
+func (s *fakeEntry) VMs() []oper.VM {
 	return []oper.VM{{ID: "vm-1", Pool: "kitchen", State: "serving by " + s.name, DataCentre: s.name[:1]}}
 }
 
-func (s *fake) Entries() []oper.Entry {
+func (s *fakeEntry) Entries() []oper.Entry {
 	self := oper.Entry{Entry: s.name, DataCentre: s.name[:1], Self: true, Heard: true, Applied: s.Document().Number()}
-	return append([]oper.Entry{self}, s.beats...)
+	return append([]oper.Entry{self}, s.peers...)
 }
 
-func (s *fake) Report(now time.Time) burn.Report {
+func (s *fakeEntry) Report(now time.Time) burn.Report {
 	b := burn.New(s.name, s.name[:1], now)
 	b.Update(burn.ObjectiveMsg{Service: "orders", Profile: "gold", Objective: 0.9})
 	b.Update(burn.CountMsg{Now: now, Key: burn.Key{Service: "orders", Class: "urgent"}, Counts: burn.Counts{Good: 9, Late: 1}})
@@ -113,22 +113,22 @@
 	return b.Report()
 }
 
-// site is some fakes behind real operators' APIs on loopback.
-type site struct {
+// testCluster is some fakes behind real operators' APIs on loopback.
+type testCluster struct {
 	t     *testing.T
 	dir   string
 	addrs []string
 }
 
-func newSite(t *testing.T, fakes ...*fake) *site {
+func newTestCluster(t *testing.T, fakes ...*fakeEntry) *testCluster {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir()}
+	s := &testCluster{t: t, dir: t.TempDir()}
 	d := sha256.Sum256([]byte(operatorToken))
 	c, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
-	all := &shared{doc: conf.NewDocument()}
+	all := &sharedConfig{doc: conf.NewDocument()}
 	for _, f := range fakes {
-		f.shared = all
+		f.sharedConfig = all
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -148,7 +148,7 @@
 }
 
 // write makes a file and returns its path.
-func (s *site) write(name, text string) string {
+func (s *testCluster) write(name, text string) string {
 	p := filepath.Join(s.dir, name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -157,29 +157,29 @@
 }
 
 // run executes words, with the flags of the link after the command's words, and returns the status and both outputs together.
-func (s *site) run(stdin string, words ...string) (int, string) {
+func (s *testCluster) run(stdin string, words ...string) (int, string) {
 	s.t.Helper()
 	i := 1
 	for i < len(words) && !strings.HasPrefix(words[i], "-") && i < 2 && !strings.Contains("approve withdraw", words[0]) {
 		i++
 	}
-	link := []string{"-entries", strings.Join(s.addrs, ","), "-operator-token-file", filepath.Join(s.dir, "operator")}
-	args := append(append(append([]string{}, words[:i]...), link...), words[i:]...)
+	clientFlags := []string{"-entries", strings.Join(s.addrs, ","), "-operator-token-file", filepath.Join(s.dir, "operator")}
+	args := append(append(append([]string{}, words[:i]...), clientFlags...), words[i:]...)
 	var b bytes.Buffer
 	n := newApp(strings.NewReader(stdin), &b, &b).run(context.Background(), args)
 	return int(n), b.String()
 }
 
 // assertRun checks the status and a part of what was written.
-func (s *site) assertRun(want int, part string, words ...string) {
+func (s *testCluster) assertRun(want int, part string, words ...string) {
 	s.t.Helper()
 	if got, out := s.run(teamToken+"\n", words...); got != want || !strings.Contains(out, part) {
 		s.t.Fatalf("%v: status %d, want %d with %q in:\n%s", words, got, want, part, out)
 	}
 }
 
-func TestWalkThrough(t *testing.T) {
-	s := newSite(t, &fake{name: "a1"}, &fake{name: "b1"})
+func TestOperatorCommands(t *testing.T) {
+	s := newTestCluster(t, &fakeEntry{name: "a1"}, &fakeEntry{name: "b1"})
 	s.assertRun(0, "accepted as change 1", "profile", "put", "-max-out", "2", "-objective", "0.99", "gold")
 	s.assertRun(0, "accepted as change 2", "pool", "put", "kitchen")
 	s.assertRun(0, "accepted as change 3", "service", "put", "-profile", "gold", "-pool", "kitchen", "orders")
@@ -201,9 +201,9 @@
 	s.assertRun(0, "orders   urgent  gold     90%        20        2     0       0        100.0%", "report")
 }
 
-func TestTokensStayHere(t *testing.T) {
+func TestTeamTokensAreNeverSent(t *testing.T) {
 	i := is.New(t)
-	s := newSite(t, &fake{name: "a1"})
+	s := newTestCluster(t, &fakeEntry{name: "a1"})
 	_, out := s.run(teamToken, "team", "put", "-token-file", "-", "desk")
 	_, list := s.run("", "team", "show", "-json", "desk")
 	d := sha256.Sum256([]byte(teamToken))
@@ -214,32 +214,32 @@
 	i.True(!strings.Contains(list, operatorToken))
 }
 
-func TestRacingEditsAreRefused(t *testing.T) {
-	s := newSite(t, &fake{name: "a1", seen: func(n conf.Number) conf.Number { return min(n, 1) }}, &fake{name: "b1"})
+func TestConcurrentEditsAreRefused(t *testing.T) {
+	s := newTestCluster(t, &fakeEntry{name: "a1", applied: func(n conf.Number) conf.Number { return min(n, 1) }}, &fakeEntry{name: "b1"})
 	s.assertRun(0, "accepted as change 1", "pool", "put", "kitchen")
 	s.assertRun(0, "accepted as change 2", "pool", "put", "-spare", "kitchen")
 	s.assertRun(1, "not accepted: not valid: expect: 1 is not allowed; allowed: 2, the object's last change", "pool", "put", "-spare=false", "kitchen")
 }
 
 func TestUnknownOutcomes(t *testing.T) {
-	a, b := &fake{name: "a1", loses: true}, &fake{name: "b1", loses: true}
-	s := newSite(t, a, b)
+	a, b := &fakeEntry{name: "a1", losesAnswers: true}, &fakeEntry{name: "b1", losesAnswers: true}
+	s := newTestCluster(t, a, b)
 	s.assertRun(1, "ask again with: burdockreach change -op op-7", "pool", "put", "-op", "op-7", "kitchen")
-	b.loses = false
+	b.losesAnswers = false
 	s.assertRun(0, "accepted as change 1", "change", "-op", "op-7")
 	s.assertRun(0, "accepted as change 2", "pool", "put", "oven") // the other entry settles it
 	s.assertRun(1, "not accepted", "change", "-op", "never")
 }
 
-func TestWaitNamesWhoLacksTheChange(t *testing.T) {
-	behind := &fake{name: "b1", seen: func(conf.Number) conf.Number { return 0 }}
-	s := newSite(t, &fake{name: "a1", beats: []oper.Entry{{Entry: "b1"}, {Entry: "c1", Heard: false}}}, behind)
+func TestWaitNamesEntriesBehind(t *testing.T) {
+	behind := &fakeEntry{name: "b1", applied: func(conf.Number) conf.Number { return 0 }}
+	s := newTestCluster(t, &fakeEntry{name: "a1", peers: []oper.Entry{{Entry: "b1"}, {Entry: "c1", Heard: false}}}, behind)
 	s.assertRun(0, "accepted as change 1", "pool", "put", "kitchen")
 	s.assertRun(1, "is not in force everywhere after 200ms: b1 has 0; c1 is not heard by a1", "wait", "-change", "1", "-longest", "200ms")
 }
 
 func TestUnreachableEntries(t *testing.T) {
-	s := newSite(t, &fake{name: "a1"})
+	s := newTestCluster(t, &fakeEntry{name: "a1"})
 	up := s.addrs[0]
 	s.addrs = []string{"127.0.0.1:1", up}
 	s.assertRun(0, "accepted as change 1", "pool", "put", "kitchen")
@@ -252,7 +252,7 @@
 }
 
 func TestWrongCommandLines(t *testing.T) {
-	s := newSite(t, &fake{name: "a1"})
+	s := newTestCluster(t, &fakeEntry{name: "a1"})
 	good := map[string]any{"name": "a1", "dataCentre": "a", "dataCentres": []string{"a"}, "callerAddr": "127.0.0.1:1",
 		"peerAddr": "127.0.0.1:2", "operatorAddr": "127.0.0.1:3", "platformAddr": "127.0.0.1:4"}
 	b, _ := json.Marshal(good)
--- a/cmd/burdockreach/report.go
+++ b/cmd/burdockreach/report.go
@@ -46,16 +46,16 @@
 		return burn.Report{}, err
 	}
 	var all []burn.Report
-	heard := false
+	answered := false
 	for _, r := range rs {
 		if r.err != nil {
 			all = append(all, burn.Report{Entries: []burn.EntryReport{{Entry: r.addr, Unheard: eris.ToString(r.err, false)}}})
 			continue
 		}
-		heard = true
+		answered = true
 		all = append(all, r.value)
 	}
-	if !heard {
+	if !answered {
 		return burn.Report{}, eris.Wrap(rs[0].err, "no entry answered")
 	}
 	return burn.Merge(all...), nil
--- a/cmd/burdockreach/site.go
+++ b/cmd/burdockreach/site.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sync/errgroup"
 
-	node "burdockreach.dev/node/site"
+	nodesite "burdockreach.dev/node/site"
 	"burdockreach.dev/platform"
 )
 
@@ -30,11 +30,11 @@
 			if path == "" {
 				return eris.Wrap(errUsage, "-settings is missing")
 			}
-			s, err := node.Load(path)
+			s, err := nodesite.Load(path)
 			if err != nil || check {
 				return err
 			}
-			e, err := node.New(s, newPlatform(s), a.out)
+			e, err := nodesite.New(s, newPlatform(s), a.out)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 			if path == "" {
 				return eris.Wrap(errUsage, "-settings is missing")
 			}
-			s, err := node.Load(path)
+			s, err := nodesite.Load(path)
 			if err != nil {
 				return err
 			}
@@ -68,9 +68,9 @@
 			defer cancel()
 			var v any
 			if p := newPlatform(s); job != "" {
-				v, err = node.ReadJob(c, p, job)
+				v, err = nodesite.ReadJob(c, p, job)
 			} else {
-				v, err = node.ReadStatus(c, p)
+				v, err = nodesite.ReadStatus(c, p)
 			}
 			if err != nil {
 				return err
@@ -82,15 +82,15 @@
 	}
 }
 
-func newPlatform(s node.Settings) node.Platform {
-	return node.Platform{
+func newPlatform(s nodesite.Settings) nodesite.Platform {
+	return nodesite.Platform{
 		Store: platform.NewStore(s.StoreAddr), Workers: platform.NewWorkers(), Machines: platform.NewMachines(s.MachinesAddr, s.Name),
 		Format: platform.Format{}, Codec: platform.Codec{}, ReadyPath: platform.PathReady,
 	}
 }
 
 // runSite runs the entry, and has it read its settings again at each SIGHUP.
-func runSite(c context.Context, e *node.Site, path string) error {
+func runSite(c context.Context, e *nodesite.Site, path string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
--- a/cmd/burdockreach/state.go
+++ b/cmd/burdockreach/state.go
@@ -52,8 +52,8 @@
 // Whose word on a VM counts most.
 const (
 	rankOtherDataCentre = iota + 1 // an entry of another data centre
-	rankSameDataCentre               // an entry of the VM's data centre
-	rankLeader              // the leader of the VM's data centre
+	rankSameDataCentre             // an entry of the VM's data centre
+	rankLeader                     // the leader of the VM's data centre
 )
 
 // getVMs asks every entry for VMs; of a VM, the word of the leader of its data centre counts first, then that of its other entries.
@@ -62,25 +62,25 @@
 	if err != nil {
 		return nil, err
 	}
-	homes := l.selfReports(c)
-	vms, ranks := make(map[string]oper.VM), make(map[string]int)
-	heard := false
+	byAddr := l.selfReports(c)
+	byID, ranks := make(map[string]oper.VM), make(map[string]int)
+	answered := false
 	for _, r := range rs {
-		heard = heard || r.err == nil
+		answered = answered || r.err == nil
 		if r.err != nil {
 			l.app.errorf("no answer: %s\n", eris.ToString(r.err, false))
 		}
 		for _, v := range r.value.Items {
-			if k := reportRank(homes[r.addr], v); k > ranks[v.ID] {
-				vms[v.ID], ranks[v.ID] = v, k
+			if k := reportRank(byAddr[r.addr], v); k > ranks[v.ID] {
+				byID[v.ID], ranks[v.ID] = v, k
 			}
 		}
 	}
-	if !heard {
+	if !answered {
 		return nil, eris.Wrap(rs[0].err, "no entry answered")
 	}
-	vs := make([]oper.VM, 0, len(vms))
-	for _, v := range vms {
+	vs := make([]oper.VM, 0, len(byID))
+	for _, v := range byID {
 		vs = append(vs, v)
 	}
 	slices.SortFunc(vs, func(a, b oper.VM) int {
@@ -135,7 +135,7 @@
 	return &command{
 		app: a, name: "status", synopsis: "tell the state of entries and pools", usage: program + " status [flags]", flags: l.flags,
 		run: func(c context.Context, _ *flag.FlagSet) error {
-			es, lost, err := l.getEntries(c)
+			es, unanswered, err := l.getEntries(c)
 			if err != nil {
 				return err
 			}
@@ -144,7 +144,7 @@
 				return err
 			}
 			if l.asJSON {
-				return a.writeJSON(statusReport{Entries: es, NoAnswer: lost, VMs: vs})
+				return a.writeJSON(statusReport{Entries: es, NoAnswer: unanswered, VMs: vs})
 			}
 			return a.writeStatus(es, vs)
 		},
@@ -164,23 +164,23 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	es, lost := make(map[string]oper.Entry), []string{}
+	byName, unanswered := make(map[string]oper.Entry), []string{}
 	for _, r := range rs {
 		if r.err != nil {
-			lost = append(lost, eris.ToString(r.err, false))
+			unanswered = append(unanswered, eris.ToString(r.err, false))
 		}
 		for _, e := range r.value.Items {
-			if o, known := es[e.Entry]; !known || e.Self || !o.Self && !o.Heard {
-				es[e.Entry] = e
+			if o, known := byName[e.Entry]; !known || e.Self || !o.Self && !o.Heard {
+				byName[e.Entry] = e
 			}
 		}
 	}
-	l2 := make([]oper.Entry, 0, len(es))
-	for _, e := range es {
-		l2 = append(l2, e)
+	entries := make([]oper.Entry, 0, len(byName))
+	for _, e := range byName {
+		entries = append(entries, e)
 	}
-	slices.SortFunc(l2, func(a, b oper.Entry) int { return cmp.Compare(a.Entry, b.Entry) })
-	return l2, lost, nil
+	slices.SortFunc(entries, func(a, b oper.Entry) int { return cmp.Compare(a.Entry, b.Entry) })
+	return entries, unanswered, nil
 }
 
 func (a *app) writeStatus(es []oper.Entry, vs []oper.VM) error {
--- a/cmd/burdockreach/submit.go
+++ b/cmd/burdockreach/submit.go
@@ -19,9 +19,9 @@
 // submitter sends changes and tells what became of them.
 type submitter struct {
 	*apiClient
-	opID, operator  string
-	expectedChange  int64
-	maxWait time.Duration
+	opID, operator string
+	expectedChange int64
+	maxWait        time.Duration
 }
 
 func (a *app) newSubmitter() *submitter { return &submitter{apiClient: a.newAPIClient()} }
@@ -45,7 +45,7 @@
 
 // submit sends the change, says what became of it and waits until it is in force if that is asked for.
 func (s *submitter) submit(c context.Context, g conf.Change) error {
-	as, err := s.prepare()
+	addrs, err := s.prepare()
 	if err != nil {
 		return err
 	}
@@ -56,32 +56,32 @@
 	if s.expectedChange != 0 {
 		g.Expect = conf.Number(s.expectedChange)
 	}
-	began := time.Now()
-	r, err := s.send(c, as, g)
+	submittedAt := time.Now()
+	r, err := s.send(c, addrs, g)
 	if err != nil {
 		return err
 	}
 	if err := s.writeOutcome(r); err != nil || s.maxWait == 0 {
 		return err
 	}
-	return s.apiClient.waitInForce(c, as, r.Number, began, s.maxWait)
+	return s.apiClient.waitInForce(c, addrs, r.Number, submittedAt, s.maxWait)
 }
 
 // send gives the change to the first entry that can be reached; an answer that is lost is settled at every entry.
-func (s *submitter) send(c context.Context, as []string, g conf.Change) (oper.ChangeReply, error) {
+func (s *submitter) send(c context.Context, addrs []string, g conf.Change) (oper.ChangeReply, error) {
 	var r oper.ChangeReply
 	b, err := json.Marshal(g)
 	if err != nil {
 		return r, eris.Wrap(err, "encode change")
 	}
-	for _, a := range as {
+	for _, a := range addrs {
 		err = s.call(c, a, fasthttp.MethodPost, "/op/change", b, &r,
 			fasthttp.StatusConflict, fasthttp.StatusUnprocessableEntity, fasthttp.StatusGatewayTimeout)
 		if errors.Is(err, errNotSent) {
 			continue
 		}
 		if errors.Is(err, errNoAnswer) || err == nil && r.Outcome == oper.Unknown {
-			return s.findOutcome(c, as, g.Op), nil
+			return s.findOutcome(c, addrs, g.Op), nil
 		}
 		return r, err
 	}
@@ -89,9 +89,9 @@
 }
 
 // findOutcome asks the entries what became of the operation.
-func (l *apiClient) findOutcome(c context.Context, as []string, op string) oper.ChangeReply {
+func (l *apiClient) findOutcome(c context.Context, addrs []string, op string) oper.ChangeReply {
 	r := oper.ChangeReply{Outcome: oper.Unknown, Op: op}
-	for _, a := range as {
+	for _, a := range addrs {
 		var v oper.ChangeReply
 		err := l.call(c, a, fasthttp.MethodGet, "/op/change?op="+escape(op), nil, &v, fasthttp.StatusConflict, fasthttp.StatusGatewayTimeout)
 		if err == nil && v.Outcome != oper.Unknown {
@@ -150,11 +150,11 @@
 			if op == "" {
 				return eris.Wrap(errUsage, "-op is missing")
 			}
-			as, err := l.prepare()
+			addrs, err := l.prepare()
 			if err != nil {
 				return err
 			}
-			return l.writeOutcome(l.findOutcome(c, as, op))
+			return l.writeOutcome(l.findOutcome(c, addrs, op))
 		},
 	}
 }
--- a/cmd/burdockreach/wait.go
+++ b/cmd/burdockreach/wait.go
@@ -22,38 +22,38 @@
 
 // waitCommand waits until a change is in force on every entry.
 func (a *app) waitCommand() *command {
-	l, n, latest, longest := a.newAPIClient(), int64(0), false, time.Duration(0)
+	l, n, latest, maxWait := a.newAPIClient(), int64(0), false, time.Duration(0)
 	return &command{
 		app: a, name: "wait", synopsis: "wait until a change is in force on every entry", usage: program + " wait -change N | -latest [flags]",
 		flags: func(f *flag.FlagSet) {
 			l.flags(f)
 			f.Int64Var(&n, "change", 0, "number of the change")
 			f.BoolVar(&latest, "latest", false, "wait for the newest change that any of the entries has")
-			f.DurationVar(&longest, "longest", defaultMaxWait, "longest wait")
+			f.DurationVar(&maxWait, "longest", defaultMaxWait, "longest wait")
 		},
 		run: func(c context.Context, _ *flag.FlagSet) error {
 			if latest == (n > 0) {
 				return eris.Wrap(errUsage, "one of -change and -latest is needed")
 			}
-			as, err := l.prepare()
+			addrs, err := l.prepare()
 			if err != nil {
 				return err
 			}
 			if latest {
-				if n, err = l.newestChange(c, as); err != nil {
+				if n, err = l.newestChange(c, addrs); err != nil {
 					return err
 				}
 			}
-			return l.waitInForce(c, as, conf.Number(n), time.Time{}, longest)
+			return l.waitInForce(c, addrs, conf.Number(n), time.Time{}, maxWait)
 		},
 	}
 }
 
 // newestChange returns the number of the newestChange change that any of the entries has in force.
-func (l *apiClient) newestChange(c context.Context, as []string) (int64, error) {
+func (l *apiClient) newestChange(c context.Context, addrs []string) (int64, error) {
 	var n conf.Number
 	var err error
-	for _, r := range getEach[oper.Applied](c, l, as, "/op/applied") {
+	for _, r := range getEach[oper.Applied](c, l, addrs, "/op/applied") {
 		n = max(n, r.value.Newest)
 		err = errors.Join(err, r.err)
 	}
@@ -68,24 +68,24 @@
 
 // waitInForce waits until change n is in force on every entry and says how long that took since began, or since the change was made
 // when began is zero.
-func (l *apiClient) waitInForce(c context.Context, as []string, n conf.Number, began time.Time, longest time.Duration) error {
-	t, cancel := context.WithTimeout(c, longest)
+func (l *apiClient) waitInForce(c context.Context, addrs []string, n conf.Number, submittedAt time.Time, maxWait time.Duration) error {
+	t, cancel := context.WithTimeout(c, maxWait)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	var missing []string
 	for {
-		rs := getEach[oper.Applied](t, l, as, fmt.Sprintf("/op/applied?n=%d", n))
+		rs := getEach[oper.Applied](t, l, addrs, fmt.Sprintf("/op/applied?n=%d", n))
 		m := entriesBehind(rs, n)
 		if len(m) == 0 {
-			return l.writeInForce(rs, n, began)
+			return l.writeInForce(rs, n, submittedAt)
 		}
 		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) { // answers that the end of the wait cut off say nothing.
 			missing = m
 		}
 		select {
 		case <-t.Done():
-			return eris.Errorf("change %d is not in force everywhere after %v: %s", n, longest, strings.Join(missing, "; "))
+			return eris.Errorf("change %d is not in force everywhere after %v: %s", n, maxWait, strings.Join(missing, "; "))
 		case <-tick.C:
 		}
 	}
@@ -93,7 +93,7 @@
 
 // entriesBehind names the entries that lack the change or were not heard. What an entry says of itself goes before what others say of it.
 func entriesBehind(rs []reply[oper.Applied], n conf.Number) []string {
-	own := make(map[string]bool)
+	answered := make(map[string]bool)
 	var ms []string
 	for _, r := range rs {
 		switch {
@@ -102,12 +102,12 @@
 		case r.value.Newest < n:
 			ms = append(ms, fmt.Sprintf("%s has %d", r.value.Entry, r.value.Newest))
 		}
-		own[r.value.Entry] = true
+		answered[r.value.Entry] = true
 	}
 	for _, r := range rs {
 		for _, e := range r.value.Entries {
 			switch {
-			case own[e.Entry]:
+			case answered[e.Entry]:
 				continue
 			case !e.Heard:
 				ms = append(ms, e.Entry+" is not heard by "+r.value.Entry)
@@ -127,20 +127,20 @@
 	TookMs  int64       `json:"tookMs"`
 }
 
-func (l *apiClient) writeInForce(rs []reply[oper.Applied], n conf.Number, began time.Time) error {
-	names, took := make(map[string]bool), time.Duration(0)
+func (l *apiClient) writeInForce(rs []reply[oper.Applied], n conf.Number, submittedAt time.Time) error {
+	entries, took := make(map[string]bool), time.Duration(0)
 	for _, r := range rs {
 		took = max(took, time.Duration(r.value.AgeMs)*time.Millisecond)
-		names[r.value.Entry] = true
+		entries[r.value.Entry] = true
 		for _, e := range r.value.Entries {
-			names[e.Entry] = true
+			entries[e.Entry] = true
 		}
 	}
-	if !began.IsZero() {
-		took = time.Since(began)
+	if !submittedAt.IsZero() {
+		took = time.Since(submittedAt)
 	}
 	if l.asJSON {
-		return l.app.writeJSON(waitResult{Number: n, Entries: len(names), TookMs: took.Milliseconds()})
+		return l.app.writeJSON(waitResult{Number: n, Entries: len(entries), TookMs: took.Milliseconds()})
 	}
-	return l.app.printf("change %d is in force on all %d entries, %.3f s after it was made\n", n, len(names), took.Seconds())
+	return l.app.printf("change %d is in force on all %d entries, %.3f s after it was made\n", n, len(entries), took.Seconds())
 }
