--- a/cmd/burdockreach/main_test.go
+++ b/cmd/burdockreach/main_test.go
@@ -201,7 +201,7 @@
 	s.assertRun(0, "orders   urgent  gold     90%        20        2     0       0        100.0%", "report")
 }
 
-func TestTeamTokensAreNeverSent(t *testing.T) {
+func TestConfigurationHoldsOnlyTokenDigests(t *testing.T) {
 	i := is.New(t)
 	s := newTestCluster(t, &fakeEntry{name: "a1"})
 	_, out := s.run(teamToken, "team", "put", "-token-file", "-", "desk")
