--- a/cmd/burdockreach/app.go
+++ b/cmd/burdockreach/app.go
@@ -14,10 +14,10 @@
 
 const program = "burdockreach"
 
-// errUsage marks an error in the command line itself, which ends with status 2.
+// errUsage marks a wrong command line. The command then prints its usage, and the exit status is 2.
 var errUsage = eris.New("usage")
 
-// app holds what commands read from and write to.
+// app holds the standard input and outputs of the commands.
 type app struct {
 	in       io.Reader
 	out, err io.Writer
@@ -44,17 +44,17 @@
 	return t
 }
 
-// isHelpFlag reports whether the word asks for a command's usage, which the flag package takes for an error.
+// isHelpFlag reports whether w is a help flag. The flag package returns an error for a help flag; run turns it into status 0.
 func isHelpFlag(w string) bool { return slices.Contains([]string{"-h", "-help", "--h", "--help"}, w) }
 
-// commander returns an empty commander that writes where the app does.
+// commander returns a commander without commands that writes to the app's outputs.
 func (a *app) commander(f *flag.FlagSet, name string) *subcommands.Commander {
 	r := subcommands.NewCommander(f, name)
 	r.Output, r.Error = a.out, a.err
 	return r
 }
 
-// register adds every command.
+// register adds all commands to r, grouped as the help lists them.
 func (a *app) register(r *subcommands.Commander) {
 	for _, c := range []*command{a.entryCommand(), a.siteCommand(), a.fleetCommand(), a.checkCommand(), a.versionCommand()} {
 		r.Register(c, "program")
@@ -72,7 +72,7 @@
 	}
 }
 
-// command is one subcommand; run's error says what failed in one line.
+// command is one subcommand. run returns an error whose text fits on one line.
 type command struct {
 	app                   *app
 	name, synopsis, usage string
@@ -83,10 +83,10 @@
 // Name returns the command's name.
 func (c *command) Name() string { return c.name }
 
-// Synopsis returns a phrase about the command.
+// Synopsis returns the command's one-line description.
 func (c *command) Synopsis() string { return c.synopsis }
 
-// Usage returns the command's usage in full.
+// Usage returns the command's usage with its synopsis.
 func (c *command) Usage() string { return c.usage + "\n  " + c.synopsis + ".\n" }
 
 // SetFlags defines the command's flags.
@@ -97,7 +97,8 @@
 	}
 }
 
-// Execute runs the command: status 0 when done, 1 when refused or failed, 2 for a wrong command line or wrong settings.
+// Execute runs the command and returns its exit status: 0 for success, 1 if the command was refused or failed,
+// 2 for a wrong command line or invalid settings.
 func (c *command) Execute(x context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	err := c.run(x, f)
 	switch {
@@ -116,19 +117,19 @@
 	}
 }
 
-// errReported is a failure of which the command has told all there is to say.
+// errReported marks a failure that the command has already printed. The exit status is 1.
 var errReported = eris.New("failed")
 
-// errorf writes to the error output; a failure to do so has no one to go to.
+// errorf writes to the error output. A write error is ignored, because there is no other output to report it to.
 func (a *app) errorf(format string, args ...any) { _, _ = fmt.Fprintf(a.err, format, args...) }
 
-// printf writes to the output.
+// printf writes to the standard output.
 func (a *app) printf(format string, args ...any) error {
 	_, err := fmt.Fprintf(a.out, format, args...)
 	return eris.Wrap(err, "write output")
 }
 
-// commandGroup returns a command of commands, as in "profile list".
+// commandGroup returns a command that runs one of subs, as "profile" does for "profile list".
 func (a *app) commandGroup(name, synopsis string, subs ...*command) *command {
 	g := &command{app: a, name: name, synopsis: synopsis, usage: program + " " + name + " COMMAND"}
 	names := ""
@@ -147,7 +148,7 @@
 	return g
 }
 
-// runSubcommand parses the flags of a command within a group and runs it.
+// runSubcommand parses the flags of c, a command of the given group, and runs it.
 func (c *command) runSubcommand(x context.Context, group string, args []string) error {
 	f := flag.NewFlagSet(group+" "+c.name, flag.ContinueOnError)
 	f.Usage = func() {
@@ -158,7 +159,7 @@
 	if err := f.Parse(args); errors.Is(err, flag.ErrHelp) {
 		return nil
 	} else if err != nil {
-		return errUsageReported // the flag package has told what is wrong.
+		return errUsageReported // The flag package has printed the error.
 	}
 	err := c.run(x, f)
 	if errors.Is(err, errUsage) {
--- a/cmd/burdockreach/approve.go
+++ b/cmd/burdockreach/approve.go
@@ -19,7 +19,7 @@
 	return a.approvalChangeCommand("withdraw", "take the approval of a team for a service back", conf.Withdraw)
 }
 
-// approvalChangeCommand returns a command that changes one approval.
+// approvalChangeCommand returns a command that submits a change of kind k for one approval.
 func (a *app) approvalChangeCommand(name, synopsis string, k conf.Kind) *command {
 	s := a.newSubmitter()
 	return &command{
@@ -33,7 +33,7 @@
 	}
 }
 
-// approvalCommand lists approvals.
+// approvalCommand returns the command that lists approvals.
 func (a *app) approvalCommand() *command {
 	l, team, service := a.newAPIClient(), "", ""
 	return a.commandGroup("approval", "list approvals", &command{
--- a/cmd/burdockreach/entry.go
+++ b/cmd/burdockreach/entry.go
@@ -9,7 +9,7 @@
 	"burdockreach.dev/node/setup"
 )
 
-// entryCommand runs an entry until it is told to stop.
+// entryCommand returns the command that runs an entry until SIGTERM or SIGINT and then drains it.
 func (a *app) entryCommand() *command {
 	path := ""
 	return &command{
--- a/cmd/burdockreach/job.go
+++ b/cmd/burdockreach/job.go
@@ -17,10 +17,10 @@
 	"burdockreach.dev/node/oper"
 )
 
-// maxJobsFileBytes bounds a file with jobs.
+// maxJobsFileBytes is the maximum size of a file with jobs.
 const maxJobsFileBytes = 16 << 20
 
-// jobCommand submits, lists, shows and cancels jobs.
+// jobCommand returns the commands that submit, list, show and cancel jobs.
 func (a *app) jobCommand() *command {
 	return a.commandGroup("job", "submit, list, show or cancel jobs", a.jobSubmitCommand(), a.jobListCommand(), a.jobShowCommand(), a.jobCancelCommand())
 }
@@ -104,7 +104,8 @@
 	}
 }
 
-// postJobs sends the jobs in parts to the first entry that answers; submitting and canceling may be repeated.
+// postJobs posts the jobs to path in batches of at most oper.MaxJobs and prints their outcomes. Each batch goes to the entries
+// in turn until one answers: resending is safe, because submitting and canceling are idempotent.
 func (l *apiClient) postJobs(c context.Context, path string, q []jobs.Spec) error {
 	addrs, err := l.prepare()
 	if err != nil {
@@ -131,7 +132,7 @@
 	return l.writeJobOutcomes(all)
 }
 
-// writeJobOutcomes says what became of each job; it is a success when all are accepted.
+// writeJobOutcomes prints the outcome of each job. It returns errReported unless all jobs were accepted.
 func (l *apiClient) writeJobOutcomes(r oper.JobsReply) error {
 	var err error
 	var rows [][]string
@@ -181,7 +182,7 @@
 	}
 }
 
-// writeJobs lists the jobs that match the query; some says that none is a failure.
+// writeJobs prints the jobs that match the query. If mustExist is set, it fails if there are none.
 func (l *apiClient) writeJobs(c context.Context, query string, mustExist bool) error {
 	var r oper.JobList
 	if err := l.get(c, "/op/jobs"+query, &r); err != nil {
@@ -201,7 +202,7 @@
 	return l.app.table([]string{"JOB", "DATA CENTRE", "POOL", "KIND", "STATE", "ATTEMPT", "WORKER", "FINISH BY", "ENDED", "REASON"}, rows)
 }
 
-// formatUnixMillis writes Unix milliseconds as a time of day with its date; zero is nothing.
+// formatUnixMillis formats a Unix time in milliseconds as RFC 3339 in UTC. Zero becomes the empty string.
 func formatUnixMillis(ms int64) string {
 	if ms == 0 {
 		return ""
--- a/cmd/burdockreach/job_test.go
+++ b/cmd/burdockreach/job_test.go
@@ -16,7 +16,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// newJobCluster is an entry with jobs behind an address that nobody listens on.
+// newJobCluster returns a cluster with one entry that accepts jobs. The commands try an address first on which nobody listens.
 func newJobCluster(t *testing.T) *testCluster {
 	t.Helper()
 	s := newTestCluster(t)
--- a/cmd/burdockreach/kind.go
+++ b/cmd/burdockreach/kind.go
@@ -17,24 +17,24 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// maxObjectFileBytes bounds a file with an object.
+// maxObjectFileBytes is the maximum size of the files that put reads: an object in JSON or a team's token.
 const maxObjectFileBytes = 64 << 10
 
-// objectKind tells how one objectKind of object is listed, shown, put and dropped.
+// objectKind defines the commands list, show, put and drop of one kind of configuration object, such as a pool.
 type objectKind[T any] struct {
-	name      string // as the command is called
-	path      string // of its list in the operators' API
+	name      string // of the command
+	path      string // of the list in the operators' API, after /op/
 	dropKind  conf.Kind
-	putChange func(v T) conf.Change
-	flags     func(f *flag.FlagSet, v *T)
+	putChange func(v T) conf.Change       // the change that puts v
+	flags     func(f *flag.FlagSet, v *T) // defines the flags that set v's fields
 	nameField func(v *T) *string
 	columns   []string
-	row       func(v T) []string
-	putExtra  func(a *app, f *flag.FlagSet, v *T) error                // fills what does not come from flags
-	showExtra func(c context.Context, l *apiClient, name string) error // tells more of a shown object
+	row       func(v T) []string                                       // v's values in the order of columns
+	putExtra  func(a *app, f *flag.FlagSet, v *T) error                // sets fields that are not plain flags
+	showExtra func(c context.Context, l *apiClient, name string) error // prints details after the object
 }
 
-// kindCommand returns the command of a kind.
+// kindCommand returns the group of commands for one kind of object.
 func kindCommand[T any](a *app, k objectKind[T]) *command {
 	return a.commandGroup(k.name, fmt.Sprintf("list, show, put or drop: %s", k.path),
 		k.listCommand(a), k.showCommand(a), k.putCommand(a), k.dropCommand(a))
@@ -57,7 +57,7 @@
 	}
 }
 
-// writeTable writes the objects as a table.
+// writeTable prints the objects as a table.
 func (k objectKind[T]) writeTable(a *app, r oper.Objects[T]) error {
 	var rows [][]string
 	for _, o := range r.Items {
@@ -93,7 +93,7 @@
 	}
 }
 
-// describe writes one object, a field a line.
+// describe prints one object as indented JSON, one field a line, after the number of its last change.
 func (k objectKind[T]) describe(a *app, o oper.Object[T]) error {
 	var b bytes.Buffer
 	v, err := json.Marshal(o.Spec)
@@ -106,7 +106,7 @@
 	return a.printf("%s, last changed by change %d\n%s\n", k.name, o.Changed, b.String())
 }
 
-// find returns the object of that name as the first entry that answers has it.
+// find returns the named object from the configuration of the first entry that answers. The bool reports whether it exists.
 func (k objectKind[T]) find(c context.Context, l *apiClient, name string) (oper.Object[T], bool, error) {
 	var r oper.Objects[T]
 	if err := l.get(c, "/op/"+k.path, &r); err != nil {
@@ -141,7 +141,8 @@
 	}
 }
 
-// build returns the object to put: the file's, or the present one with the fields that flags name.
+// build returns the object to put: the one in file, or the current object with the fields that flags set.
+// In the second case, unless -expect is given, the change is accepted only if nobody has changed the object since it was read.
 func (k objectKind[T]) build(c context.Context, s *submitter, f *flag.FlagSet, file string) (T, error) {
 	var v T
 	if file != "" {
@@ -172,7 +173,8 @@
 	return v, nil
 }
 
-// applyFlags sets the fields of v for which flags were given.
+// applyFlags sets the fields of v for which flags were given. The command line was parsed into another object,
+// before the current one was known.
 func (k objectKind[T]) applyFlags(f *flag.FlagSet, v *T) error {
 	g := flag.NewFlagSet(k.name, flag.ContinueOnError)
 	k.flags(g, v)
@@ -185,7 +187,7 @@
 	return eris.Wrap(err, "set flags")
 }
 
-// read returns the object in the file; a name on the command line must be the same.
+// read returns the object in the file. If the command line has a name too, it must be the object's name.
 func (k objectKind[T]) read(a *app, f *flag.FlagSet, file string) (T, error) {
 	var v T
 	b, err := a.readFile(file)
@@ -203,7 +205,7 @@
 	return v, nil
 }
 
-// readFile reads a short file, or the standard input for -.
+// readFile reads a file of at most maxObjectFileBytes, or the standard input if path is "-".
 func (a *app) readFile(path string) ([]byte, error) {
 	r := a.in
 	if path != "-" {
@@ -235,7 +237,7 @@
 	}
 }
 
-// oneArg returns the only argument.
+// oneArg returns the only argument after the flags, or errUsage if there is not exactly one.
 func oneArg(f *flag.FlagSet) (string, error) {
 	if f.NArg() != 1 || f.Arg(0) == "" {
 		return "", eris.Wrapf(errUsage, "one name is needed after the flags, got %d", f.NArg())
--- a/cmd/burdockreach/kinds.go
+++ b/cmd/burdockreach/kinds.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// tokenFlag names the file of a team's token; its digest alone goes into the configuration.
+// tokenFlag is the flag for the file with a team's token. The configuration stores only the token's digest.
 const tokenFlag = "token-file"
 
 func teamKind() objectKind[conf.TeamSpec] {
@@ -95,12 +95,13 @@
 	}
 }
 
-// shownDigestDigits is the number of hexadecimal digits of a digest that a list shows.
+// shownDigestDigits is the number of hexadecimal digits of a token digest that the list shows.
 const shownDigestDigits = 12
 
 func shortDigest(s string) string { return s[:min(len(s), shownDigestDigits)] }
 
-// setTokenDigest reads the team's token and sets its digest.
+// setTokenDigest reads the team's token from the file that the flag names and sets its digest in v.
+// Without the flag, an existing team keeps its token; a new team needs one.
 func setTokenDigest(a *app, f *flag.FlagSet, v *conf.TeamSpec) error {
 	path := f.Lookup(tokenFlag).Value.String()
 	if path == "" {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// minTokenBytes is the shortest token of a team.
+// minTokenBytes is the minimum length of a team's token.
 const minTokenBytes = 16
 
 func waveKind() objectKind[conf.WaveSpec] {
@@ -140,19 +141,19 @@
 	}
 }
 
-// nameList is a flag of names separated by commas.
+// nameList is a flag.Value: a list of names separated by commas.
 type nameList []string
 
-// String returns the names.
+// String returns the names, separated by commas.
 func (l *nameList) String() string { return strings.Join(*l, ",") }
 
-// Set replaces the names.
+// Set replaces the list by the names in s, which are separated by commas.
 func (l *nameList) Set(s string) error {
 	*l = strings.Split(s, ",")
 	return nil
 }
 
-// formatRow returns the values as a row.
+// formatRow returns the texts of the values as a table row. Booleans become yes and no.
 func formatRow(vs ...any) []string {
 	r := make([]string, 0, len(vs))
 	for _, v := range vs {
--- a/cmd/burdockreach/link.go
+++ b/cmd/burdockreach/link.go
@@ -25,17 +25,17 @@
 	maxReplyBytes      = 64 << 20
 	dialTimeout        = 2 * time.Second
 	defaultTimeout     = 10 * time.Second
-	maxConcurrentCalls = 64 // entries asked at once
+	maxConcurrentCalls = 64 // limit of parallel calls to entries
 )
 
 var (
-	// errNotSent reports a request that never reached the entry.
+	// errNotSent means that the connection failed, so the request was not sent.
 	errNotSent = eris.New("entry cannot be reached")
-	// errNoAnswer reports a request whose answer did not come.
+	// errNoAnswer means that the request may have been sent, and no answer came.
 	errNoAnswer = eris.New("no answer from the entry")
 )
 
-// apiClient reaches the entries' operators' API.
+// apiClient calls the operators' API of the entries that its flags name.
 type apiClient struct {
 	app       *app
 	entries   string
@@ -48,7 +48,7 @@
 
 func (a *app) newAPIClient() *apiClient { return &apiClient{app: a} }
 
-// flags defines the flags by which a command finds the entries.
+// flags defines the flags for the entries' addresses, the operator's token, the timeout and the output format.
 func (l *apiClient) flags(f *flag.FlagSet) {
 	f.StringVar(&l.entries, "entries", os.Getenv(entriesEnv), "operator addresses of entries, IP:port, separated by commas; default from "+entriesEnv)
 	f.StringVar(&l.tokenFile, "operator-token-file", os.Getenv(tokenFileEnv), "file with the operator's token; default from "+tokenFileEnv)
@@ -56,7 +56,7 @@
 	f.BoolVar(&l.asJSON, "json", false, "write JSON")
 }
 
-// prepare reads the token and returns the addresses of the entries.
+// prepare reads the token, creates the HTTP client and returns the addresses of the entries.
 func (l *apiClient) prepare() ([]string, error) {
 	var addrs []string
 	for _, s := range strings.Split(l.entries, ",") {
@@ -84,7 +84,7 @@
 	return addrs, nil
 }
 
-// dial marks a failure to connect, after which nothing was sent.
+// dial connects to addr. It marks a failure with errNotSent, because nothing was sent then.
 func dial(addr string) (net.Conn, error) {
 	c, err := fasthttp.DialTimeout(addr, dialTimeout)
 	if err != nil {
@@ -93,7 +93,8 @@
 	return c, nil
 }
 
-// call sends one request to one entry and reads the answer into v when the status is one of ok, and as a refusal otherwise.
+// call sends one request to one entry. If the status is 200 or one of ok, it decodes the answer into v.
+// Otherwise it returns the entry's refusal as an error. It never retries.
 func (l *apiClient) call(c context.Context, addr, method, path string, body []byte, v any, ok ...int) error {
 	q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
@@ -120,7 +121,7 @@
 	return refusalError(addr, r)
 }
 
-// refusalError returns what the entry said instead of serving the request.
+// refusalError returns an error with the reason that the entry gave for refusing the request, or with the status if it gave none.
 func refusalError(addr string, r *fasthttp.Response) error {
 	var f oper.Refusal
 	if json.Unmarshal(r.Body(), &f) != nil || f.Reason == "" {
@@ -132,7 +133,7 @@
 	return eris.Errorf("%s: %s", addr, f.Reason)
 }
 
-// get asks the entries in turn until one answers.
+// get sends a GET request to the entries in turn until one answers, and decodes the answer into v. A refusal is an answer, too.
 func (l *apiClient) get(c context.Context, path string, v any) error {
 	addrs, err := l.prepare()
 	if err != nil {
@@ -147,14 +148,14 @@
 	return err
 }
 
-// reply is what one entry answered.
+// reply is the answer or error of one entry.
 type reply[T any] struct {
 	addr  string
 	value T
 	err   error
 }
 
-// getAll asks every entry at once.
+// getAll sends a GET request to all entries in parallel.
 func getAll[T any](c context.Context, l *apiClient, path string) ([]reply[T], error) {
 	addrs, err := l.prepare()
 	if err != nil {
@@ -163,7 +164,7 @@
 	return getEach[T](c, l, addrs, path), nil
 }
 
-// getEach asks the entries at as at once.
+// getEach sends a GET request to the entries at addrs in parallel.
 func getEach[T any](c context.Context, l *apiClient, addrs []string, path string) []reply[T] {
 	rs := make([]reply[T], len(addrs))
 	var g errgroup.Group
@@ -175,6 +176,6 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // each reply holds its own error.
+	_ = g.Wait() // Each reply holds its own error.
 	return rs
 }
--- a/cmd/burdockreach/main.go
+++ b/cmd/burdockreach/main.go
@@ -1,4 +1,4 @@
-// Command burdockreach runs an entry of the fleet and gives operators their commands.
+// Command burdockreach runs an entry of the fleet and provides the operators' commands.
 package main
 
 import (
--- a/cmd/burdockreach/main_test.go
+++ b/cmd/burdockreach/main_test.go
@@ -29,16 +29,16 @@
 	teamToken     = "a-token-of-the-desk-team"
 )
 
-// fakeEntry is an entry's needs of the operators' API; its configuration is shared with the other fakes.
+// fakeEntry implements the interfaces that the operators' API needs of an entry. All fakes share one configuration.
 type fakeEntry struct {
 	*sharedConfig
 	name         string
-	applied      func(n conf.Number) conf.Number // what of the newest number the entry has in force
+	applied      func(n conf.Number) conf.Number // maps the newest change to the one in force here; nil: all are
 	peers        []oper.Entry
-	losesAnswers bool // answers to changes
+	losesAnswers bool // commits changes but reports each outcome as unknown
 }
 
-// sharedConfig is the configuration that all fakes see.
+// sharedConfig is the configuration that all fake entries share.
 type sharedConfig struct {
 	mu  sync.Mutex
 	doc *conf.Document
@@ -113,7 +113,7 @@
 	return b.Report()
 }
 
-// testCluster is some fakes behind real operators' APIs on loopback.
+// testCluster serves fake entries through real operators' APIs on loopback.
 type testCluster struct {
 	t     *testing.T
 	dir   string
@@ -147,7 +147,7 @@
 	return s
 }
 
-// write makes a file and returns its path.
+// write creates a file in the cluster's directory and returns its path.
 func (s *testCluster) write(name, text string) string {
 	p := filepath.Join(s.dir, name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -156,7 +156,8 @@
 	return p
 }
 
-// run executes words, with the flags of the link after the command's words, and returns the status and both outputs together.
+// run executes the command line words, with the flags for the entries inserted after the command's name.
+// It returns the exit status, and standard and error output together.
 func (s *testCluster) run(stdin string, words ...string) (int, string) {
 	s.t.Helper()
 	i := 1
@@ -170,7 +171,7 @@
 	return int(n), b.String()
 }
 
-// assertRun checks the status and a part of what was written.
+// assertRun runs the command line and checks the exit status and that the output contains part.
 func (s *testCluster) assertRun(want int, part string, words ...string) {
 	s.t.Helper()
 	if got, out := s.run(teamToken+"\n", words...); got != want || !strings.Contains(out, part) {
@@ -188,7 +189,7 @@
 	s.assertRun(0, "change 5 is in force on all 2 entries", "wait", "-latest")
 	s.assertRun(0, "accepted as change 6", "profile", "put", "-max-out", "3", "gold")
 	s.assertRun(0, "gold     1        10000    3", "profile", "list")
-	s.assertRun(0, `"objective": 0.99`, "profile", "show", "gold") // kept from the first put
+	s.assertRun(0, `"objective": 0.99`, "profile", "show", "gold") // not changed by the second put
 	s.assertRun(0, "desk  orders   5", "approval", "list", "-team", "desk")
 	s.assertRun(0, "accepted as change 7", "wave", "put", "-pools", "kitchen", "week-9")
 	s.assertRun(0, "week-9  kitchen  no", "wave", "list")
@@ -214,6 +215,7 @@
 	i.True(!strings.Contains(list, operatorToken))
 }
 
+// Entry a1 is behind and shows the pool as of change 1. A put that starts from that state must not overwrite change 2.
 func TestConcurrentEditsAreRefused(t *testing.T) {
 	s := newTestCluster(t, &fakeEntry{name: "a1", applied: func(n conf.Number) conf.Number { return min(n, 1) }}, &fakeEntry{name: "b1"})
 	s.assertRun(0, "accepted as change 1", "pool", "put", "kitchen")
@@ -221,13 +223,15 @@
 	s.assertRun(1, "not accepted: not valid: expect: 1 is not allowed; allowed: 2, the object's last change", "pool", "put", "-spare=false", "kitchen")
 }
 
+// Entries that lose their answers leave the outcome of a change unknown. The command then prints how to ask again,
+// and another entry can tell the outcome.
 func TestUnknownOutcomes(t *testing.T) {
 	a, b := &fakeEntry{name: "a1", losesAnswers: true}, &fakeEntry{name: "b1", losesAnswers: true}
 	s := newTestCluster(t, a, b)
 	s.assertRun(1, "ask again with: burdockreach change -op op-7", "pool", "put", "-op", "op-7", "kitchen")
 	b.losesAnswers = false
 	s.assertRun(0, "accepted as change 1", "change", "-op", "op-7")
-	s.assertRun(0, "accepted as change 2", "pool", "put", "oven") // the other entry settles it
+	s.assertRun(0, "accepted as change 2", "pool", "put", "oven") // b1 tells the outcome that a1 lost
 	s.assertRun(1, "not accepted", "change", "-op", "never")
 }
 
@@ -285,7 +289,7 @@
 			i := is.New(t)
 			i.Equal(int(n), c.status)
 			i.True(strings.Contains(o.String(), c.part))
-			i.True(!strings.Contains(o.String(), ".go:")) // no stack
+			i.True(!strings.Contains(o.String(), ".go:")) // errors are printed without a stack trace
 		})
 	}
 	s.assertRun(0, "accepted as change 1", "pool", "put", "-file", s.write("pool.json", `{"name":"oven","spare":true}`))
--- a/cmd/burdockreach/report.go
+++ b/cmd/burdockreach/report.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/node/burn"
 )
 
-// reportCommand merges the service-level burn of all entries.
+// reportCommand returns the command that prints the merged burn report of all entries.
 func (a *app) reportCommand() *command {
 	l, svg := a.newAPIClient(), ""
 	return &command{
@@ -39,7 +39,7 @@
 	}
 }
 
-// burnReport asks every entry and merges the answers; entries that gave none are named in the report.
+// burnReport gets the burn reports of all entries and merges them. The result names the entries that did not answer.
 func (l *apiClient) burnReport(c context.Context) (burn.Report, error) {
 	rs, err := getAll[burn.Report](c, l, "/op/burn")
 	if err != nil {
@@ -73,7 +73,7 @@
 	return eris.Wrap(f.Close(), "write picture")
 }
 
-// writeWaveProgress tells how far a wave has come in each data centre.
+// writeWaveProgress prints the progress of a maintenance wave in each data centre.
 func (l *apiClient) writeWaveProgress(c context.Context, id string) error {
 	r, err := l.burnReport(c)
 	if err != nil {
--- a/cmd/burdockreach/settings.go
+++ b/cmd/burdockreach/settings.go
@@ -12,10 +12,10 @@
 	"burdockreach.dev/node/setup"
 )
 
-// errUsageReported marks settings or flags whose faults were told; the status is 2.
+// errUsageReported marks invalid settings or flags whose faults have already been printed. The exit status is 2.
 var errUsageReported = eris.New("settings are not allowed")
 
-// loadSettings reads settings and tells every fault.
+// loadSettings loads the settings file at path. It prints every fault and then returns errUsageReported.
 func (a *app) loadSettings(path string) (setup.Settings, error) {
 	s, err := setup.Load(path)
 	var e *setup.Error
@@ -32,7 +32,7 @@
 	return s, nil
 }
 
-// checkCommand checks a settings file.
+// checkCommand returns the command that checks a settings file.
 func (a *app) checkCommand() *command {
 	return &command{
 		app: a, name: "check", synopsis: "check a settings file; status 2 if it is not allowed", usage: program + " check FILE",
@@ -50,7 +50,7 @@
 	}
 }
 
-// versionCommand tells which program this is.
+// versionCommand returns the command that prints the versions of the program and of Go.
 func (a *app) versionCommand() *command {
 	return &command{
 		app: a, name: "version", synopsis: "tell the program's version", usage: program + " version",
--- a/cmd/burdockreach/site.go
+++ b/cmd/burdockreach/site.go
@@ -16,7 +16,7 @@
 	"burdockreach.dev/platform"
 )
 
-// siteCommand runs an entry on a platform until it is told to stop.
+// siteCommand returns the command that runs an entry on a platform until SIGTERM or SIGINT.
 func (a *app) siteCommand() *command {
 	path, check := "", false
 	return &command{
@@ -43,10 +43,10 @@
 	}
 }
 
-// fleetTimeout bounds the reading of the store.
+// fleetTimeout is the time limit for reading the platform's store.
 const fleetTimeout = 10 * time.Second
 
-// fleetCommand prints what the platform's store holds of the entries and their work, or of one job.
+// fleetCommand returns the command that prints the state of the entries and their work, or of one job, from the platform's store.
 func (a *app) fleetCommand() *command {
 	path, job := "", ""
 	return &command{
@@ -89,7 +89,7 @@
 	}
 }
 
-// runSite runs the entry, and has it read its settings again at each SIGHUP.
+// runSite runs the entry until c ends, and reloads its settings from path on each SIGHUP.
 func runSite(c context.Context, e *nodesite.Site, path string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/cmd/burdockreach/state.go
+++ b/cmd/burdockreach/state.go
@@ -12,7 +12,7 @@
 	"burdockreach.dev/node/oper"
 )
 
-// vmCommand lists and shows VMs.
+// vmCommand returns the commands that list and show VMs.
 func (a *app) vmCommand() *command {
 	l, pool, state, dc := a.newAPIClient(), "", "", ""
 	s := a.newAPIClient()
@@ -49,14 +49,15 @@
 		})
 }
 
-// Whose word on a VM counts most.
+// Ranks of the entries that report on a VM, in rising order. The report of the highest rank is used.
 const (
 	rankOtherDataCentre = iota + 1 // an entry of another data centre
 	rankSameDataCentre             // an entry of the VM's data centre
 	rankLeader                     // the leader of the VM's data centre
 )
 
-// getVMs asks every entry for VMs; of a VM, the word of the leader of its data centre counts first, then that of its other entries.
+// getVMs gets the VMs that match the query from all entries. For each VM it uses the report of the leader of the VM's data centre,
+// else that of another entry of the data centre, else that of any entry.
 func (l *apiClient) getVMs(c context.Context, query string) ([]oper.VM, error) {
 	rs, err := getAll[oper.VMs](c, l, "/op/vms"+query)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return vs, nil
 }
 
-// reportRank tells how much the word of entry e on v counts.
+// reportRank returns the rank of entry e's report on v.
 func reportRank(e oper.Entry, v oper.VM) int {
 	switch {
 	case e.DataCentre != v.DataCentre:
@@ -101,7 +102,7 @@
 	}
 }
 
-// selfReports returns what each entry that answers says of itself, by its operator address.
+// selfReports returns what each entry that answers reports about itself, by its operator address.
 func (l *apiClient) selfReports(c context.Context) map[string]oper.Entry {
 	m := make(map[string]oper.Entry)
 	rs, err := getAll[oper.Entries](c, l, "/op/entries")
@@ -129,7 +130,7 @@
 	return l.app.table([]string{"VM", "POOL", "STATE", "PLATFORM", "DATA CENTRE", "RACK", "ADDRESS", "WAVE", "BOOT"}, rows)
 }
 
-// statusCommand tells of entries and pools.
+// statusCommand returns the command that prints the state of entries and pools.
 func (a *app) statusCommand() *command {
 	l := a.newAPIClient()
 	return &command{
@@ -151,14 +152,15 @@
 	}
 }
 
-// statusReport is the answer of status in JSON.
+// statusReport is the JSON output of status.
 type statusReport struct {
 	Entries  []oper.Entry `json:"entries"`
 	NoAnswer []string     `json:"noAnswer"`
 	VMs      []oper.VM    `json:"vms"`
 }
 
-// getEntries returns the entries, and the addresses that gave no answer. What an entry says of itself goes before what others say of it.
+// getEntries returns all entries in the order of their names, and the errors of those that did not answer.
+// An entry's own report takes precedence over those of other entries.
 func (l *apiClient) getEntries(c context.Context) ([]oper.Entry, []string, error) {
 	rs, err := getAll[oper.Entries](c, l, "/op/entries")
 	if err != nil {
@@ -197,7 +199,7 @@
 	return a.table([]string{"POOL", "DATA CENTRE", "STATE", "VMS"}, poolRows(vs))
 }
 
-// poolRows counts VMs by pool, data centre and state.
+// poolRows returns table rows with the number of VMs in each pool, data centre and state.
 func poolRows(vs []oper.VM) [][]string {
 	type group struct{ pool, dc, state string }
 	n := make(map[group]int)
--- a/cmd/burdockreach/submit.go
+++ b/cmd/burdockreach/submit.go
@@ -16,7 +16,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// submitter sends changes and tells what became of them.
+// submitter submits changes of the configuration and prints their outcomes.
 type submitter struct {
 	*apiClient
 	opID, operator string
@@ -35,7 +35,7 @@
 	f.DurationVar(&s.maxWait, "wait", 0, "longest wait until the change is in force on every entry; 0 does not wait")
 }
 
-// userName returns who runs the command.
+// userName returns the name of the user who runs the command, or the empty string if it is not known.
 func userName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// submit sends the change, says what became of it and waits until it is in force if that is asked for.
+// submit submits the change and prints its outcome. With -wait it also waits until the change is in force on every entry.
 func (s *submitter) submit(c context.Context, g conf.Change) error {
 	addrs, err := s.prepare()
 	if err != nil {
@@ -67,7 +67,8 @@
 	return s.apiClient.waitInForce(c, addrs, r.Number, submittedAt, s.maxWait)
 }
 
-// send gives the change to the first entry that can be reached; an answer that is lost is settled at every entry.
+// send sends the change to the first entry that can be reached. If the answer is lost or the outcome is unknown,
+// it asks the entries for the outcome instead of sending the change again.
 func (s *submitter) send(c context.Context, addrs []string, g conf.Change) (oper.ChangeReply, error) {
 	var r oper.ChangeReply
 	b, err := json.Marshal(g)
@@ -88,7 +89,7 @@
 	return r, eris.Wrap(err, "not accepted: no entry was reached")
 }
 
-// findOutcome asks the entries what became of the operation.
+// findOutcome asks the entries in turn for the outcome of the operation until one knows it.
 func (l *apiClient) findOutcome(c context.Context, addrs []string, op string) oper.ChangeReply {
 	r := oper.ChangeReply{Outcome: oper.Unknown, Op: op}
 	for _, a := range addrs {
@@ -105,7 +106,7 @@
 	return r
 }
 
-// writeOutcome says what became of a change; only an accepted one is a success.
+// writeOutcome prints the outcome of a change. It returns errReported unless the change was accepted.
 func (l *apiClient) writeOutcome(r oper.ChangeReply) error {
 	if l.asJSON {
 		if err := l.app.writeJSON(r); err != nil {
@@ -126,7 +127,7 @@
 	return errReported
 }
 
-// refusalReason returns the reason of a change that was not accepted.
+// refusalReason returns the reason why a change was not accepted.
 func refusalReason(r oper.ChangeReply) string {
 	if r.Field == "" {
 		return r.Reason
@@ -134,10 +135,10 @@
 	return r.Reason + ": " + r.Field + ": " + r.Value + " is not allowed; allowed: " + r.Allowed
 }
 
-// escape returns s as a value in a query.
+// escape returns s escaped for use as a value in a query string.
 func escape(s string) string { return string(fasthttp.AppendQuotedArg(nil, []byte(s))) }
 
-// changeCommand settles an operation whose outcome was unknown.
+// changeCommand returns the command that prints the outcome of an operation, for use after an unknown outcome.
 func (a *app) changeCommand() *command {
 	l, op := a.newAPIClient(), ""
 	return &command{
--- a/cmd/burdockreach/table.go
+++ b/cmd/burdockreach/table.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// table writes aligned columns; empty values stand as "-".
+// table prints the rows in aligned columns under their headings. It replaces empty values by "-".
 func (a *app) table(columns []string, rows [][]string) error {
 	var b strings.Builder
 	for _, r := range append([][]string{columns}, rows...) {
@@ -26,7 +26,7 @@
 	return eris.Wrap(t.Flush(), "write output")
 }
 
-// writeJSON writes v, indented.
+// writeJSON prints v as indented JSON.
 func (a *app) writeJSON(v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/cmd/burdockreach/wait.go
+++ b/cmd/burdockreach/wait.go
@@ -20,7 +20,7 @@
 	defaultMaxWait = 30 * time.Second
 )
 
-// waitCommand waits until a change is in force on every entry.
+// waitCommand returns the command that waits until a change is in force on every entry.
 func (a *app) waitCommand() *command {
 	l, n, latest, maxWait := a.newAPIClient(), int64(0), false, time.Duration(0)
 	return &command{
@@ -49,7 +49,8 @@
 	}
 }
 
-// newestChange returns the number of the newestChange change that any of the entries has in force.
+// newestChange returns the number of the newest change that is in force on any of the entries.
+// It ignores entries that do not answer, unless no entry has a change.
 func (l *apiClient) newestChange(c context.Context, addrs []string) (int64, error) {
 	var n conf.Number
 	var err error
@@ -66,8 +67,8 @@
 	return int64(n), err
 }
 
-// waitInForce waits until change n is in force on every entry and says how long that took since began, or since the change was made
-// when began is zero.
+// waitInForce waits until change n is in force on every entry, at most for maxWait. It prints the time that this took
+// since submittedAt, or since the change was made if submittedAt is zero.
 func (l *apiClient) waitInForce(c context.Context, addrs []string, n conf.Number, submittedAt time.Time, maxWait time.Duration) error {
 	t, cancel := context.WithTimeout(c, maxWait)
 	defer cancel()
@@ -80,7 +81,7 @@
 		if len(m) == 0 {
 			return l.writeInForce(rs, n, submittedAt)
 		}
-		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) { // answers that the end of the wait cut off say nothing.
+		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) { // Calls that the end of the wait cut off tell nothing about their entries.
 			missing = m
 		}
 		select {
@@ -91,7 +92,8 @@
 	}
 }
 
-// entriesBehind names the entries that lack the change or were not heard. What an entry says of itself goes before what others say of it.
+// entriesBehind lists the entries that lack change n or did not answer, and those that other entries report as unreachable.
+// An entry's own answer takes precedence over what other entries report about it.
 func entriesBehind(rs []reply[oper.Applied], n conf.Number) []string {
 	answered := make(map[string]bool)
 	var ms []string
@@ -120,7 +122,7 @@
 	return slices.Compact(ms)
 }
 
-// waitResult is the answer of wait in JSON.
+// waitResult is the JSON output of a successful wait.
 type waitResult struct {
 	Number  conf.Number `json:"n"`
 	Entries int         `json:"entries"`
