--- a/cmd/burdockreach/kind.go
+++ b/cmd/burdockreach/kind.go
@@ -142,7 +142,8 @@
 }
 
 // build returns the object to put: the one in file, or the current object with the fields that flags set.
-// In the second case, unless -expect is given, the change is accepted only if nobody has changed the object since it was read.
+// In the second case, unless -expect is given, the change is accepted only if nobody
+// has changed or created the object since it was read.
 func (k objectKind[T]) build(c context.Context, s *submitter, f *flag.FlagSet, file string) (T, error) {
 	var v T
 	if file != "" {
--- a/cmd/burdockreach/main_test.go
+++ b/cmd/burdockreach/main_test.go
@@ -33,7 +33,7 @@
 type fakeEntry struct {
 	*sharedConfig
 	name         string
-	applied      func(n conf.Number) conf.Number // maps the newest change to the one in force here; nil: all are
+	applied      func(n conf.Number) conf.Number // number of the newest change in force here, given the newest of all; nil: the same
 	peers        []oper.Entry
 	losesAnswers bool // commits changes but reports each outcome as unknown
 }
--- a/cmd/burdockreach/wait.go
+++ b/cmd/burdockreach/wait.go
@@ -81,7 +81,8 @@
 		if len(m) == 0 {
 			return l.writeInForce(rs, n, submittedAt)
 		}
-		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) { // Calls that the end of the wait cut off tell nothing about their entries.
+		// Calls that the end of the wait cut off say nothing about the entries.
+		if end, _ := t.Deadline(); missing == nil || time.Now().Before(end) {
 			missing = m
 		}
 		select {
--- a/node/setup/fields.go
+++ b/node/setup/fields.go
@@ -10,7 +10,7 @@
 	keysUnit         = "keys"
 )
 
-// field describes one field of the settings file. Parse takes defaults and rules from it, and Page the documentation.
+// field describes one field of the settings file. Defaults, validation and the settings page come from it.
 // pointer returns a pointer to the field's value in a Document.
 type field struct {
 	name, unit, meaning string
--- a/node/setup/settings.go
+++ b/node/setup/settings.go
@@ -70,7 +70,7 @@
 // IdleConn returns the time after which an idle connection to a target is closed.
 func (s Settings) IdleConn() time.Duration { return millis(s.d.IdleConnMs) }
 
-// PlatformTimeout returns the timeout of a call to the platform. A watch may take WatchWait in addition.
+// PlatformTimeout returns the timeout of a call to the platform, not counting the time for which a watch waits.
 func (s Settings) PlatformTimeout() time.Duration { return millis(s.d.PlatformTimeoutMs) }
 
 // PeerTimeout returns the timeout of a call to another entry.
