--- a/cmd/burdockreach/link.go
+++ b/cmd/burdockreach/client.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	entriesVar     = "BURDOCKREACH_ENTRIES"
-	tokenVar       = "BURDOCKREACH_TOKEN_FILE"
-	maxTokenBytes  = 4 << 10
-	maxReplyBytes  = 64 << 20
-	dialTimeout    = 2 * time.Second
-	defaultTimeout = 10 * time.Second
-	maxEntries     = 64 // entries asked at once
+	entriesEnv         = "BURDOCKREACH_ENTRIES"
+	tokenFileEnv       = "BURDOCKREACH_TOKEN_FILE"
+	maxTokenBytes      = 4 << 10
+	maxReplyBytes      = 64 << 20
+	dialTimeout        = 2 * time.Second
+	defaultTimeout     = 10 * time.Second
+	maxConcurrentCalls = 64 // limit of parallel calls to entries
 )
 
 var (
-	// errNotSent reports a request that never reached the entry.
+	// errNotSent means that the connection failed, so the request was not sent.
 	errNotSent = eris.New("entry cannot be reached")
-	// errLost reports a request whose answer did not come.
-	errLost = eris.New("no answer from the entry")
+	// errNoAnswer means that the request may have been sent, and no answer came.
+	errNoAnswer = eris.New("no answer from the entry")
 )
 
-// link reaches the entries' operators' API.
-type link struct {
+// apiClient calls the operators' API of the entries that its flags name.
+type apiClient struct {
 	app       *app
 	entries   string
 	tokenFile string
@@ -46,28 +46,28 @@
 	client    *fasthttp.Client
 }
 
-func (a *app) newLink() *link { return &link{app: a} }
+func (a *app) newAPIClient() *apiClient { return &apiClient{app: a} }
 
-// flags defines the flags by which a command finds the entries.
-func (l *link) flags(f *flag.FlagSet) {
-	f.StringVar(&l.entries, "entries", os.Getenv(entriesVar), "operator addresses of entries, IP:port, separated by commas; default from "+entriesVar)
-	f.StringVar(&l.tokenFile, "operator-token-file", os.Getenv(tokenVar), "file with the operator's token; default from "+tokenVar)
+// flags defines the flags for the entries' addresses, the operator's token, the timeout and the output format.
+func (l *apiClient) flags(f *flag.FlagSet) {
+	f.StringVar(&l.entries, "entries", os.Getenv(entriesEnv), "operator addresses of entries, IP:port, separated by commas; default from "+entriesEnv)
+	f.StringVar(&l.tokenFile, "operator-token-file", os.Getenv(tokenFileEnv), "file with the operator's token; default from "+tokenFileEnv)
 	f.DurationVar(&l.timeout, "timeout", defaultTimeout, "longest wait for an answer")
 	f.BoolVar(&l.asJSON, "json", false, "write JSON")
 }
 
-// open reads the token and returns the addresses of the entries.
-func (l *link) open() ([]string, error) {
-	var as []string
+// prepare reads the token, creates the HTTP client and returns the addresses of the entries.
+func (l *apiClient) prepare() ([]string, error) {
+	var addrs []string
 	for _, s := range strings.Split(l.entries, ",") {
 		s = strings.TrimSpace(s)
 		if _, err := netip.ParseAddrPort(s); err != nil {
 			return nil, eris.Wrapf(errUsage, "-entries: %q is not allowed; allowed: IP:port, separated by commas", s)
 		}
-		as = append(as, s)
+		addrs = append(addrs, s)
 	}
 	if l.tokenFile == "" {
-		return nil, eris.Wrapf(errUsage, "-operator-token-file is missing; it may also come from %s", tokenVar)
+		return nil, eris.Wrapf(errUsage, "-operator-token-file is missing; it may also come from %s", tokenFileEnv)
 	}
 	b, err := os.ReadFile(l.tokenFile)
 	if err != nil {
@@ -81,10 +81,10 @@
 		Dial: dial, MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxResponseBodySize: maxReplyBytes, NoDefaultUserAgentHeader: true,
 	}
-	return as, nil
+	return addrs, nil
 }
 
-// dial marks a failure to connect, after which nothing was sent.
+// dial connects to addr. It marks a failure with errNotSent, because nothing was sent then.
 func dial(addr string) (net.Conn, error) {
 	c, err := fasthttp.DialTimeout(addr, dialTimeout)
 	if err != nil {
@@ -93,8 +93,9 @@
 	return c, nil
 }
 
-// call sends one request to one entry and reads the answer into v when the status is one of ok, and as a refusal otherwise.
-func (l *link) call(c context.Context, addr, method, path string, body []byte, v any, ok ...int) error {
+// call sends one request to one entry. If the status is 200 or one of ok, it decodes the answer into v.
+// Otherwise it returns the entry's refusal as an error. It never retries.
+func (l *apiClient) call(c context.Context, addr, method, path string, body []byte, v any, ok ...int) error {
 	q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(r)
@@ -110,18 +111,18 @@
 		if errors.Is(err, errNotSent) {
 			return eris.Wrapf(errNotSent, "%s", addr)
 		}
-		return eris.Wrapf(errLost, "%s: %v", addr, err)
+		return eris.Wrapf(errNoAnswer, "%s: %v", addr, err)
 	}
 	for _, s := range append(ok, fasthttp.StatusOK) {
 		if r.StatusCode() == s {
 			return eris.Wrapf(json.Unmarshal(r.Body(), v), "%s: read answer", addr)
 		}
 	}
-	return refusal(addr, r)
+	return refusalError(addr, r)
 }
 
-// refusal returns what the entry said instead of serving the request.
-func refusal(addr string, r *fasthttp.Response) error {
+// refusalError returns an error with the reason that the entry gave for refusing the request, or with the status if it gave none.
+func refusalError(addr string, r *fasthttp.Response) error {
 	var f oper.Refusal
 	if json.Unmarshal(r.Body(), &f) != nil || f.Reason == "" {
 		return eris.Errorf("%s: status %d", addr, r.StatusCode())
@@ -132,49 +133,49 @@
 	return eris.Errorf("%s: %s", addr, f.Reason)
 }
 
-// get asks the entries in turn until one answers.
-func (l *link) get(c context.Context, path string, v any) error {
-	as, err := l.open()
+// get sends a GET request to the entries in turn until one answers, and decodes the answer into v. A refusal is an answer, too.
+func (l *apiClient) get(c context.Context, path string, v any) error {
+	addrs, err := l.prepare()
 	if err != nil {
 		return err
 	}
-	for _, a := range as {
+	for _, a := range addrs {
 		err = l.call(c, a, fasthttp.MethodGet, path, nil, v)
-		if !errors.Is(err, errNotSent) && !errors.Is(err, errLost) {
+		if !errors.Is(err, errNotSent) && !errors.Is(err, errNoAnswer) {
 			return err
 		}
 	}
 	return err
 }
 
-// reply is what one entry answered.
+// reply is the answer or error of one entry.
 type reply[T any] struct {
 	addr  string
 	value T
 	err   error
 }
 
-// askAll asks every entry at once.
-func askAll[T any](c context.Context, l *link, path string) ([]reply[T], error) {
-	as, err := l.open()
+// getAll sends a GET request to all entries in parallel.
+func getAll[T any](c context.Context, l *apiClient, path string) ([]reply[T], error) {
+	addrs, err := l.prepare()
 	if err != nil {
 		return nil, err
 	}
-	return askEach[T](c, l, as, path), nil
+	return getEach[T](c, l, addrs, path), nil
 }
 
-// askEach asks the entries at as at once.
-func askEach[T any](c context.Context, l *link, as []string, path string) []reply[T] {
-	rs := make([]reply[T], len(as))
+// getEach sends a GET request to the entries at addrs in parallel.
+func getEach[T any](c context.Context, l *apiClient, addrs []string, path string) []reply[T] {
+	rs := make([]reply[T], len(addrs))
 	var g errgroup.Group
-	g.SetLimit(maxEntries)
-	for i, a := range as {
+	g.SetLimit(maxConcurrentCalls)
+	for i, a := range addrs {
 		g.Go(func() error {
 			rs[i].addr = a
 			rs[i].err = l.call(c, a, fasthttp.MethodGet, path, nil, &rs[i].value)
 			return nil
 		})
 	}
-	_ = g.Wait() // each reply holds its own error.
+	_ = g.Wait() // Each reply holds its own error.
 	return rs
 }
--- a/cmd/burdockreach/settings.go
+++ b/cmd/burdockreach/settings.go
@@ -12,27 +12,27 @@
 	"burdockreach.dev/node/setup"
 )
 
-// errSettings marks settings or flags whose faults were told; the status is 2.
-var errSettings = eris.New("settings are not allowed")
+// errUsageReported marks invalid settings or flags whose faults have already been printed. The exit status is 2.
+var errUsageReported = eris.New("settings are not allowed")
 
-// load reads settings and tells every fault.
-func (a *app) load(path string) (setup.Settings, error) {
+// loadSettings loads the settings file at path. It prints every fault and then returns errUsageReported.
+func (a *app) loadSettings(path string) (setup.Settings, error) {
 	s, err := setup.Load(path)
 	var e *setup.Error
 	if errors.As(err, &e) {
 		for _, f := range e.Faults() {
-			a.complain("%s: %s\n", path, f)
+			a.errorf("%s: %s\n", path, f)
 		}
-		return s, errSettings
+		return s, errUsageReported
 	}
 	if err != nil {
-		a.complain("%s: %s\n", path, eris.ToString(err, false))
-		return s, errSettings
+		a.errorf("%s: %s\n", path, eris.ToString(err, false))
+		return s, errUsageReported
 	}
 	return s, nil
 }
 
-// checkCommand checks a settings file.
+// checkCommand returns the command that checks a settings file.
 func (a *app) checkCommand() *command {
 	return &command{
 		app: a, name: "check", synopsis: "check a settings file; status 2 if it is not allowed", usage: program + " check FILE",
@@ -41,16 +41,16 @@
 			if err != nil {
 				return err
 			}
-			s, err := a.load(path)
+			s, err := a.loadSettings(path)
 			if err != nil {
 				return err
 			}
-			return a.say("%s: allowed, for entry %s of data centre %s\n", path, s.Name(), s.DataCentre())
+			return a.printf("%s: allowed, for entry %s of data centre %s\n", path, s.Name(), s.DataCentre())
 		},
 	}
 }
 
-// versionCommand tells which program this is.
+// versionCommand returns the command that prints the versions of the program and of Go.
 func (a *app) versionCommand() *command {
 	return &command{
 		app: a, name: "version", synopsis: "tell the program's version", usage: program + " version",
@@ -59,7 +59,7 @@
 			if b, ok := debug.ReadBuildInfo(); ok {
 				v = b.Main.Version
 			}
-			return a.say("%s %s, %s\n", program, v, runtime.Version())
+			return a.printf("%s %s, %s\n", program, v, runtime.Version())
 		},
 	}
 }
--- a/cmd/burdockreach/site.go
+++ b/cmd/burdockreach/site.go
@@ -12,11 +12,11 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sync/errgroup"
 
-	node "burdockreach.dev/node/site"
+	nodesite "burdockreach.dev/node/site"
 	"burdockreach.dev/platform"
 )
 
-// siteCommand runs an entry on a platform until it is told to stop.
+// siteCommand returns the command that runs an entry on a platform until SIGTERM or SIGINT.
 func (a *app) siteCommand() *command {
 	path, check := "", false
 	return &command{
@@ -30,11 +30,11 @@
 			if path == "" {
 				return eris.Wrap(errUsage, "-settings is missing")
 			}
-			s, err := node.Load(path)
+			s, err := nodesite.Load(path)
 			if err != nil || check {
 				return err
 			}
-			e, err := node.New(s, newPlatform(s), a.out)
+			e, err := nodesite.New(s, newPlatform(s), a.out)
 			if err != nil {
 				return err
 			}
@@ -43,10 +43,10 @@
 	}
 }
 
-// fleetWithin bounds the reading of the store.
-const fleetWithin = 10 * time.Second
+// fleetTimeout is the time limit for reading the platform's store.
+const fleetTimeout = 10 * time.Second
 
-// fleetCommand prints what the platform's store holds of the entries and their work, or of one job.
+// fleetCommand returns the command that prints the state of the entries and their work, or of one job, from the platform's store.
 func (a *app) fleetCommand() *command {
 	path, job := "", ""
 	return &command{
@@ -60,17 +60,17 @@
 			if path == "" {
 				return eris.Wrap(errUsage, "-settings is missing")
 			}
-			s, err := node.Load(path)
+			s, err := nodesite.Load(path)
 			if err != nil {
 				return err
 			}
-			c, cancel := context.WithTimeout(c, fleetWithin)
+			c, cancel := context.WithTimeout(c, fleetTimeout)
 			defer cancel()
 			var v any
 			if p := newPlatform(s); job != "" {
-				v, err = node.ReadJob(c, p, job)
+				v, err = nodesite.ReadJob(c, p, job)
 			} else {
-				v, err = node.ReadStatus(c, p)
+				v, err = nodesite.ReadStatus(c, p)
 			}
 			if err != nil {
 				return err
@@ -82,15 +82,15 @@
 	}
 }
 
-func newPlatform(s node.Settings) node.Platform {
-	return node.Platform{
+func newPlatform(s nodesite.Settings) nodesite.Platform {
+	return nodesite.Platform{
 		Store: platform.NewStore(s.StoreAddr), Workers: platform.NewWorkers(), Machines: platform.NewMachines(s.MachinesAddr, s.Name),
 		Format: platform.Format{}, Codec: platform.Codec{}, ReadyPath: platform.PathReady,
 	}
 }
 
-// runSite runs the entry, and has it read its settings again at each SIGHUP.
-func runSite(c context.Context, e *node.Site, path string) error {
+// runSite runs the entry until c ends, and reloads its settings from path on each SIGHUP.
+func runSite(c context.Context, e *nodesite.Site, path string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
--- a/cmd/burdockreach/state.go
+++ b/cmd/burdockreach/state.go
@@ -12,11 +12,11 @@
 	"burdockreach.dev/node/oper"
 )
 
-// vmCommand lists and shows VMs.
+// vmCommand returns the commands that list and show VMs.
 func (a *app) vmCommand() *command {
-	l, pool, state, dc := a.newLink(), "", "", ""
-	s := a.newLink()
-	return a.group("vm", "list or show VMs",
+	l, pool, state, dc := a.newAPIClient(), "", "", ""
+	s := a.newAPIClient()
+	return a.commandGroup("vm", "list or show VMs",
 		&command{
 			app: a, name: "list", synopsis: "list VMs", usage: program + " vm list [flags]",
 			flags: func(f *flag.FlagSet) {
@@ -26,7 +26,7 @@
 				f.StringVar(&dc, "data-centre", "", "only in this data centre")
 			},
 			run: func(c context.Context, _ *flag.FlagSet) error {
-				vs, err := l.vms(c, "?pool="+escape(pool)+"&state="+escape(state)+"&dataCentre="+escape(dc))
+				vs, err := l.getVMs(c, "?pool="+escape(pool)+"&state="+escape(state)+"&dataCentre="+escape(dc))
 				if err != nil {
 					return err
 				}
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				vs, err := s.vms(c, "?name="+escape(name))
+				vs, err := s.getVMs(c, "?name="+escape(name))
 				if err != nil {
 					return err
 				}
@@ -49,38 +49,39 @@
 		})
 }
 
-// Whose word on a VM counts most.
+// Ranks of the entries that report on a VM, in rising order. The report of the highest rank is used.
 const (
-	elsewhere = iota + 1 // an entry of another data centre
-	nearby               // an entry of the VM's data centre
-	leading              // the leader of the VM's data centre
+	rankOtherDataCentre = iota + 1 // an entry of another data centre
+	rankSameDataCentre             // an entry of the VM's data centre
+	rankLeader                     // the leader of the VM's data centre
 )
 
-// vms asks every entry for VMs; of a VM, the word of the leader of its data centre counts first, then that of its other entries.
-func (l *link) vms(c context.Context, query string) ([]oper.VM, error) {
-	rs, err := askAll[oper.VMs](c, l, "/op/vms"+query)
+// getVMs gets the VMs that match the query from all entries. For each VM it uses the report of the leader of the VM's data centre,
+// else that of another entry of the data centre, else that of any entry.
+func (l *apiClient) getVMs(c context.Context, query string) ([]oper.VM, error) {
+	rs, err := getAll[oper.VMs](c, l, "/op/vms"+query)
 	if err != nil {
 		return nil, err
 	}
-	homes := l.homes(c)
-	vms, ranks := make(map[string]oper.VM), make(map[string]int)
-	heard := false
+	byAddr := l.selfReports(c)
+	byID, ranks := make(map[string]oper.VM), make(map[string]int)
+	answered := false
 	for _, r := range rs {
-		heard = heard || r.err == nil
+		answered = answered || r.err == nil
 		if r.err != nil {
-			l.app.complain("no answer: %s\n", eris.ToString(r.err, false))
+			l.app.errorf("no answer: %s\n", eris.ToString(r.err, false))
 		}
 		for _, v := range r.value.Items {
-			if k := rank(homes[r.addr], v); k > ranks[v.ID] {
-				vms[v.ID], ranks[v.ID] = v, k
+			if k := reportRank(byAddr[r.addr], v); k > ranks[v.ID] {
+				byID[v.ID], ranks[v.ID] = v, k
 			}
 		}
 	}
-	if !heard {
+	if !answered {
 		return nil, eris.Wrap(rs[0].err, "no entry answered")
 	}
-	vs := make([]oper.VM, 0, len(vms))
-	for _, v := range vms {
+	vs := make([]oper.VM, 0, len(byID))
+	for _, v := range byID {
 		vs = append(vs, v)
 	}
 	slices.SortFunc(vs, func(a, b oper.VM) int {
@@ -89,22 +90,22 @@
 	return vs, nil
 }
 
-// rank tells how much the word of entry e on v counts.
-func rank(e oper.Entry, v oper.VM) int {
+// reportRank returns the rank of entry e's report on v.
+func reportRank(e oper.Entry, v oper.VM) int {
 	switch {
 	case e.DataCentre != v.DataCentre:
-		return elsewhere
+		return rankOtherDataCentre
 	case e.Leader:
-		return leading
+		return rankLeader
 	default:
-		return nearby
+		return rankSameDataCentre
 	}
 }
 
-// homes returns what each entry that answers says of itself, by its operator address.
-func (l *link) homes(c context.Context) map[string]oper.Entry {
+// selfReports returns what each entry that answers reports about itself, by its operator address.
+func (l *apiClient) selfReports(c context.Context) map[string]oper.Entry {
 	m := make(map[string]oper.Entry)
-	rs, err := askAll[oper.Entries](c, l, "/op/entries")
+	rs, err := getAll[oper.Entries](c, l, "/op/entries")
 	if err != nil {
 		return m
 	}
@@ -118,86 +119,87 @@
 	return m
 }
 
-func (l *link) writeVMs(vs []oper.VM) error {
+func (l *apiClient) writeVMs(vs []oper.VM) error {
 	if l.asJSON {
 		return l.app.writeJSON(oper.VMs{Items: vs})
 	}
 	var rows [][]string
 	for _, v := range vs {
-		rows = append(rows, texts(v.ID, v.Pool, v.State, v.Platform, v.DataCentre, v.Rack, v.Addr, v.Wave, v.Boot))
+		rows = append(rows, formatRow(v.ID, v.Pool, v.State, v.Platform, v.DataCentre, v.Rack, v.Addr, v.Wave, v.Boot))
 	}
 	return l.app.table([]string{"VM", "POOL", "STATE", "PLATFORM", "DATA CENTRE", "RACK", "ADDRESS", "WAVE", "BOOT"}, rows)
 }
 
-// statusCommand tells of entries and pools.
+// statusCommand returns the command that prints the state of entries and pools.
 func (a *app) statusCommand() *command {
-	l := a.newLink()
+	l := a.newAPIClient()
 	return &command{
 		app: a, name: "status", synopsis: "tell the state of entries and pools", usage: program + " status [flags]", flags: l.flags,
 		run: func(c context.Context, _ *flag.FlagSet) error {
-			es, lost, err := l.status(c)
+			es, unanswered, err := l.getEntries(c)
 			if err != nil {
 				return err
 			}
-			vs, err := l.vms(c, "")
+			vs, err := l.getVMs(c, "")
 			if err != nil {
 				return err
 			}
 			if l.asJSON {
-				return a.writeJSON(statusReport{Entries: es, NoAnswer: lost, VMs: vs})
+				return a.writeJSON(statusReport{Entries: es, NoAnswer: unanswered, VMs: vs})
 			}
 			return a.writeStatus(es, vs)
 		},
 	}
 }
 
-// statusReport is the answer of status in JSON.
+// statusReport is the JSON output of status.
 type statusReport struct {
 	Entries  []oper.Entry `json:"entries"`
 	NoAnswer []string     `json:"noAnswer"`
 	VMs      []oper.VM    `json:"vms"`
 }
 
-// status returns the entries, and the addresses that gave no answer. What an entry says of itself goes before what others say of it.
-func (l *link) status(c context.Context) ([]oper.Entry, []string, error) {
-	rs, err := askAll[oper.Entries](c, l, "/op/entries")
+// getEntries returns all entries in the order of their names, and the errors of those that did not answer.
+// An entry's own report takes precedence over those of other entries.
+func (l *apiClient) getEntries(c context.Context) ([]oper.Entry, []string, error) {
+	rs, err := getAll[oper.Entries](c, l, "/op/entries")
 	if err != nil {
 		return nil, nil, err
 	}
-	es, lost := make(map[string]oper.Entry), []string{}
+	byName, unanswered := make(map[string]oper.Entry), []string{}
 	for _, r := range rs {
 		if r.err != nil {
-			lost = append(lost, eris.ToString(r.err, false))
+			unanswered = append(unanswered, eris.ToString(r.err, false))
 		}
 		for _, e := range r.value.Items {
-			if o, known := es[e.Name]; !known || e.Self || !o.Self && !o.Reachable {
-				es[e.Name] = e
+			if o, known := byName[e.Name]; !known || e.Self || !o.Self && !o.Reachable {
+				byName[e.Name] = e
 			}
 		}
 	}
-	l2 := make([]oper.Entry, 0, len(es))
-	for _, e := range es {
-		l2 = append(l2, e)
+	entries := make([]oper.Entry, 0, len(byName))
+	for _, e := range byName {
+		entries = append(entries, e)
 	}
-	slices.SortFunc(l2, func(a, b oper.Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return l2, lost, nil
+	slices.SortFunc(entries, func(a, b oper.Entry) int { return cmp.Compare(a.Name, b.Name) })
+	return entries, unanswered, nil
 }
 
 func (a *app) writeStatus(es []oper.Entry, vs []oper.VM) error {
 	var rows [][]string
 	for _, e := range es {
-		rows = append(rows, texts(e.Name, e.DataCentre, e.Reachable, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
+		rows = append(rows, formatRow(e.Name, e.DataCentre, e.Reachable, e.Leader, e.Leaving, e.Applied, e.Roster, e.PeerAddr))
 	}
 	if err := a.table([]string{"ENTRY", "DATA CENTRE", "HEARD", "LEADER", "LEAVING", "APPLIED", "ROSTER", "PEER ADDRESS"}, rows); err != nil {
 		return err
 	}
-	if err := a.say("\n"); err != nil {
+	if err := a.printf("\n"); err != nil {
 		return err
 	}
 	return a.table([]string{"POOL", "DATA CENTRE", "STATE", "VMS"}, poolRows(vs))
 }
 
-// poolRows counts VMs by pool, data centre and state.
+// poolRows returns table rows with the number of VMs in each pool, data centre and state.
 func poolRows(vs []oper.VM) [][]string {
 	type group struct{ pool, dc, state string }
 	n := make(map[group]int)
--- a/node/setup/page.go
+++ b/node/setup/page.go
@@ -27,19 +27,19 @@
 - ` + "`leaderLeaseMs`" + ` is at least %d times ` + "`tickMs`" + `.
 `
 
-// Page returns docs/SETTINGS.md as the table of fields gives it.
+// Page returns the content of docs/SETTINGS.md, generated from the table of fields.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
 	for _, f := range fields() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.name, f.unit, shownDefault(f.rule.def), f.rule.allowed, f.meaning)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", f.name, f.unit, formatDefault(f.rule.defaultValue), f.rule.allowed, f.meaning)
 	}
-	fmt.Fprintf(&b, pageTail, beatsBeforeUnheard, ticksInLease)
+	fmt.Fprintf(&b, pageTail, minBeatsBeforeUnheard, minTicksInLease)
 	return b.String()
 }
 
-// shownDefault returns a default as the page shows it.
-func shownDefault(v any) string {
+// formatDefault returns the text of a default value in the settings page.
+func formatDefault(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return "must be given"
