--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -64,8 +64,8 @@
 func pace() slope.Settings {
 	s := settings()
 	return slope.Settings{
-		BeatMs: float64(s.Beat().Milliseconds()), TickMs: float64(s.Tick().Milliseconds()),
-		WatchWaitMs: float64(s.WatchWait().Milliseconds()), LeaseMs: float64(s.LeaderLease().Milliseconds()),
+		BeatMs: float64(s.HeartbeatInterval().Milliseconds()), TickMs: float64(s.LeaderTick().Milliseconds()),
+		WatchWaitMs: float64(s.MaxWatchWait().Milliseconds()), LeaseMs: float64(s.LeaderLease().Milliseconds()),
 		RememberS: ledger.RecordTTL.Seconds(), MaxKeys: float64(s.MaxKeys()), DeadlineMs: float64(s.DefaultDeadline().Milliseconds()),
 	}
 }
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -75,7 +75,7 @@
 	d.keeper = relay.NewKeeper(d.self, s.DataCentre(), s.DataCentres(), d.store, d.client, relay.WithLog(d.log),
 		relay.WithBookOptions(ledger.WithRecords(s.MaxKeys()), ledger.WithAnswerBytes(maxKeptAnswerBytes)))
 	d.gossip = newGossip(d)
-	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithInterval(s.Beat()), relay.WithLeader(d.gossip.leader), relay.WithOnBeat(d.gossip.receive))
+	d.beater = relay.NewBeater(d.keeper, d.client, d.gossip, relay.WithInterval(s.HeartbeatInterval()), relay.WithLeader(d.gossip.leader), relay.WithOnBeat(d.gossip.receive))
 }
 
 // maxKeptAnswerBytes limits the answers kept with their idempotency keys. The oldest are evicted first.
@@ -89,7 +89,7 @@
 		entry.WithKeys(keyClaimer{d.keeper}), entry.WithShareName(instanceName(d.self)), entry.WithOutcomeCounter(d.burn), entry.WithReadyCheck(d.hasPlace),
 		entry.WithLeaderCheck(d.gossip.hasLeader), entry.WithOnLeaving(d.beater.BeatNow))
 	d.loop = leader.New(s.DataCentre(), s.Name(), d.store, d.platform, d.lease, d.conf, d.gossip, d.views,
-		leader.WithTick(s.Tick()), leader.WithLogger(d.log), leader.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
+		leader.WithTick(s.LeaderTick()), leader.WithLogger(d.log), leader.WithOtherDataCentres(exclude(s.DataCentres(), s.DataCentre())),
 		leader.WithOnEntriesGone(d.keeper.SetGone))
 	d.jobs = newRunner(d)
 }
@@ -172,7 +172,7 @@
 
 // background starts everything except the handling of callers' requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group, l listeners) {
-	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWatchTimeout(d.settings.WatchWait()))
+	follower := conf.NewFollower(d.store, d.conf, conf.WithLogger(d.log), conf.WithWatchTimeout(d.settings.MaxWatchWait()))
 	server := relay.NewServer(relay.Service{Keeper: d.keeper, Beater: d.beater, Lender: d.slotLoans})
 	api := oper.New(d.settings.Name(), d.settings.OperatorTokenDigests(), configAPI{d}, fleetAPI{d}, d.burn, oper.WithLogger(d.log), d.jobs.operOption())
 	for _, f := range []func(context.Context) error{
--- a/node/daemon/operapi.go
+++ b/node/daemon/operapi.go
@@ -113,7 +113,7 @@
 		silent := now.Sub(p.HeardAt())
 		l = append(l, oper.Entry{
 			Name: p.Address().Entry(), DataCentre: p.Address().DataCentre(), PeerAddr: p.Address().Addr(),
-			Reachable: silent < d.settings.EntryUnheard(), SinceHeartbeatMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
+			Reachable: silent < d.settings.HeartbeatTimeout(), SinceHeartbeatMs: silent.Milliseconds(), Applied: conf.Number(p.Applied()),
 			Roster: p.Roster(), Leaving: p.Stopping(),
 		})
 	}
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -56,7 +56,7 @@
 	e.setStopping()
 	sleep(balancerWait)
 	left := e.refuseNew()
-	limit := time.NewTimer(e.settings.DrainWait())
+	limit := time.NewTimer(e.settings.DrainTimeout())
 	defer limit.Stop()
 	if left > 0 {
 		select {
--- a/node/entry/table.go
+++ b/node/entry/table.go
@@ -91,7 +91,7 @@
 		return old
 	}
 	return &target{vm: t.VM, addr: t.Addr, conns: conns.New(t.Addr,
-		conns.WithIdleTimeout(e.settings.IdleConn()), conns.WithConnectTimeout(e.settings.ConnectTimeout()), conns.WithMaxAnswer(e.settings.MaxAnswerBytes()))}
+		conns.WithIdleTimeout(e.settings.IdleConnTimeout()), conns.WithConnectTimeout(e.settings.ConnectTimeout()), conns.WithMaxAnswer(e.settings.MaxAnswerBytes()))}
 }
 
 // assignTargets sets the targets of each service, and none for services that are no longer configured; e.tableMu is held.
--- a/node/setup/page.go
+++ b/node/setup/page.go
@@ -27,8 +27,8 @@
 - ` + "`leaderLeaseMs`" + ` is at least %d times ` + "`tickMs`" + `.
 `
 
-// Page returns the content of docs/SETTINGS.md, generated from the table of fields.
-func Page() string {
+// SettingsPage returns the content of docs/SETTINGS.md, generated from the table of fields.
+func SettingsPage() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
 	for _, f := range fields() {
--- a/node/setup/rules.go
+++ b/node/setup/rules.go
@@ -30,8 +30,8 @@
 // ValidName reports whether s is a valid name of a VM, data centre, pool, profile, service, team or wave.
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// NameAllowed describes which names are valid, for error messages.
-func NameAllowed() string { return nameAllowed }
+// AllowedNames describes which names are valid, for error messages.
+func AllowedNames() string { return nameAllowed }
 
 func nameRule() rule {
 	return rule{allowed: nameAllowed, valid: func(v any) bool { return ValidName(*v.(*string)) }}
--- a/node/setup/settings.go
+++ b/node/setup/settings.go
@@ -61,14 +61,14 @@
 // MaxDeadline returns the longest deadline that a request may set.
 func (s Settings) MaxDeadline() time.Duration { return millis(s.d.MaxDeadlineMs) }
 
-// DrainWait returns the time limit for requests in flight after SIGTERM.
-func (s Settings) DrainWait() time.Duration { return millis(s.d.DrainWaitMs) }
+// DrainTimeout returns the time limit for requests in flight after SIGTERM.
+func (s Settings) DrainTimeout() time.Duration { return millis(s.d.DrainWaitMs) }
 
 // ConnectTimeout returns the timeout for connecting to a target.
 func (s Settings) ConnectTimeout() time.Duration { return millis(s.d.ConnectTimeoutMs) }
 
-// IdleConn returns the time after which an idle connection to a target is closed.
-func (s Settings) IdleConn() time.Duration { return millis(s.d.IdleConnMs) }
+// IdleConnTimeout returns the time after which an idle connection to a target is closed.
+func (s Settings) IdleConnTimeout() time.Duration { return millis(s.d.IdleConnMs) }
 
 // PlatformTimeout returns the timeout of a call to the platform, not counting the time for which a watch waits.
 func (s Settings) PlatformTimeout() time.Duration { return millis(s.d.PlatformTimeoutMs) }
@@ -76,20 +76,20 @@
 // PeerTimeout returns the timeout of a call to another entry.
 func (s Settings) PeerTimeout() time.Duration { return millis(s.d.PeerTimeoutMs) }
 
-// Tick returns the interval of the leader's loop.
-func (s Settings) Tick() time.Duration { return millis(s.d.TickMs) }
+// LeaderTick returns the interval of the leader's loop.
+func (s Settings) LeaderTick() time.Duration { return millis(s.d.TickMs) }
 
-// Beat returns the interval of heartbeats between entries.
-func (s Settings) Beat() time.Duration { return millis(s.d.BeatMs) }
+// HeartbeatInterval returns the interval of heartbeats between entries.
+func (s Settings) HeartbeatInterval() time.Duration { return millis(s.d.BeatMs) }
 
-// EntryUnheard returns the time without a heartbeat after which an entry counts as unreachable.
-func (s Settings) EntryUnheard() time.Duration { return seconds(s.d.EntryUnheardSeconds) }
+// HeartbeatTimeout returns the time without a heartbeat after which an entry counts as unreachable.
+func (s Settings) HeartbeatTimeout() time.Duration { return seconds(s.d.EntryUnheardSeconds) }
 
 // LeaderLease returns the time to live of the leader's lease. The lease lapses if it is not renewed within this time.
 func (s Settings) LeaderLease() time.Duration { return millis(s.d.LeaderLeaseMs) }
 
-// WatchWait returns how long one watch on the platform's key-value service waits for a change.
-func (s Settings) WatchWait() time.Duration { return millis(s.d.WatchWaitMs) }
+// MaxWatchWait returns how long one watch on the platform's key-value service waits for a change.
+func (s Settings) MaxWatchWait() time.Duration { return millis(s.d.WatchWaitMs) }
 
 // MaxKeys returns the maximum number of idempotency keys that the entry holds.
 func (s Settings) MaxKeys() int { return int(s.d.MaxKeys) }
--- a/node/setup/setup_test.go
+++ b/node/setup/setup_test.go
@@ -44,7 +44,7 @@
 	i := is.New(t)
 	s, err := setup.New(validDocument())
 	i.NoErr(err)
-	i.Equal(s.Beat(), 500*time.Millisecond)
+	i.Equal(s.HeartbeatInterval(), 500*time.Millisecond)
 	i.Equal(s.MaxBodyBytes(), 1<<20)
 	i.Equal(s.LogLevel(), "info")
 	i.Equal(len(s.PeerAddrs()), 0)
@@ -100,11 +100,11 @@
 func TestPage(t *testing.T) {
 	i := is.New(t)
 	if *update {
-		i.NoErr(os.WriteFile(pagePath, []byte(setup.Page()), 0o644))
+		i.NoErr(os.WriteFile(pagePath, []byte(setup.SettingsPage()), 0o644))
 	}
 	b, err := os.ReadFile(pagePath)
 	i.NoErr(err)
-	i.Equal(string(b), setup.Page())
+	i.Equal(string(b), setup.SettingsPage())
 }
 
 func assertFault(t *testing.T, err error, field string) {
