--- /dev/null
+++ b/fakes/floor/worker.go
@@ -0,0 +1,249 @@
+package floor
+
+import (
+	"maps"
+	"slices"
+
+	"burdockreach.dev/fleet/batch"
+)
+
+// MaxLeaseMs is the longest lease that a worker grants, in milliseconds.
+const MaxLeaseMs = 6000
+
+// Never is a time, or a duration, in milliseconds that no test reaches: for a run that does not end by itself, or a power loss
+// without end.
+const Never = int64(1) << 60
+
+// Run is one run of a task at a worker. From and End are milliseconds on the simulation's clock, not on the worker's.
+type Run struct {
+	Task   batch.TaskName
+	Number int
+	From   int64
+	End    int64
+	How    batch.How
+	Size   batch.Size
+}
+
+// Plan sets in advance how a run behaves: how long it takes, how it ends, and which resources of the worker it uses.
+type Plan struct {
+	RunMs int64 // Never for a run that does not end by itself.
+	How   batch.How
+	Size  batch.Size
+}
+
+// Hooks are callbacks for the events of a worker; each may be nil.
+type Hooks struct {
+	Begun func(w *Worker, r *Run)
+	Ended func(w *Worker, r *Run, how batch.How) // how is empty when the worker crashed.
+	Noted func(w *Worker, e batch.Ended)         // the caller has acknowledged an end after which the worker's lease has not expired.
+}
+
+// Worker simulates one worker. It is not safe for concurrent use.
+type Worker struct {
+	id             string
+	capacity       batch.Size
+	clockRate      float64 // milliseconds of the worker's clock per millisecond of the simulation's.
+	hooks          Hooks
+	nowMs          int64
+	bornMs         int64
+	previousBornMs int64 // bornMs of the previous lifetime.
+	offUntilMs     int64 // the worker is without power until this time.
+
+	fence        int64 // newest fencing token received.
+	leaseUntilMs int64 // end of the lease, on the worker's clock.
+	runs         []*Run
+	ended        []batch.Ended  // ends that the caller has not acknowledged.
+	lastEnd      int64          // number of the newest end.
+	ackedEnd     int64          // the caller has acknowledged the ends up to this number.
+	lapsedEnd    int64          // the lease expired after the ends up to this number.
+	highestRun   map[string]int // highest run number that was stopped or has ended, by task.
+	used         batch.Size
+}
+
+// New returns a worker whose lifetime begins at now, in milliseconds of the simulation's clock. Its own clock advances by clockRate
+// milliseconds per millisecond of the simulation's.
+func New(id string, capacity batch.Size, clockRate float64, now int64, h Hooks) *Worker {
+	return &Worker{id: id, capacity: capacity, clockRate: clockRate, hooks: h, nowMs: now, bornMs: now, highestRun: map[string]int{}}
+}
+
+// ID returns the worker's id.
+func (w *Worker) ID() string { return w.id }
+
+// Room returns the worker's capacity.
+func (w *Worker) Room() batch.Size { return w.capacity }
+
+// SetRoom changes the worker's capacity.
+func (w *Worker) SetRoom(s batch.Size) { w.capacity = s }
+
+// Born returns the start of the lifetime that the worker's entry in the store shows. While the worker has no power, the entry
+// still shows the previous lifetime.
+func (w *Worker) Born() int64 {
+	if w.Dark() {
+		return w.previousBornMs
+	}
+	return w.bornMs
+}
+
+// Lifetime returns the start of the current lifetime or, while the worker has no power, of the next one.
+func (w *Worker) Lifetime() int64 { return w.bornMs }
+
+// Dark reports whether the worker has no power.
+func (w *Worker) Dark() bool { return w.offUntilMs > w.nowMs }
+
+// Clock returns the time on the worker's own clock, in milliseconds since the start of its lifetime.
+func (w *Worker) Clock() int64 { return max(int64(float64(w.nowMs-w.bornMs)*w.clockRate), 0) }
+
+// Runs returns the active runs.
+func (w *Worker) Runs() []*Run { return slices.Clone(w.runs) }
+
+// Crash cuts the worker's power and ends its runs. A new lifetime, without runs, ends and lease, begins after ms milliseconds.
+func (w *Worker) Crash(ms int64) {
+	if w.Dark() {
+		return
+	}
+	for _, r := range w.runs {
+		w.notifyEnded(r, "")
+	}
+	w.previousBornMs, w.offUntilMs, w.bornMs = w.bornMs, w.nowMs+ms, w.nowMs+ms
+	w.fence, w.leaseUntilMs, w.runs, w.ended, w.lastEnd, w.ackedEnd, w.lapsedEnd, w.used = 0, 0, nil, nil, 0, 0, 0, batch.Size{}
+	w.highestRun = map[string]int{}
+}
+
+func (w *Worker) notifyEnded(r *Run, how batch.How) {
+	if w.hooks.Ended != nil {
+		w.hooks.Ended(w, r, how)
+	}
+}
+
+// Pass advances the simulation's time to now, in milliseconds, and ends the runs that have finished or whose lease has expired.
+func (w *Worker) Pass(now int64) {
+	w.nowMs = max(w.nowMs, now)
+	if w.Dark() {
+		return
+	}
+	if w.Clock() > w.leaseUntilMs {
+		w.lapsedEnd = w.lastEnd
+	}
+	for _, r := range slices.Clone(w.runs) {
+		switch {
+		case w.Clock() > w.leaseUntilMs:
+			w.endRun(r, batch.Lapsed)
+		case w.nowMs >= r.End:
+			w.endRun(r, r.How)
+		}
+	}
+}
+
+func (w *Worker) endRun(r *Run, how batch.How) {
+	w.runs = slices.DeleteFunc(w.runs, func(o *Run) bool { return o == r })
+	w.used = subtract(w.used, r.Size)
+	w.lastEnd++
+	w.ended = append(w.ended, batch.Ended{Number: w.lastEnd, Task: r.Task, Run: r.Number, How: how})
+	n := r.Task.String()
+	w.highestRun[n] = max(w.highestRun[n], r.Number)
+	w.notifyEnded(r, how)
+}
+
+func subtract(a, b batch.Size) batch.Size {
+	return batch.Size{CPU: a.CPU - b.CPU, MemMB: a.MemMB - b.MemMB, GPU: a.GPU - b.GPU}
+}
+
+// fenced reports whether fence is older than the newest fencing token that the worker has received. If not, it records fence as
+// the newest.
+func (w *Worker) fenced(fence int64) bool {
+	if fence < w.fence {
+		return true
+	}
+	w.fence = fence
+	return false
+}
+
+// extendLease extends the lease to until, but at most to MaxLeaseMs from now. It never shortens the lease.
+func (w *Worker) extendLease(until int64) {
+	w.leaseUntilMs = max(w.leaseUntilMs, min(until, w.Clock()+MaxLeaseMs))
+}
+
+// News reports whether a run has ended that the caller has not acknowledged.
+func (w *Worker) News(lastSeen int64) bool { return w.lastEnd > max(lastSeen, w.ackedEnd) }
+
+// Hold extends the lease, removes the ends that the caller acknowledges, and returns the active runs and the remaining ends.
+func (w *Worker) Hold(c batch.HoldCmd) batch.HeldMsg {
+	g := batch.HeldMsg{Worker: w.id, Born: w.bornMs, ClockMs: w.Clock()}
+	if w.fenced(c.Fence) {
+		g.Result = batch.Fenced
+		return g
+	}
+	w.extendLease(c.UntilMs)
+	for _, e := range w.ended {
+		if e.Number <= c.LastSeen && e.Number > w.lapsedEnd && w.hooks.Noted != nil {
+			w.hooks.Noted(w, e)
+		}
+	}
+	w.ackedEnd = max(w.ackedEnd, c.LastSeen)
+	w.ended = slices.DeleteFunc(w.ended, func(e batch.Ended) bool { return e.Number <= w.ackedEnd })
+	for _, r := range w.runs {
+		g.Running = append(g.Running, batch.Running{Task: r.Task, Run: r.Number, Percent: w.percentDone(r)})
+	}
+	g.Ended = slices.Clone(w.ended)
+	return g
+}
+
+// startupMs is the time after which a lasting run has started up and reports 100 percent.
+const startupMs = 300
+
+func (w *Worker) percentDone(r *Run) int {
+	span := max(r.End-r.From, 1)
+	if r.End == Never {
+		span = startupMs
+	}
+	return int(min(100*(w.nowMs-r.From)/span, 100))
+}
+
+// Start starts a run that behaves as p says.
+func (w *Worker) Start(c batch.StartCmd, p Plan) batch.Result {
+	n := c.Task.String()
+	isActive := func(r *Run) bool { return r.Task == c.Task && r.Number == c.Run }
+	if w.fenced(c.Fence) {
+		return batch.Fenced
+	}
+	if c.UntilMs < w.Clock() {
+		return batch.TooLate
+	}
+	w.extendLease(c.UntilMs)
+	switch {
+	case slices.ContainsFunc(w.runs, isActive):
+		return batch.OK
+	case c.Run <= w.highestRun[n]:
+		return batch.OldRun
+	case !p.Size.Fits(subtract(w.capacity, w.used)):
+		return batch.NoRoom
+	}
+	r := &Run{Task: c.Task, Number: c.Run, From: w.nowMs, End: Never, How: p.How, Size: p.Size}
+	if p.RunMs != Never {
+		r.End = w.nowMs + p.RunMs
+	}
+	w.runs = append(w.runs, r)
+	w.used = batch.Size{CPU: w.used.CPU + p.Size.CPU, MemMB: w.used.MemMB + p.Size.MemMB, GPU: w.used.GPU + p.Size.GPU}
+	if w.hooks.Begun != nil {
+		w.hooks.Begun(w, r)
+	}
+	return batch.OK
+}
+
+// Stop stops a run and the earlier ones of its task, and refuses to start any of them later.
+func (w *Worker) Stop(c batch.StopCmd) batch.Result {
+	if w.fenced(c.Fence) {
+		return batch.Fenced
+	}
+	n := c.Task.String()
+	w.highestRun[n] = max(w.highestRun[n], c.Run)
+	for _, r := range slices.Clone(w.runs) {
+		if r.Task == c.Task && r.Number <= c.Run {
+			w.endRun(r, batch.Stopped)
+		}
+	}
+	return batch.OK
+}
+
+// Sorted returns the keys of m in ascending order.
+func Sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/fakes/plant/platform.go
@@ -0,0 +1,432 @@
+package plant
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/valyala/fasthttp"
+	"golang.org/x/sync/errgroup"
+
+	"burdockreach.dev/fakes/floor"
+	"burdockreach.dev/fleet/batch"
+	"burdockreach.dev/node/board"
+	"burdockreach.dev/plat/keyval"
+	"burdockreach.dev/platform"
+)
+
+// Timing of the simulated platform.
+const (
+	tickInterval        = 5 * time.Millisecond
+	heartbeatInterval   = 400 * time.Millisecond
+	maxMissedHeartbeats = 3 // a worker's entry is removed after so many heartbeat intervals without renewal.
+)
+
+// Plant is a running simulated platform. It is safe for concurrent use.
+type Plant struct {
+	start time.Time
+	store *store
+	group *errgroup.Group
+	ctx   context.Context //nolint:containedctx // ends when the platform is closed
+	stop  func()
+
+	mu           sync.Mutex
+	checker      *floor.Judge
+	workers      []*workerServer
+	rnd          *rand.Rand
+	latePerMille int // orders per thousand that are executed late and not answered.
+	lostPerMille int // orders per thousand that are executed and whose answer is lost.
+
+	storeAddr, machinesAddr string
+}
+
+// workerServer serves one simulated worker over HTTP.
+type workerServer struct {
+	platform *Plant
+	worker   *floor.Worker
+	service  string
+	addr     string
+	lease    keyval.LeaseID
+}
+
+// store is an in-memory store that can be made unavailable.
+type store struct {
+	*keyval.Memory
+	down         atomic.Bool
+	lostPerMille atomic.Int64 // writes per thousand whose answer is lost.
+	rnd          func(int) int
+}
+
+// Txn applies the transaction; its answer may be lost.
+func (s *store) Txn(ctx context.Context, t keyval.Txn) (keyval.Revision, error) {
+	r, err := s.Memory.Txn(ctx, t)
+	if err == nil && s.rnd(1000) < int(s.lostPerMille.Load()) {
+		return 0, errAnswerLost
+	}
+	return r, err
+}
+
+var errAnswerLost = fmt.Errorf("plant: answer lost")
+
+// New starts a platform with the given number of workers for each service, each with the given capacity. All random draws derive
+// from seed.
+func New(seed uint64, services map[string]int, capacity batch.Size) (*Plant, error) {
+	c, stop := context.WithCancel(context.Background())
+	g, c := errgroup.WithContext(c)
+	p := &Plant{start: time.Now(), group: g, ctx: c, stop: stop, rnd: rand.New(rand.NewPCG(seed, 11))}
+	p.checker = floor.NewJudge(p.now)
+	p.store = &store{Memory: keyval.NewMemory(), rnd: p.randomInt}
+	var err error
+	if p.storeAddr, err = p.serve(p.failWhileDown(platform.StoreHandler(p.store))); err != nil {
+		return nil, err
+	}
+	if p.machinesAddr, err = p.serve(platform.MachineHandler(machines{p})); err != nil {
+		return nil, err
+	}
+	for _, s := range floor.Sorted(services) {
+		for i := range services[s] {
+			if err := p.addWorker(s, i, capacity); err != nil {
+				return nil, err
+			}
+		}
+	}
+	g.Go(p.advanceWorkers)
+	g.Go(p.sendHeartbeats)
+	return p, nil
+}
+
+// Close stops the platform and waits until all its goroutines have ended.
+func (p *Plant) Close() error {
+	p.stop()
+	return p.group.Wait()
+}
+
+// StoreAddr returns the address of the store.
+func (p *Plant) StoreAddr() string { return p.storeAddr }
+
+// MachinesAddr returns the address of the machines' interface.
+func (p *Plant) MachinesAddr() string { return p.machinesAddr }
+
+// Judge calls f with the checker of the workers' runs while the platform's lock is held, so that no worker changes meanwhile.
+func (p *Plant) Judge(f func(*floor.Judge)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f(p.checker)
+}
+
+// Configure writes a configuration to the store.
+func (p *Plant) Configure(c board.Config) error {
+	k, b := platform.EncodeConfig(c)
+	_, err := p.store.Put(p.ctx, k, b, keyval.Any, 0)
+	return err
+}
+
+// SetStore sets whether the store is down, and how many of a thousand answers to writes it loses.
+func (p *Plant) SetStore(down bool, lostPerMille int) {
+	p.store.down.Store(down)
+	p.store.lostPerMille.Store(int64(lostPerMille))
+}
+
+// SetOrders sets how many of a thousand orders to workers are late, and how many lose their answers.
+func (p *Plant) SetOrders(latePerMille, lostPerMille int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.latePerMille, p.lostPerMille = latePerMille, lostPerMille
+}
+
+// Crash cuts the power of a random worker for d.
+func (p *Plant) Crash(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.workers[p.rnd.IntN(len(p.workers))].worker.Crash(d.Milliseconds())
+}
+
+func (p *Plant) now() int64 { return time.Since(p.start).Milliseconds() + 1 }
+
+func (p *Plant) randomInt(n int) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.rnd.IntN(n)
+}
+
+func (p *Plant) serve(h fasthttp.RequestHandler) (string, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // closed with the platform
+	if err != nil {
+		return "", err
+	}
+	s := fasthttp.Server{Handler: h, Logger: discardLogger{}}
+	p.group.Go(func() error {
+		stop := context.AfterFunc(p.ctx, func() { _ = l.Close() })
+		defer stop()
+		if err := s.Serve(l); err != nil && p.ctx.Err() == nil {
+			return err
+		}
+		return nil
+	})
+	return l.Addr().String(), nil
+}
+
+type discardLogger struct{}
+
+// Printf implements fasthttp.Logger.
+func (discardLogger) Printf(string, ...any) {}
+
+// failWhileDown answers calls with status 503 while the store is down.
+func (p *Plant) failWhileDown(h fasthttp.RequestHandler) fasthttp.RequestHandler {
+	return func(c *fasthttp.RequestCtx) {
+		if p.store.down.Load() {
+			c.SetStatusCode(fasthttp.StatusServiceUnavailable)
+			return
+		}
+		h(c)
+	}
+}
+
+func (p *Plant) addWorker(service string, i int, capacity batch.Size) error {
+	id := fmt.Sprintf("%s-%02d", service, i)
+	u := &workerServer{platform: p, service: service}
+	u.worker = floor.New(id, capacity, 0.98+0.02*p.rnd.Float64(), p.now(), p.checker.Hooks())
+	a, err := p.serve(u.hangWhileOff(platform.WorkerHandler(u)))
+	u.addr = a
+	p.workers = append(p.workers, u)
+	return err
+}
+
+// hangWhileOff lets calls to a worker without power hang until the caller's timeout.
+func (u *workerServer) hangWhileOff(h fasthttp.RequestHandler) fasthttp.RequestHandler {
+	return func(c *fasthttp.RequestCtx) {
+		u.platform.mu.Lock()
+		off := u.worker.Dark()
+		u.platform.mu.Unlock()
+		if off {
+			u.hang(c)
+			return
+		}
+		h(c)
+	}
+}
+
+// hangTime is longer than the timeout of any caller.
+const hangTime = 4 * time.Second
+
+func (u *workerServer) hang(c *fasthttp.RequestCtx) {
+	select {
+	case <-time.After(hangTime):
+	case <-u.platform.ctx.Done():
+	}
+	c.SetStatusCode(fasthttp.StatusGatewayTimeout)
+}
+
+// advanceWorkers advances the time at the workers in each tick.
+func (p *Plant) advanceWorkers() error {
+	t := time.NewTicker(tickInterval)
+	defer t.Stop()
+	for {
+		select {
+		case <-p.ctx.Done():
+			return nil
+		case <-t.C:
+		}
+		p.mu.Lock()
+		for _, u := range p.workers {
+			u.worker.Pass(p.now())
+		}
+		p.mu.Unlock()
+	}
+}
+
+// sendHeartbeats writes the entry of each worker to the store, under a lease of its own, in each heartbeat interval.
+func (p *Plant) sendHeartbeats() error {
+	t := time.NewTicker(heartbeatInterval)
+	defer t.Stop()
+	for {
+		for _, u := range p.workers {
+			u.writeEntry()
+		}
+		select {
+		case <-p.ctx.Done():
+			return nil
+		case <-t.C:
+		}
+	}
+}
+
+func (u *workerServer) writeEntry() {
+	u.platform.mu.Lock()
+	off := u.worker.Dark()
+	k, b := platform.EncodeEntry(batch.Entry{
+		ID: u.worker.ID(), Service: u.service, Addr: u.addr, Zone: "z", Room: u.worker.Room(), Labels: []string{"a", "r1"},
+		ClockMs: u.worker.Clock(), Born: u.worker.Born(),
+	})
+	u.platform.mu.Unlock()
+	if off || u.platform.store.down.Load() {
+		return
+	}
+	if u.lease == 0 || u.platform.store.Renew(u.platform.ctx, u.lease) != nil {
+		id, err := u.platform.store.Grant(u.platform.ctx, maxMissedHeartbeats*heartbeatInterval)
+		if err != nil {
+			return // the next heartbeat retries.
+		}
+		u.lease = id
+	}
+	if _, err := u.platform.store.Put(u.platform.ctx, k, b, keyval.Any, u.lease); err != nil {
+		u.lease = 0
+	}
+}
+
+// ID implements platform.WorkerBackend.
+func (u *workerServer) ID() string { return u.worker.ID() }
+
+// orderOutcome is what happens to one order to a worker.
+type orderOutcome int
+
+const (
+	answered   orderOutcome = iota
+	answerLost              // executed, and the answer is lost.
+	delayed                 // executed one to five seconds later, and not answered.
+)
+
+func (p *Plant) drawOutcome() (orderOutcome, time.Duration) {
+	switch n := p.rnd.IntN(1000); {
+	case n < p.latePerMille:
+		return delayed, time.Second + time.Duration(p.rnd.IntN(4000))*time.Millisecond
+	case n < p.latePerMille+p.lostPerMille:
+		return answerLost, 0
+	}
+	return answered, 0
+}
+
+// execute carries out an order by calling do, and reports whether the order is answered. A delayed order is dropped if the worker's
+// lifetime ends first.
+func (u *workerServer) execute(do func()) bool {
+	u.platform.mu.Lock()
+	defer u.platform.mu.Unlock()
+	f, d := u.platform.drawOutcome()
+	if f != delayed {
+		do()
+		return f == answered
+	}
+	born := u.worker.Lifetime()
+	u.platform.group.Go(func() error {
+		select {
+		case <-time.After(d):
+		case <-u.platform.ctx.Done():
+			return nil
+		}
+		u.platform.mu.Lock()
+		defer u.platform.mu.Unlock()
+		if u.worker.Lifetime() == born && !u.worker.Dark() {
+			do()
+		}
+		return nil
+	})
+	return false
+}
+
+// Hold implements platform.WorkerBackend. It waits up to c.WaitMs for a run to end.
+func (u *workerServer) Hold(ctx context.Context, c batch.HoldCmd) batch.HeldMsg {
+	var g batch.HeldMsg
+	if !u.execute(func() { g = u.worker.Hold(c) }) {
+		return batch.HeldMsg{Result: batch.NoAnswer}
+	}
+	end := time.Now().Add(time.Duration(c.WaitMs) * time.Millisecond)
+	for g.Result == batch.OK && len(g.Ended) == 0 && time.Now().Before(end) && ctx.Err() == nil {
+		time.Sleep(tickInterval)
+		u.platform.mu.Lock()
+		if u.worker.News(c.LastSeen) || u.worker.Dark() {
+			g = u.worker.Hold(c)
+		}
+		u.platform.mu.Unlock()
+	}
+	u.platform.mu.Lock()
+	defer u.platform.mu.Unlock()
+	if len(g.Ended) == 0 && g.Result == batch.OK {
+		g = u.worker.Hold(batch.HoldCmd{Fence: c.Fence, LastSeen: c.LastSeen})
+	}
+	return g
+}
+
+// Spec is the spec of a job; it sets how the job's tasks behave at the simulated workers.
+type Spec struct {
+	RunMs int64 `json:"runMs"`
+	Fails int   `json:"fails"` // failing runs per thousand.
+}
+
+// Encode returns the spec as JSON.
+func (s Spec) Encode() string {
+	b, err := json.Marshal(s)
+	if err != nil {
+		return "" // cannot happen: encoding numbers never fails.
+	}
+	return string(b)
+}
+
+// Start implements platform.WorkerBackend.
+func (u *workerServer) Start(c batch.StartCmd) (batch.Result, int64) {
+	var r batch.Result
+	var clock int64
+	if !u.execute(func() {
+		r, clock = batch.Rejected, u.worker.Clock()
+		k := u.platform.checker.Find(c.Task.Job)
+		if k == nil || c.Task.Step >= len(k.Job.Steps) {
+			u.platform.checker.Wrong("UNASKED: %s at %s", c.Task, u.worker.ID())
+			return
+		}
+		r = u.worker.Start(c, u.platform.planRun(c, k.Job.Steps[c.Task.Step]))
+	}) {
+		return batch.NoAnswer, 0
+	}
+	return r, clock
+}
+
+func (p *Plant) planRun(c batch.StartCmd, s batch.Step) floor.Plan {
+	var x Spec
+	if err := json.Unmarshal([]byte(c.Spec), &x); err != nil {
+		p.checker.Wrong("UNASKED: %s with spec %s", c.Task, strconv.Quote(c.Spec))
+	}
+	f := floor.Plan{RunMs: x.RunMs, How: batch.Done, Size: s.Size}
+	if s.Lasting {
+		f.RunMs = floor.Never
+	}
+	if p.rnd.IntN(1000) < x.Fails {
+		f.How = batch.Failed
+	}
+	return f
+}
+
+// Stop implements platform.WorkerBackend.
+func (u *workerServer) Stop(c batch.StopCmd) (batch.Result, int64) {
+	var r batch.Result
+	var clock int64
+	if !u.execute(func() { r, clock = u.worker.Stop(c), u.worker.Clock() }) {
+		return batch.NoAnswer, 0
+	}
+	return r, clock
+}
+
+// machines lists one machine per worker, and answers every order to move or maintain one with DutyBusy, so that they stay in
+// their pools.
+type machines struct{ p *Plant }
+
+// List implements platform.MachineBackend.
+func (m machines) List() []batch.Machine {
+	m.p.mu.Lock()
+	defer m.p.mu.Unlock()
+	var l []batch.Machine
+	for _, u := range m.p.workers {
+		l = append(l, batch.Machine{Name: "m-" + u.worker.ID(), Pool: u.service, Zone: "z", State: batch.Up, Room: u.worker.Room(), Worker: u.worker.ID()})
+	}
+	return l
+}
+
+// Move implements platform.MachineBackend.
+func (machines) Move(string, batch.MoveCmd) batch.DutyResult { return batch.DutyBusy }
+
+// Upkeep implements platform.MachineBackend.
+func (machines) Upkeep(string, batch.UpkeepCmd) batch.DutyResult { return batch.DutyBusy }
