--- a/fakes/cutter/ctl.go
+++ b/fakes/cutter/ctl.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-func (c *Cutter) control(ctx context.Context) error {
+func (c *Cutter) serveControl(ctx context.Context) error {
 	var n net.ListenConfig
-	l, err := n.Listen(ctx, "tcp", c.ctl)
+	l, err := n.Listen(ctx, "tcp", c.controlAddr)
 	if err != nil {
-		return eris.Wrapf(err, "listen at control of forwarder to %s", c.to)
+		return eris.Wrapf(err, "listen at control of forwarder to %s", c.upstreamAddr)
 	}
-	s := &fasthttp.Server{Handler: c.handle, NoDefaultServerHeader: true}
+	s := &fasthttp.Server{Handler: c.handleControl, NoDefaultServerHeader: true}
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return eris.Wrapf(s.Serve(l), "serve control of forwarder to %s", c.to) })
+	g.Go(func() error { return eris.Wrapf(s.Serve(l), "serve control of forwarder to %s", c.upstreamAddr) })
 	g.Go(func() error {
 		<-ctx.Done()
 		_ = l.Close()
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (c *Cutter) handle(x *fasthttp.RequestCtx) {
+func (c *Cutter) handleControl(x *fasthttp.RequestCtx) {
 	switch string(x.Path()) {
 	case "/ctl/cut":
 		c.Cut()
--- a/fakes/cutter/cutter.go
+++ b/fakes/cutter/cutter.go
@@ -14,14 +14,14 @@
 
 // Cutter forwards TCP connections to one address; it is safe for concurrent use.
 type Cutter struct {
-	listen, to, ctl string
-	refusing        atomic.Bool
-	ready           chan struct{}
-
-	mu    sync.Mutex
-	addr  string
-	pairs map[*pair]struct{}
-	stats Stats
+	listenAddr, upstreamAddr, controlAddr string
+	refusing                              atomic.Bool
+	ready                                 chan struct{}
+
+	mu        sync.Mutex
+	boundAddr string
+	pairs     map[*connPair]struct{}
+	stats     Stats
 }
 
 // Stats is what a Cutter has counted.
@@ -37,17 +37,17 @@
 type Option func(*Cutter)
 
 // WithControl serves the control calls on addr.
-func WithControl(addr string) Option { return func(c *Cutter) { c.ctl = addr } }
+func WithControl(addr string) Option { return func(c *Cutter) { c.controlAddr = addr } }
 
-// pair is a caller's connection and its other side.
-type pair struct {
-	near, far net.Conn
-	silent    atomic.Bool
+// connPair is a caller's connection and its other side.
+type connPair struct {
+	client, upstream net.Conn
+	stalled          atomic.Bool
 }
 
 // New returns a forwarder from the address listen to the address to.
-func New(listen, to string, opts ...Option) *Cutter {
-	c := &Cutter{listen: listen, to: to, pairs: map[*pair]struct{}{}, ready: make(chan struct{})}
+func New(listenAddr, upstreamAddr string, opts ...Option) *Cutter {
+	c := &Cutter{listenAddr: listenAddr, upstreamAddr: upstreamAddr, pairs: map[*connPair]struct{}{}, ready: make(chan struct{})}
 	for _, o := range opts {
 		o(c)
 	}
@@ -59,22 +59,22 @@
 	select {
 	case <-c.ready:
 	case <-ctx.Done():
-		return "", eris.Wrapf(ctx.Err(), "wait for forwarder to %s", c.to)
+		return "", eris.Wrapf(ctx.Err(), "wait for forwarder to %s", c.upstreamAddr)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addr, nil
+	return c.boundAddr, nil
 }
 
 // Serve forwards until ctx ends, then closes all connections; it returns an error if an address cannot be had.
 func (c *Cutter) Serve(ctx context.Context) error {
 	var n net.ListenConfig
-	l, err := n.Listen(ctx, "tcp", c.listen)
+	l, err := n.Listen(ctx, "tcp", c.listenAddr)
 	if err != nil {
-		return eris.Wrapf(err, "listen at forwarder to %s", c.to)
+		return eris.Wrapf(err, "listen at forwarder to %s", c.upstreamAddr)
 	}
 	c.mu.Lock()
-	c.addr = l.Addr().String()
+	c.boundAddr = l.Addr().String()
 	c.mu.Unlock()
 	close(c.ready)
 	g, ctx := errgroup.WithContext(ctx)
@@ -84,24 +84,24 @@
 		c.Cut()
 		return nil
 	})
-	g.Go(func() error { return c.accept(ctx, g, l) })
-	if c.ctl != "" {
-		g.Go(func() error { return c.control(ctx) })
+	g.Go(func() error { return c.acceptConns(ctx, g, l) })
+	if c.controlAddr != "" {
+		g.Go(func() error { return c.serveControl(ctx) })
 	}
 	return g.Wait()
 }
 
-func (c *Cutter) accept(ctx context.Context, g *errgroup.Group, l net.Listener) error {
+func (c *Cutter) acceptConns(ctx context.Context, g *errgroup.Group, l net.Listener) error {
 	for {
 		n, err := l.Accept()
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			return eris.Wrapf(err, "accept at forwarder to %s", c.to)
+			return eris.Wrapf(err, "accept at forwarder to %s", c.upstreamAddr)
 		}
 		if c.refusing.Load() {
-			c.count(func(s *Stats) { s.Refused++ })
+			c.updateStats(func(s *Stats) { s.Refused++ })
 			_ = n.Close()
 			continue
 		}
@@ -109,21 +109,21 @@
 	}
 }
 
-func (c *Cutter) count(f func(*Stats)) {
+func (c *Cutter) updateStats(f func(*Stats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.stats)
 }
 
 // forward copies both ways until one side closes.
-func (c *Cutter) forward(ctx context.Context, near net.Conn) {
+func (c *Cutter) forward(ctx context.Context, client net.Conn) {
 	var d net.Dialer
-	far, err := d.DialContext(ctx, "tcp", c.to)
+	upstream, err := d.DialContext(ctx, "tcp", c.upstreamAddr)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &connPair{client: client, upstream: upstream}
 	c.mu.Lock()
 	c.pairs[p] = struct{}{}
 	c.stats.Taken++
@@ -132,8 +132,8 @@
 		p.close()
 	}
 	var g errgroup.Group
-	g.Go(func() error { p.copy(far, near); return nil })
-	g.Go(func() error { p.copy(near, far); return nil })
+	g.Go(func() error { p.copy(upstream, client); return nil })
+	g.Go(func() error { p.copy(client, upstream); return nil })
 	_ = g.Wait()
 	p.close()
 	c.mu.Lock()
@@ -142,11 +142,11 @@
 }
 
 // copy passes bytes on until the connection ends; a silent pair drops them and hides that the other side closed.
-func (p *pair) copy(to, from net.Conn) {
+func (p *connPair) copy(to, from net.Conn) {
 	b := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(b)
-		if p.silent.Load() {
+		if p.stalled.Load() {
 			if err != nil {
 				return
 			}
@@ -164,15 +164,15 @@
 	}
 }
 
-func (p *pair) close() {
-	_ = p.near.Close()
-	_ = p.far.Close()
+func (p *connPair) close() {
+	_ = p.client.Close()
+	_ = p.upstream.Close()
 }
 
-func (c *Cutter) open() []*pair {
+func (c *Cutter) openPairs() []*connPair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := make([]*pair, 0, len(c.pairs))
+	l := make([]*connPair, 0, len(c.pairs))
 	for p := range c.pairs {
 		l = append(l, p)
 	}
@@ -181,17 +181,17 @@
 
 // Cut closes every open connection.
 func (c *Cutter) Cut() {
-	for _, p := range c.open() {
-		c.count(func(s *Stats) { s.Cut++ })
+	for _, p := range c.openPairs() {
+		c.updateStats(func(s *Stats) { s.Cut++ })
 		p.close()
 	}
 }
 
 // Stall makes every open connection silent for good; new connections work.
 func (c *Cutter) Stall() {
-	for _, p := range c.open() {
-		if !p.silent.Swap(true) {
-			c.count(func(s *Stats) { s.Stalled++ })
+	for _, p := range c.openPairs() {
+		if !p.stalled.Swap(true) {
+			c.updateStats(func(s *Stats) { s.Stalled++ })
 		}
 	}
 }
--- a/fakes/cutter/cutter_test.go
+++ b/fakes/cutter/cutter_test.go
@@ -14,12 +14,12 @@
 	"burdockreach.dev/fakes/cutter"
 )
 
-const patience = 5 * time.Second
+const ioTimeout = 5 * time.Second
 
 // start serves an echo and a forwarder to it, until the test ends.
 func start(t *testing.T) (*cutter.Cutter, string) {
 	i := is.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*ioTimeout)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	i.NoErr(err)
 	c := cutter.New("127.0.0.1:0", l.Addr().String())
@@ -63,7 +63,7 @@
 	return n
 }
 
-func says(n net.Conn, d time.Duration) (string, error) {
+func roundTrip(n net.Conn, d time.Duration) (string, error) {
 	_ = n.SetDeadline(time.Now().Add(d))
 	if _, err := n.Write([]byte("hello\n")); err != nil {
 		return "", err
@@ -71,9 +71,9 @@
 	return bufio.NewReader(n).ReadString('\n')
 }
 
-func echoes(t *testing.T, n net.Conn) {
+func wantEcho(t *testing.T, n net.Conn) {
 	t.Helper()
-	s, err := says(n, patience)
+	s, err := roundTrip(n, ioTimeout)
 	is.New(t).NoErr(err)
 	is.New(t).Equal(s, "hello\n")
 }
@@ -83,21 +83,21 @@
 		i := is.New(t)
 		c, a := start(t)
 		n := dial(t, a)
-		echoes(t, n)
+		wantEcho(t, n)
 		c.Stall()
-		_, err := says(n, 50*time.Millisecond)
+		_, err := roundTrip(n, 50*time.Millisecond)
 		e, ok := err.(net.Error)
 		i.True(ok && e.Timeout())
-		echoes(t, dial(t, a))
+		wantEcho(t, dial(t, a))
 		i.Equal(c.Stats().Stalled, 1)
 	})
 	t.Run("a cut closes what is open", func(t *testing.T) {
 		i := is.New(t)
 		c, a := start(t)
 		n := dial(t, a)
-		echoes(t, n)
+		wantEcho(t, n)
 		c.Cut()
-		_, err := says(n, patience)
+		_, err := roundTrip(n, ioTimeout)
 		e, ok := err.(net.Error)
 		i.True(err != nil && (!ok || !e.Timeout()))
 	})
@@ -105,9 +105,9 @@
 		i := is.New(t)
 		c, a := start(t)
 		c.Refuse()
-		_, err := says(dial(t, a), patience)
+		_, err := roundTrip(dial(t, a), ioTimeout)
 		i.True(err != nil)
 		c.Accept()
-		echoes(t, dial(t, a))
+		wantEcho(t, dial(t, a))
 	})
 }
--- a/fakes/standin/main.go
+++ b/fakes/standin/main.go
@@ -21,9 +21,9 @@
 
 // Exit statuses.
 const (
-	done = iota
-	failed
-	misused
+	exitOK = iota
+	exitFailed
+	exitUsage
 )
 
 func main() {
@@ -39,28 +39,28 @@
 // run executes the command line until c ends and returns the exit status.
 func run(c context.Context, args []string, w io.Writer) int {
 	commands := map[string]func(*flag.FlagSet, []string) (runner, error){
-		"platform": platform, "target": oneTarget, "cutter": forwarder,
+		"platform": parsePlatform, "target": parseTarget, "cutter": parseForwarder,
 	}
 	if len(args) == 0 || commands[args[0]] == nil {
-		complain(w, usage)
-		return misused
+		printError(w, usage)
+		return exitUsage
 	}
 	f := flag.NewFlagSet("standin "+args[0], flag.ContinueOnError)
 	f.SetOutput(w)
 	r, err := commands[args[0]](f, args[1:])
 	if errors.Is(err, flag.ErrHelp) {
-		return done
+		return exitOK
 	}
 	if err != nil {
-		complain(w, "standin: %s\n", eris.ToString(err, false))
-		return misused
+		printError(w, "standin: %s\n", eris.ToString(err, false))
+		return exitUsage
 	}
 	if err := r(c); err != nil {
-		complain(w, "standin: %s\n", eris.ToString(err, false))
-		return failed
+		printError(w, "standin: %s\n", eris.ToString(err, false))
+		return exitFailed
 	}
-	return done
+	return exitOK
 }
 
-// complain writes to the error output; a failure to do so has no one to go to.
-func complain(w io.Writer, form string, args ...any) { _, _ = fmt.Fprintf(w, form, args...) }
+// printError writes to the error output; a failure to do so has no one to go to.
+func printError(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
--- a/fakes/standin/main_test.go
+++ b/fakes/standin/main_test.go
@@ -23,23 +23,23 @@
 		t.Fatal(err)
 	}
 	for line, want := range map[string]int{
-		"":                              misused,
-		"none":                          misused,
-		"platform -settings " + good:    done,
-		"platform -settings " + bad:     misused,
-		"platform -settings none":       misused,
-		"target":                        misused,
-		"target -name vm-1 -addr x":     misused,
-		"target -h":                     done,
-		"cutter -listen 127.0.0.1:0":    misused,
-		"cutter -listen x -to 10.0.0.1": failed,
+		"":                              exitUsage,
+		"none":                          exitUsage,
+		"platform -settings " + good:    exitOK,
+		"platform -settings " + bad:     exitUsage,
+		"platform -settings none":       exitUsage,
+		"target":                        exitUsage,
+		"target -name vm-1 -addr x":     exitUsage,
+		"target -h":                     exitOK,
+		"cutter -listen 127.0.0.1:0":    exitUsage,
+		"cutter -listen x -to 10.0.0.1": exitFailed,
 	} {
 		t.Run(line, func(t *testing.T) {
 			var b bytes.Buffer
 			got := run(c, strings.Fields(line), &b)
 			i := is.New(t)
 			i.Equal(got, want)
-			i.Equal(want == done && !strings.Contains(line, "-h"), b.Len() == 0)
+			i.Equal(want == exitOK && !strings.Contains(line, "-h"), b.Len() == 0)
 		})
 	}
 }
--- a/fakes/standin/platform.go
+++ b/fakes/standin/platform.go
@@ -25,8 +25,8 @@
 	VMs            []hosts.Wire `json:"vms"`
 }
 
-// platform parses the command of the platform's stand-in.
-func platform(f *flag.FlagSet, args []string) (runner, error) {
+// parsePlatform parses the command of the parsePlatform's stand-in.
+func parsePlatform(f *flag.FlagSet, args []string) (runner, error) {
 	path := f.String("settings", "", "settings file in JSON")
 	if err := f.Parse(args); err != nil {
 		return nil, err
--- a/fakes/standin/target.go
+++ b/fakes/standin/target.go
@@ -21,31 +21,31 @@
 	controlOffset = 1000 // of the control port above the target's port
 )
 
-// oneTarget parses the command of a target's stand-in.
-func oneTarget(f *flag.FlagSet, args []string) (runner, error) {
+// parseTarget parses the command of a target's stand-in.
+func parseTarget(f *flag.FlagSet, args []string) (runner, error) {
 	name := f.String("name", "", "name of the VM")
 	addr := f.String("addr", "", "IP:port for requests; the control port is 1000 above")
 	slots := f.Int("slots", defaultSlots, "requests that run at once")
 	conns := f.Int("conns", defaultConns, "connections that may be open at once")
-	mean := f.Duration("run", defaultRun, "run time of a request")
+	runTime := f.Duration("run", defaultRun, "run time of a request")
 	random := f.Bool("random", false, "run times are exponentially distributed around -run")
 	reboot := f.Duration("reboot", defaultReboot, "time of a reboot")
 	seed := f.Uint64("seed", 1, "seed of the run times")
 	if err := f.Parse(args); err != nil {
 		return nil, err
 	}
-	ctl, err := controlAddr(*addr)
+	control, err := controlAddr(*addr)
 	if err != nil || *name == "" {
 		return nil, eris.Errorf("target: -name %q and -addr %q are needed", *name, *addr)
 	}
 	o := []target.Option{target.WithName(*name), target.WithSlots(*slots), target.WithConnections(*conns),
 		target.WithRebootTime(*reboot), target.WithSeed(*seed)}
 	if *random {
-		o = append(o, target.WithRandomRunTime(*mean))
+		o = append(o, target.WithRandomRunTime(*runTime))
 	} else {
-		o = append(o, target.WithRunTime(*mean))
+		o = append(o, target.WithRunTime(*runTime))
 	}
-	return func(c context.Context) error { return target.New(o...).Serve(c, *addr, ctl) }, nil
+	return func(c context.Context) error { return target.New(o...).Serve(c, *addr, control) }, nil
 }
 
 // controlAddr returns the control address of a target at addr.
@@ -58,8 +58,8 @@
 	return net.JoinHostPort(h, strconv.Itoa(n+controlOffset)), eris.Wrap(err, "read port")
 }
 
-// forwarder parses the command of the forwarder that cuts and stalls.
-func forwarder(f *flag.FlagSet, args []string) (runner, error) {
+// parseForwarder parses the command of the parseForwarder that cuts and stalls.
+func parseForwarder(f *flag.FlagSet, args []string) (runner, error) {
 	listen := f.String("listen", "", "IP:port to listen on")
 	to := f.String("to", "", "IP:port to forward to")
 	control := f.String("control", "", "IP:port of the control calls")
