--- a/fakes/cutter/cutter.go
+++ b/fakes/cutter/proxy.go
@@ -12,7 +12,7 @@
 
 const bufferBytes = 16 << 10
 
-// Cutter forwards TCP connections to one address; it is safe for concurrent use.
+// Cutter forwards TCP connections to one address. It is safe for concurrent use.
 type Cutter struct {
 	listenAddr, upstreamAddr, controlAddr string
 	refusing                              atomic.Bool
@@ -24,7 +24,7 @@
 	stats     Stats
 }
 
-// Stats is what a Cutter has counted.
+// Stats holds the counters of a proxy. Open is the number of connections that are open now; the others are totals.
 type Stats struct {
 	Open    int `json:"open"`
 	Taken   int `json:"taken"`
@@ -33,19 +33,19 @@
 	Stalled int `json:"stalled"`
 }
 
-// Option changes a Cutter at its making.
+// Option configures a proxy.
 type Option func(*Cutter)
 
 // WithControl serves the control calls on addr.
 func WithControl(addr string) Option { return func(c *Cutter) { c.controlAddr = addr } }
 
-// connPair is a caller's connection and its other side.
+// connPair is a client's connection and the one to the upstream server that it is forwarded to.
 type connPair struct {
 	client, upstream net.Conn
 	stalled          atomic.Bool
 }
 
-// New returns a forwarder from the address listen to the address to.
+// New returns a proxy that listens on listenAddr and forwards to upstreamAddr. Serve starts it.
 func New(listenAddr, upstreamAddr string, opts ...Option) *Cutter {
 	c := &Cutter{listenAddr: listenAddr, upstreamAddr: upstreamAddr, pairs: map[*connPair]struct{}{}, ready: make(chan struct{})}
 	for _, o := range opts {
@@ -54,7 +54,7 @@
 	return c
 }
 
-// Addr waits until the forwarder listens and returns its address.
+// Addr waits until the proxy listens and returns its address.
 func (c *Cutter) Addr(ctx context.Context) (string, error) {
 	select {
 	case <-c.ready:
@@ -66,7 +66,7 @@
 	return c.boundAddr, nil
 }
 
-// Serve forwards until ctx ends, then closes all connections; it returns an error if an address cannot be had.
+// Serve forwards until ctx ends, then closes all connections. It returns an error if it cannot listen on an address.
 func (c *Cutter) Serve(ctx context.Context) error {
 	var n net.ListenConfig
 	l, err := n.Listen(ctx, "tcp", c.listenAddr)
@@ -115,7 +115,7 @@
 	f(&c.stats)
 }
 
-// forward copies both ways until one side closes.
+// forward copies bytes in both directions until one side closes.
 func (c *Cutter) forward(ctx context.Context, client net.Conn) {
 	var d net.Dialer
 	upstream, err := d.DialContext(ctx, "tcp", c.upstreamAddr)
@@ -141,7 +141,8 @@
 	c.mu.Unlock()
 }
 
-// copy passes bytes on until the connection ends; a silent pair drops them and hides that the other side closed.
+// copy forwards bytes until the connection ends. When the pair is stalled, it discards them, and does not close one side when the
+// other one closes.
 func (p *connPair) copy(to, from net.Conn) {
 	b := make([]byte, bufferBytes)
 	for {
@@ -187,7 +188,7 @@
 	}
 }
 
-// Stall makes every open connection silent for good; new connections work.
+// Stall stops forwarding on every open connection, and never resumes it there. New connections work.
 func (c *Cutter) Stall() {
 	for _, p := range c.openPairs() {
 		if !p.stalled.Swap(true) {
@@ -196,13 +197,13 @@
 	}
 }
 
-// Refuse closes new connections as they come, until Accept.
+// Refuse closes each new connection at once, until Accept is called.
 func (c *Cutter) Refuse() { c.refusing.Store(true) }
 
-// Accept takes new connections again.
+// Accept ends the effect of Refuse.
 func (c *Cutter) Accept() { c.refusing.Store(false) }
 
-// Stats returns what has been counted.
+// Stats returns the current counters.
 func (c *Cutter) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/fakes/cutter/cutter_test.go
+++ b/fakes/cutter/proxy_test.go
@@ -16,7 +16,7 @@
 
 const ioTimeout = 5 * time.Second
 
-// start serves an echo and a forwarder to it, until the test ends.
+// start runs an echo server and a proxy to it until the test ends.
 func start(t *testing.T) (*cutter.Cutter, string) {
 	i := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*ioTimeout)
@@ -91,7 +91,7 @@
 		wantEcho(t, dial(t, a))
 		i.Equal(c.Stats().Stalled, 1)
 	})
-	t.Run("a cut closes what is open", func(t *testing.T) {
+	t.Run("a cut closes the open connections", func(t *testing.T) {
 		i := is.New(t)
 		c, a := start(t)
 		n := dial(t, a)
@@ -101,7 +101,7 @@
 		e, ok := err.(net.Error)
 		i.True(err != nil && (!ok || !e.Timeout()))
 	})
-	t.Run("refuses until it accepts again", func(t *testing.T) {
+	t.Run("a proxy that refuses closes new connections until it accepts again", func(t *testing.T) {
 		i := is.New(t)
 		c, a := start(t)
 		c.Refuse()
--- a/fakes/standin/main.go
+++ b/fakes/standin/main.go
@@ -1,4 +1,3 @@
-// Command standin runs the stand-ins of the platform, of a target and of a forwarder that cuts and stalls.
 package main
 
 import (
@@ -19,7 +18,7 @@
        standin cutter -listen IP:PORT -to IP:PORT [-control IP:PORT]
 `
 
-// Exit statuses.
+// Exit statuses. exitUsage stands for wrong arguments and settings that cannot be read.
 const (
 	exitOK = iota
 	exitFailed
@@ -33,10 +32,10 @@
 	os.Exit(s)
 }
 
-// runner is a parsed command.
+// runner runs a parsed command until c is cancelled.
 type runner func(c context.Context) error
 
-// run executes the command line until c ends and returns the exit status.
+// run executes the command line until c is cancelled and returns the exit status.
 func run(c context.Context, args []string, w io.Writer) int {
 	commands := map[string]func(*flag.FlagSet, []string) (runner, error){
 		"platform": parsePlatform, "target": parseTarget, "cutter": parseForwarder,
@@ -62,5 +61,5 @@
 	return exitOK
 }
 
-// printError writes to the error output; a failure to do so has no one to go to.
+// printError writes to the error output. It ignores a write error, which could be reported nowhere else.
 func printError(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
--- a/fakes/standin/main_test.go
+++ b/fakes/standin/main_test.go
@@ -13,7 +13,7 @@
 
 func TestCommandLines(t *testing.T) {
 	c, cancel := context.WithCancel(context.Background())
-	cancel() // what starts ends at once.
+	cancel() // each server that starts stops at once.
 	good := filepath.Join(t.TempDir(), "platform.json")
 	if err := os.WriteFile(good, []byte(`{"addr": "127.0.0.1:0", "lagMs": 10, "vms": [{"id": "vm-1"}]}`), 0o600); err != nil {
 		t.Fatal(err)
--- a/fakes/standin/platform.go
+++ b/fakes/standin/platform.go
@@ -14,18 +14,18 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// PlatformSettings is the settings file of the platform's stand-in.
+// PlatformSettings is the settings file of the simulated platform.
 type PlatformSettings struct {
 	Addr           string       `json:"addr"`
 	ControlAddr    string       `json:"controlAddr,omitempty"`
-	LagMs          int64        `json:"lagMs,omitempty"`          // age of the VM list; 0 means the stand-in's own.
-	RebootMs       int64        `json:"rebootMs,omitempty"`       // time of a reboot; 0 means the stand-in's own.
-	ReadsPerSecond int          `json:"readsPerSecond,omitempty"` // 0, with writesPerSecond 0, means no limit.
+	LagMs          int64        `json:"lagMs,omitempty"`          // age of the VM list in milliseconds; 0 means the default of package cloud.
+	RebootMs       int64        `json:"rebootMs,omitempty"`       // duration of a reboot in milliseconds; 0 means the default of package cloud.
+	ReadsPerSecond int          `json:"readsPerSecond,omitempty"` // 0 means no limit; the same holds for writesPerSecond.
 	WritesPerSec   int          `json:"writesPerSecond,omitempty"`
 	VMs            []hosts.Wire `json:"vms"`
 }
 
-// parsePlatform parses the command of the parsePlatform's stand-in.
+// parsePlatform parses the arguments of the command platform, which serves a simulated platform.
 func parsePlatform(f *flag.FlagSet, args []string) (runner, error) {
 	path := f.String("settings", "", "settings file in JSON")
 	if err := f.Parse(args); err != nil {
@@ -44,7 +44,7 @@
 	return func(c context.Context) error { return cloud.New(s.options()...).Serve(c, s.Addr) }, nil
 }
 
-// options returns the stand-in's options for the settings.
+// options converts the settings to options of package cloud.
 func (s PlatformSettings) options() []cloud.Option {
 	o := []cloud.Option{cloud.WithVMs(s.VMs...)}
 	if s.ControlAddr != "" {
--- a/fakes/standin/target.go
+++ b/fakes/standin/target.go
@@ -18,10 +18,10 @@
 	defaultConns  = 64
 	defaultRun    = 20 * time.Millisecond
 	defaultReboot = time.Second
-	controlOffset = 1000 // of the control port above the target's port
+	controlOffset = 1000 // the control port minus the target's port
 )
 
-// parseTarget parses the command of a target's stand-in.
+// parseTarget parses the arguments of the command target, which serves a simulated target.
 func parseTarget(f *flag.FlagSet, args []string) (runner, error) {
 	name := f.String("name", "", "name of the VM")
 	addr := f.String("addr", "", "IP:port for requests; the control port is 1000 above")
@@ -48,7 +48,7 @@
 	return func(c context.Context) error { return target.New(o...).Serve(c, *addr, control) }, nil
 }
 
-// controlAddr returns the control address of a target at addr.
+// controlAddr returns the control address of a target that serves requests at addr.
 func controlAddr(addr string) (string, error) {
 	h, p, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return net.JoinHostPort(h, strconv.Itoa(n+controlOffset)), eris.Wrap(err, "read port")
 }
 
-// parseForwarder parses the command of the parseForwarder that cuts and stalls.
+// parseForwarder parses the arguments of the command cutter, which serves a proxy that injects connection faults.
 func parseForwarder(f *flag.FlagSet, args []string) (runner, error) {
 	listen := f.String("listen", "", "IP:port to listen on")
 	to := f.String("to", "", "IP:port to forward to")
