--- a/fakes/cloud/conf_test.go
+++ b/fakes/cloud/conf_test.go
@@ -14,8 +14,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// settle commits c until its outcome is known.
-func settle(ctx context.Context, k *conf.Committer, c conf.Change) error {
+// commitUntilSettled commits c until its outcome is known.
+func commitUntilSettled(ctx context.Context, k *conf.Committer, c conf.Change) error {
 	commit := k.Commit
 	for {
 		t, cancel := context.WithTimeout(ctx, time.Second)
@@ -45,7 +45,7 @@
 		edit.Go(func() error {
 			for n := range 20 {
 				name := fmt.Sprintf("p-%d-%d", i, n)
-				if err := settle(ctx, k, conf.Change{Op: name, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: name}}); err != nil {
+				if err := commitUntilSettled(ctx, k, conf.Change{Op: name, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: name}}); err != nil {
 					return err
 				}
 				time.Sleep(5 * time.Millisecond)
--- a/fakes/cloud/fault.go
+++ b/fakes/cloud/fault.go
@@ -38,12 +38,12 @@
 	DataCentre  string   `json:"dataCentre"` // for Cut and Join: each entry VM of that data centre.
 }
 
-func (m Mode) known() bool {
+func (m Mode) valid() bool {
 	return slices.Contains([]Mode{Up, Down, Refuse, Silent, Slow, Lose, Cut, Join}, m)
 }
 
-// verdict is what becomes of one call.
-type verdict struct {
+// callFault is what becomes of one call.
+type callFault struct {
 	mode    Mode
 	delay   time.Duration
 	changed <-chan struct{}
@@ -51,20 +51,20 @@
 
 // faults holds the mode and the clients that are cut off.
 type faults struct {
-	mu      sync.Mutex
-	mode    Mode
-	delay   time.Duration
-	left    int // answers to lose; 0 means no bound.
-	cut     map[string]bool
-	lost    int64
-	changed chan struct{} // closed and replaced at each change.
-	until   time.Time     // end of Refuse; zero means none.
-	waits   map[int]func()
-	next    int
+	mu            sync.Mutex
+	mode          Mode
+	delay         time.Duration
+	answersToLose int // answers to lose; 0 means no bound.
+	partitioned   map[string]bool
+	lostAnswers   int64
+	changed       chan struct{} // closed and replaced at each change.
+	refuseUntil   time.Time     // end of Refuse; zero means none.
+	callbacks     map[int]func()
+	lastCallback  int
 }
 
 func newFaults() *faults {
-	return &faults{mode: Up, cut: map[string]bool{}, changed: make(chan struct{}), waits: map[int]func(){}}
+	return &faults{mode: Up, partitioned: map[string]bool{}, changed: make(chan struct{}), callbacks: map[int]func(){}}
 }
 
 func (f *faults) set(c Fault, now time.Time) {
@@ -73,50 +73,50 @@
 	switch c.Mode {
 	case Cut:
 		for _, n := range c.Clients {
-			f.cut[n] = true
+			f.partitioned[n] = true
 		}
 	case Join:
 		if len(c.Clients) == 0 && c.DataCentre == "" {
-			clear(f.cut)
+			clear(f.partitioned)
 		}
 		for _, n := range c.Clients {
-			delete(f.cut, n)
+			delete(f.partitioned, n)
 		}
 	default:
-		f.mode, f.left, f.until = c.Mode, c.Count, time.Time{}
+		f.mode, f.answersToLose, f.refuseUntil = c.Mode, c.Count, time.Time{}
 		f.delay = time.Duration(c.DelayMillis) * time.Millisecond
 		if c.Mode == Refuse && f.delay > 0 {
-			f.until = now.Add(f.delay)
+			f.refuseUntil = now.Add(f.delay)
 		}
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
-	for _, w := range f.waits {
+	for _, w := range f.callbacks {
 		w()
 	}
 }
 
 // onChange calls f at each change until the returned function is called.
-func (f *faults) onChange(call func()) func() {
+func (f *faults) onChange(callback func()) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next++
-	n := f.next
-	f.waits[n] = call
+	f.lastCallback++
+	n := f.lastCallback
+	f.callbacks[n] = callback
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.waits, n)
+		delete(f.callbacks, n)
 	}
 }
 
-// judge returns what becomes of a call by the client.
-func (f *faults) judge(client string) verdict {
+// forCall returns what becomes of a call by the client.
+func (f *faults) forCall(client string) callFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := verdict{mode: f.mode, changed: f.changed}
+	v := callFault{mode: f.mode, changed: f.changed}
 	switch {
-	case f.cut[client]:
+	case f.partitioned[client]:
 		v.mode = Down
 	case f.mode == Slow:
 		v.delay = f.delay
@@ -124,16 +124,16 @@
 	return v
 }
 
-// lose reports whether the answer of a call that was performed gets lost.
-func (f *faults) lose(write bool) bool {
+// loseAnswer reports whether the answer of a call that was performed gets lost.
+func (f *faults) loseAnswer(write bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mode != Lose || !write {
 		return false
 	}
-	f.lost++
-	if f.left > 0 {
-		if f.left--; f.left == 0 {
+	f.lostAnswers++
+	if f.answersToLose > 0 {
+		if f.answersToLose--; f.answersToLose == 0 {
 			f.mode = Up
 		}
 	}
@@ -143,30 +143,30 @@
 func (f *faults) lostCount() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.lostAnswers
 }
 
-// refusing reports whether the listener must stay closed, for how long, and the channel that the next change closes.
-func (f *faults) refusing(now time.Time) (bool, time.Duration, <-chan struct{}) {
+// refusal reports whether the listener must stay closed, for how long, and the channel that the next change closes.
+func (f *faults) refusal(now time.Time) (bool, time.Duration, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mode != Refuse {
 		return false, 0, f.changed
 	}
-	if f.until.IsZero() {
+	if f.refuseUntil.IsZero() {
 		return true, time.Hour, f.changed
 	}
-	if !now.Before(f.until) {
+	if !now.Before(f.refuseUntil) {
 		f.mode = Up
 		return false, 0, f.changed
 	}
-	return true, f.until.Sub(now), f.changed
+	return true, f.refuseUntil.Sub(now), f.changed
 }
 
-// await returns when the listener may be open, or when it must be closed if open is true.
-func (f *faults) await(ctx context.Context, open bool) {
+// waitForListener returns when the listener may be open, or when it must be closed if open is true.
+func (f *faults) waitForListener(ctx context.Context, open bool) {
 	for {
-		refused, left, changed := f.refusing(time.Now())
+		refused, left, changed := f.refusal(time.Now())
 		if refused == open {
 			return
 		}
--- a/fakes/cloud/fleet.go
+++ b/fakes/cloud/fleet.go
@@ -8,39 +8,39 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// version is the list of VMs as it was from a moment on.
-type version struct {
-	at  time.Time
-	vms []hosts.Wire
+// listVersion is the list of VMs as it was from a moment on.
+type listVersion struct {
+	validFrom time.Time
+	vms       []hosts.Wire
 }
 
-// rebootRun is a reboot under way.
-type rebootRun struct {
+// pendingReboot is a reboot under way.
+type pendingReboot struct {
 	id  string
 	end time.Time
 }
 
 // fleet holds the true VMs and what the lagging list still shows.
 type fleet struct {
-	start  []hosts.Wire
-	lag    time.Duration
-	reboot time.Duration
+	initialVMs []hosts.Wire
+	listLag    time.Duration
+	rebootTime time.Duration
 
-	mu       sync.Mutex
-	versions []version // the last one is the truth.
-	running  []rebootRun
-	ops      map[string]bool // reboot operations that were taken.
+	mu        sync.Mutex
+	versions  []listVersion // the last one is the truth.
+	reboots   []pendingReboot
+	rebootOps map[string]bool // reboot operations that were taken.
 }
 
 func newFleet() *fleet {
-	return &fleet{lag: DefaultLag, reboot: DefaultReboot, ops: map[string]bool{}}
+	return &fleet{listLag: DefaultLag, rebootTime: DefaultReboot, rebootOps: map[string]bool{}}
 }
 
 func (f *fleet) init(now time.Time) {
-	for i := range f.start {
-		fillVM(&f.start[i])
+	for i := range f.initialVMs {
+		fillVM(&f.initialVMs[i])
 	}
-	f.versions = []version{{at: now, vms: f.start}}
+	f.versions = []listVersion{{validFrom: now, vms: f.initialVMs}}
 }
 
 func fillVM(w *hosts.Wire) {
@@ -61,7 +61,7 @@
 	defer f.mu.Unlock()
 	f.advance(now)
 	i := len(f.versions) - 1
-	for i > 0 && f.versions[i].at.After(now.Add(-f.lag)) {
+	for i > 0 && f.versions[i].validFrom.After(now.Add(-f.listLag)) {
 		i--
 	}
 	f.versions = f.versions[i:]
@@ -73,7 +73,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var l []string
-	for _, w := range f.truth() {
+	for _, w := range f.currentVMs() {
 		if w.Kind == hosts.Entry && w.DataCentre == dataCentre {
 			l = append(l, w.ID)
 		}
@@ -81,50 +81,50 @@
 	return l
 }
 
-func (f *fleet) truth() []hosts.Wire { return f.versions[len(f.versions)-1].vms }
+func (f *fleet) currentVMs() []hosts.Wire { return f.versions[len(f.versions)-1].vms }
 
-// change replaces the true list from at on by a copy that edit has changed.
-func (f *fleet) change(at time.Time, edit func([]hosts.Wire) []hosts.Wire) {
-	f.versions = append(f.versions, version{at: at, vms: edit(slices.Clone(f.truth()))})
+// addVersion replaces the true list from at on by a copy that edit has changed.
+func (f *fleet) addVersion(at time.Time, edit func([]hosts.Wire) []hosts.Wire) {
+	f.versions = append(f.versions, listVersion{validFrom: at, vms: edit(slices.Clone(f.currentVMs()))})
 }
 
 // advance ends the reboots whose time has come.
 func (f *fleet) advance(now time.Time) {
-	for len(f.running) > 0 && !now.Before(f.running[0].end) {
-		r := f.running[0]
-		f.running = f.running[1:]
-		f.edit(r.end, r.id, func(w *hosts.Wire) {
+	for len(f.reboots) > 0 && !now.Before(f.reboots[0].end) {
+		r := f.reboots[0]
+		f.reboots = f.reboots[1:]
+		f.editVM(r.end, r.id, func(w *hosts.Wire) {
 			w.State = hosts.Live
 			w.Boot++
 		})
 	}
 }
 
-// edit changes one VM from at on and returns it as it is then; a VM that is gone or unknown stays as it is.
-func (f *fleet) edit(at time.Time, id string, with func(*hosts.Wire)) (hosts.Wire, bool) {
-	i := slices.IndexFunc(f.truth(), func(w hosts.Wire) bool { return w.ID == id })
-	if i < 0 || f.truth()[i].State == hosts.Gone {
+// editVM changes one VM from at on and returns it as it is then; a VM that is gone or unknown stays as it is.
+func (f *fleet) editVM(at time.Time, id string, edit func(*hosts.Wire)) (hosts.Wire, bool) {
+	i := slices.IndexFunc(f.currentVMs(), func(w hosts.Wire) bool { return w.ID == id })
+	if i < 0 || f.currentVMs()[i].State == hosts.Gone {
 		return hosts.Wire{}, false
 	}
-	f.change(at, func(l []hosts.Wire) []hosts.Wire {
-		with(&l[i])
+	f.addVersion(at, func(l []hosts.Wire) []hosts.Wire {
+		edit(&l[i])
 		return l
 	})
-	return f.truth()[i], true
+	return f.currentVMs()[i], true
 }
 
 func (f *fleet) setState(now time.Time, id string, s hosts.State) (hosts.Wire, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	return f.edit(now, id, func(w *hosts.Wire) { w.State = s })
+	return f.editVM(now, id, func(w *hosts.Wire) { w.State = s })
 }
 
 func (f *fleet) assign(now time.Time, id, pool string) (hosts.Wire, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	return f.edit(now, id, func(w *hosts.Wire) { w.Pool = pool })
+	return f.editVM(now, id, func(w *hosts.Wire) { w.Pool = pool })
 }
 
 // startReboot begins the reboot of op, once; first is false for a repeat.
@@ -132,13 +132,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	if f.ops[id+"\x00"+op] {
+	if f.rebootOps[id+"\x00"+op] {
 		return hosts.Wire{}, false, true
 	}
-	w, ok = f.edit(now, id, func(w *hosts.Wire) { w.State = hosts.Leaving })
+	w, ok = f.editVM(now, id, func(w *hosts.Wire) { w.State = hosts.Leaving })
 	if ok {
-		f.ops[id+"\x00"+op] = true
-		f.running = append(f.running, rebootRun{id: id, end: now.Add(f.reboot)})
+		f.rebootOps[id+"\x00"+op] = true
+		f.reboots = append(f.reboots, pendingReboot{id: id, end: now.Add(f.rebootTime)})
 	}
 	return w, true, ok
 }
@@ -149,7 +149,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	f.change(now, func(l []hosts.Wire) []hosts.Wire {
+	f.addVersion(now, func(l []hosts.Wire) []hosts.Wire {
 		return append(slices.DeleteFunc(l, func(o hosts.Wire) bool { return o.ID == w.ID }), w)
 	})
 }
@@ -158,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(now)
-	f.change(now, func(l []hosts.Wire) []hosts.Wire {
+	f.addVersion(now, func(l []hosts.Wire) []hosts.Wire {
 		return slices.DeleteFunc(l, func(o hosts.Wire) bool { return o.ID == id })
 	})
 }
--- a/fakes/cloud/handle.go
+++ b/fakes/cloud/handle.go
@@ -15,12 +15,12 @@
 	"burdockreach.dev/plat/wire"
 )
 
-// call answers one path; an error means that the call took no effect.
-type call func(ctx context.Context, s *Server, body []byte) (any, error)
+// handlerFunc answers one path; an error means that the handlerFunc took no effect.
+type handlerFunc func(ctx context.Context, s *Server, body []byte) (any, error)
 
-// calls are the platform's, which faults touch.
-var calls = map[string]struct {
-	do    call
+// platformCalls are the platform's, which faults touch.
+var platformCalls = map[string]struct {
+	do    handlerFunc
 	write bool
 	vm    bool
 }{
@@ -39,14 +39,14 @@
 	hosts.PathAssign:  {do: vmAssign, vm: true, write: true},
 
 	tasks.PathList:       {do: taskList, vm: true},
-	tasks.PathRun:        {do: taskRunCall, vm: true, write: true},
+	tasks.PathRun:        {do: taskStart, vm: true, write: true},
 	tasks.PathStop:       {do: taskStop, vm: true, write: true},
 	tasks.PathCheckpoint: {do: taskCheckpoint, vm: true, write: true},
 	tasks.PathThrottle:   {do: taskThrottle, vm: true, write: true},
 }
 
-// controls are the stand-in's own, which no fault touches.
-var controls = map[string]call{
+// controlCalls are the stand-in's own, which no fault touches.
+var controlCalls = map[string]handlerFunc{
 	"/fault":     fault,
 	"/save":      save,
 	"/restore":   restore,
@@ -59,40 +59,40 @@
 }
 
 func (s *Server) handleControl(q *fasthttp.RequestCtx) {
-	do, ok := controls[string(q.Path())]
+	do, ok := controlCalls[string(q.Path())]
 	if !ok {
-		refuse(q, fasthttp.StatusNotFound, "unknown path")
+		writeError(q, fasthttp.StatusNotFound, "unknown path")
 		return
 	}
-	answer(q, q, do, s)
+	respond(q, q, do, s)
 }
 
 func (s *Server) handle(ctx context.Context, q *fasthttp.RequestCtx) {
-	c, ok := calls[string(q.Path())]
+	c, ok := platformCalls[string(q.Path())]
 	if !ok {
 		s.handleControl(q)
 		return
 	}
 	client := string(q.Request.Header.Peek(wire.EntryHeader))
-	w, cancel := s.until(ctx)
+	w, cancel := s.untilFaultChange(ctx)
 	defer cancel()
-	if !pass(ctx, s.faults.judge(client)) {
-		drop(q)
+	if !waitForFault(ctx, s.faults.forCall(client)) {
+		closeUnanswered(q)
 		return
 	}
-	if !s.meter(c.vm, c.write).allow(time.Now()) {
-		refuse(q, fasthttp.StatusServiceUnavailable, "over the service's rate")
+	if !s.meterFor(c.vm, c.write).allow(time.Now()) {
+		writeError(q, fasthttp.StatusServiceUnavailable, "over the service's rate")
 		return
 	}
-	answer(w, q, c.do, s)
-	v := s.faults.judge(client)
+	respond(w, q, c.do, s)
+	v := s.faults.forCall(client)
 	v.delay = 0
-	if !pass(ctx, v) || s.faults.lose(c.write) {
-		drop(q)
+	if !waitForFault(ctx, v) || s.faults.loseAnswer(c.write) {
+		closeUnanswered(q)
 	}
 }
 
-func (s *Server) meter(vm, write bool) *meter {
+func (s *Server) meterFor(vm, write bool) *meter {
 	switch {
 	case vm:
 		return &s.vmCalls
@@ -102,8 +102,8 @@
 	return &s.reads
 }
 
-// pass waits as the verdict says and reports whether the call goes through.
-func pass(ctx context.Context, v verdict) bool {
+// waitForFault waits as the verdict says and reports whether the call goes through.
+func waitForFault(ctx context.Context, v callFault) bool {
 	switch v.mode {
 	case Down, Refuse:
 		return false
@@ -125,8 +125,8 @@
 	return true
 }
 
-// until returns a context that ends with ctx or when the faults change.
-func (s *Server) until(ctx context.Context) (context.Context, context.CancelFunc) {
+// untilFaultChange returns a context that ends with ctx or when the faults change.
+func (s *Server) untilFaultChange(ctx context.Context) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancel(ctx)
 	stop := s.faults.onChange(cancel)
 	return c, func() {
@@ -135,34 +135,34 @@
 	}
 }
 
-// drop closes the connection without an answer.
-func drop(q *fasthttp.RequestCtx) {
+// closeUnanswered closes the connection without an answer.
+func closeUnanswered(q *fasthttp.RequestCtx) {
 	q.HijackSetNoResponse(true)
 	q.Hijack(func(c net.Conn) { _ = c.Close() })
 }
 
-func refuse(q *fasthttp.RequestCtx, status int, why string) {
-	b, _ := json.Marshal(map[string]string{"error": why})
+func writeError(q *fasthttp.RequestCtx, status int, reason string) {
+	b, _ := json.Marshal(map[string]string{"error": reason})
 	q.SetStatusCode(status)
 	q.SetBody(b)
 }
 
-func answer(ctx context.Context, q *fasthttp.RequestCtx, do call, s *Server) {
+func respond(ctx context.Context, q *fasthttp.RequestCtx, do handlerFunc, s *Server) {
 	q.SetContentType("application/json")
 	a, err := do(ctx, s, q.PostBody())
 	if err != nil {
-		refuse(q, status(err), err.Error())
+		writeError(q, httpStatus(err), err.Error())
 		return
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
-		refuse(q, fasthttp.StatusInternalServerError, err.Error())
+		writeError(q, fasthttp.StatusInternalServerError, err.Error())
 		return
 	}
 	q.SetBody(b)
 }
 
-func status(err error) int {
+func httpStatus(err error) int {
 	if eris.Is(err, keyval.ErrTooLarge) {
 		return fasthttp.StatusRequestEntityTooLarge
 	}
--- a/fakes/cloud/kv.go
+++ b/fakes/cloud/kv.go
@@ -8,8 +8,8 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxWatch bounds one watch.
-const maxWatch = time.Minute
+// maxWatchWait bounds one watch.
+const maxWatchWait = time.Minute
 
 func get(_ context.Context, s *Server, b []byte) (any, error) {
 	q, err := parse[keyval.GetRequest](b)
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	rev, err := s.store.Put(context.Background(), q.Key, q.Value, q.Cond, q.Lease)
-	ok, err := held(err)
+	ok, err := conditionHeld(err)
 	return keyval.PutAnswer{OK: ok, Rev: rev}, err
 }
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ok, err := held(s.store.Delete(context.Background(), q.Key, q.Cond))
+	ok, err := conditionHeld(s.store.Delete(context.Background(), q.Key, q.Cond))
 	return keyval.OKAnswer{OK: ok}, err
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wait := min(time.Duration(q.WaitMillis)*time.Millisecond, maxWatch)
+	wait := min(time.Duration(q.WaitMillis)*time.Millisecond, maxWatchWait)
 	l, rev, err := s.store.Watch(ctx, q.Prefix, q.Rev, wait)
 	switch {
 	case errors.Is(err, keyval.ErrReset):
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ok, err := held(s.store.Renew(context.Background(), q.Lease))
+	ok, err := conditionHeld(s.store.Renew(context.Background(), q.Lease))
 	return keyval.OKAnswer{OK: ok}, err
 }
 
@@ -96,12 +96,12 @@
 	if err != nil {
 		return nil, err
 	}
-	ok, err := held(s.store.Revoke(context.Background(), q.Lease))
+	ok, err := conditionHeld(s.store.Revoke(context.Background(), q.Lease))
 	return keyval.OKAnswer{OK: ok}, err
 }
 
-// held turns ErrConflict into an answer.
-func held(err error) (bool, error) {
+// conditionHeld turns ErrConflict into an answer.
+func conditionHeld(err error) (bool, error) {
 	if errors.Is(err, keyval.ErrConflict) {
 		return false, nil
 	}
--- a/fakes/cloud/meter.go
+++ b/fakes/cloud/meter.go
@@ -9,27 +9,27 @@
 type meter struct {
 	limit int // calls a second; 0 means no limit.
 
-	mu    sync.Mutex
-	total int64
-	peak  int
-	start time.Time
-	count int
+	mu          sync.Mutex
+	total       int64
+	peak        int
+	windowStart time.Time
+	windowCount int
 }
 
 // allow counts one call and reports whether it is within the limit.
 func (m *meter) allow(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.start) >= time.Second {
-		m.start, m.count = now, 0
+	if now.Sub(m.windowStart) >= time.Second {
+		m.windowStart, m.windowCount = now, 0
 	}
 	m.total++
-	m.count++
-	m.peak = max(m.peak, m.count)
-	return m.limit == 0 || m.count <= m.limit
+	m.windowCount++
+	m.peak = max(m.peak, m.windowCount)
+	return m.limit == 0 || m.windowCount <= m.limit
 }
 
-func (m *meter) figures() (int64, int) {
+func (m *meter) counts() (int64, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.total, m.peak
@@ -52,10 +52,10 @@
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	a := Stats{Rev: int64(s.store.Rev()), Watches: s.store.Watches(), LostAnswers: s.faults.lostCount()}
-	a.Reads, a.PeakReads = s.reads.figures()
+	a.Reads, a.PeakReads = s.reads.counts()
 	a.Reads -= a.Watches
-	a.Writes, a.PeakWrites = s.writes.figures()
-	a.VMCalls, _ = s.vmCalls.figures()
+	a.Writes, a.PeakWrites = s.writes.counts()
+	a.VMCalls, _ = s.vmCalls.counts()
 	a.TaskStarts, a.TaskDoubled = s.tasks.Starts(), s.tasks.Doubled()
 	return a
 }
--- a/fakes/cloud/server.go
+++ b/fakes/cloud/server.go
@@ -17,13 +17,13 @@
 
 // Server is the stand-in of the platform.
 type Server struct {
-	store   *keyval.Memory
-	fleet   *fleet
-	faults  *faults
-	log     zerolog.Logger
-	control string
-	ctl     *fasthttp.Client
-	ready   chan struct{}
+	store             *keyval.Memory
+	fleet             *fleet
+	faults            *faults
+	log               zerolog.Logger
+	controlListenAddr string
+	controlClient     *fasthttp.Client
+	ready             chan struct{}
 
 	tasks    *Tasks
 	taskOpts []TaskOption
@@ -31,8 +31,8 @@
 	reads, writes, vmCalls meter
 
 	mu          sync.Mutex
-	saved       keyval.Saved
-	hasSaved    bool
+	snapshot    keyval.Saved
+	hasSnapshot bool
 	addr        string
 	controlAddr string
 }
@@ -42,20 +42,20 @@
 	s := &Server{
 		store: keyval.NewMemory(), fleet: newFleet(), faults: newFaults(),
 		log: zerolog.Nop(), ready: make(chan struct{}),
-		ctl: &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: time.Second, Dial: dialWorker},
+		controlClient: &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: time.Second, Dial: dialWorker},
 	}
 	for _, o := range opts {
 		o(s)
 	}
 	s.fleet.init(time.Now())
 	s.tasks = NewTasks(s.store, s.taskOpts...)
-	s.tasks.alive = s.fleet.runs
+	s.tasks.vmAlive = s.fleet.canRunTasks
 	return s
 }
 
 // dialWorker opens a connection to a worker's control address.
 func dialWorker(addr string) (net.Conn, error) {
-	return net.DialTimeout("tcp", addr, controlWait) //nolint:noctx // bounded by its timeout
+	return net.DialTimeout("tcp", addr, controlTimeout) //nolint:noctx // bounded by its timeout
 }
 
 // Store returns the key-value service without faults.
@@ -81,8 +81,8 @@
 // Serve answers at addr until ctx ends.
 func (s *Server) Serve(ctx context.Context, addr string) error {
 	g, c := errgroup.WithContext(ctx)
-	if s.control != "" {
-		l, err := listen(c, s.control)
+	if s.controlListenAddr != "" {
+		l, err := listen(c, s.controlListenAddr)
 		if err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 		if err := s.serveUntilRefused(ctx, l); err != nil {
 			return err
 		}
-		s.faults.await(ctx, false)
+		s.faults.waitForListener(ctx, false)
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	})
 	g.Go(func() error {
 		defer cancel()
-		s.faults.await(c, true)
+		s.faults.waitForListener(c, true)
 		return nil
 	})
 	return g.Wait()
@@ -140,12 +140,12 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "cloud: listen at %s", addr)
 	}
-	return &tracked{Listener: l, conns: map[net.Conn]struct{}{}}, nil
+	return &trackedListener{Listener: l, conns: map[net.Conn]struct{}{}}, nil
 }
 
 // serve answers with h until ctx ends, then closes every connection.
 func serve(ctx context.Context, l net.Listener, h fasthttp.RequestHandler) error {
-	v := &fasthttp.Server{Handler: h, MaxRequestBodySize: 4 << 20, NoDefaultServerHeader: true, Logger: quiet{}}
+	v := &fasthttp.Server{Handler: h, MaxRequestBodySize: 4 << 20, NoDefaultServerHeader: true, Logger: discardLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	err := v.Serve(l)
@@ -155,13 +155,13 @@
 	return eris.Wrap(err, "cloud: serve")
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
 // Printf drops the line.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// tracked is a listener that closes its connections with itself.
-type tracked struct {
+// trackedListener is a listener that closes its connections with itself.
+type trackedListener struct {
 	net.Listener
 
 	mu     sync.Mutex
@@ -171,11 +171,11 @@
 
 type trackedConn struct {
 	net.Conn
-	of *tracked
+	listener *trackedListener
 }
 
 // Accept implements net.Listener.
-func (t *tracked) Accept() (net.Conn, error) {
+func (t *trackedListener) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -187,11 +187,11 @@
 		return nil, net.ErrClosed
 	}
 	t.conns[c] = struct{}{}
-	return &trackedConn{Conn: c, of: t}, nil
+	return &trackedConn{Conn: c, listener: t}, nil
 }
 
 // Close implements net.Listener.
-func (t *tracked) Close() error {
+func (t *trackedListener) Close() error {
 	err := t.Listener.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,8 +205,8 @@
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.conns, c.Conn)
-	c.of.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c.Conn)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/fakes/cloud/task.go
+++ b/fakes/cloud/task.go
@@ -17,8 +17,8 @@
 // DefaultUsageLag is the age of the tasks' reported usage.
 const DefaultUsageLag = time.Second
 
-// throttledPart is the part of its speed that a throttled task keeps.
-const throttledPart = 0.05
+// throttledSpeed is the part of its speed that a throttled task keeps.
+const throttledSpeed = 0.05
 
 // Truth is how the jobs whose names begin with Prefix behave, whatever was declared of them.
 type Truth struct {
@@ -31,45 +31,45 @@
 
 // Tasks is the stand-in of the platform's calls on tasks; it is safe for concurrent use.
 type Tasks struct {
-	store  keyval.Store
-	lag    time.Duration
-	truths []Truth
-	broken map[string]bool
-	alive  func(vm string) bool
+	store     keyval.Store
+	usageLag  time.Duration
+	behaviors []Truth
+	brokenVMs map[string]bool
+	vmAlive   func(vm string) bool
 
-	mu      sync.Mutex
-	tasks   map[string]*taskRun
-	saved   map[string]time.Duration // work done by job, at its newest checkpoint.
-	running map[string]int           // copies by job.
-	doubled int
-	starts  int
+	mu              sync.Mutex
+	tasks           map[string]*taskRun
+	checkpoints     map[string]time.Duration // work done by job, at its newest checkpoint.
+	runningCopies   map[string]int           // copies by job.
+	duplicateStarts int
+	starts          int
 }
 
 // taskRun is one task; one that was stopped before it started has no job.
 type taskRun struct {
 	tasks.RunRequest
-	state     tasks.State
-	truth     Truth
-	began     time.Time
-	seen      time.Time
-	worked    time.Duration
-	throttled bool
+	state      tasks.State
+	behavior   Truth
+	startedAt  time.Time
+	advancedAt time.Time
+	workDone   time.Duration
+	throttled  bool
 }
 
 // TaskOption adjusts the tasks.
 type TaskOption func(*Tasks)
 
 // WithTruth sets how jobs behave; the first whose prefix fits counts, and without one a job runs a second and takes nothing.
-func WithTruth(l ...Truth) TaskOption { return func(t *Tasks) { t.truths = l } }
+func WithTruth(l ...Truth) TaskOption { return func(t *Tasks) { t.behaviors = l } }
 
 // Behave replaces how jobs started from now on behave, and which workers fail everything.
-func (t *Tasks) Behave(truths []Truth, broken []string) {
+func (t *Tasks) Behave(behaviors []Truth, broken []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.truths = truths
-	clear(t.broken)
+	t.behaviors = behaviors
+	clear(t.brokenVMs)
 	for _, v := range broken {
-		t.broken[v] = true
+		t.brokenVMs[v] = true
 	}
 }
 
@@ -77,19 +77,19 @@
 func WithBroken(vms ...string) TaskOption {
 	return func(t *Tasks) {
 		for _, v := range vms {
-			t.broken[v] = true
+			t.brokenVMs[v] = true
 		}
 	}
 }
 
 // WithUsageLag sets the age of the reported usage.
-func WithUsageLag(d time.Duration) TaskOption { return func(t *Tasks) { t.lag = d } }
+func WithUsageLag(d time.Duration) TaskOption { return func(t *Tasks) { t.usageLag = d } }
 
 // NewTasks returns the tasks of a platform whose leases are those of the store.
 func NewTasks(s keyval.Store, opts ...TaskOption) *Tasks {
 	t := &Tasks{
-		store: s, lag: DefaultUsageLag, broken: map[string]bool{}, alive: func(string) bool { return true },
-		tasks: map[string]*taskRun{}, saved: map[string]time.Duration{}, running: map[string]int{},
+		store: s, usageLag: DefaultUsageLag, brokenVMs: map[string]bool{}, vmAlive: func(string) bool { return true },
+		tasks: map[string]*taskRun{}, checkpoints: map[string]time.Duration{}, runningCopies: map[string]int{},
 	}
 	for _, o := range opts {
 		o(t)
@@ -101,7 +101,7 @@
 func (t *Tasks) Doubled() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.doubled
+	return t.duplicateStarts
 }
 
 // Starts returns the number of tasks that were started.
@@ -122,21 +122,21 @@
 		}
 		return nil
 	}
-	if !t.hold(ctx, r.Lease) || !t.alive(r.VM) {
+	if !t.checkLease(ctx, r.Lease) || !t.vmAlive(r.VM) {
 		return eris.Wrapf(tasks.ErrRefused, "lease or VM of task %s has ended", r.ID)
 	}
-	if r.RunOnce && t.running[r.Job] > 0 {
-		t.doubled++
+	if r.RunOnce && t.runningCopies[r.Job] > 0 {
+		t.duplicateStarts++
 	}
 	now := time.Now()
-	t.tasks[r.ID] = &taskRun{RunRequest: r, state: tasks.Running, truth: t.truth(r.Job), began: now, seen: now, worked: t.saved[r.Job]}
-	t.running[r.Job]++
+	t.tasks[r.ID] = &taskRun{RunRequest: r, state: tasks.Running, behavior: t.behaviorFor(r.Job), startedAt: now, advancedAt: now, workDone: t.checkpoints[r.Job]}
+	t.runningCopies[r.Job]++
 	t.starts++
 	return nil
 }
 
-func (t *Tasks) truth(job string) Truth {
-	for _, h := range t.truths {
+func (t *Tasks) behaviorFor(job string) Truth {
+	for _, h := range t.behaviors {
 		if strings.HasPrefix(job, h.Prefix) {
 			return h
 		}
@@ -146,8 +146,8 @@
 
 func leaseKey(id int64) string { return fmt.Sprintf("platform/leases/%d", id) }
 
-// hold reports whether the lease has not lapsed, and marks it in the store by a key that goes with it.
-func (t *Tasks) hold(ctx context.Context, id int64) bool {
+// checkLease reports whether the lease has not lapsed, and marks it in the store by a key that goes with it.
+func (t *Tasks) checkLease(ctx context.Context, id int64) bool {
 	if i, err := t.store.Get(ctx, leaseKey(id)); err == nil && i.Found() {
 		return true
 	}
@@ -158,39 +158,39 @@
 // advance ends what has ended by now; t.mu is held.
 func (t *Tasks) advance(ctx context.Context) {
 	now := time.Now()
-	held := map[int64]bool{}
+	leaseValid := map[int64]bool{}
 	for _, r := range t.tasks {
 		if r.state.Ended() {
 			continue
 		}
-		if _, ok := held[r.Lease]; !ok {
-			held[r.Lease] = t.hold(ctx, r.Lease)
+		if _, ok := leaseValid[r.Lease]; !ok {
+			leaseValid[r.Lease] = t.checkLease(ctx, r.Lease)
 		}
-		r.work(now)
+		r.advance(now)
 		switch {
-		case !held[r.Lease] || !t.alive(r.VM):
+		case !leaseValid[r.Lease] || !t.vmAlive(r.VM):
 			t.end(r, tasks.Stopped)
-		case r.truth.Broken || t.broken[r.VM]:
+		case r.behavior.Broken || t.brokenVMs[r.VM]:
 			t.end(r, tasks.Failed)
-		case r.truth.MemoryMB > r.MemoryMB:
+		case r.behavior.MemoryMB > r.MemoryMB:
 			t.end(r, tasks.TooBig)
-		case r.worked >= r.truth.Run:
+		case r.workDone >= r.behavior.Run:
 			t.end(r, tasks.Done)
 		}
 	}
 }
 
-func (r *taskRun) work(now time.Time) {
-	d := now.Sub(r.seen)
+func (r *taskRun) advance(now time.Time) {
+	d := now.Sub(r.advancedAt)
 	if r.throttled {
-		d = time.Duration(float64(d) * throttledPart)
+		d = time.Duration(float64(d) * throttledSpeed)
 	}
-	r.seen, r.worked = now, r.worked+d
+	r.advancedAt, r.workDone = now, r.workDone+d
 }
 
 func (t *Tasks) end(r *taskRun, s tasks.State) {
 	r.state = s
-	t.running[r.Job]--
+	t.runningCopies[r.Job]--
 }
 
 // List implements tasks.Platform.
@@ -204,10 +204,10 @@
 			continue
 		}
 		k := tasks.Task{ID: id, VM: r.VM, State: r.state, Throttled: r.throttled}
-		if r.seen.Sub(r.began) >= t.lag {
-			k.UsedCores, k.UsedMemoryMB = min(r.truth.Cores, r.Cores), r.truth.MemoryMB
+		if r.advancedAt.Sub(r.startedAt) >= t.usageLag {
+			k.UsedCores, k.UsedMemoryMB = min(r.behavior.Cores, r.Cores), r.behavior.MemoryMB
 			if r.throttled {
-				k.UsedCores *= throttledPart
+				k.UsedCores *= throttledSpeed
 			}
 		}
 		l = append(l, k)
@@ -235,7 +235,7 @@
 // Checkpoint implements tasks.Platform.
 func (t *Tasks) Checkpoint(ctx context.Context, id string) error {
 	return t.edit(ctx, id, func(r *taskRun) {
-		t.saved[r.Job] = r.worked
+		t.checkpoints[r.Job] = r.workDone
 		t.end(r, tasks.Stopped)
 	})
 }
--- a/fakes/cloud/task_test.go
+++ b/fakes/cloud/task_test.go
@@ -13,10 +13,10 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// taskSite is a platform with one VM, a client of its tasks and a lease of its store.
-func taskSite(t *testing.T, ttl time.Duration, truth cloud.Truth) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
+// startTasks is a platform with one VM, a client of its tasks and a lease of its store.
+func startTasks(t *testing.T, ttl time.Duration, behavior cloud.Truth) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
 	t.Helper()
-	s := start(t, cloud.WithVMs(hosts.Wire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(truth)))
+	s := start(t, cloud.WithVMs(hosts.Wire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(behavior)))
 	c := tasks.New(s.Addr(), tasks.WithName("entry"), tasks.WithTimeout(time.Second))
 	t.Cleanup(c.Close)
 	l, err := client(t, s, "entry").Grant(t.Context(), ttl)
@@ -41,7 +41,7 @@
 func TestTaskCalls(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c, l, s := taskSite(t, time.Minute, cloud.Truth{Run: time.Hour, Cores: 2})
+	c, l, s := startTasks(t, time.Minute, cloud.Truth{Run: time.Hour, Cores: 2})
 	is.NoErr(c.Run(ctx, task("job/1", l)))
 	is.NoErr(c.Run(ctx, task("job/1", l))) // a repeat starts nothing.
 	wantTask(t, c, "job/1", tasks.Running)
@@ -67,7 +67,7 @@
 
 func TestTaskEndsWithItsLease(t *testing.T) {
 	is := is.New(t)
-	c, l, s := taskSite(t, time.Minute, cloud.Truth{Run: time.Hour})
+	c, l, s := startTasks(t, time.Minute, cloud.Truth{Run: time.Hour})
 	is.NoErr(c.Run(t.Context(), task("job/1", l)))
 	is.NoErr(s.Store().Revoke(t.Context(), l))
 	wantTask(t, c, "job/1", tasks.Stopped)
--- a/fakes/cloud/taskcalls.go
+++ b/fakes/cloud/taskcalls.go
@@ -15,11 +15,11 @@
 // Tasks returns the platform's tasks without faults.
 func (s *Server) Tasks() *Tasks { return s.tasks }
 
-// runs reports whether the VM is there to run tasks.
-func (f *fleet) runs(id string) bool {
+// canRunTasks reports whether the VM is there to run tasks.
+func (f *fleet) canRunTasks(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.truth(), func(w hosts.Wire) bool { return w.ID == id && w.State != hosts.Gone })
+	return slices.ContainsFunc(f.currentVMs(), func(w hosts.Wire) bool { return w.ID == id && w.State != hosts.Gone })
 }
 
 func taskList(ctx context.Context, s *Server, b []byte) (any, error) {
@@ -31,7 +31,7 @@
 	return tasks.ListAnswer{Tasks: l}, err
 }
 
-func taskRunCall(ctx context.Context, s *Server, b []byte) (any, error) {
+func taskStart(ctx context.Context, s *Server, b []byte) (any, error) {
 	q, err := parse[tasks.RunRequest](b)
 	if err != nil {
 		return nil, err
--- a/fakes/cloud/vm.go
+++ b/fakes/cloud/vm.go
@@ -16,8 +16,8 @@
 // controlOffset is what a worker's control port is above its port.
 const controlOffset = 1_000
 
-// controlWait bounds one word to a worker.
-const controlWait = 300 * time.Millisecond
+// controlTimeout bounds one word to a worker.
+const controlTimeout = 300 * time.Millisecond
 
 // Control is the body of a word to a worker's control address.
 type Control struct {
@@ -39,14 +39,14 @@
 	return s.setState(b, "undrain", hosts.Live)
 }
 
-func (s *Server) setState(b []byte, word string, to hosts.State) (any, error) {
+func (s *Server) setState(b []byte, command string, to hosts.State) (any, error) {
 	q, err := parse[hosts.Request](b)
 	if err != nil {
 		return nil, err
 	}
 	w, ok := s.fleet.setState(time.Now(), q.ID, to)
 	if ok {
-		s.tell(w, word, Control{ID: q.ID})
+		s.sendCommand(w, command, Control{ID: q.ID})
 	}
 	return hosts.Answer{OK: ok}, nil
 }
@@ -58,7 +58,7 @@
 	}
 	w, first, ok := s.fleet.startReboot(time.Now(), q.ID, q.Op)
 	if ok && first {
-		s.tell(w, "reboot", Control{ID: q.ID, Op: q.Op, DownMillis: s.fleet.reboot.Milliseconds()})
+		s.sendCommand(w, "reboot", Control{ID: q.ID, Op: q.Op, DownMillis: s.fleet.rebootTime.Milliseconds()})
 	}
 	return hosts.Answer{OK: ok}, nil
 }
@@ -70,7 +70,7 @@
 	}
 	w, ok := s.fleet.assign(time.Now(), q.ID, q.Pool)
 	if ok {
-		s.tell(w, "assign", Control{ID: q.ID, Pool: q.Pool})
+		s.sendCommand(w, "assign", Control{ID: q.ID, Pool: q.Pool})
 	}
 	return hosts.Answer{OK: ok}, nil
 }
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !f.Mode.known() {
+	if !f.Mode.valid() {
 		return nil, eris.Errorf("cloud: fault mode %q is not known", f.Mode)
 	}
 	s.Fault(f)
@@ -129,21 +129,21 @@
 func (s *Server) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved, s.hasSaved = s.store.Save(), true
+	s.snapshot, s.hasSnapshot = s.store.Save(), true
 }
 
 // Restore puts the kept state back, and reports whether there was one.
 func (s *Server) Restore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hasSaved {
-		s.store.Restore(s.saved)
+	if s.hasSnapshot {
+		s.store.Restore(s.snapshot)
 	}
-	return s.hasSaved
+	return s.hasSnapshot
 }
 
-// tell sends a word to the worker's control address; a worker that is not there is passed over.
-func (s *Server) tell(w hosts.Wire, word string, body Control) {
+// sendCommand sends a word to the worker's control address; a worker that is not there is passed over.
+func (s *Server) sendCommand(w hosts.Wire, command string, body Control) {
 	addr, ok := controlAddr(w)
 	if !ok {
 		return
@@ -157,10 +157,10 @@
 	defer fasthttp.ReleaseResponse(a)
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.Header.SetContentType("application/json")
-	q.SetRequestURI("http://" + addr + "/ctl/" + word)
+	q.SetRequestURI("http://" + addr + "/ctl/" + command)
 	q.SetBodyRaw(b)
-	err = s.ctl.DoTimeout(q, a, controlWait)
-	s.log.Debug().Str("event", "word").Str("vm", w.ID).Str("word", word).Err(err).Send()
+	err = s.controlClient.DoTimeout(q, a, controlTimeout)
+	s.log.Debug().Str("event", "word").Str("vm", w.ID).Str("word", command).Err(err).Send()
 }
 
 func controlAddr(w hosts.Wire) (string, bool) {
