--- a/fakes/cloud/cloud_test.go
+++ b/fakes/cloud/cloud_test.go
@@ -26,7 +26,7 @@
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-// start runs a server until the test ends.
+// start starts a server that runs until the test ends.
 func start(t testing.TB, opts ...cloud.Option) *cloud.Server {
 	t.Helper()
 	s := cloud.New(opts...)
@@ -79,7 +79,7 @@
 	wantErr(t, c.Renew(ctx, id), keyval.ErrConflict)
 	e, _, err := c.Watch(ctx, "k/", at, time.Second)
 	is.NoErr(err)
-	is.Equal(len(e), 2) // written, then removed with its lease
+	is.Equal(len(e), 2) // the write, and the deletion when the lease ends
 	is.True(e[1].Deleted())
 	_, err = c.Put(ctx, "k/3", make([]byte, keyval.MaxValue+1), keyval.Any, 0)
 	wantErr(t, err, keyval.ErrTooLarge)
@@ -106,7 +106,7 @@
 			_, err := c.Get(ctx, "warm") // opens the connection
 			is.NoErr(err)
 			s.Fault(f.fault)
-			// A connection that was open when the fault began may have carried the call.
+			// The first call may use a connection that was open when the fault began, so its error may be another one.
 			_, err = c.Put(ctx, "k", nil, keyval.Any, 0)
 			is.True(err != nil)
 			if !f.applied {
@@ -118,7 +118,7 @@
 			is.Equal(i.Found(), f.applied)
 			s.Fault(cloud.Fault{Mode: cloud.Up})
 			s.Fault(cloud.Fault{Mode: cloud.Join})
-			for err = c.Revoke(ctx, 0); errors.Is(err, keyval.ErrDown); err = c.Revoke(ctx, 0) { // until the listener is back
+			for err = c.Revoke(ctx, 0); errors.Is(err, keyval.ErrDown); err = c.Revoke(ctx, 0) { // until the listener is open again
 				time.Sleep(time.Millisecond)
 			}
 			_, err = c.Put(ctx, "k", nil, keyval.Any, 0)
@@ -169,7 +169,8 @@
 	}
 }
 
-// TestOneAttempt counts the requests that reach a server that reads them and closes the connection.
+// TestOneAttempt guards against retries by the client: a call whose answer is lost must reach the server only once. The server
+// reads each request and closes the connection without an answer.
 func TestOneAttempt(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -204,10 +205,10 @@
 	is.NoErr(h.Reboot(ctx, "w", "op1"))
 	is.NoErr(h.Assign(ctx, "w", "riders"))
 	wantErr(t, h.Drain(ctx, "none"), hosts.ErrRefused)
-	time.Sleep(100 * time.Millisecond) // five reboots could end meanwhile
+	time.Sleep(100 * time.Millisecond) // long enough for five reboots of 20 ms
 	l, err := h.List(ctx)
 	is.NoErr(err)
 	is.Equal(l[0].State(), hosts.Live)
 	is.Equal(l[0].Pool(), "riders")
-	is.Equal(l[0].Boot(), int64(2)) // once for both calls
+	is.Equal(l[0].Boot(), int64(2)) // both calls together caused one reboot
 }
--- a/fakes/cloud/conf_test.go
+++ b/fakes/cloud/conf_test.go
@@ -14,7 +14,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// commitUntilSettled commits c until its outcome is known.
+// commitUntilSettled commits c and repeats the commit until its outcome is known.
 func commitUntilSettled(ctx context.Context, k *conf.Committer, c conf.Change) error {
 	commit := k.Commit
 	for {
@@ -28,8 +28,9 @@
 	}
 }
 
-// TestConfigurationOverFaults edits at three entries over HTTP while the platform loses answers, refuses, falls silent and comes
-// back older, and wants every edit at every entry, once.
+// TestConfigurationOverFaults guards against lost, duplicated or diverging configuration changes. Three entries edit over HTTP
+// while the platform loses answers, refuses connections, hangs, and is restored to an older snapshot. Every entry must end with
+// the same document, in which each edit is applied exactly once.
 func TestConfigurationOverFaults(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
@@ -64,10 +65,10 @@
 	is.NoErr(edit.Wait())
 	for _, h := range holders {
 		for len(h.Document().Pools()) < 60 || !h.Document().Equal(holders[0].Document()) {
-			time.Sleep(5 * time.Millisecond) // the test's own deadline bounds this
+			time.Sleep(5 * time.Millisecond) // ends with the timeout of go test at the latest
 		}
 	}
-	is.Equal(holders[0].Document().Number(), conf.Number(60)) // each once
+	is.Equal(holders[0].Document().Number(), conf.Number(60)) // each edit exactly once
 	cancel()
 	is.NoErr(run.Wait())
 }
--- a/fakes/cloud/fault.go
+++ b/fakes/cloud/fault.go
@@ -7,58 +7,59 @@
 	"time"
 )
 
-// Mode is how the platform behaves.
+// Mode is the kind of a fault.
 type Mode string
 
 const (
-	// Up answers each call.
+	// Up ends the fault: the platform answers each call.
 	Up Mode = "up"
-	// Down closes the connection of each call, which takes no effect.
+	// Down closes the connection of each call without executing the call.
 	Down Mode = "down"
-	// Refuse closes the listener; DelayMillis later it opens again, or, if that is 0, at the next Fault on the control address.
+	// Refuse closes the listener. It opens again after DelayMillis or, if that is 0, at the next Fault, which must come through
+	// the control address or Server.Fault.
 	Refuse Mode = "refuse"
-	// Silent answers nothing: calls take no effect, their connections stay open until the mode changes.
+	// Silent neither executes nor answers calls. Their connections stay open until the next Fault.
 	Silent Mode = "silent"
-	// Slow delays each call by DelayMillis before it takes effect.
+	// Slow delays each call by DelayMillis before it is executed.
 	Slow Mode = "slow"
-	// Lose performs each write, then closes its connection without an answer.
+	// Lose executes each write, then closes its connection without an answer.
 	Lose Mode = "lose"
-	// Cut parts the named clients, or a whole data centre's entries, from the platform; the rest stays as it is.
+	// Cut partitions the named clients, or all entries of a data centre, from the platform. The mode for other clients stays.
 	Cut Mode = "cut"
-	// Join ends the cut of the named clients or data centre, or of all when none is named.
+	// Join ends the partition of the named clients or data centre, or every partition if none is named.
 	Join Mode = "join"
 )
 
-// Fault sets how the platform behaves from now on.
+// Fault is a change of the injected faults, and the body of the control call /fault.
 type Fault struct {
 	Mode        Mode     `json:"mode"`
 	DelayMillis int64    `json:"delayMs"`
 	Count       int      `json:"count"`      // for Lose: the number of answers to lose; 0 means all until the mode changes.
-	Clients     []string `json:"clients"`    // for Cut and Join: names as sent in Burdock-Entry.
-	DataCentre  string   `json:"dataCentre"` // for Cut and Join: each entry VM of that data centre.
+	Clients     []string `json:"clients"`    // for Cut and Join: names as clients send them in the header Burdock-Entry.
+	DataCentre  string   `json:"dataCentre"` // for Cut and Join: names all entry VMs of that data centre.
 }
 
 func (m Mode) valid() bool {
 	return slices.Contains([]Mode{Up, Down, Refuse, Silent, Slow, Lose, Cut, Join}, m)
 }
 
-// callFault is what becomes of one call.
+// callFault is the fault that applies to one call.
 type callFault struct {
 	mode    Mode
 	delay   time.Duration
 	changed <-chan struct{}
 }
 
-// faults holds the mode and the clients that are cut off.
+// faults holds the current mode and the partitioned clients.
 type faults struct {
 	mu            sync.Mutex
 	mode          Mode
 	delay         time.Duration
-	answersToLose int // answers to lose; 0 means no bound.
+	answersToLose int // 0 means no limit.
 	partitioned   map[string]bool
 	lostAnswers   int64
-	changed       chan struct{} // closed and replaced at each change.
-	refuseUntil   time.Time     // end of Refuse; zero means none.
+	changed       chan struct{} // closed and replaced at each Fault.
+	refuseUntil   time.Time     // end of Refuse; zero means that only the next Fault ends it.
 	callbacks     map[int]func()
 	lastCallback  int
 }
@@ -96,7 +97,7 @@
 	}
 }
 
-// onChange calls f at each change until the returned function is called.
+// onChange calls callback at each Fault until the returned function is called.
 func (f *faults) onChange(callback func()) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// forCall returns what becomes of a call by the client.
+// forCall returns the fault that applies to a call by the client.
 func (f *faults) forCall(client string) callFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +125,7 @@
 	return v
 }
 
-// loseAnswer reports whether the answer of a call that was performed gets lost.
+// loseAnswer reports whether the answer to an executed call is lost, and counts it.
 func (f *faults) loseAnswer(write bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +147,7 @@
 	return f.lostAnswers
 }
 
-// refusal reports whether the listener must stay closed, for how long, and the channel that the next change closes.
+// refusal reports whether the listener must be closed and for how long, and returns the channel that the next Fault closes.
 func (f *faults) refusal(now time.Time) (bool, time.Duration, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +164,7 @@
 	return true, f.refuseUntil.Sub(now), f.changed
 }
 
-// waitForListener returns when the listener may be open, or when it must be closed if open is true.
+// waitForListener waits until the listener must be closed if open is true, and until it may be opened if open is false.
 func (f *faults) waitForListener(ctx context.Context, open bool) {
 	for {
 		refused, left, changed := f.refusal(time.Now())
@@ -186,7 +187,7 @@
 	}
 }
 
-// Fault sets how the platform behaves from now on.
+// Fault applies f from now on.
 func (s *Server) Fault(f Fault) {
 	if f.DataCentre != "" {
 		f.Clients = slices.Concat(f.Clients, s.fleet.entries(f.DataCentre))
--- a/fakes/cloud/fleet.go
+++ b/fakes/cloud/fleet.go
@@ -8,28 +8,28 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// listVersion is the list of VMs as it was from a moment on.
+// listVersion is the list of VMs as it was from validFrom on.
 type listVersion struct {
 	validFrom time.Time
 	vms       []hosts.Wire
 }
 
-// pendingReboot is a reboot under way.
+// pendingReboot is a reboot in progress.
 type pendingReboot struct {
 	id  string
 	end time.Time
 }
 
-// fleet holds the true VMs and what the lagging list still shows.
+// fleet holds the actual VMs, and older versions of the list that the lagging VM list still shows.
 type fleet struct {
 	initialVMs []hosts.Wire
 	listLag    time.Duration
 	rebootTime time.Duration
 
 	mu        sync.Mutex
-	versions  []listVersion // the last one is the truth.
+	versions  []listVersion // the last one holds the actual VMs.
 	reboots   []pendingReboot
-	rebootOps map[string]bool // reboot operations that were taken.
+	rebootOps map[string]bool // accepted reboots, by VM and operation id.
 }
 
 func newFleet() *fleet {
@@ -43,6 +43,7 @@
 	f.versions = []listVersion{{validFrom: now, vms: f.initialVMs}}
 }
 
+// fillVM sets the default of each field that is empty.
 func fillVM(w *hosts.Wire) {
 	if w.State == "" {
 		w.State = hosts.Live
@@ -55,7 +56,7 @@
 	}
 }
 
-// list returns what the list showed a lag ago.
+// list returns the VM list as it was listLag ago, and drops older versions.
 func (f *fleet) list(now time.Time) []hosts.Wire {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,12 +84,12 @@
 
 func (f *fleet) currentVMs() []hosts.Wire { return f.versions[len(f.versions)-1].vms }
 
-// addVersion replaces the true list from at on by a copy that edit has changed.
+// addVersion adds a version that is valid from at on: a copy of the newest one, changed by edit.
 func (f *fleet) addVersion(at time.Time, edit func([]hosts.Wire) []hosts.Wire) {
 	f.versions = append(f.versions, listVersion{validFrom: at, vms: edit(slices.Clone(f.currentVMs()))})
 }
 
-// advance ends the reboots whose time has come.
+// advance completes the reboots that have ended by now.
 func (f *fleet) advance(now time.Time) {
 	for len(f.reboots) > 0 && !now.Before(f.reboots[0].end) {
 		r := f.reboots[0]
@@ -100,7 +101,7 @@
 	}
 }
 
-// editVM changes one VM from at on and returns it as it is then; a VM that is gone or unknown stays as it is.
+// editVM changes one VM from at on and returns the changed VM. It returns false for a VM that is gone or unknown.
 func (f *fleet) editVM(at time.Time, id string, edit func(*hosts.Wire)) (hosts.Wire, bool) {
 	i := slices.IndexFunc(f.currentVMs(), func(w hosts.Wire) bool { return w.ID == id })
 	if i < 0 || f.currentVMs()[i].State == hosts.Gone {
@@ -127,7 +128,7 @@
 	return f.editVM(now, id, func(w *hosts.Wire) { w.Pool = pool })
 }
 
-// startReboot begins the reboot of op, once; first is false for a repeat.
+// startReboot starts a reboot unless one with the same operation id was accepted before; then first is false.
 func (f *fleet) startReboot(now time.Time, id, op string) (w hosts.Wire, first, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +144,7 @@
 	return w, true, ok
 }
 
-// add puts a VM into the list, in place of one of the same name.
+// add adds a VM to the list and replaces one with the same id.
 func (f *fleet) add(now time.Time, w hosts.Wire) {
 	fillVM(&w)
 	f.mu.Lock()
--- a/fakes/cloud/handle.go
+++ b/fakes/cloud/handle.go
@@ -15,10 +15,10 @@
 	"burdockreach.dev/plat/wire"
 )
 
-// handlerFunc answers one path; an error means that the handlerFunc took no effect.
+// handlerFunc handles the calls of one path. An error means that the call had no effect.
 type handlerFunc func(ctx context.Context, s *Server, body []byte) (any, error)
 
-// platformCalls are the platform's, which faults touch.
+// platformCalls are the platform's calls, which faults affect.
 var platformCalls = map[string]struct {
 	do    handlerFunc
 	write bool
@@ -45,7 +45,7 @@
 	tasks.PathThrottle:   {do: taskThrottle, vm: true, write: true},
 }
 
-// controlCalls are the stand-in's own, which no fault touches.
+// controlCalls control the simulation itself; faults do not affect them.
 var controlCalls = map[string]handlerFunc{
 	"/fault":     fault,
 	"/save":      save,
@@ -102,7 +102,7 @@
 	return &s.reads
 }
 
-// waitForFault waits as the verdict says and reports whether the call goes through.
+// waitForFault waits as long as the fault demands and reports whether the call may proceed.
 func waitForFault(ctx context.Context, v callFault) bool {
 	switch v.mode {
 	case Down, Refuse:
@@ -125,7 +125,7 @@
 	return true
 }
 
-// untilFaultChange returns a context that ends with ctx or when the faults change.
+// untilFaultChange returns a context that ends with ctx or at the next Fault.
 func (s *Server) untilFaultChange(ctx context.Context) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancel(ctx)
 	stop := s.faults.onChange(cancel)
@@ -135,7 +135,7 @@
 	}
 }
 
-// closeUnanswered closes the connection without an answer.
+// closeUnanswered closes the connection without answering the call.
 func closeUnanswered(q *fasthttp.RequestCtx) {
 	q.HijackSetNoResponse(true)
 	q.Hijack(func(c net.Conn) { _ = c.Close() })
--- a/fakes/cloud/kv.go
+++ b/fakes/cloud/kv.go
@@ -8,7 +8,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// maxWatchWait bounds one watch.
+// maxWatchWait is the longest wait of one watch call.
 const maxWatchWait = time.Minute
 
 func get(_ context.Context, s *Server, b []byte) (any, error) {
@@ -100,7 +100,7 @@
 	return keyval.OKAnswer{OK: ok}, err
 }
 
-// conditionHeld turns ErrConflict into an answer.
+// conditionHeld returns false without an error for ErrConflict, so that the call is answered normally.
 func conditionHeld(err error) (bool, error) {
 	if errors.Is(err, keyval.ErrConflict) {
 		return false, nil
--- a/fakes/cloud/meter.go
+++ b/fakes/cloud/meter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// meter counts calls and the most in one second.
+// meter counts calls and their peak in one second, and limits their rate.
 type meter struct {
-	limit int // calls a second; 0 means no limit.
+	limit int // calls per second; 0 means no limit.
 
 	mu          sync.Mutex
 	total       int64
@@ -35,21 +35,21 @@
 	return m.total, m.peak
 }
 
-// Stats tells how much the platform was called.
+// Stats holds the counters of the platform's calls.
 type Stats struct {
 	Reads       int64 `json:"reads"`
 	Writes      int64 `json:"writes"`
 	Watches     int64 `json:"watches"`
-	PeakReads   int   `json:"peakReads"`  // reads and watches in one second.
-	PeakWrites  int   `json:"peakWrites"` // writes in one second.
+	PeakReads   int   `json:"peakReads"`  // most reads and watches in one second.
+	PeakWrites  int   `json:"peakWrites"` // most writes in one second.
 	VMCalls     int64 `json:"vmCalls"`
 	Rev         int64 `json:"rev"`
 	LostAnswers int64 `json:"lostAnswers"`
 	TaskStarts  int   `json:"taskStarts"`
-	TaskDoubled int   `json:"taskDoubled"` // starts of a run-once job beside a running copy.
+	TaskDoubled int   `json:"taskDoubled"` // starts of a run-once job while a copy of it was running.
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (s *Server) Stats() Stats {
 	a := Stats{Rev: int64(s.store.Rev()), Watches: s.store.Watches(), LostAnswers: s.faults.lostCount()}
 	a.Reads, a.PeakReads = s.reads.counts()
--- a/fakes/cloud/server.go
+++ b/fakes/cloud/server.go
@@ -15,7 +15,7 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// Server is the stand-in of the platform.
+// Server is a simulated platform.
 type Server struct {
 	store             *keyval.Memory
 	fleet             *fleet
@@ -37,7 +37,7 @@
 	controlAddr string
 }
 
-// New returns a server that Serve opens.
+// New returns a server; Serve starts it.
 func New(opts ...Option) *Server {
 	s := &Server{
 		store: keyval.NewMemory(), fleet: newFleet(), faults: newFaults(),
@@ -55,10 +55,10 @@
 
 // dialWorker opens a connection to a worker's control address.
 func dialWorker(addr string) (net.Conn, error) {
-	return net.DialTimeout("tcp", addr, controlTimeout) //nolint:noctx // bounded by its timeout
+	return net.DialTimeout("tcp", addr, controlTimeout) //nolint:noctx // has a timeout of its own
 }
 
-// Store returns the key-value service without faults.
+// Store gives direct access to the key-value service, which faults do not affect.
 func (s *Server) Store() *keyval.Memory { return s.store }
 
 // Ready is closed once the server listens.
@@ -71,14 +71,14 @@
 	return s.addr
 }
 
-// ControlAddr returns the address of WithControl, once the server is ready.
+// ControlAddr returns the address that the server listens on for control calls if WithControl is set, once it is ready.
 func (s *Server) ControlAddr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.controlAddr
 }
 
-// Serve answers at addr until ctx ends.
+// Serve serves the platform's calls on addr until ctx ends.
 func (s *Server) Serve(ctx context.Context, addr string) error {
 	g, c := errgroup.WithContext(ctx)
 	if s.controlListenAddr != "" {
@@ -95,7 +95,7 @@
 	return g.Wait()
 }
 
-// serveCalls opens and closes the listener as Refuse demands.
+// serveCalls serves the platform's calls, and closes the listener while the mode is Refuse.
 func (s *Server) serveCalls(ctx context.Context, addr string) error {
 	var once sync.Once
 	for ctx.Err() == nil {
@@ -143,7 +143,7 @@
 	return &trackedListener{Listener: l, conns: map[net.Conn]struct{}{}}, nil
 }
 
-// serve answers with h until ctx ends, then closes every connection.
+// serve serves h on l until ctx ends, then closes all connections.
 func serve(ctx context.Context, l net.Listener, h fasthttp.RequestHandler) error {
 	v := &fasthttp.Server{Handler: h, MaxRequestBodySize: 4 << 20, NoDefaultServerHeader: true, Logger: discardLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
@@ -157,10 +157,10 @@
 
 type discardLogger struct{}
 
-// Printf drops the line.
+// Printf discards the line.
 func (discardLogger) Printf(string, ...any) {}
 
-// trackedListener is a listener that closes its connections with itself.
+// trackedListener is a listener whose Close also closes the connections that it has accepted.
 type trackedListener struct {
 	net.Listener
 
--- a/fakes/cloud/task.go
+++ b/fakes/cloud/task.go
@@ -14,13 +14,13 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// DefaultUsageLag is the age of the tasks' reported usage.
+// DefaultUsageLag is the default time after its start for which a task reports no usage.
 const DefaultUsageLag = time.Second
 
-// throttledSpeed is the part of its speed that a throttled task keeps.
+// throttledSpeed is the speed of a throttled task relative to its full speed.
 const throttledSpeed = 0.05
 
-// Truth is how the jobs whose names begin with Prefix behave, whatever was declared of them.
+// Truth sets how the jobs whose names begin with Prefix behave, whatever their requests declare.
 type Truth struct {
 	Prefix   string        `json:"prefix"`
 	Run      time.Duration `json:"runNanos"`
@@ -29,7 +29,7 @@
 	Broken   bool          `json:"broken"` // fails on every worker.
 }
 
-// Tasks is the stand-in of the platform's calls on tasks; it is safe for concurrent use.
+// Tasks simulates the platform's tasks and implements the calls on them. It is safe for concurrent use.
 type Tasks struct {
 	store     keyval.Store
 	usageLag  time.Duration
@@ -39,13 +39,13 @@
 
 	mu              sync.Mutex
 	tasks           map[string]*taskRun
-	checkpoints     map[string]time.Duration // work done by job, at its newest checkpoint.
-	runningCopies   map[string]int           // copies by job.
+	checkpoints     map[string]time.Duration // work done at a job's newest checkpoint, by job.
+	runningCopies   map[string]int           // number of running copies, by job.
 	duplicateStarts int
 	starts          int
 }
 
-// taskRun is one task; one that was stopped before it started has no job.
+// taskRun is one task. A task that was stopped before it was started has no job.
 type taskRun struct {
 	tasks.RunRequest
 	state      tasks.State
@@ -56,13 +56,14 @@
 	throttled  bool
 }
 
-// TaskOption adjusts the tasks.
+// TaskOption configures Tasks.
 type TaskOption func(*Tasks)
 
-// WithTruth sets how jobs behave; the first whose prefix fits counts, and without one a job runs a second and takes nothing.
+// WithTruth sets how jobs behave; the first element whose prefix matches applies. A job without one runs for a second and uses no
+// cores and no memory.
 func WithTruth(l ...Truth) TaskOption { return func(t *Tasks) { t.behaviors = l } }
 
-// Behave replaces how jobs started from now on behave, and which workers fail everything.
+// Behave replaces the behavior of jobs that start from now on, and the set of VMs whose tasks all fail.
 func (t *Tasks) Behave(behaviors []Truth, broken []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// WithBroken names workers that fail everything they start.
+// WithBroken names VMs whose tasks all fail.
 func WithBroken(vms ...string) TaskOption {
 	return func(t *Tasks) {
 		for _, v := range vms {
@@ -82,10 +83,10 @@
 	}
 }
 
-// WithUsageLag sets the age of the reported usage.
+// WithUsageLag sets the time after its start for which a task reports no usage.
 func WithUsageLag(d time.Duration) TaskOption { return func(t *Tasks) { t.usageLag = d } }
 
-// NewTasks returns the tasks of a platform whose leases are those of the store.
+// NewTasks returns a platform's tasks, which run under leases of the store s.
 func NewTasks(s keyval.Store, opts ...TaskOption) *Tasks {
 	t := &Tasks{
 		store: s, usageLag: DefaultUsageLag, brokenVMs: map[string]bool{}, vmAlive: func(string) bool { return true },
@@ -97,7 +98,7 @@
 	return t
 }
 
-// Doubled returns the number of starts of a run-once job beside a running copy of it.
+// Doubled returns the number of starts of a run-once job while a copy of it was running.
 func (t *Tasks) Doubled() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +147,8 @@
 
 func leaseKey(id int64) string { return fmt.Sprintf("platform/leases/%d", id) }
 
-// checkLease reports whether the lease has not lapsed, and marks it in the store by a key that goes with it.
+// checkLease reports whether the lease is still valid. It does so by a key in the store under that lease, which the store deletes
+// when the lease ends.
 func (t *Tasks) checkLease(ctx context.Context, id int64) bool {
 	if i, err := t.store.Get(ctx, leaseKey(id)); err == nil && i.Found() {
 		return true
@@ -155,7 +157,7 @@
 	return id != 0 && err == nil
 }
 
-// advance ends what has ended by now; t.mu is held.
+// advance updates the work done by the running tasks and ends those that end by now. The caller holds t.mu.
 func (t *Tasks) advance(ctx context.Context) {
 	now := time.Now()
 	leaseValid := map[int64]bool{}
--- a/fakes/cloud/task_test.go
+++ b/fakes/cloud/task_test.go
@@ -13,7 +13,7 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// startTasks is a platform with one VM, a client of its tasks and a lease of its store.
+// startTasks starts a platform with one VM, and returns a client of its task calls and a lease of its store.
 func startTasks(t *testing.T, ttl time.Duration, behavior cloud.Truth) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
 	t.Helper()
 	s := start(t, cloud.WithVMs(hosts.Wire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(behavior)))
@@ -43,7 +43,7 @@
 	ctx := context.Background()
 	c, l, s := startTasks(t, time.Minute, cloud.Truth{Run: time.Hour, Cores: 2})
 	is.NoErr(c.Run(ctx, task("job/1", l)))
-	is.NoErr(c.Run(ctx, task("job/1", l))) // a repeat starts nothing.
+	is.NoErr(c.Run(ctx, task("job/1", l))) // a repeated call does not start the task again.
 	wantTask(t, c, "job/1", tasks.Running)
 	is.NoErr(c.Throttle(ctx, "job/1", true))
 	is.NoErr(c.Checkpoint(ctx, "job/1"))
--- a/fakes/cloud/taskcalls.go
+++ b/fakes/cloud/taskcalls.go
@@ -9,13 +9,13 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// WithTasks sets how the platform's tasks behave.
+// WithTasks sets the options of the platform's tasks.
 func WithTasks(opts ...TaskOption) Option { return func(s *Server) { s.taskOpts = opts } }
 
-// Tasks returns the platform's tasks without faults.
+// Tasks gives direct access to the platform's tasks, which faults do not affect.
 func (s *Server) Tasks() *Tasks { return s.tasks }
 
-// canRunTasks reports whether the VM is there to run tasks.
+// canRunTasks reports whether the VM exists and is not gone.
 func (f *fleet) canRunTasks(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	return taskAnswer("", s.tasks.Throttle(context.WithoutCancel(ctx), q.ID, q.On))
 }
 
-// taskAnswer turns a refusal into an answer.
+// taskAnswer turns ErrRefused into an answer with the reason, and passes other errors on.
 func taskAnswer(t tasks.State, err error) (any, error) {
 	if errors.Is(err, tasks.ErrRefused) {
 		return tasks.Answer{Reason: err.Error()}, nil
@@ -71,10 +71,10 @@
 	return tasks.Answer{OK: err == nil, State: t}, err
 }
 
-// Behavior is the body of the control call that sets how tasks behave.
+// Behavior is the body of the control call /task/behave, which sets how tasks behave.
 type Behavior struct {
 	Truths []Truth  `json:"truths"`
-	Broken []string `json:"broken"` // workers that fail everything.
+	Broken []string `json:"broken"` // VMs whose tasks all fail.
 }
 
 func taskBehave(_ context.Context, s *Server, b []byte) (any, error) {
--- a/fakes/cloud/vm.go
+++ b/fakes/cloud/vm.go
@@ -13,18 +13,18 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// controlOffset is what a worker's control port is above its port.
+// controlOffset is a worker's control port minus its port.
 const controlOffset = 1_000
 
-// controlTimeout bounds one word to a worker.
+// controlTimeout is the timeout of a command to a worker.
 const controlTimeout = 300 * time.Millisecond
 
-// Control is the body of a word to a worker's control address.
+// Control is the body of a command to a worker's control address.
 type Control struct {
 	ID         string `json:"id"`
 	Op         string `json:"op,omitempty"`
 	Pool       string `json:"pool,omitempty"`
-	DownMillis int64  `json:"downMs,omitempty"` // for a reboot: the time for which the worker answers nothing.
+	DownMillis int64  `json:"downMs,omitempty"` // for a reboot: how long the worker does not answer.
 }
 
 func vmList(_ context.Context, s *Server, _ []byte) (any, error) {
@@ -125,14 +125,14 @@
 
 func stats(_ context.Context, s *Server, _ []byte) (any, error) { return s.Stats(), nil }
 
-// Save keeps the key-value service's present state.
+// Save takes a snapshot of the key-value service for Restore.
 func (s *Server) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshot, s.hasSnapshot = s.store.Save(), true
 }
 
-// Restore puts the kept state back, and reports whether there was one.
+// Restore resets the key-value service to the newest snapshot, and reports whether there was one.
 func (s *Server) Restore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,8 @@
 	return s.hasSnapshot
 }
 
-// sendCommand sends a word to the worker's control address; a worker that is not there is passed over.
+// sendCommand sends a command to the worker's control address. It does nothing for a VM that is not a worker or has no valid
+// address, and logs but otherwise ignores a failed call.
 func (s *Server) sendCommand(w hosts.Wire, command string, body Control) {
 	addr, ok := controlAddr(w)
 	if !ok {
