--- a/fakes/plant/platform.go
+++ b/fakes/plant/platform.go
@@ -28,7 +28,7 @@
 	maxMissedHeartbeats = 3 // a worker's entry is removed after so many heartbeat intervals without renewal.
 )
 
-// Plant is a running simulated platform. It is safe for concurrent use.
+// Plant is a running simulated platform.
 type Plant struct {
 	start time.Time
 	store *store
