--- a/fakes/floor/checker.go
+++ b/fakes/floor/checker.go
@@ -28,7 +28,7 @@
 	Refused  int // attempts that got the answer that the job will never run.
 }
 
-// Stint is one run as the worker reported it. From and To are milliseconds on the simulation's clock; To is 0 while the run is
+// Stint is one run as the worker reported it. Its times are milliseconds on the simulation's clock; the end is 0 while the run is
 // active.
 type Stint struct {
 	Run      int
--- a/fakes/floor/worker.go
+++ b/fakes/floor/worker.go
@@ -14,7 +14,7 @@
 // without end.
 const Never = int64(1) << 60
 
-// Run is one run of a task at a worker. From and End are milliseconds on the simulation's clock, not on the worker's.
+// Run is one run of a task at a worker. Its times are milliseconds on the simulation's clock, not on the worker's.
 type Run struct {
 	Task   batch.TaskName
 	Number int
@@ -96,7 +96,8 @@
 // Runs returns the active runs.
 func (w *Worker) Runs() []*Run { return slices.Clone(w.runs) }
 
-// Crash cuts the worker's power and ends its runs. A new lifetime, without runs, ends and lease, begins after ms milliseconds.
+// Crash cuts the worker's power and ends its runs. A new lifetime, without runs, ends, lease or fencing token, begins after ms
+// milliseconds.
 func (w *Worker) Crash(ms int64) {
 	if w.Dark() {
 		return
@@ -115,7 +116,7 @@
 	}
 }
 
-// Pass advances the simulation's time to now, in milliseconds, and ends the runs that have finished or whose lease has expired.
+// Pass moves the simulation's time to now, in milliseconds, and ends the runs that have finished or whose lease has expired.
 func (w *Worker) Pass(now int64) {
 	w.nowMs = max(w.nowMs, now)
 	if w.Dark() {
