--- a/fakes/cloud/conf_test.go
+++ b/fakes/cloud/conf_test.go
@@ -14,8 +14,8 @@
 	"burdockreach.dev/plat/conf"
 )
 
-// settle commits c until its outcome is known.
-func settle(ctx context.Context, k *conf.Committer, c conf.Change) error {
+// commitUntilSettled commits c and repeats the commit until its outcome is known.
+func commitUntilSettled(ctx context.Context, k *conf.Committer, c conf.Change) error {
 	commit := k.Commit
 	for {
 		t, cancel := context.WithTimeout(ctx, time.Second)
@@ -28,8 +28,9 @@
 	}
 }
 
-// TestConfigurationOverFaults edits at three entries over HTTP while the platform loses answers, refuses, falls silent and comes
-// back older, and wants every edit at every entry, once.
+// TestConfigurationOverFaults guards against lost, duplicated or diverging configuration changes. Three entries edit over HTTP
+// while the platform loses answers, refuses connections, hangs, and is restored to an older snapshot. Every entry must end with
+// the same document, in which each edit is applied exactly once.
 func TestConfigurationOverFaults(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
@@ -45,7 +46,7 @@
 		edit.Go(func() error {
 			for n := range 20 {
 				name := fmt.Sprintf("p-%d-%d", i, n)
-				if err := settle(ctx, k, conf.Change{Op: name, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: name}}); err != nil {
+				if err := commitUntilSettled(ctx, k, conf.Change{Op: name, Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: name}}); err != nil {
 					return err
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -64,10 +65,10 @@
 	is.NoErr(edit.Wait())
 	for _, h := range holders {
 		for len(h.Document().Pools()) < 60 || !h.Document().Equal(holders[0].Document()) {
-			time.Sleep(5 * time.Millisecond) // the test's own deadline bounds this
+			time.Sleep(5 * time.Millisecond) // ends with the timeout of go test at the latest
 		}
 	}
-	is.Equal(holders[0].Document().Number(), conf.Number(60)) // each once
+	is.Equal(holders[0].Document().Number(), conf.Number(60)) // each edit exactly once
 	cancel()
 	is.NoErr(run.Wait())
 }
--- a/fakes/cloud/fault.go
+++ b/fakes/cloud/fault.go
@@ -7,64 +7,65 @@
 	"time"
 )
 
-// Mode is how the platform behaves.
+// Mode is the kind of a fault.
 type Mode string
 
 const (
-	// Up answers each call.
+	// Up ends the fault: the platform answers each call.
 	Up Mode = "up"
-	// Down closes the connection of each call, which takes no effect.
+	// Down closes the connection of each call without executing the call.
 	Down Mode = "down"
-	// Refuse closes the listener; DelayMillis later it opens again, or, if that is 0, at the next Fault on the control address.
+	// Refuse closes the listener. It opens again after DelayMillis or, if that is 0, at the next Fault, which must come through
+	// the control address or Server.Fault.
 	Refuse Mode = "refuse"
-	// Silent answers nothing: calls take no effect, their connections stay open until the mode changes.
+	// Silent neither executes nor answers calls. Their connections stay open until the next Fault.
 	Silent Mode = "silent"
-	// Slow delays each call by DelayMillis before it takes effect.
+	// Slow delays each call by DelayMillis before it is executed.
 	Slow Mode = "slow"
-	// Lose performs each write, then closes its connection without an answer.
+	// Lose executes each write, then closes its connection without an answer.
 	Lose Mode = "lose"
-	// Cut parts the named clients, or a whole data centre's entries, from the platform; the rest stays as it is.
+	// Cut partitions the named clients, or all entries of a data centre, from the platform. The mode for other clients stays.
 	Cut Mode = "cut"
-	// Join ends the cut of the named clients or data centre, or of all when none is named.
+	// Join ends the partition of the named clients or data centre, or every partition if none is named.
 	Join Mode = "join"
 )
 
-// Fault sets how the platform behaves from now on.
+// Fault is a change of the injected faults, and the body of the control call /fault.
 type Fault struct {
 	Mode        Mode     `json:"mode"`
 	DelayMillis int64    `json:"delayMs"`
 	Count       int      `json:"count"`      // for Lose: the number of answers to lose; 0 means all until the mode changes.
-	Clients     []string `json:"clients"`    // for Cut and Join: names as sent in Burdock-Entry.
-	DataCentre  string   `json:"dataCentre"` // for Cut and Join: each entry VM of that data centre.
+	Clients     []string `json:"clients"`    // for Cut and Join: names as clients send them in the header Burdock-Entry.
+	DataCentre  string   `json:"dataCentre"` // for Cut and Join: names all entry VMs of that data centre.
 }
 
-func (m Mode) known() bool {
+func (m Mode) valid() bool {
 	return slices.Contains([]Mode{Up, Down, Refuse, Silent, Slow, Lose, Cut, Join}, m)
 }
 
-// verdict is what becomes of one call.
-type verdict struct {
+// callFault is the fault that applies to one call.
+type callFault struct {
 	mode    Mode
 	delay   time.Duration
 	changed <-chan struct{}
 }
 
-// faults holds the mode and the clients that are cut off.
+// faults holds the current mode and the partitioned clients.
 type faults struct {
-	mu      sync.Mutex
-	mode    Mode
-	delay   time.Duration
-	left    int // answers to lose; 0 means no bound.
-	cut     map[string]bool
-	lost    int64
-	changed chan struct{} // closed and replaced at each change.
-	until   time.Time     // end of Refuse; zero means none.
-	waits   map[int]func()
-	next    int
+	mu            sync.Mutex
+	mode          Mode
+	delay         time.Duration
+	answersToLose int // 0 means no limit.
+	partitioned   map[string]bool
+	lostAnswers   int64
+	changed       chan struct{} // closed and replaced at each Fault.
+	refuseUntil   time.Time     // end of Refuse; zero means that only the next Fault ends it.
+	callbacks     map[int]func()
+	lastCallback  int
 }
 
 func newFaults() *faults {
-	return &faults{mode: Up, cut: map[string]bool{}, changed: make(chan struct{}), waits: map[int]func(){}}
+	return &faults{mode: Up, partitioned: map[string]bool{}, changed: make(chan struct{}), callbacks: map[int]func(){}}
 }
 
 func (f *faults) set(c Fault, now time.Time) {
@@ -73,50 +74,50 @@
 	switch c.Mode {
 	case Cut:
 		for _, n := range c.Clients {
-			f.cut[n] = true
+			f.partitioned[n] = true
 		}
 	case Join:
 		if len(c.Clients) == 0 && c.DataCentre == "" {
-			clear(f.cut)
+			clear(f.partitioned)
 		}
 		for _, n := range c.Clients {
-			delete(f.cut, n)
+			delete(f.partitioned, n)
 		}
 	default:
-		f.mode, f.left, f.until = c.Mode, c.Count, time.Time{}
+		f.mode, f.answersToLose, f.refuseUntil = c.Mode, c.Count, time.Time{}
 		f.delay = time.Duration(c.DelayMillis) * time.Millisecond
 		if c.Mode == Refuse && f.delay > 0 {
-			f.until = now.Add(f.delay)
+			f.refuseUntil = now.Add(f.delay)
 		}
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
-	for _, w := range f.waits {
+	for _, w := range f.callbacks {
 		w()
 	}
 }
 
-// onChange calls f at each change until the returned function is called.
-func (f *faults) onChange(call func()) func() {
+// onChange calls callback at each Fault until the returned function is called.
+func (f *faults) onChange(callback func()) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next++
-	n := f.next
-	f.waits[n] = call
+	f.lastCallback++
+	n := f.lastCallback
+	f.callbacks[n] = callback
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.waits, n)
+		delete(f.callbacks, n)
 	}
 }
 
-// judge returns what becomes of a call by the client.
-func (f *faults) judge(client string) verdict {
+// forCall returns the fault that applies to a call by the client.
+func (f *faults) forCall(client string) callFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := verdict{mode: f.mode, changed: f.changed}
+	v := callFault{mode: f.mode, changed: f.changed}
 	switch {
-	case f.cut[client]:
+	case f.partitioned[client]:
 		v.mode = Down
 	case f.mode == Slow:
 		v.delay = f.delay
@@ -124,16 +125,16 @@
 	return v
 }
 
-// lose reports whether the answer of a call that was performed gets lost.
-func (f *faults) lose(write bool) bool {
+// loseAnswer reports whether the answer to an executed call is lost, and counts it.
+func (f *faults) loseAnswer(write bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mode != Lose || !write {
 		return false
 	}
-	f.lost++
-	if f.left > 0 {
-		if f.left--; f.left == 0 {
+	f.lostAnswers++
+	if f.answersToLose > 0 {
+		if f.answersToLose--; f.answersToLose == 0 {
 			f.mode = Up
 		}
 	}
@@ -143,30 +144,30 @@
 func (f *faults) lostCount() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.lostAnswers
 }
 
-// refusing reports whether the listener must stay closed, for how long, and the channel that the next change closes.
-func (f *faults) refusing(now time.Time) (bool, time.Duration, <-chan struct{}) {
+// refusal reports whether the listener must be closed and for how long, and returns the channel that the next Fault closes.
+func (f *faults) refusal(now time.Time) (bool, time.Duration, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mode != Refuse {
 		return false, 0, f.changed
 	}
-	if f.until.IsZero() {
+	if f.refuseUntil.IsZero() {
 		return true, time.Hour, f.changed
 	}
-	if !now.Before(f.until) {
+	if !now.Before(f.refuseUntil) {
 		f.mode = Up
 		return false, 0, f.changed
 	}
-	return true, f.until.Sub(now), f.changed
+	return true, f.refuseUntil.Sub(now), f.changed
 }
 
-// await returns when the listener may be open, or when it must be closed if open is true.
-func (f *faults) await(ctx context.Context, open bool) {
+// waitForListener waits until the listener must be closed if open is true, and until it may be opened if open is false.
+func (f *faults) waitForListener(ctx context.Context, open bool) {
 	for {
-		refused, left, changed := f.refusing(time.Now())
+		refused, left, changed := f.refusal(time.Now())
 		if refused == open {
 			return
 		}
@@ -186,7 +187,7 @@
 	}
 }
 
-// Fault sets how the platform behaves from now on.
+// Fault applies f from now on.
 func (s *Server) Fault(f Fault) {
 	if f.DataCentre != "" {
 		f.Clients = slices.Concat(f.Clients, s.fleet.entries(f.DataCentre))
--- a/fakes/cloud/taskcalls.go
+++ b/fakes/cloud/taskcalls.go
@@ -9,17 +9,17 @@
 	"burdockreach.dev/plat/tasks"
 )
 
-// WithTasks sets how the platform's tasks behave.
+// WithTasks sets the options of the platform's tasks.
 func WithTasks(opts ...TaskOption) Option { return func(s *Server) { s.taskOpts = opts } }
 
-// Tasks returns the platform's tasks without faults.
+// Tasks gives direct access to the platform's tasks, which faults do not affect.
 func (s *Server) Tasks() *Tasks { return s.tasks }
 
-// runs reports whether the VM is there to run tasks.
-func (f *fleet) runs(id string) bool {
+// canRunTasks reports whether the VM exists and is not gone.
+func (f *fleet) canRunTasks(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.ContainsFunc(f.truth(), func(w hosts.VMWire) bool { return w.ID == id && w.State != hosts.Gone })
+	return slices.ContainsFunc(f.currentVMs(), func(w hosts.VMWire) bool { return w.ID == id && w.State != hosts.Gone })
 }
 
 func taskList(ctx context.Context, s *Server, b []byte) (any, error) {
@@ -31,7 +31,7 @@
 	return tasks.ListResponse{Tasks: l}, err
 }
 
-func taskRunCall(ctx context.Context, s *Server, b []byte) (any, error) {
+func taskStart(ctx context.Context, s *Server, b []byte) (any, error) {
 	q, err := parse[tasks.RunRequest](b)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	return taskAnswer("", s.tasks.Throttle(context.WithoutCancel(ctx), q.ID, q.On))
 }
 
-// taskAnswer turns a refusal into an answer.
+// taskAnswer turns ErrRefused into an answer with the reason, and passes other errors on.
 func taskAnswer(t tasks.State, err error) (any, error) {
 	if errors.Is(err, tasks.ErrRefused) {
 		return tasks.Response{Reason: err.Error()}, nil
@@ -71,10 +71,10 @@
 	return tasks.Response{OK: err == nil, State: t}, err
 }
 
-// Behavior is the body of the control call that sets how tasks behave.
+// Behavior is the body of the control call /task/behave, which sets how tasks behave.
 type Behavior struct {
 	Truths []Truth  `json:"truths"`
-	Broken []string `json:"broken"` // workers that fail everything.
+	Broken []string `json:"broken"` // VMs whose tasks all fail.
 }
 
 func taskBehave(_ context.Context, s *Server, b []byte) (any, error) {
--- a/fakes/cloud/vm.go
+++ b/fakes/cloud/vm.go
@@ -13,18 +13,18 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// controlOffset is what a worker's control port is above its port.
+// controlOffset is a worker's control port minus its port.
 const controlOffset = 1_000
 
-// controlWait bounds one word to a worker.
-const controlWait = 300 * time.Millisecond
+// controlTimeout is the timeout of a command to a worker.
+const controlTimeout = 300 * time.Millisecond
 
-// Control is the body of a word to a worker's control address.
+// Control is the body of a command to a worker's control address.
 type Control struct {
 	ID         string `json:"id"`
 	Op         string `json:"op,omitempty"`
 	Pool       string `json:"pool,omitempty"`
-	DownMillis int64  `json:"downMs,omitempty"` // for a reboot: the time for which the worker answers nothing.
+	DownMillis int64  `json:"downMs,omitempty"` // for a reboot: how long the worker does not answer.
 }
 
 func vmList(_ context.Context, s *Server, _ []byte) (any, error) {
@@ -39,14 +39,14 @@
 	return s.setState(b, "undrain", hosts.Live)
 }
 
-func (s *Server) setState(b []byte, word string, to hosts.State) (any, error) {
+func (s *Server) setState(b []byte, command string, to hosts.State) (any, error) {
 	q, err := parse[hosts.Request](b)
 	if err != nil {
 		return nil, err
 	}
 	w, ok := s.fleet.setState(time.Now(), q.ID, to)
 	if ok {
-		s.tell(w, word, Control{ID: q.ID})
+		s.sendCommand(w, command, Control{ID: q.ID})
 	}
 	return hosts.Response{OK: ok}, nil
 }
@@ -58,7 +58,7 @@
 	}
 	w, first, ok := s.fleet.startReboot(time.Now(), q.ID, q.Op)
 	if ok && first {
-		s.tell(w, "reboot", Control{ID: q.ID, Op: q.Op, DownMillis: s.fleet.reboot.Milliseconds()})
+		s.sendCommand(w, "reboot", Control{ID: q.ID, Op: q.Op, DownMillis: s.fleet.rebootTime.Milliseconds()})
 	}
 	return hosts.Response{OK: ok}, nil
 }
@@ -70,7 +70,7 @@
 	}
 	w, ok := s.fleet.assign(time.Now(), q.ID, q.Pool)
 	if ok {
-		s.tell(w, "assign", Control{ID: q.ID, Pool: q.Pool})
+		s.sendCommand(w, "assign", Control{ID: q.ID, Pool: q.Pool})
 	}
 	return hosts.Response{OK: ok}, nil
 }
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !f.Mode.known() {
+	if !f.Mode.valid() {
 		return nil, eris.Errorf("cloud: fault mode %q is not known", f.Mode)
 	}
 	s.Fault(f)
@@ -125,25 +125,26 @@
 
 func stats(_ context.Context, s *Server, _ []byte) (any, error) { return s.Stats(), nil }
 
-// Save keeps the key-value service's present state.
+// Save takes a snapshot of the key-value service for Restore.
 func (s *Server) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved, s.hasSaved = s.store.Save(), true
+	s.snapshot, s.hasSnapshot = s.store.Save(), true
 }
 
-// Restore puts the kept state back, and reports whether there was one.
+// Restore resets the key-value service to the newest snapshot, and reports whether there was one.
 func (s *Server) Restore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hasSaved {
-		s.store.Restore(s.saved)
+	if s.hasSnapshot {
+		s.store.Restore(s.snapshot)
 	}
-	return s.hasSaved
+	return s.hasSnapshot
 }
 
-// tell sends a word to the worker's control address; a worker that is not there is passed over.
-func (s *Server) tell(w hosts.VMWire, word string, body Control) {
+// sendCommand sends a command to the worker's control address. It does nothing for a VM that is not a worker or has no valid
+// address, and logs but otherwise ignores a failed call.
+func (s *Server) sendCommand(w hosts.VMWire, command string, body Control) {
 	addr, ok := controlAddr(w)
 	if !ok {
 		return
@@ -157,10 +158,10 @@
 	defer fasthttp.ReleaseResponse(a)
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.Header.SetContentType("application/json")
-	q.SetRequestURI("http://" + addr + "/ctl/" + word)
+	q.SetRequestURI("http://" + addr + "/ctl/" + command)
 	q.SetBodyRaw(b)
-	err = s.ctl.DoTimeout(q, a, controlWait)
-	s.log.Debug().Str("event", "word").Str("vm", w.ID).Str("word", word).Err(err).Send()
+	err = s.controlClient.DoTimeout(q, a, controlTimeout)
+	s.log.Debug().Str("event", "word").Str("vm", w.ID).Str("word", command).Err(err).Send()
 }
 
 func controlAddr(w hosts.VMWire) (string, bool) {
