--- a/fakes/cloud/cloud_test.go
+++ b/fakes/cloud/cloud_test.go
@@ -196,7 +196,7 @@
 func TestRebootOncePerOp(t *testing.T) {
 	is := is.New(t)
 	s := start(t, cloud.WithVMs(hosts.VMWire{ID: "w", Addr: "127.0.0.1:1"}),
-		cloud.WithLag(time.Millisecond), cloud.WithReboot(20*time.Millisecond))
+		cloud.WithListLag(time.Millisecond), cloud.WithRebootTime(20*time.Millisecond))
 	h := hosts.New(s.Addr(), hosts.WithTimeout(time.Second))
 	t.Cleanup(h.Close)
 	ctx := t.Context()
--- a/fakes/cloud/conf_test.go
+++ b/fakes/cloud/conf_test.go
@@ -54,7 +54,7 @@
 			return nil
 		})
 	}
-	for _, m := range []cloud.Mode{cloud.Lose, cloud.Refuse, cloud.Silent, cloud.Down, cloud.Lose} {
+	for _, m := range []cloud.FaultMode{cloud.Lose, cloud.Refuse, cloud.Silent, cloud.Down, cloud.Lose} {
 		s.Save()
 		time.Sleep(50 * time.Millisecond)
 		s.Fault(cloud.Fault{Mode: m})
--- a/fakes/cloud/fault.go
+++ b/fakes/cloud/fault.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Mode is the kind of a fault.
-type Mode string
+// FaultMode is the kind of a fault.
+type FaultMode string
 
 const (
 	// Up ends the fault: the platform answers each call.
-	Up Mode = "up"
+	Up FaultMode = "up"
 	// Down closes the connection of each call without executing the call.
-	Down Mode = "down"
+	Down FaultMode = "down"
 	// Refuse closes the listener. It opens again after DelayMillis or, if that is 0, at the next Fault, which must come through
 	// the control address or Server.Fault.
-	Refuse Mode = "refuse"
+	Refuse FaultMode = "refuse"
 	// Silent neither executes nor answers calls. Their connections stay open until the next Fault.
-	Silent Mode = "silent"
+	Silent FaultMode = "silent"
 	// Slow delays each call by DelayMillis before it is executed.
-	Slow Mode = "slow"
+	Slow FaultMode = "slow"
 	// Lose executes each write, then closes its connection without an answer.
-	Lose Mode = "lose"
+	Lose FaultMode = "lose"
 	// Cut partitions the named clients, or all entries of a data centre, from the platform. The mode for other clients stays.
-	Cut Mode = "cut"
+	Cut FaultMode = "cut"
 	// Join ends the partition of the named clients or data centre, or every partition if none is named.
-	Join Mode = "join"
+	Join FaultMode = "join"
 )
 
 // Fault is a change of the injected faults, and the body of the control call /fault.
 type Fault struct {
-	Mode        Mode     `json:"mode"`
-	DelayMillis int64    `json:"delayMs"`
-	Count       int      `json:"count"`      // for Lose: the number of answers to lose; 0 means all until the mode changes.
-	Clients     []string `json:"clients"`    // for Cut and Join: names as clients send them in the header Burdock-Entry.
-	DataCentre  string   `json:"dataCentre"` // for Cut and Join: names all entry VMs of that data centre.
+	Mode        FaultMode `json:"mode"`
+	DelayMillis int64     `json:"delayMs"`
+	Count       int       `json:"count"`      // for Lose: the number of answers to lose; 0 means all until the mode changes.
+	Clients     []string  `json:"clients"`    // for Cut and Join: names as clients send them in the header Burdock-Entry.
+	DataCentre  string    `json:"dataCentre"` // for Cut and Join: names all entry VMs of that data centre.
 }
 
-func (m Mode) valid() bool {
-	return slices.Contains([]Mode{Up, Down, Refuse, Silent, Slow, Lose, Cut, Join}, m)
+func (m FaultMode) valid() bool {
+	return slices.Contains([]FaultMode{Up, Down, Refuse, Silent, Slow, Lose, Cut, Join}, m)
 }
 
 // callFault is the fault that applies to one call.
 type callFault struct {
-	mode    Mode
+	mode    FaultMode
 	delay   time.Duration
 	changed <-chan struct{}
 }
@@ -53,7 +53,7 @@
 // faults holds the current mode and the partitioned clients.
 type faults struct {
 	mu            sync.Mutex
-	mode          Mode
+	mode          FaultMode
 	delay         time.Duration
 	answersToLose int // 0 means no limit.
 	partitioned   map[string]bool
--- a/fakes/cloud/fleet.go
+++ b/fakes/cloud/fleet.go
@@ -33,7 +33,7 @@
 }
 
 func newFleet() *fleet {
-	return &fleet{listLag: DefaultLag, rebootTime: DefaultReboot, rebootOps: map[string]bool{}}
+	return &fleet{listLag: DefaultListLag, rebootTime: DefaultRebootTime, rebootOps: map[string]bool{}}
 }
 
 func (f *fleet) init(now time.Time) {
--- a/fakes/cloud/meter.go
+++ b/fakes/cloud/meter.go
@@ -56,6 +56,6 @@
 	a.Reads -= a.Watches
 	a.Writes, a.PeakWrites = s.writes.counts()
 	a.VMCalls, _ = s.vmCalls.counts()
-	a.TaskStarts, a.TaskDoubled = s.tasks.Starts(), s.tasks.Doubled()
+	a.TaskStarts, a.TaskDoubled = s.tasks.Starts(), s.tasks.DuplicateStarts()
 	return a
 }
--- a/fakes/cloud/option.go
+++ b/fakes/cloud/option.go
@@ -8,11 +8,11 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// DefaultLag is the default time by which the VM list lags behind the actual VMs.
-const DefaultLag = time.Second
+// DefaultListLag is the default time by which the VM list lags behind the actual VMs.
+const DefaultListLag = time.Second
 
-// DefaultReboot is the default duration of a reboot.
-const DefaultReboot = 2 * time.Second
+// DefaultRebootTime is the default duration of a reboot.
+const DefaultRebootTime = 2 * time.Second
 
 // Option configures a Server.
 type Option func(*Server)
@@ -20,15 +20,15 @@
 // WithVMs sets the VMs that the platform starts with.
 func WithVMs(l ...hosts.VMWire) Option { return func(s *Server) { s.fleet.initialVMs = l } }
 
-// WithLag sets the time by which the VM list lags behind the actual VMs.
-func WithLag(d time.Duration) Option { return func(s *Server) { s.fleet.listLag = d } }
+// WithListLag sets the time by which the VM list lags behind the actual VMs.
+func WithListLag(d time.Duration) Option { return func(s *Server) { s.fleet.listLag = d } }
 
-// WithReboot sets the duration of a reboot.
-func WithReboot(d time.Duration) Option { return func(s *Server) { s.fleet.rebootTime = d } }
+// WithRebootTime sets the duration of a reboot.
+func WithRebootTime(d time.Duration) Option { return func(s *Server) { s.fleet.rebootTime = d } }
 
-// WithLimits sets rate limits on the key-value service, in reads (including watches) and writes per second. Calls over the limit
+// WithRateLimits sets rate limits on the key-value service, in reads (including watches) and writes per second. Calls over the limit
 // get status 503.
-func WithLimits(reads, writes int) Option {
+func WithRateLimits(reads, writes int) Option {
 	return func(s *Server) { s.reads.limit, s.writes.limit = reads, writes }
 }
 
--- a/fakes/cloud/task.go
+++ b/fakes/cloud/task.go
@@ -20,10 +20,10 @@
 // throttledSpeed is the speed of a throttled task relative to its full speed.
 const throttledSpeed = 0.05
 
-// Truth sets how the jobs whose names begin with Prefix behave, whatever their requests declare.
-type Truth struct {
+// JobBehavior sets how the jobs whose names begin with Prefix behave, whatever their requests declare.
+type JobBehavior struct {
 	Prefix   string        `json:"prefix"`
-	Run      time.Duration `json:"runNanos"`
+	RunTime  time.Duration `json:"runNanos"`
 	Cores    float64       `json:"cores"`
 	MemoryMB float64       `json:"memoryMB"`
 	Broken   bool          `json:"broken"` // fails on every worker.
@@ -33,7 +33,7 @@
 type Tasks struct {
 	store     keyval.Store
 	usageLag  time.Duration
-	behaviors []Truth
+	behaviors []JobBehavior
 	brokenVMs map[string]bool
 	vmAlive   func(vm string) bool
 
@@ -49,7 +49,7 @@
 type taskRun struct {
 	tasks.RunRequest
 	state      tasks.State
-	behavior   Truth
+	behavior   JobBehavior
 	startedAt  time.Time
 	advancedAt time.Time
 	workDone   time.Duration
@@ -59,12 +59,12 @@
 // TaskOption configures Tasks.
 type TaskOption func(*Tasks)
 
-// WithTruth sets how jobs behave; the first element whose prefix matches applies. A job without one runs for a second and uses no
+// WithJobBehavior sets how jobs behave; the first element whose prefix matches applies. A job without one runs for a second and uses no
 // cores and no memory.
-func WithTruth(l ...Truth) TaskOption { return func(t *Tasks) { t.behaviors = l } }
+func WithJobBehavior(l ...JobBehavior) TaskOption { return func(t *Tasks) { t.behaviors = l } }
 
-// Behave replaces the behavior of jobs that start from now on, and the set of VMs whose tasks all fail.
-func (t *Tasks) Behave(behaviors []Truth, broken []string) {
+// SetBehavior replaces the behavior of jobs that start from now on, and the set of VMs whose tasks all fail.
+func (t *Tasks) SetBehavior(behaviors []JobBehavior, broken []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.behaviors = behaviors
@@ -74,8 +74,8 @@
 	}
 }
 
-// WithBroken names VMs whose tasks all fail.
-func WithBroken(vms ...string) TaskOption {
+// WithBrokenVMs names VMs whose tasks all fail.
+func WithBrokenVMs(vms ...string) TaskOption {
 	return func(t *Tasks) {
 		for _, v := range vms {
 			t.brokenVMs[v] = true
@@ -98,8 +98,8 @@
 	return t
 }
 
-// Doubled returns the number of starts of a run-once job while a copy of it was running.
-func (t *Tasks) Doubled() int {
+// DuplicateStarts returns the number of starts of a run-once job while a copy of it was running.
+func (t *Tasks) DuplicateStarts() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.duplicateStarts
@@ -136,13 +136,13 @@
 	return nil
 }
 
-func (t *Tasks) behaviorFor(job string) Truth {
+func (t *Tasks) behaviorFor(job string) JobBehavior {
 	for _, h := range t.behaviors {
 		if strings.HasPrefix(job, h.Prefix) {
 			return h
 		}
 	}
-	return Truth{Run: time.Second}
+	return JobBehavior{RunTime: time.Second}
 }
 
 func leaseKey(id int64) string { return fmt.Sprintf("platform/leases/%d", id) }
@@ -176,7 +176,7 @@
 			t.end(r, tasks.Failed)
 		case r.behavior.MemoryMB > r.MemoryMB:
 			t.end(r, tasks.TooBig)
-		case r.workDone >= r.behavior.Run:
+		case r.workDone >= r.behavior.RunTime:
 			t.end(r, tasks.Done)
 		}
 	}
--- a/fakes/cloud/task_test.go
+++ b/fakes/cloud/task_test.go
@@ -14,9 +14,9 @@
 )
 
 // startTasks starts a platform with one VM, and returns a client of its task calls and a lease of its store.
-func startTasks(t *testing.T, ttl time.Duration, behavior cloud.Truth) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
+func startTasks(t *testing.T, ttl time.Duration, behavior cloud.JobBehavior) (*tasks.Client, keyval.LeaseID, *cloud.Server) {
 	t.Helper()
-	s := start(t, cloud.WithVMs(hosts.VMWire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithTruth(behavior)))
+	s := start(t, cloud.WithVMs(hosts.VMWire{ID: "w1"}), cloud.WithTasks(cloud.WithUsageLag(0), cloud.WithJobBehavior(behavior)))
 	c := tasks.New(s.Addr(), tasks.WithName("entry"), tasks.WithTimeout(time.Second))
 	t.Cleanup(c.Close)
 	l, err := client(t, s, "entry").Grant(t.Context(), ttl)
@@ -41,7 +41,7 @@
 func TestTaskCalls(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c, l, s := startTasks(t, time.Minute, cloud.Truth{Run: time.Hour, Cores: 2})
+	c, l, s := startTasks(t, time.Minute, cloud.JobBehavior{RunTime: time.Hour, Cores: 2})
 	is.NoErr(c.Run(ctx, task("job/1", l)))
 	is.NoErr(c.Run(ctx, task("job/1", l))) // a repeated call does not start the task again.
 	wantTask(t, c, "job/1", tasks.Running)
@@ -58,7 +58,7 @@
 	is.Equal(s.Tasks().Starts(), 1)
 	is.NoErr(c.Run(ctx, task("job/4", l)))
 	is.NoErr(c.Run(ctx, task("job/5", l)))
-	is.Equal(s.Tasks().Doubled(), 1)
+	is.Equal(s.Tasks().DuplicateStarts(), 1)
 	s.Fault(cloud.Fault{Mode: cloud.Lose})
 	wantErr(t, c.Run(ctx, task("job/6", l)), tasks.ErrUnknown)
 	s.Fault(cloud.Fault{Mode: cloud.Up})
@@ -67,7 +67,7 @@
 
 func TestTaskEndsWithItsLease(t *testing.T) {
 	is := is.New(t)
-	c, l, s := startTasks(t, time.Minute, cloud.Truth{Run: time.Hour})
+	c, l, s := startTasks(t, time.Minute, cloud.JobBehavior{RunTime: time.Hour})
 	is.NoErr(c.Run(t.Context(), task("job/1", l)))
 	is.NoErr(s.Store().Revoke(t.Context(), l))
 	wantTask(t, c, "job/1", tasks.Stopped)
--- a/fakes/cloud/taskcalls.go
+++ b/fakes/cloud/taskcalls.go
@@ -71,17 +71,17 @@
 	return tasks.Response{OK: err == nil, State: t}, err
 }
 
-// Behavior is the body of the control call /task/behave, which sets how tasks behave.
-type Behavior struct {
-	Truths []Truth  `json:"truths"`
-	Broken []string `json:"broken"` // VMs whose tasks all fail.
+// BehaviorRequest is the body of the control call /task/behave, which sets how tasks behave.
+type BehaviorRequest struct {
+	Jobs      []JobBehavior `json:"truths"`
+	BrokenVMs []string      `json:"broken"` // VMs whose tasks all fail.
 }
 
 func taskBehave(_ context.Context, s *Server, b []byte) (any, error) {
-	q, err := parse[Behavior](b)
+	q, err := parse[BehaviorRequest](b)
 	if err != nil {
 		return nil, err
 	}
-	s.tasks.Behave(q.Truths, q.Broken)
+	s.tasks.SetBehavior(q.Jobs, q.BrokenVMs)
 	return tasks.Response{OK: true}, nil
 }
--- a/fakes/cutter/control.go
+++ b/fakes/cutter/control.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-func (c *Cutter) serveControl(ctx context.Context) error {
+func (c *Proxy) serveControl(ctx context.Context) error {
 	var n net.ListenConfig
 	l, err := n.Listen(ctx, "tcp", c.controlAddr)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (c *Cutter) handleControl(x *fasthttp.RequestCtx) {
+func (c *Proxy) handleControl(x *fasthttp.RequestCtx) {
 	switch string(x.Path()) {
 	case "/ctl/cut":
 		c.Cut()
--- a/fakes/cutter/example_test.go
+++ b/fakes/cutter/example_test.go
@@ -10,7 +10,7 @@
 	"burdockreach.dev/fakes/cutter"
 )
 
-func ExampleCutter() {
+func ExampleProxy() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := cutter.New("127.0.0.1:0", "127.0.0.1:9")
 	g, ctx := errgroup.WithContext(ctx)
--- a/fakes/cutter/proxy.go
+++ b/fakes/cutter/proxy.go
@@ -12,8 +12,8 @@
 
 const bufferBytes = 16 << 10
 
-// Cutter forwards TCP connections to one address. It is safe for concurrent use.
-type Cutter struct {
+// Proxy forwards TCP connections to one address. It is safe for concurrent use.
+type Proxy struct {
 	listenAddr, upstreamAddr, controlAddr string
 	refusing                              atomic.Bool
 	ready                                 chan struct{}
@@ -26,18 +26,18 @@
 
 // Stats holds the counters of a proxy. Open is the number of connections that are open now; the others are totals.
 type Stats struct {
-	Open    int `json:"open"`
-	Taken   int `json:"taken"`
-	Refused int `json:"refused"`
-	Cut     int `json:"cut"`
-	Stalled int `json:"stalled"`
+	Open     int `json:"open"`
+	Accepted int `json:"taken"`
+	Refused  int `json:"refused"`
+	Cut      int `json:"cut"`
+	Stalled  int `json:"stalled"`
 }
 
 // Option configures a proxy.
-type Option func(*Cutter)
+type Option func(*Proxy)
 
 // WithControl serves the control calls on addr.
-func WithControl(addr string) Option { return func(c *Cutter) { c.controlAddr = addr } }
+func WithControl(addr string) Option { return func(c *Proxy) { c.controlAddr = addr } }
 
 // connPair is a client's connection and the one to the upstream server that it is forwarded to.
 type connPair struct {
@@ -46,8 +46,8 @@
 }
 
 // New returns a proxy that listens on listenAddr and forwards to upstreamAddr. Serve starts it.
-func New(listenAddr, upstreamAddr string, opts ...Option) *Cutter {
-	c := &Cutter{listenAddr: listenAddr, upstreamAddr: upstreamAddr, pairs: map[*connPair]struct{}{}, ready: make(chan struct{})}
+func New(listenAddr, upstreamAddr string, opts ...Option) *Proxy {
+	c := &Proxy{listenAddr: listenAddr, upstreamAddr: upstreamAddr, pairs: map[*connPair]struct{}{}, ready: make(chan struct{})}
 	for _, o := range opts {
 		o(c)
 	}
@@ -55,7 +55,7 @@
 }
 
 // Addr waits until the proxy listens and returns its address.
-func (c *Cutter) Addr(ctx context.Context) (string, error) {
+func (c *Proxy) Addr(ctx context.Context) (string, error) {
 	select {
 	case <-c.ready:
 	case <-ctx.Done():
@@ -67,7 +67,7 @@
 }
 
 // Serve forwards until ctx ends, then closes all connections. It returns an error if it cannot listen on an address.
-func (c *Cutter) Serve(ctx context.Context) error {
+func (c *Proxy) Serve(ctx context.Context) error {
 	var n net.ListenConfig
 	l, err := n.Listen(ctx, "tcp", c.listenAddr)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return g.Wait()
 }
 
-func (c *Cutter) acceptConns(ctx context.Context, g *errgroup.Group, l net.Listener) error {
+func (c *Proxy) acceptConns(ctx context.Context, g *errgroup.Group, l net.Listener) error {
 	for {
 		n, err := l.Accept()
 		if ctx.Err() != nil {
@@ -109,14 +109,14 @@
 	}
 }
 
-func (c *Cutter) updateStats(f func(*Stats)) {
+func (c *Proxy) updateStats(f func(*Stats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.stats)
 }
 
 // forward copies bytes in both directions until one side closes.
-func (c *Cutter) forward(ctx context.Context, client net.Conn) {
+func (c *Proxy) forward(ctx context.Context, client net.Conn) {
 	var d net.Dialer
 	upstream, err := d.DialContext(ctx, "tcp", c.upstreamAddr)
 	if err != nil {
@@ -126,7 +126,7 @@
 	p := &connPair{client: client, upstream: upstream}
 	c.mu.Lock()
 	c.pairs[p] = struct{}{}
-	c.stats.Taken++
+	c.stats.Accepted++
 	c.mu.Unlock()
 	if ctx.Err() != nil {
 		p.close()
@@ -170,7 +170,7 @@
 	_ = p.upstream.Close()
 }
 
-func (c *Cutter) openPairs() []*connPair {
+func (c *Proxy) openPairs() []*connPair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := make([]*connPair, 0, len(c.pairs))
@@ -181,7 +181,7 @@
 }
 
 // Cut closes every open connection.
-func (c *Cutter) Cut() {
+func (c *Proxy) Cut() {
 	for _, p := range c.openPairs() {
 		c.updateStats(func(s *Stats) { s.Cut++ })
 		p.close()
@@ -189,7 +189,7 @@
 }
 
 // Stall stops forwarding on every open connection, and never resumes it there. New connections work.
-func (c *Cutter) Stall() {
+func (c *Proxy) Stall() {
 	for _, p := range c.openPairs() {
 		if !p.stalled.Swap(true) {
 			c.updateStats(func(s *Stats) { s.Stalled++ })
@@ -198,13 +198,13 @@
 }
 
 // Refuse closes each new connection at once, until Accept is called.
-func (c *Cutter) Refuse() { c.refusing.Store(true) }
+func (c *Proxy) Refuse() { c.refusing.Store(true) }
 
 // Accept ends the effect of Refuse.
-func (c *Cutter) Accept() { c.refusing.Store(false) }
+func (c *Proxy) Accept() { c.refusing.Store(false) }
 
 // Stats returns the current counters.
-func (c *Cutter) Stats() Stats {
+func (c *Proxy) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.stats
--- a/fakes/cutter/proxy_test.go
+++ b/fakes/cutter/proxy_test.go
@@ -17,7 +17,7 @@
 const ioTimeout = 5 * time.Second
 
 // start runs an echo server and a proxy to it until the test ends.
-func start(t *testing.T) (*cutter.Cutter, string) {
+func start(t *testing.T) (*cutter.Proxy, string) {
 	i := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*ioTimeout)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +78,7 @@
 	is.New(t).Equal(s, "hello\n")
 }
 
-func TestCutter(t *testing.T) {
+func TestProxy(t *testing.T) {
 	t.Run("a stalled connection is silent while a new one works", func(t *testing.T) {
 		i := is.New(t)
 		c, a := start(t)
--- a/fakes/floor/checker.go
+++ b/fakes/floor/checker.go
@@ -9,142 +9,144 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// Judge records the runs that begin and end at workers and checks the guarantees that the software gives about them, such as
+// Checker records the runs that begin and end at workers and checks the guarantees that the software gives about them, such as
 // that no task runs twice. It is not safe for concurrent use.
-type Judge struct {
+type Checker struct {
 	nowMs       func() int64
-	jobs        map[string]*Known
-	runs        map[string][]Stint // by task name.
-	ackedDoneMs map[string]int64   // time at which the caller acknowledged that a task is done, by task.
-	failures    map[string]int     // number of failed runs, by task.
+	jobs        map[string]*JobRecord
+	runs        map[string][]RunRecord // by task name.
+	ackedDoneMs map[string]int64       // time at which the caller acknowledged that a task is done, by task.
+	failures    map[string]int         // number of failed runs, by task.
 	violations  []string
 }
 
-// Known is a job as its caller sees it.
-type Known struct {
+// JobRecord is a job as its caller sees it.
+type JobRecord struct {
 	Job      batch.Job
 	Accepted bool
-	Asked    int // attempts to submit it.
+	Attempts int // attempts to submit it.
 	Refused  int // attempts that got the answer that the job will never run.
 }
 
-// Stint is one run as the worker reported it. Its times are milliseconds on the simulation's clock; the end is 0 while the run is
+// RunRecord is one run as the worker reported it. Its times are milliseconds on the simulation's clock; the end is 0 while the run is
 // active.
-type Stint struct {
-	Run      int
-	Worker   string
-	From, To int64
-	How      batch.EndReason
+type RunRecord struct {
+	Run            int
+	Worker         string
+	StartMs, EndMs int64
+	Reason         batch.EndReason
 }
 
-// NewJudge returns a checker that reads the time from now, in milliseconds.
-func NewJudge(now func() int64) *Judge {
-	return &Judge{nowMs: now, jobs: map[string]*Known{}, runs: map[string][]Stint{}, ackedDoneMs: map[string]int64{}, failures: map[string]int{}}
+// NewChecker returns a checker that reads the time from now, in milliseconds.
+func NewChecker(now func() int64) *Checker {
+	return &Checker{nowMs: now, jobs: map[string]*JobRecord{}, runs: map[string][]RunRecord{}, ackedDoneMs: map[string]int64{}, failures: map[string]int{}}
 }
 
 // Hooks returns the hooks through which workers report to the checker.
-func (j *Judge) Hooks() Hooks { return Hooks{Begun: j.runBegun, Ended: j.runEnded, Noted: j.endAcked} }
+func (j *Checker) Hooks() Hooks {
+	return Hooks{Begun: j.runBegun, Ended: j.runEnded, Acked: j.endAcked}
+}
 
-// Know returns the record of the job, and creates one that is not accepted if there is none.
-func (j *Judge) Know(b batch.Job) *Known {
+// Job returns the record of the job, and creates one that is not accepted if there is none.
+func (j *Checker) Job(b batch.Job) *JobRecord {
 	k := j.jobs[b.ID]
 	if k == nil {
-		k = &Known{Job: b}
+		k = &JobRecord{Job: b}
 		j.jobs[b.ID] = k
 	}
 	return k
 }
 
-// Find returns the record of the job with the id, or nil if there is none.
-func (j *Judge) Find(id string) *Known { return j.jobs[id] }
+// FindJob returns the record of the job with the id, or nil if there is none.
+func (j *Checker) FindJob(id string) *JobRecord { return j.jobs[id] }
 
-// Stints returns the runs of a task.
-func (j *Judge) Stints(task string) []Stint { return slices.Clone(j.runs[task]) }
+// Runs returns the runs of a task.
+func (j *Checker) Runs(task string) []RunRecord { return slices.Clone(j.runs[task]) }
 
-// Tasks returns the number of tasks that have run.
-func (j *Judge) Tasks() int { return len(j.runs) }
+// TaskCount returns the number of tasks that have run.
+func (j *Checker) TaskCount() int { return len(j.runs) }
 
-// Broken returns the violations so far, one text each.
-func (j *Judge) Broken() []string { return slices.Clone(j.violations) }
+// Violations returns the violations so far, one text each.
+func (j *Checker) Violations() []string { return slices.Clone(j.violations) }
 
-// Wrong records a violation with the current time.
-func (j *Judge) Wrong(format string, a ...any) {
+// AddViolation records a violation with the current time.
+func (j *Checker) AddViolation(format string, a ...any) {
 	j.violations = append(j.violations, fmt.Sprintf("%d ms: ", j.nowMs())+fmt.Sprintf(format, a...))
 }
 
-func (j *Judge) runBegun(w *Worker, r *Run) {
+func (j *Checker) runBegun(w *Worker, r *Run) {
 	task, k := r.Task.String(), j.jobs[r.Task.Job]
 	if k == nil {
-		j.Wrong("UNASKED: %s run %d at %s", task, r.Number, w.id)
+		j.AddViolation("UNASKED: %s run %d at %s", task, r.Number, w.id)
 		return
 	}
 	for _, s := range j.runs[task] {
-		if s.To == 0 && !k.Job.Steps[r.Task.Step].Copies {
-			j.Wrong("TWICE: %s run %d at %s while run %d is at %s", task, r.Number, w.id, s.Run, s.Worker)
+		if s.EndMs == 0 && !k.Job.Steps[r.Task.Step].Copies {
+			j.AddViolation("TWICE: %s run %d at %s while run %d is at %s", task, r.Number, w.id, s.Run, s.Worker)
 		}
 	}
 	if ackedMs := j.ackedDoneMs[task]; ackedMs != 0 {
-		j.Wrong("TWICE: %s run %d at %s after its end was acknowledged at %d ms", task, r.Number, w.id, ackedMs)
+		j.AddViolation("TWICE: %s run %d at %s after its end was acknowledged at %d ms", task, r.Number, w.id, ackedMs)
 	}
-	if k.Asked > 0 && k.Refused == k.Asked {
-		j.Wrong("REFUSED: %s starts at %s", task, w.id)
+	if k.Attempts > 0 && k.Refused == k.Attempts {
+		j.AddViolation("REFUSED: %s starts at %s", task, w.id)
 	}
 	if a := k.Job.Attempts; a > 0 && j.failures[task] >= a {
-		j.Wrong("BUDGET: %s run %d at %s after %d failures", task, r.Number, w.id, j.failures[task])
+		j.AddViolation("BUDGET: %s run %d at %s after %d failures", task, r.Number, w.id, j.failures[task])
 	}
 	j.checkOrder(r, k.Job)
-	j.runs[task] = append(j.runs[task], Stint{Run: r.Number, Worker: w.id, From: j.nowMs()})
+	j.runs[task] = append(j.runs[task], RunRecord{Run: r.Number, Worker: w.id, StartMs: j.nowMs()})
 }
 
 // checkOrder checks that every task of the steps that the run's step comes after is done.
-func (j *Judge) checkOrder(r *Run, b batch.Job) {
+func (j *Checker) checkOrder(r *Run, b batch.Job) {
 	for _, a := range b.Steps[r.Task.Step].After {
 		for i := range b.Steps[a].Count {
 			n := batch.TaskName{Job: b.ID, Round: r.Task.Round, Step: a, Index: i}.String()
 			if !j.isDone(n) {
-				j.Wrong("ORDER: %s starts before %s has ended", r.Task, n)
+				j.AddViolation("ORDER: %s starts before %s has ended", r.Task, n)
 			}
 		}
 	}
 }
 
-func (j *Judge) isDone(task string) bool {
-	return slices.ContainsFunc(j.runs[task], func(s Stint) bool { return s.How == batch.EndDone })
+func (j *Checker) isDone(task string) bool {
+	return slices.ContainsFunc(j.runs[task], func(s RunRecord) bool { return s.Reason == batch.EndDone })
 }
 
-func (j *Judge) runEnded(w *Worker, r *Run, how batch.EndReason) {
+func (j *Checker) runEnded(w *Worker, r *Run, how batch.EndReason) {
 	n := r.Task.String()
 	if how == batch.EndFailed {
 		j.failures[n]++
 	}
 	for i := range j.runs[n] {
-		if s := &j.runs[n][i]; s.To == 0 && s.Run == r.Number && s.Worker == w.id {
-			s.To, s.How = j.nowMs(), how
+		if s := &j.runs[n][i]; s.EndMs == 0 && s.Run == r.Number && s.Worker == w.id {
+			s.EndMs, s.Reason = j.nowMs(), how
 		}
 	}
 }
 
-func (j *Judge) endAcked(_ *Worker, e batch.EndedRun) {
+func (j *Checker) endAcked(_ *Worker, e batch.EndedRun) {
 	if n := e.Task.String(); e.Reason == batch.EndDone {
 		j.ackedDoneMs[n] = cmp.Or(j.ackedDoneMs[n], j.nowMs())
 	}
 }
 
-// Settle checks, once no more faults are injected, that every accepted job has reached an end state, that each state agrees with
+// CheckEndState checks, once no more faults are injected, that every accepted job has reached an end state, that each state agrees with
 // the recorded runs, and that lasting tasks run. state and describe look up a job by its id.
-func (j *Judge) Settle(state func(id string) batch.State, describe func(id string) string) {
+func (j *Checker) CheckEndState(state func(id string) batch.State, describe func(id string) string) {
 	for _, id := range Sorted(j.jobs) {
 		k, s := j.jobs[id], state(id)
 		lasting := k.Job.Steps[0].Lasting
 		switch {
 		case k.Accepted && s == batch.StateAbsent:
-			j.Wrong("LOST: accepted job %s is not known", id)
+			j.AddViolation("LOST: accepted job %s is not known", id)
 		case k.Accepted && !lasting && s != batch.StateCompleted && s != batch.StateFailed:
-			j.Wrong("LOST: accepted job %s is %q at the end:%s", id, s, describe(id))
+			j.AddViolation("LOST: accepted job %s is %q at the end:%s", id, s, describe(id))
 		case s == batch.StateCompleted && !j.allDone(k.Job):
-			j.Wrong("MIXED: job %s is completed and a task is not", id)
+			j.AddViolation("MIXED: job %s is completed and a task is not", id)
 		case s == batch.StateFailed && !j.anyTaskFailed(k.Job):
-			j.Wrong("LOST: job %s has failed without cause", id)
+			j.AddViolation("LOST: job %s has failed without cause", id)
 		}
 		if lasting && k.Accepted {
 			j.checkLasting(k.Job)
@@ -152,16 +154,16 @@
 	}
 }
 
-func (j *Judge) checkLasting(b batch.Job) {
+func (j *Checker) checkLasting(b batch.Job) {
 	for i := range b.Steps[0].Count {
 		n := batch.TaskName{Job: b.ID, Index: i}.String()
-		if !slices.ContainsFunc(j.runs[n], func(s Stint) bool { return s.To == 0 }) {
-			j.Wrong("LOST: lasting task %s does not run", n)
+		if !slices.ContainsFunc(j.runs[n], func(s RunRecord) bool { return s.EndMs == 0 }) {
+			j.AddViolation("LOST: lasting task %s does not run", n)
 		}
 	}
 }
 
-func (j *Judge) allDone(b batch.Job) bool {
+func (j *Checker) allDone(b batch.Job) bool {
 	for s, p := range b.Steps {
 		for i := range p.Count {
 			if !j.isDone(batch.TaskName{Job: b.ID, Step: s, Index: i}.String()) {
@@ -172,7 +174,7 @@
 	return true
 }
 
-func (j *Judge) anyTaskFailed(b batch.Job) bool {
+func (j *Checker) anyTaskFailed(b batch.Job) bool {
 	for n, k := range j.failures {
 		if strings.HasPrefix(n, b.ID) && k >= b.Attempts {
 			return true
--- a/fakes/floor/worker.go
+++ b/fakes/floor/worker.go
@@ -16,26 +16,26 @@
 
 // Run is one run of a task at a worker. Its times are milliseconds on the simulation's clock, not on the worker's.
 type Run struct {
-	Task   batch.TaskName
-	Number int
-	From   int64
-	End    int64
-	How    batch.EndReason
-	Size   batch.Size
+	Task    batch.TaskName
+	Number  int
+	StartMs int64
+	EndMs   int64
+	Reason  batch.EndReason
+	Size    batch.Size
 }
 
 // Plan sets in advance how a run behaves: how long it takes, how it ends, and which resources of the worker it uses.
 type Plan struct {
-	RunMs int64 // Never for a run that does not end by itself.
-	How   batch.EndReason
-	Size  batch.Size
+	RunMs  int64 // Never for a run that does not end by itself.
+	Reason batch.EndReason
+	Size   batch.Size
 }
 
 // Hooks are callbacks for the events of a worker; each may be nil.
 type Hooks struct {
 	Begun func(w *Worker, r *Run)
 	Ended func(w *Worker, r *Run, how batch.EndReason) // how is empty when the worker crashed.
-	Noted func(w *Worker, e batch.EndedRun)            // the caller has acknowledged an end after which the worker's lease has not expired.
+	Acked func(w *Worker, e batch.EndedRun)            // the caller has acknowledged an end after which the worker's lease has not expired.
 }
 
 // Worker simulates one worker. It is not safe for concurrent use.
@@ -52,11 +52,11 @@
 	fence        int64 // newest fencing token received.
 	leaseUntilMs int64 // end of the lease, on the worker's clock.
 	runs         []*Run
-	ended        []batch.EndedRun  // ends that the caller has not acknowledged.
-	lastEnd      int64          // number of the newest end.
-	ackedEnd     int64          // the caller has acknowledged the ends up to this number.
-	lapsedEnd    int64          // the lease expired after the ends up to this number.
-	highestRun   map[string]int // highest run number that was stopped or has ended, by task.
+	ended        []batch.EndedRun // ends that the caller has not acknowledged.
+	lastEnd      int64            // number of the newest end.
+	ackedEnd     int64            // the caller has acknowledged the ends up to this number.
+	lapsedEnd    int64            // the lease expired after the ends up to this number.
+	highestRun   map[string]int   // highest run number that was stopped or has ended, by task.
 	used         batch.Size
 }
 
@@ -69,26 +69,26 @@
 // ID returns the worker's id.
 func (w *Worker) ID() string { return w.id }
 
-// Room returns the worker's capacity.
-func (w *Worker) Room() batch.Size { return w.capacity }
+// Capacity returns the worker's capacity.
+func (w *Worker) Capacity() batch.Size { return w.capacity }
 
-// SetRoom changes the worker's capacity.
-func (w *Worker) SetRoom(s batch.Size) { w.capacity = s }
+// SetCapacity changes the worker's capacity.
+func (w *Worker) SetCapacity(s batch.Size) { w.capacity = s }
 
 // Born returns the start of the lifetime that the worker's entry in the store shows. While the worker has no power, the entry
 // still shows the previous lifetime.
 func (w *Worker) Born() int64 {
-	if w.Dark() {
+	if w.PoweredOff() {
 		return w.previousBornMs
 	}
 	return w.bornMs
 }
 
-// Lifetime returns the start of the current lifetime or, while the worker has no power, of the next one.
-func (w *Worker) Lifetime() int64 { return w.bornMs }
+// LifetimeStart returns the start of the current lifetime or, while the worker has no power, of the next one.
+func (w *Worker) LifetimeStart() int64 { return w.bornMs }
 
-// Dark reports whether the worker has no power.
-func (w *Worker) Dark() bool { return w.offUntilMs > w.nowMs }
+// PoweredOff reports whether the worker has no power.
+func (w *Worker) PoweredOff() bool { return w.offUntilMs > w.nowMs }
 
 // Clock returns the time on the worker's own clock, in milliseconds since the start of its lifetime.
 func (w *Worker) Clock() int64 { return max(int64(float64(w.nowMs-w.bornMs)*w.clockRate), 0) }
@@ -99,7 +99,7 @@
 // Crash cuts the worker's power and ends its runs. A new lifetime, without runs, ends, lease or fencing token, begins after ms
 // milliseconds.
 func (w *Worker) Crash(ms int64) {
-	if w.Dark() {
+	if w.PoweredOff() {
 		return
 	}
 	for _, r := range w.runs {
@@ -116,10 +116,10 @@
 	}
 }
 
-// Pass moves the simulation's time to now, in milliseconds, and ends the runs that have finished or whose lease has expired.
-func (w *Worker) Pass(now int64) {
+// Advance moves the simulation's time to now, in milliseconds, and ends the runs that have finished or whose lease has expired.
+func (w *Worker) Advance(now int64) {
 	w.nowMs = max(w.nowMs, now)
-	if w.Dark() {
+	if w.PoweredOff() {
 		return
 	}
 	if w.Clock() > w.leaseUntilMs {
@@ -129,8 +129,8 @@
 		switch {
 		case w.Clock() > w.leaseUntilMs:
 			w.endRun(r, batch.EndLapsed)
-		case w.nowMs >= r.End:
-			w.endRun(r, r.How)
+		case w.nowMs >= r.EndMs:
+			w.endRun(r, r.Reason)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 	w.leaseUntilMs = max(w.leaseUntilMs, min(until, w.Clock()+MaxLeaseMs))
 }
 
-// News reports whether a run has ended that the caller has not acknowledged.
-func (w *Worker) News(lastSeen int64) bool { return w.lastEnd > max(lastSeen, w.ackedEnd) }
+// HasUnackedEnds reports whether a run has ended that the caller has not acknowledged.
+func (w *Worker) HasUnackedEnds(lastSeen int64) bool { return w.lastEnd > max(lastSeen, w.ackedEnd) }
 
 // Hold extends the lease, removes the ends that the caller acknowledges, and returns the active runs and the remaining ends.
 func (w *Worker) Hold(c batch.PollCmd) batch.PolledMsg {
@@ -176,8 +176,8 @@
 	}
 	w.extendLease(c.UntilMs)
 	for _, e := range w.ended {
-		if e.Number <= c.ForgetUpTo && e.Number > w.lapsedEnd && w.hooks.Noted != nil {
-			w.hooks.Noted(w, e)
+		if e.Number <= c.ForgetUpTo && e.Number > w.lapsedEnd && w.hooks.Acked != nil {
+			w.hooks.Acked(w, e)
 		}
 	}
 	w.ackedEnd = max(w.ackedEnd, c.ForgetUpTo)
@@ -193,11 +193,11 @@
 const startupMs = 300
 
 func (w *Worker) percentDone(r *Run) int {
-	span := max(r.End-r.From, 1)
-	if r.End == Never {
+	span := max(r.EndMs-r.StartMs, 1)
+	if r.EndMs == Never {
 		span = startupMs
 	}
-	return int(min(100*(w.nowMs-r.From)/span, 100))
+	return int(min(100*(w.nowMs-r.StartMs)/span, 100))
 }
 
 // Start starts a run that behaves as p says.
@@ -219,9 +219,9 @@
 	case !p.Size.Fits(subtract(w.capacity, w.used)):
 		return batch.NoRoom
 	}
-	r := &Run{Task: c.Task, Number: c.Run, From: w.nowMs, End: Never, How: p.How, Size: p.Size}
+	r := &Run{Task: c.Task, Number: c.Run, StartMs: w.nowMs, EndMs: Never, Reason: p.Reason, Size: p.Size}
 	if p.RunMs != Never {
-		r.End = w.nowMs + p.RunMs
+		r.EndMs = w.nowMs + p.RunMs
 	}
 	w.runs = append(w.runs, r)
 	w.used = batch.Size{CPU: w.used.CPU + p.Size.CPU, MemMB: w.used.MemMB + p.Size.MemMB, GPU: w.used.GPU + p.Size.GPU}
--- a/fakes/plant/platform.go
+++ b/fakes/plant/platform.go
@@ -28,8 +28,8 @@
 	maxMissedHeartbeats = 3 // a worker's entry is removed after so many heartbeat intervals without renewal.
 )
 
-// Plant is a running simulated platform.
-type Plant struct {
+// Platform is a running simulated platform.
+type Platform struct {
 	start time.Time
 	store *store
 	group *errgroup.Group
@@ -37,7 +37,7 @@
 	stop  func()
 
 	mu           sync.Mutex
-	checker      *floor.Judge
+	checker      *floor.Checker
 	workers      []*workerServer
 	rnd          *rand.Rand
 	latePerMille int // orders per thousand that are executed late and not answered.
@@ -48,7 +48,7 @@
 
 // workerServer serves one simulated worker over HTTP.
 type workerServer struct {
-	platform *Plant
+	platform *Platform
 	worker   *floor.Worker
 	service  string
 	addr     string
@@ -76,11 +76,11 @@
 
 // New starts a platform with the given number of workers for each service, each with the given capacity. All random draws derive
 // from seed.
-func New(seed uint64, services map[string]int, capacity batch.Size) (*Plant, error) {
+func New(seed uint64, services map[string]int, capacity batch.Size) (*Platform, error) {
 	c, stop := context.WithCancel(context.Background())
 	g, c := errgroup.WithContext(c)
-	p := &Plant{start: time.Now(), group: g, ctx: c, stop: stop, rnd: rand.New(rand.NewPCG(seed, 11))}
-	p.checker = floor.NewJudge(p.now)
+	p := &Platform{start: time.Now(), group: g, ctx: c, stop: stop, rnd: rand.New(rand.NewPCG(seed, 11))}
+	p.checker = floor.NewChecker(p.now)
 	p.store = &store{Memory: keyval.NewMemory(), rnd: p.randomInt}
 	var err error
 	if p.storeAddr, err = p.serve(p.failWhileDown(platform.StoreHandler(p.store))); err != nil {
@@ -102,60 +102,60 @@
 }
 
 // Close stops the platform and waits until all its goroutines have ended.
-func (p *Plant) Close() error {
+func (p *Platform) Close() error {
 	p.stop()
 	return p.group.Wait()
 }
 
 // StoreAddr returns the address of the store.
-func (p *Plant) StoreAddr() string { return p.storeAddr }
+func (p *Platform) StoreAddr() string { return p.storeAddr }
 
 // MachinesAddr returns the address of the machines' interface.
-func (p *Plant) MachinesAddr() string { return p.machinesAddr }
+func (p *Platform) MachinesAddr() string { return p.machinesAddr }
 
-// Judge calls f with the checker of the workers' runs while the platform's lock is held, so that no worker changes meanwhile.
-func (p *Plant) Judge(f func(*floor.Judge)) {
+// InspectRuns calls f with the checker of the workers' runs while the platform's lock is held, so that no worker changes meanwhile.
+func (p *Platform) InspectRuns(f func(*floor.Checker)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.checker)
 }
 
 // Configure writes a configuration to the store.
-func (p *Plant) Configure(c board.Config) error {
+func (p *Platform) Configure(c board.Config) error {
 	k, b := platform.EncodeConfig(c)
 	_, err := p.store.Put(p.ctx, k, b, keyval.Any, 0)
 	return err
 }
 
-// SetStore sets whether the store is down, and how many of a thousand answers to writes it loses.
-func (p *Plant) SetStore(down bool, lostPerMille int) {
+// SetStoreFaults sets whether the store is down, and how many of a thousand answers to writes it loses.
+func (p *Platform) SetStoreFaults(down bool, lostPerMille int) {
 	p.store.down.Store(down)
 	p.store.lostPerMille.Store(int64(lostPerMille))
 }
 
-// SetOrders sets how many of a thousand orders to workers are late, and how many lose their answers.
-func (p *Plant) SetOrders(latePerMille, lostPerMille int) {
+// SetOrderFaults sets how many of a thousand orders to workers are late, and how many lose their answers.
+func (p *Platform) SetOrderFaults(latePerMille, lostPerMille int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.latePerMille, p.lostPerMille = latePerMille, lostPerMille
 }
 
-// Crash cuts the power of a random worker for d.
-func (p *Plant) Crash(d time.Duration) {
+// CrashWorker cuts the power of a random worker for d.
+func (p *Platform) CrashWorker(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.workers[p.rnd.IntN(len(p.workers))].worker.Crash(d.Milliseconds())
 }
 
-func (p *Plant) now() int64 { return time.Since(p.start).Milliseconds() + 1 }
+func (p *Platform) now() int64 { return time.Since(p.start).Milliseconds() + 1 }
 
-func (p *Plant) randomInt(n int) int {
+func (p *Platform) randomInt(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rnd.IntN(n)
 }
 
-func (p *Plant) serve(h fasthttp.RequestHandler) (string, error) {
+func (p *Platform) serve(h fasthttp.RequestHandler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // closed with the platform
 	if err != nil {
 		return "", err
@@ -178,7 +178,7 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // failWhileDown answers calls with status 503 while the store is down.
-func (p *Plant) failWhileDown(h fasthttp.RequestHandler) fasthttp.RequestHandler {
+func (p *Platform) failWhileDown(h fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		if p.store.down.Load() {
 			c.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -188,7 +188,7 @@
 	}
 }
 
-func (p *Plant) addWorker(service string, i int, capacity batch.Size) error {
+func (p *Platform) addWorker(service string, i int, capacity batch.Size) error {
 	id := fmt.Sprintf("%s-%02d", service, i)
 	u := &workerServer{platform: p, service: service}
 	u.worker = floor.New(id, capacity, 0.98+0.02*p.rnd.Float64(), p.now(), p.checker.Hooks())
@@ -202,7 +202,7 @@
 func (u *workerServer) hangWhileOff(h fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		u.platform.mu.Lock()
-		off := u.worker.Dark()
+		off := u.worker.PoweredOff()
 		u.platform.mu.Unlock()
 		if off {
 			u.hang(c)
@@ -224,7 +224,7 @@
 }
 
 // advanceWorkers advances the time at the workers in each tick.
-func (p *Plant) advanceWorkers() error {
+func (p *Platform) advanceWorkers() error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -235,14 +235,14 @@
 		}
 		p.mu.Lock()
 		for _, u := range p.workers {
-			u.worker.Pass(p.now())
+			u.worker.Advance(p.now())
 		}
 		p.mu.Unlock()
 	}
 }
 
 // sendHeartbeats writes the entry of each worker to the store, under a lease of its own, in each heartbeat interval.
-func (p *Plant) sendHeartbeats() error {
+func (p *Platform) sendHeartbeats() error {
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
@@ -259,9 +259,9 @@
 
 func (u *workerServer) writeEntry() {
 	u.platform.mu.Lock()
-	off := u.worker.Dark()
+	off := u.worker.PoweredOff()
 	k, b := platform.EncodeEntry(batch.WorkerEntry{
-		ID: u.worker.ID(), Service: u.service, Addr: u.addr, Zone: "z", Room: u.worker.Room(), Labels: []string{"a", "r1"},
+		ID: u.worker.ID(), Service: u.service, Addr: u.addr, Zone: "z", Room: u.worker.Capacity(), Labels: []string{"a", "r1"},
 		ClockMs: u.worker.Clock(), Born: u.worker.Born(),
 	})
 	u.platform.mu.Unlock()
@@ -292,7 +292,7 @@
 	delayed                 // executed one to five seconds later, and not answered.
 )
 
-func (p *Plant) drawOutcome() (orderOutcome, time.Duration) {
+func (p *Platform) drawOutcome() (orderOutcome, time.Duration) {
 	switch n := p.rnd.IntN(1000); {
 	case n < p.latePerMille:
 		return delayed, time.Second + time.Duration(p.rnd.IntN(4000))*time.Millisecond
@@ -312,7 +312,7 @@
 		do()
 		return f == answered
 	}
-	born := u.worker.Lifetime()
+	born := u.worker.LifetimeStart()
 	u.platform.group.Go(func() error {
 		select {
 		case <-time.After(d):
@@ -321,7 +321,7 @@
 		}
 		u.platform.mu.Lock()
 		defer u.platform.mu.Unlock()
-		if u.worker.Lifetime() == born && !u.worker.Dark() {
+		if u.worker.LifetimeStart() == born && !u.worker.PoweredOff() {
 			do()
 		}
 		return nil
@@ -339,7 +339,7 @@
 	for g.Result == batch.OK && len(g.Ended) == 0 && time.Now().Before(end) && ctx.Err() == nil {
 		time.Sleep(tickInterval)
 		u.platform.mu.Lock()
-		if u.worker.News(c.ForgetUpTo) || u.worker.Dark() {
+		if u.worker.HasUnackedEnds(c.ForgetUpTo) || u.worker.PoweredOff() {
 			g = u.worker.Hold(c)
 		}
 		u.platform.mu.Unlock()
@@ -352,14 +352,14 @@
 	return g
 }
 
-// Spec is the spec of a job; it sets how the job's tasks behave at the simulated workers.
-type Spec struct {
-	RunMs int64 `json:"runMs"`
-	Fails int   `json:"fails"` // failing runs per thousand.
+// TaskSpec is the spec of a job; it sets how the job's tasks behave at the simulated workers.
+type TaskSpec struct {
+	RunMs        int64 `json:"runMs"`
+	FailPerMille int   `json:"fails"` // failing runs per thousand.
 }
 
 // Encode returns the spec as JSON.
-func (s Spec) Encode() string {
+func (s TaskSpec) Encode() string {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return "" // cannot happen: encoding numbers never fails.
@@ -373,9 +373,9 @@
 	var clock int64
 	if !u.execute(func() {
 		r, clock = batch.Rejected, u.worker.Clock()
-		k := u.platform.checker.Find(c.Task.Job)
+		k := u.platform.checker.FindJob(c.Task.Job)
 		if k == nil || c.Task.Step >= len(k.Job.Steps) {
-			u.platform.checker.Wrong("UNASKED: %s at %s", c.Task, u.worker.ID())
+			u.platform.checker.AddViolation("UNASKED: %s at %s", c.Task, u.worker.ID())
 			return
 		}
 		r = u.worker.Start(c, u.platform.planRun(c, k.Job.Steps[c.Task.Step]))
@@ -385,17 +385,17 @@
 	return r, clock
 }
 
-func (p *Plant) planRun(c batch.StartCmd, s batch.Step) floor.Plan {
-	var x Spec
+func (p *Platform) planRun(c batch.StartCmd, s batch.Step) floor.Plan {
+	var x TaskSpec
 	if err := json.Unmarshal([]byte(c.Spec), &x); err != nil {
-		p.checker.Wrong("UNASKED: %s with spec %s", c.Task, strconv.Quote(c.Spec))
+		p.checker.AddViolation("UNASKED: %s with spec %s", c.Task, strconv.Quote(c.Spec))
 	}
-	f := floor.Plan{RunMs: x.RunMs, How: batch.EndDone, Size: s.Size}
+	f := floor.Plan{RunMs: x.RunMs, Reason: batch.EndDone, Size: s.Size}
 	if s.Lasting {
 		f.RunMs = floor.Never
 	}
-	if p.rnd.IntN(1000) < x.Fails {
-		f.How = batch.EndFailed
+	if p.rnd.IntN(1000) < x.FailPerMille {
+		f.Reason = batch.EndFailed
 	}
 	return f
 }
@@ -412,7 +412,7 @@
 
 // machines lists one machine per worker, and answers every order to move or maintain one with DutyBusy, so that they stay in
 // their pools.
-type machines struct{ p *Plant }
+type machines struct{ p *Platform }
 
 // List implements platform.MachineBackend.
 func (m machines) List() []batch.Machine {
@@ -420,7 +420,7 @@
 	defer m.p.mu.Unlock()
 	var l []batch.Machine
 	for _, u := range m.p.workers {
-		l = append(l, batch.Machine{Name: "m-" + u.worker.ID(), Pool: u.service, Zone: "z", State: batch.MachineUp, Room: u.worker.Room(), Worker: u.worker.ID()})
+		l = append(l, batch.Machine{Name: "m-" + u.worker.ID(), Pool: u.service, Zone: "z", State: batch.MachineUp, Room: u.worker.Capacity(), Worker: u.worker.ID()})
 	}
 	return l
 }
--- a/fakes/standin/platform.go
+++ b/fakes/standin/platform.go
@@ -51,13 +51,13 @@
 		o = append(o, cloud.WithControl(s.ControlAddr))
 	}
 	if s.LagMs > 0 {
-		o = append(o, cloud.WithLag(time.Duration(s.LagMs)*time.Millisecond))
+		o = append(o, cloud.WithListLag(time.Duration(s.LagMs)*time.Millisecond))
 	}
 	if s.RebootMs > 0 {
-		o = append(o, cloud.WithReboot(time.Duration(s.RebootMs)*time.Millisecond))
+		o = append(o, cloud.WithRebootTime(time.Duration(s.RebootMs)*time.Millisecond))
 	}
 	if s.ReadsPerSecond > 0 || s.WritesPerSec > 0 {
-		o = append(o, cloud.WithLimits(s.ReadsPerSecond, s.WritesPerSec))
+		o = append(o, cloud.WithRateLimits(s.ReadsPerSecond, s.WritesPerSec))
 	}
 	return o
 }
--- a/fleet/batch/bench_test.go
+++ b/fleet/batch/bench_test.go
@@ -17,7 +17,7 @@
 	for range b.N {
 		w := newSimulation(&testing.T{}, 1, workers, faults{})
 		for _, f := range w.workers {
-			f.SetRoom(batch.Size{CPU: 32_000, MemMB: 64_000})
+			f.SetCapacity(batch.Size{CPU: 32_000, MemMB: 64_000})
 		}
 		w.owners = nil
 		w.startOwner()
@@ -34,6 +34,6 @@
 				w.submit(plainJob(n))
 			}
 		})
-		b.ReportMetric(float64(w.judge.Tasks()), "tasks")
+		b.ReportMetric(float64(w.judge.TaskCount()), "tasks")
 	}
 }
--- a/fleet/batch/chaos_test.go
+++ b/fleet/batch/chaos_test.go
@@ -31,7 +31,7 @@
 		}
 		if w.now%600 == 0 && n > 0 { // a caller without an answer submits again.
 			id := 1 + w.rnd.IntN(n)
-			if x := w.judge.Find(jobID(id)); x != nil && !x.Accepted {
+			if x := w.judge.FindJob(jobID(id)); x != nil && !x.Accepted {
 				w.submit(x.Job)
 			}
 		}
--- a/fleet/batch/job_kinds_test.go
+++ b/fleet/batch/job_kinds_test.go
@@ -20,9 +20,9 @@
 	for k := range j.Rounds {
 		for s, p := range j.Steps {
 			for i := range p.Count {
-				l := w.judge.Stints(batch.TaskName{Job: j.ID, Round: k, Step: s, Index: i}.String())
+				l := w.judge.Runs(batch.TaskName{Job: j.ID, Round: k, Step: s, Index: i}.String())
 				is.Equal(len(l), 1)
-				is.True(l[0].From >= j.FirstMs+int64(k)*j.EveryMs) // not before the round is due.
+				is.True(l[0].StartMs >= j.FirstMs+int64(k)*j.EveryMs) // not before the round is due.
 			}
 		}
 	}
@@ -55,19 +55,19 @@
 	w.report()
 	var from int64
 	for i := range 5 {
-		l := w.judge.Stints(batch.TaskName{Job: j.ID, Index: i}.String())
+		l := w.judge.Runs(batch.TaskName{Job: j.ID, Index: i}.String())
 		is.True(len(l) >= 1)
 		is.Equal(l[0].Run, 1)
 		if i == 0 {
-			from = l[0].From
+			from = l[0].StartMs
 		}
-		is.True(l[0].From-from <= 20)
+		is.True(l[0].StartMs-from <= 20)
 	}
 	big := j
 	big.ID, big.Steps = jobID(2), []batch.Step{{Count: 7, Size: batch.Size{CPU: 4000, MemMB: 100}, EstimateMs: 1000, Gang: true}}
 	w.submit(big)
 	w.run(9_000, nil)
-	is.Equal(len(w.judge.Stints(batch.TaskName{Job: big.ID}.String())), 0) // only six tasks fit, so none starts.
+	is.Equal(len(w.judge.Runs(batch.TaskName{Job: big.ID}.String())), 0) // only six tasks fit, so none starts.
 }
 
 // Tasks of an advised queue start only at workers for which a ticket was granted, and the start carries the ticket.
--- a/fleet/batch/large_tasks_test.go
+++ b/fleet/batch/large_tasks_test.go
@@ -38,7 +38,7 @@
 	started := 0
 	for s, p := range j.Steps {
 		for i := range p.Count {
-			if len(w.judge.Stints(batch.TaskName{Job: j.ID, Step: s, Index: i}.String())) > 0 {
+			if len(w.judge.Runs(batch.TaskName{Job: j.ID, Step: s, Index: i}.String())) > 0 {
 				started++
 			}
 		}
--- a/fleet/batch/machines_test.go
+++ b/fleet/batch/machines_test.go
@@ -106,10 +106,10 @@
 // checkOrder checks that orders to one machine come from one owner at a time.
 func (p *fakeFleet) checkOrder(a *fakeOwner, m *fakeMachine) {
 	if a.fence < m.lastFence {
-		p.w.judge.Wrong("ONE: %s is ordered under fence %d after %d", m.name, a.fence, m.lastFence)
+		p.w.judge.AddViolation("ONE: %s is ordered under fence %d after %d", m.name, a.fence, m.lastFence)
 	}
 	if a.fence != m.lastFence && m.lastFence != 0 && p.w.now-m.lastOrderAt < minOrderGapMs {
-		p.w.judge.Wrong("ONE: %s is ordered by two owners within %d ms", m.name, p.w.now-m.lastOrderAt)
+		p.w.judge.AddViolation("ONE: %s is ordered by two owners within %d ms", m.name, p.w.now-m.lastOrderAt)
 	}
 	m.lastOrderAt, m.lastFence = p.w.now, max(m.lastFence, a.fence)
 }
@@ -143,7 +143,7 @@
 	}
 	for _, x := range p.waves {
 		if x.Number == wave && down >= x.MaxDown {
-			p.w.judge.Wrong("LIMIT: upkeep of %s begins while %d machines are down, and %d are allowed", m.name, down, x.MaxDown)
+			p.w.judge.AddViolation("LIMIT: upkeep of %s begins while %d machines are down, and %d are allowed", m.name, down, x.MaxDown)
 		}
 	}
 	p.checkAway(m)
@@ -155,8 +155,8 @@
 // checkAway checks that no lasting task runs at the machine: the owner must move it away before the upkeep.
 func (p *fakeFleet) checkAway(m *fakeMachine) {
 	for _, r := range m.worker.Runs() {
-		if r.End == floor.Never {
-			p.w.judge.Wrong("AVAIL: the upkeep of %s cuts off the lasting task %s", m.name, r.Task)
+		if r.EndMs == floor.Never {
+			p.w.judge.AddViolation("AVAIL: the upkeep of %s cuts off the lasting task %s", m.name, r.Task)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	for _, x := range p.waves {
 		for _, m := range p.machines {
 			if x.Number == k.Wave && slices.Contains(x.Machines, m.name) && !m.begun[k.Wave] {
-				p.w.judge.Wrong("MIXED: wave %d is reported as completed but the upkeep of %s has not begun", k.Wave, m.name)
+				p.w.judge.AddViolation("MIXED: wave %d is reported as completed but the upkeep of %s has not begun", k.Wave, m.name)
 			}
 		}
 	}
--- a/fleet/batch/simulation_test.go
+++ b/fleet/batch/simulation_test.go
@@ -34,8 +34,8 @@
 
 	faults        faults
 	ref           uint64
-	refs          map[uint64]*floor.Known // by request number.
-	judge         *floor.Judge
+	refs          map[uint64]*floor.JobRecord // by request number.
+	judge         *floor.Checker
 	fleet         fakeFleet
 	dutyGap       int64 // ms between two owners' orders to one machine.
 	labels        func(worker string) []string
@@ -74,11 +74,11 @@
 func newSimulation(t *testing.T, seed uint64, workers int, f faults) *simulation {
 	w := &simulation{
 		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), rows: map[string]batch.Row{}, rev: 10, now: 1000,
-		faults: f, dutyGap: 3500, refs: map[uint64]*floor.Known{},
+		faults: f, dutyGap: 3500, refs: map[uint64]*floor.JobRecord{},
 		unlistedUntil: map[string]int64{},
 	}
 	w.labels = func(string) []string { return []string{"a", "r1"} }
-	w.judge = floor.NewJudge(func() int64 { return w.now })
+	w.judge = floor.NewChecker(func() int64 { return w.now })
 	w.fleet = fakeFleet{w: w, services: []batch.Service{{Name: "s", Guards: true}}}
 	for range workers {
 		w.fleet.add("s", batch.Size{CPU: 8000, MemMB: 16000})
@@ -124,7 +124,7 @@
 			continue
 		}
 		m.Set = append(m.Set, batch.WorkerEntry{
-			ID: f.ID(), Service: w.fleet.pool[f.ID()], Addr: f.ID(), Room: f.Room(), Labels: w.labels(f.ID()), ClockMs: f.Clock(), Born: f.Born(),
+			ID: f.ID(), Service: w.fleet.pool[f.ID()], Addr: f.ID(), Room: f.Capacity(), Labels: w.labels(f.ID()), ClockMs: f.Clock(), Born: f.Born(),
 		})
 	}
 	return m
@@ -173,7 +173,7 @@
 			e.do()
 		}
 		for _, f := range w.workers {
-			f.Pass(w.now)
+			f.Advance(w.now)
 		}
 		w.fleet.step()
 		w.injectFaults()
@@ -323,26 +323,26 @@
 	w := a.w
 	f := w.worker(id)
 	switch {
-	case a.unreachable[id] || f.Dark():
+	case a.unreachable[id] || f.PoweredOff():
 		a.deliver(700, fail(batch.NoAnswer))
 	case w.chance(w.faults.late):
-		born := f.Lifetime() // a command that is held up at a worker is lost when the worker restarts.
+		born := f.LifetimeStart() // a command that is held up at a worker is lost when the worker restarts.
 		w.schedule(1000+w.rnd.Int64N(6000), func() {
-			if !f.Dark() && f.Lifetime() == born {
+			if !f.PoweredOff() && f.LifetimeStart() == born {
 				do(f)
 			}
 		})
 		a.deliver(700, fail(batch.NoAnswer))
 	case w.chance(w.faults.lost):
 		w.schedule(1, func() {
-			if !f.Dark() {
+			if !f.PoweredOff() {
 				do(f)
 			}
 		})
 		a.deliver(700, fail(batch.NoAnswer))
 	default:
 		w.schedule(1+w.rnd.Int64N(3), func() {
-			if f.Dark() {
+			if f.PoweredOff() {
 				a.deliver(700, fail(batch.NoAnswer))
 				return
 			}
@@ -411,12 +411,12 @@
 
 // submit submits a job to the newest owner.
 func (w *simulation) submit(j batch.Job) {
-	k := w.judge.Know(j)
+	k := w.judge.Job(j)
 	if len(w.owners) == 0 {
 		return
 	}
 	w.ref++
-	k.Asked++
+	k.Attempts++
 	w.refs[w.ref] = k
 	w.owners[len(w.owners)-1].m.Update(w.now, batch.SubmitMsg{Ref: w.ref, Job: j})
 }
@@ -436,8 +436,8 @@
 
 // runPlan decides how a run of the task goes.
 func (w *simulation) runPlan(n batch.TaskName) floor.Plan {
-	s := w.judge.Find(n.Job).Job.Steps[n.Step]
-	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), How: batch.EndDone, Size: s.Size}
+	s := w.judge.FindJob(n.Job).Job.Steps[n.Step]
+	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), Reason: batch.EndDone, Size: s.Size}
 	if w.chance(w.faults.slow) {
 		p.RunMs *= 5
 	}
@@ -445,7 +445,7 @@
 		p.RunMs = floor.Never
 	}
 	if w.chance(w.faults.fail) {
-		p.How = batch.EndFailed
+		p.Reason = batch.EndFailed
 	}
 	return p
 }
@@ -454,17 +454,17 @@
 // without cause.
 func (w *simulation) checkSettled() {
 	if len(w.owners) == 0 {
-		w.judge.Wrong("LOST: no owner")
+		w.judge.AddViolation("LOST: no owner")
 		return
 	}
 	m := w.owners[len(w.owners)-1].m
-	w.judge.Settle(m.State, func(id string) string { return batch.Describe(m, id) })
+	w.judge.CheckEndState(m.State, func(id string) string { return batch.Describe(m, id) })
 }
 
 // report fails the test for each violated guarantee, up to eight of them.
 func (w *simulation) report() {
 	w.t.Helper()
-	for _, b := range w.judge.Broken()[:min(len(w.judge.Broken()), 8)] {
+	for _, b := range w.judge.Violations()[:min(len(w.judge.Violations()), 8)] {
 		w.t.Errorf("seed %d: %s", w.seed, b)
 	}
 }
--- a/node/jobs/chaos_test.go
+++ b/node/jobs/chaos_test.go
@@ -98,7 +98,7 @@
 }
 
 func leadersUnderFaults(t *testing.T, seed uint64) {
-	s := newFixture(t, 6, cloud.WithBroken("w03"), cloud.WithTruth(cloud.Truth{Run: 7 * time.Second, Cores: 3, MemoryMB: 900}))
+	s := newFixture(t, 6, cloud.WithBrokenVMs("w03"), cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 7 * time.Second, Cores: 3, MemoryMB: 900}))
 	r := rand.New(rand.NewPCG(seed, 0))
 	y := &faultInjector{s: s, rand: rand.New(rand.NewPCG(seed, 1))}
 	for i := range 40 {
@@ -126,7 +126,7 @@
 	y.mu.Unlock()
 	s.lead(&leader{fence: 21}, s.store, s.tasks, s.vms)
 	wait(10 * time.Minute)
-	s.is.Equal(s.tasks.Doubled(), 0)
+	s.is.Equal(s.tasks.DuplicateStarts(), 0)
 	for i := range 40 {
 		s.wantState(fmt.Sprint("job-", i), jobs.Done)
 	}
--- a/node/jobs/jobs_test.go
+++ b/node/jobs/jobs_test.go
@@ -138,7 +138,7 @@
 	for name, mb := range map[string]float64{"throttle": 1024, "checkpoint": workerMemoryMB / 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFixture(t, 3, cloud.WithTruth(cloud.Truth{Run: time.Minute, Cores: 4, MemoryMB: mb}))
+				s := newFixture(t, 3, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: time.Minute, Cores: 4, MemoryMB: mb}))
 				for i := range 8 {
 					s.submit(fmt.Sprint("night-", i), func(j *jobs.Spec) { j.MemoryMB = mb })
 				}
@@ -160,9 +160,9 @@
 // before the platform has listed workers.
 func TestJobsThatCannotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 4, cloud.WithTruth(
-			cloud.Truth{Prefix: "east/broken", Broken: true, Run: time.Minute},
-			cloud.Truth{Prefix: "east/huge", Run: time.Second, MemoryMB: 2 * workerMemoryMB}, cloud.Truth{Run: 2 * time.Second}))
+		s := newFixture(t, 4, cloud.WithJobBehavior(
+			cloud.JobBehavior{Prefix: "east/broken", Broken: true, RunTime: time.Minute},
+			cloud.JobBehavior{Prefix: "east/huge", RunTime: time.Second, MemoryMB: 2 * workerMemoryMB}, cloud.JobBehavior{RunTime: 2 * time.Second}))
 		s.vms.hidden.Store(true)
 		s.submit("early", func(j *jobs.Spec) { j.Accelerators = 1 })
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
@@ -190,7 +190,7 @@
 // TestBrokenWorker checks that all jobs complete although one worker fails every task.
 func TestBrokenWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 5, cloud.WithBroken("w00"), cloud.WithTruth(cloud.Truth{Run: 2 * time.Second}))
+		s := newFixture(t, 5, cloud.WithBrokenVMs("w00"), cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 2 * time.Second}))
 		for i := range 30 {
 			s.submit(fmt.Sprint("good-", i), nil)
 		}
@@ -205,7 +205,7 @@
 // TestLostLease revokes the task lease while the leader runs tasks under it. No job may be given up for the failures that follow.
 func TestLostLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 5, cloud.WithTruth(cloud.Truth{Run: 3 * time.Second}))
+		s := newFixture(t, 5, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 3 * time.Second}))
 		for i := range 30 {
 			s.submit(fmt.Sprint("good-", i), nil)
 		}
@@ -222,7 +222,7 @@
 // TestLeavingWorker checks that a task on a leaving worker is checkpointed and continues from there on another worker.
 func TestLeavingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 40 * time.Second}))
+		s := newFixture(t, 2, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 40 * time.Second}))
 		s.submit("night", runOnce)
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(30 * time.Second)
@@ -239,7 +239,7 @@
 // TestCancelMany cancels running and waiting jobs. Running ones must be stopped, and waiting ones must never start.
 func TestCancelMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
+		s := newFixture(t, 4, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: time.Minute}))
 		s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		for i := range 200 {
 			s.submit(fmt.Sprint("night-", i), runOnce)
@@ -266,7 +266,7 @@
 // TestManyStarts checks that one step starts at most 50 tasks and that later steps start the rest.
 func TestManyStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 4, cloud.WithTruth(cloud.Truth{Run: time.Minute}))
+		s := newFixture(t, 4, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: time.Minute}))
 		for i := range 120 {
 			s.submit(fmt.Sprint("small-", i), func(j *jobs.Spec) { j.Cores, j.MemoryMB = 0.1, 10 })
 		}
--- a/node/jobs/lead_test.go
+++ b/node/jobs/lead_test.go
@@ -76,7 +76,7 @@
 }
 
 func pausedLeader(t *testing.T, run, die, withoutWorker, withoutWrite bool) {
-	s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
+	s := newFixture(t, 2, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 20 * time.Second}))
 	s.submit("disburse", runOnce)
 	p := &pausedPlatform{Platform: s.tasks, Store: s.store, pauseRun: run, pauseWrite: !run, resume: make(chan struct{})}
 	crash := s.lead(&leader{fence: 1}, pausedStore{p}, p, s.vms)
@@ -96,7 +96,7 @@
 	next.hidden.Store(false)
 	store.down.Store(false)
 	wait(50 * time.Second)
-	s.is.Equal(s.tasks.Doubled(), 0)
+	s.is.Equal(s.tasks.DuplicateStarts(), 0)
 	s.is.Equal(s.tasks.Starts(), 1)
 	s.wantState("disburse", jobs.Done)
 }
@@ -117,7 +117,7 @@
 // TestLateRecord lets a paused leader write its record after the next leader has completed the job. The write must not start the job again.
 func TestLateRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 5 * time.Second}))
+		s := newFixture(t, 2, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 5 * time.Second}))
 		s.submit("disburse", runOnce)
 		p := &pausedPlatform{Platform: s.tasks, Store: s.store, pauseWrite: true, resume: make(chan struct{})}
 		s.lead(&leader{fence: 1}, pausedStore{p}, p, s.vms)
@@ -136,7 +136,7 @@
 // TestNextLeaderTakesTasksOver checks that tasks keep running under the next leader and that it can make room among them for an urgent job.
 func TestNextLeaderTakesTasksOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 90 * time.Second}))
+		s := newFixture(t, 2, cloud.WithJobBehavior(cloud.JobBehavior{Prefix: "east/now", RunTime: time.Second}, cloud.JobBehavior{RunTime: 90 * time.Second}))
 		for i := range 4 {
 			s.submit(fmt.Sprint("night-", i), runOnce)
 		}
@@ -161,7 +161,7 @@
 // TestThrottleIsLifted crashes a leader that has throttled a task. The next leader must lift the throttle, so that the task completes.
 func TestThrottleIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFixture(t, 1, cloud.WithTruth(cloud.Truth{Prefix: "east/now", Run: time.Second}, cloud.Truth{Run: 30 * time.Second}))
+		s := newFixture(t, 1, cloud.WithJobBehavior(cloud.JobBehavior{Prefix: "east/now", RunTime: time.Second}, cloud.JobBehavior{RunTime: 30 * time.Second}))
 		s.submit("night", func(j *jobs.Spec) { j.Cores = workerCores })
 		crash := s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
 		wait(2 * time.Second)
@@ -190,7 +190,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFixture(t, 2, cloud.WithTruth(cloud.Truth{Run: 20 * time.Second}))
+				s := newFixture(t, 2, cloud.WithJobBehavior(cloud.JobBehavior{RunTime: 20 * time.Second}))
 				s.submit("disburse", runOnce)
 				before := s.store.Save()
 				s.lead(&leader{fence: 1}, s.store, s.tasks, s.vms)
@@ -204,7 +204,7 @@
 				wait(time.Minute)
 				s.wantState("disburse", jobs.Done)
 				s.wantState("next", jobs.Done)
-				s.is.Equal(s.tasks.Doubled(), 0)
+				s.is.Equal(s.tasks.DuplicateStarts(), 0)
 				s.is.Equal(s.tasks.Starts(), c.starts+1)
 			})
 		})
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -33,7 +33,7 @@
 
 func pick(r *rig.Rig, rnd *rand.Rand) *rig.Entry { return r.Entries[rnd.IntN(len(r.Entries))] }
 
-func platform(m cloud.Mode, delay int64) func(*rig.Rig, *rand.Rand) func() {
+func platform(m cloud.FaultMode, delay int64) func(*rig.Rig, *rand.Rand) func() {
 	return func(r *rig.Rig, _ *rand.Rand) func() {
 		r.Cloud.Fault(cloud.Fault{Mode: m, DelayMillis: delay})
 		return func() { r.Cloud.Fault(cloud.Fault{Mode: cloud.Up}) }
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -179,7 +179,7 @@
 }
 
 func (r *Rig) startCloud(vms []hosts.VMWire) {
-	r.Cloud = cloud.New(cloud.WithVMs(vms...), cloud.WithReboot(r.plan.Reboot), cloud.WithLag(r.plan.Lag), cloud.WithControl("127.0.0.1:0"))
+	r.Cloud = cloud.New(cloud.WithVMs(vms...), cloud.WithRebootTime(r.plan.Reboot), cloud.WithListLag(r.plan.Lag), cloud.WithControl("127.0.0.1:0"))
 	addr := Free(r.T)
 	r.group.Go(func() error { return r.Cloud.Serve(r.ctx, addr) })
 	<-r.Cloud.Ready()
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -55,7 +55,7 @@
 type soak struct {
 	t       *testing.T
 	rnd     *rand.Rand
-	plant   *plant.Plant
+	plant   *plant.Platform
 	entries []*siteProcess
 	http    *http.Client
 	next    int
@@ -69,7 +69,7 @@
 	name   string
 	file   string
 	caller string
-	cut    *cutter.Cutter
+	cut    *cutter.Proxy
 	cmd    *exec.Cmd
 	paused bool
 }
@@ -200,13 +200,13 @@
 		e.cut.Cut()
 		e.cut.Refuse()
 	case 8:
-		s.plant.SetStore(true, 0)
+		s.plant.SetStoreFaults(true, 0)
 	case 9:
-		s.plant.SetStore(false, s.rnd.IntN(100))
+		s.plant.SetStoreFaults(false, s.rnd.IntN(100))
 	case 10, 11:
-		s.plant.Crash(time.Duration(500+s.rnd.IntN(4000)) * time.Millisecond)
+		s.plant.CrashWorker(time.Duration(500+s.rnd.IntN(4000)) * time.Millisecond)
 	case 12:
-		s.plant.SetOrders(s.rnd.IntN(30), s.rnd.IntN(30))
+		s.plant.SetOrderFaults(s.rnd.IntN(30), s.rnd.IntN(30))
 	}
 }
 
@@ -220,8 +220,8 @@
 }
 
 func (s *soak) heal() {
-	s.plant.SetStore(false, 0)
-	s.plant.SetOrders(0, 0)
+	s.plant.SetStoreFaults(false, 0)
+	s.plant.SetOrderFaults(0, 0)
 	for _, e := range s.entries {
 		s.healEntry(e)
 	}
@@ -230,10 +230,10 @@
 // job returns the next job: mostly two steps, now and then one whose tasks last.
 func (s *soak) job() batch.Job {
 	s.next++
-	x := plant.Spec{RunMs: int64(100 + s.rnd.IntN(400)), Fails: 30}
+	x := plant.TaskSpec{RunMs: int64(100 + s.rnd.IntN(400)), FailPerMille: 30}
 	j := batch.Job{ID: fmt.Sprintf("%016x", s.next), Service: []string{"alpha", "beta"}[s.next%2], Attempts: 4, Spec: x.Encode()}
 	if s.next%40 == 1 {
-		j.Spec = plant.Spec{}.Encode()
+		j.Spec = plant.TaskSpec{}.Encode()
 		j.Steps = []batch.Step{{Count: 3, Size: batch.Size{CPU: 1000, MemMB: 500}, EstimateMs: 500, Lasting: true, PerWorker: 1, MayMiss: 1}}
 		return j
 	}
@@ -250,12 +250,12 @@
 	if err != nil {
 		return err
 	}
-	var k *floor.Known
-	s.plant.Judge(func(g *floor.Judge) { k = g.Know(j) })
+	var k *floor.JobRecord
+	s.plant.InspectRuns(func(g *floor.Checker) { k = g.Job(j) })
 	for i := range 4 {
-		s.plant.Judge(func(*floor.Judge) { k.Asked++ })
+		s.plant.InspectRuns(func(*floor.Checker) { k.Attempts++ })
 		status, _ := s.call(http.MethodPost, (first+i)%len(s.entries), "/"+j.Service+"/"+j.ID, b)
-		s.plant.Judge(func(*floor.Judge) {
+		s.plant.InspectRuns(func(*floor.Checker) {
 			k.Accepted = k.Accepted || status == http.StatusOK
 			if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 				k.Refused++
@@ -329,10 +329,10 @@
 }
 
 func (s *soak) settle() {
-	var all []*floor.Known
-	s.plant.Judge(func(g *floor.Judge) {
+	var all []*floor.JobRecord
+	s.plant.InspectRuns(func(g *floor.Checker) {
 		for i := range s.next {
-			if k := g.Find(fmt.Sprintf("%016x", i+1)); k != nil {
+			if k := g.FindJob(fmt.Sprintf("%016x", i+1)); k != nil {
 				all = append(all, k)
 			}
 		}
@@ -349,9 +349,9 @@
 	}
 	time.Sleep(2 * time.Second) // lasting tasks are back within it, once nothing else is lost.
 	accepted := 0
-	s.plant.Judge(func(g *floor.Judge) {
-		g.Settle(func(id string) batch.State { return states[id] }, func(string) string { return "" })
-		for _, b := range g.Broken() {
+	s.plant.InspectRuns(func(g *floor.Checker) {
+		g.CheckEndState(func(id string) batch.State { return states[id] }, func(string) string { return "" })
+		for _, b := range g.Violations() {
 			s.t.Error(b)
 		}
 		for _, k := range all {
@@ -359,7 +359,7 @@
 				accepted++
 			}
 		}
-		s.t.Logf("%d jobs, %d accepted, %d tasks run", len(all), accepted, g.Tasks())
+		s.t.Logf("%d jobs, %d accepted, %d tasks run", len(all), accepted, g.TaskCount())
 	})
 	if accepted == 0 {
 		s.t.Error("no job was accepted")
