--- a/fakes/target/count.go
+++ b/fakes/target/count.go
@@ -33,21 +33,21 @@
 	Assigned        int64          `json:"assigned"`
 }
 
-type counts struct {
-	refused atomic.Int64
+type counter struct {
+	refusedConns atomic.Int64
 	faults  atomic.Int64
 	mu      sync.Mutex
 	runs    Runs
-	reqs    map[uint64]uint32
+	runsByRequest    map[uint64]uint32
 }
 
-func (c *counts) init() {
-	c.reqs = map[uint64]uint32{}
+func (c *counter) init() {
+	c.runsByRequest = map[uint64]uint32{}
 	c.runs.Keys = map[string]int{}
 }
 
 // started counts a run of a request.
-func (c *counts) started(key, request []byte, running int64) {
+func (c *counter) started(key, request []byte, running int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs.Runs++
@@ -61,23 +61,23 @@
 	}
 	if len(request) > 0 {
 		h := xxhash.Sum64(request)
-		c.reqs[h]++
-		if c.reqs[h] == 2 {
+		c.runsByRequest[h]++
+		if c.runsByRequest[h] == 2 {
 			c.runs.DoubledRequests++
 		}
 	}
 }
 
-// oversent counts a request that came when all slots were taken.
-func (c *counts) oversent(over int64) {
+// refusedOverSlots counts a request that came when all slots were taken.
+func (c *counter) refusedOverSlots(over int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs.OverSlots++
 	c.runs.OversentPeak = max(c.runs.OversentPeak, over)
 }
 
-// whileLeaving counts a request that came d after the drain.
-func (c *counts) whileLeaving(d time.Duration) {
+// refusedWhileDraining counts a request that came d after the drain.
+func (c *counter) refusedWhileDraining(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs.WhileLeaving++
@@ -85,7 +85,7 @@
 }
 
 // stopped counts the requests that a stop cut off.
-func (c *counts) stopped(planned bool, running int64) {
+func (c *counter) stopped(planned bool, running int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if planned {
@@ -95,20 +95,20 @@
 	c.runs.Crashed += running
 }
 
-func (c *counts) cutAnswer() {
+func (c *counter) brokenAnswer() {
 	c.mu.Lock()
 	c.runs.CutAnswers++
 	c.mu.Unlock()
 }
 
-func (c *counts) assigned() {
+func (c *counter) assigned() {
 	c.mu.Lock()
 	c.runs.Assigned++
 	c.mu.Unlock()
 }
 
-// copy returns the counts; keys only if they are asked for.
-func (c *counts) copy(keys bool) Runs {
+// snapshot returns the counts; keys only if they are asked for.
+func (c *counter) snapshot(keys bool) Runs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.runs
@@ -119,7 +119,7 @@
 			r.Keys[k] = n
 		}
 	}
-	r.RefusedConns, r.Faults = c.refused.Load(), c.faults.Load()
+	r.RefusedConns, r.Faults = c.refusedConns.Load(), c.faults.Load()
 	return r
 }
 
@@ -130,10 +130,10 @@
 func (t *Target) Brief() Runs { return t.report(false) }
 
 func (t *Target) report(keys bool) Runs {
-	r := t.count.copy(keys)
+	r := t.count.snapshot(keys)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r.Target, r.Pool, r.Boot = t.name, t.pool, t.boot
-	r.Draining, r.Away, r.Running = t.draining.Load(), t.away.Load(), t.running.Load()
+	r.Draining, r.Away, r.Running = t.draining.Load(), t.rebooting.Load(), t.running.Load()
 	return r
 }
--- a/fakes/target/ctl.go
+++ b/fakes/target/ctl.go
@@ -37,7 +37,7 @@
 // Drain makes the target refuse new requests as leaving; what runs goes on.
 func (t *Target) Drain() {
 	t.mu.Lock()
-	t.drain = time.Now()
+	t.drainStart = time.Now()
 	t.mu.Unlock()
 	t.draining.Store(true)
 }
@@ -47,7 +47,7 @@
 
 func (t *Target) rebootFor(planned bool, d time.Duration) {
 	select {
-	case t.reboots <- reboot{planned: planned, after: d}:
+	case t.reboots <- reboot{planned: planned, downtime: d}:
 	default:
 	}
 }
@@ -73,7 +73,7 @@
 	var a struct {
 		Pool string `json:"pool"`
 	}
-	if !read(x, &a) {
+	if !decodeBody(x, &a) {
 		return
 	}
 	t.mu.Lock()
@@ -84,12 +84,12 @@
 
 func (t *Target) ctlFault(x *fasthttp.RequestCtx) {
 	var f Fault
-	if read(x, &f) {
+	if decodeBody(x, &f) {
 		t.SetFault(f)
 	}
 }
 
-func read(x *fasthttp.RequestCtx, v any) bool {
+func decodeBody(x *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(x.PostBody(), v); err != nil {
 		x.Error(err.Error(), fasthttp.StatusBadRequest)
 		return false
--- a/fakes/target/fault.go
+++ b/fakes/target/fault.go
@@ -44,7 +44,7 @@
 // faultOf returns the fault for this request: its own header's, else the target's.
 func (t *Target) faultOf(x *fasthttp.RequestCtx) Fault {
 	if m := x.Request.Header.Peek("Fake-Fault"); len(m) > 0 {
-		return Fault{Mode: Mode(m), LateMs: int64(number(x, "Fake-Late-Ms"))}
+		return Fault{Mode: Mode(m), LateMs: int64(floatHeader(x, "Fake-Late-Ms"))}
 	}
 	for {
 		f := t.fault.Load()
@@ -64,8 +64,8 @@
 	}
 }
 
-// spoil answers with raw bytes that differ from what is declared.
-func (t *Target) spoil(x *fasthttp.RequestCtx, f Fault, mark string, body []byte) {
+// answerBroken answers with raw bytes that differ from what is declared.
+func (t *Target) answerBroken(x *fasthttp.RequestCtx, f Fault, mark string, body []byte) {
 	declared, sent := len(body), len(body)
 	switch f.Mode {
 	case Longer:
@@ -75,8 +75,8 @@
 	default:
 		sent = len(body) / 2
 	}
-	t.count.cutAnswer()
-	down, b := t.downs(), append([]byte(nil), body[:max(0, sent)]...)
+	t.count.brokenAnswer()
+	down, b := t.bootEnd(), append([]byte(nil), body[:max(0, sent)]...)
 	x.HijackSetNoResponse(true)
 	x.Hijack(func(c net.Conn) {
 		defer c.Close() //nolint:errcheck // the connection is broken on purpose
@@ -84,13 +84,13 @@
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nBurdock-Request: %s\r\n\r\n%s", declared, mark, b)
 		}
 		if f.Mode != Cut {
-			hold(c, down)
+			discardUntilClosed(c, down)
 		}
 	})
 }
 
-// hold reads and drops what comes until the peer closes or the target goes down.
-func hold(c net.Conn, down <-chan struct{}) {
+// discardUntilClosed reads and drops what comes until the peer closes or the target goes down.
+func discardUntilClosed(c net.Conn, down <-chan struct{}) {
 	b := make([]byte, 512)
 	for {
 		select {
@@ -106,8 +106,8 @@
 	}
 }
 
-func (t *Target) downs() <-chan struct{} {
+func (t *Target) bootEnd() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.down
+	return t.bootEnded
 }
--- a/fakes/target/handle.go
+++ b/fakes/target/handle.go
@@ -23,8 +23,8 @@
 
 // handle serves one request.
 func (t *Target) handle(x *fasthttp.RequestCtx) {
-	p := t.present.Add(1)
-	defer t.present.Add(-1)
+	p := t.handling.Add(1)
+	defer t.handling.Add(-1)
 	f := t.faultOf(x)
 	if f.Mode != None {
 		t.count.faults.Add(1)
@@ -39,31 +39,31 @@
 		return
 	}
 	if t.draining.Load() {
-		t.leave(x)
+		t.refuseDraining(x)
 		return
 	}
 	n := t.running.Add(1)
 	if n > t.slots {
 		t.running.Add(-1)
-		t.count.oversent(p - t.slots)
-		refuse(x)
+		t.count.refusedOverSlots(p - t.slots)
+		refuseNotRun(x)
 		return
 	}
 	t.run(x, f, n)
 }
 
-func refuse(x *fasthttp.RequestCtx) {
+func refuseNotRun(x *fasthttp.RequestCtx) {
 	x.Response.Header.SetBytesV(headerRequest, x.Request.Header.Peek(headerRequest))
 	x.Response.Header.Set(headerNotRun, "1")
 	x.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
 
-func (t *Target) leave(x *fasthttp.RequestCtx) {
+func (t *Target) refuseDraining(x *fasthttp.RequestCtx) {
 	t.mu.Lock()
-	d := time.Since(t.drain)
+	d := time.Since(t.drainStart)
 	t.mu.Unlock()
-	t.count.whileLeaving(d)
-	refuse(x)
+	t.count.refusedWhileDraining(d)
+	refuseNotRun(x)
 	x.Response.Header.Set(headerLeaving, "1")
 }
 
@@ -71,10 +71,10 @@
 func (t *Target) run(x *fasthttp.RequestCtx, f Fault, n int64) {
 	h := &x.Request.Header
 	t.count.started(h.Peek(headerKey), h.Peek(headerRequest), n)
-	whole := t.work(x)
+	whole := t.simulateRun(x)
 	t.running.Add(-1)
 	if f.Mode == Late {
-		whole = whole && t.wait(time.Duration(f.LateMs)*time.Millisecond)
+		whole = whole && t.waitInBoot(time.Duration(f.LateMs)*time.Millisecond)
 	}
 	if !whole {
 		x.HijackSetNoResponse(true)
@@ -89,7 +89,7 @@
 	body := t.body(x)
 	switch f.Mode {
 	case Cut, Longer, Shorter, Silent:
-		t.spoil(x, f, mark, body)
+		t.answerBroken(x, f, mark, body)
 		return
 	case Fail:
 		x.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -107,7 +107,7 @@
 // body returns an answer that depends on the request, of Fake-Answer-Bytes bytes if the header is there.
 func (t *Target) body(x *fasthttp.RequestCtx) []byte {
 	b := fmt.Appendf(nil, "{\"target\":%q,\"digest\":%q,\"bytes\":%d}\n", t.name, digest(x.Request.Body()), len(x.Request.Body()))
-	if n := int(number(x, "Fake-Answer-Bytes")); n > 0 {
+	if n := int(floatHeader(x, "Fake-Answer-Bytes")); n > 0 {
 		b = bytes.Repeat(b, n/len(b)+1)[:n]
 	}
 	return b
@@ -115,23 +115,23 @@
 
 func digest(b []byte) string { return strconv.FormatUint(xxhash.Sum64(b), 16) }
 
-func number(x *fasthttp.RequestCtx, header string) float64 {
+func floatHeader(x *fasthttp.RequestCtx, header string) float64 {
 	n, _ := strconv.ParseFloat(string(x.Request.Header.Peek(header)), 64)
 	return n
 }
 
-// work takes the run time; it is false if the target went down meanwhile.
-func (t *Target) work(x *fasthttp.RequestCtx) bool {
+// simulateRun takes the run time; it is false if the target went down meanwhile.
+func (t *Target) simulateRun(x *fasthttp.RequestCtx) bool {
 	if len(x.Request.Header.Peek("Fake-Run-Ms")) > 0 {
-		return t.wait(time.Duration(number(x, "Fake-Run-Ms") * float64(time.Millisecond)))
+		return t.waitInBoot(time.Duration(floatHeader(x, "Fake-Run-Ms") * float64(time.Millisecond)))
 	}
 	t.mu.Lock()
 	d := t.runTime(t.rand)
 	t.mu.Unlock()
-	return t.wait(d)
+	return t.waitInBoot(d)
 }
 
-func (t *Target) wait(d time.Duration) bool {
+func (t *Target) waitInBoot(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -140,7 +140,7 @@
 	select {
 	case <-k.C:
 		return true
-	case <-t.downs():
+	case <-t.bootEnd():
 		return false
 	}
 }
--- a/fakes/target/target.go
+++ b/fakes/target/target.go
@@ -29,27 +29,27 @@
 	runTime    func(*rand.Rand) time.Duration
 
 	running  atomic.Int64
-	present  atomic.Int64
+	handling  atomic.Int64
 	draining atomic.Bool
-	away     atomic.Bool
+	rebooting     atomic.Bool
 	fault    atomic.Pointer[Fault]
-	count    counts
+	count    counter
 	reboots  chan reboot
 	ready    chan struct{}
 
 	mu    sync.Mutex
 	rand  *rand.Rand
 	addr  string
-	ctl   string
+	ctlAddr   string
 	pool  string
 	boot  int64
-	down  chan struct{}
-	drain time.Time
+	bootEnded  chan struct{}
+	drainStart time.Time
 }
 
 type reboot struct {
 	planned bool
-	after   time.Duration
+	downtime   time.Duration
 }
 
 // Option changes a Target at its making.
@@ -90,7 +90,7 @@
 		name: "target", slots: defaultSlots, conns: defaultConnections, rebootTime: defaultRebootTime,
 		runTime: func(*rand.Rand) time.Duration { return 0 },
 		rand:    rand.New(rand.NewPCG(1, 0)), reboots: make(chan reboot, 1), ready: make(chan struct{}),
-		down: make(chan struct{}),
+		bootEnded: make(chan struct{}),
 	}
 	t.count.init()
 	for _, o := range opts {
@@ -108,7 +108,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.addr, t.ctl, nil
+	return t.addr, t.ctlAddr, nil
 }
 
 // Serve serves requests on addr and control on ctlAddr until ctx ends; it returns an error if an address cannot be had.
@@ -124,23 +124,23 @@
 		return eris.Wrapf(err, "listen at control of target %s", t.name)
 	}
 	t.mu.Lock()
-	t.addr, t.ctl = l.Addr().String(), k.Addr().String()
+	t.addr, t.ctlAddr = l.Addr().String(), k.Addr().String()
 	t.mu.Unlock()
 	close(t.ready)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(ctx, k, t.control, t.name) })
-	g.Go(func() error { return t.live(ctx, l) })
+	g.Go(func() error { return t.serveBoots(ctx, l) })
 	return g.Wait()
 }
 
-// live serves from boot to boot.
-func (t *Target) live(ctx context.Context, l net.Listener) error {
+// serveBoots serves from boot to boot.
+func (t *Target) serveBoots(ctx context.Context, l net.Listener) error {
 	for {
-		r, err := t.up(ctx, l)
+		r, err := t.serveBoot(ctx, l)
 		if err != nil || ctx.Err() != nil {
 			return err
 		}
-		if sleep(ctx, r.after) != nil {
+		if sleep(ctx, r.downtime) != nil {
 			return nil
 		}
 		if l, err = t.listenAgain(ctx); err != nil {
@@ -149,24 +149,24 @@
 	}
 }
 
-// up serves one boot and returns the reboot that ended it.
-func (t *Target) up(ctx context.Context, l net.Listener) (reboot, error) {
+// serveBoot serves one boot and returns the reboot that ended it.
+func (t *Target) serveBoot(ctx context.Context, l net.Listener) (reboot, error) {
 	b, cancel := context.WithCancel(ctx)
 	g, b := errgroup.WithContext(b)
 	down := make(chan struct{})
 	t.mu.Lock()
 	t.boot++
-	t.down = down
+	t.bootEnded = down
 	t.mu.Unlock()
 	t.draining.Store(false)
-	t.away.Store(false)
-	gate := newGate(l, t.conns, &t.count.refused)
+	t.rebooting.Store(false)
+	gate := newLimitListener(l, t.conns, &t.count.refusedConns)
 	var r reboot
 	g.Go(func() error { return serve(b, gate, t.handle, t.name) })
 	g.Go(func() error {
 		select {
 		case r = <-t.reboots:
-			t.away.Store(true)
+			t.rebooting.Store(true)
 			t.count.stopped(r.planned, t.running.Load())
 		case <-b.Done():
 		}
--- a/fakes/target/target_test.go
+++ b/fakes/target/target_test.go
@@ -13,7 +13,7 @@
 	"burdockreach.dev/fakes/target"
 )
 
-const patience = 5 * time.Second
+const callTimeout = 5 * time.Second
 
 type rig struct {
 	*testing.T
@@ -60,13 +60,13 @@
 	q.SetRequestURI("http://" + r.ctl + path)
 	q.Header.SetMethod("POST")
 	q.SetBodyString(body)
-	r.is.NoErr(r.client.DoTimeout(q, a, patience))
+	r.is.NoErr(r.client.DoTimeout(q, a, callTimeout))
 	r.is.Equal(a.StatusCode(), 200)
 }
 
-func (r *rig) answers(status int, headers ...string) *fasthttp.Response {
+func (r *rig) expectStatus(status int, headers ...string) *fasthttp.Response {
 	r.Helper()
-	a, err := r.call(patience, headers...)
+	a, err := r.call(callTimeout, headers...)
 	r.is.NoErr(err)
 	r.is.Equal(a.StatusCode(), status)
 	return a
@@ -75,9 +75,9 @@
 func TestRuns(t *testing.T) {
 	t.Run("counts by key and echoes the mark", func(t *testing.T) {
 		r := start(t)
-		a := r.answers(200, "Idempotency-Key", "k", "Burdock-Request", "a")
+		a := r.expectStatus(200, "Idempotency-Key", "k", "Burdock-Request", "a")
 		r.is.Equal(string(a.Header.Peek("Burdock-Request")), "a")
-		r.answers(200, "Idempotency-Key", "k", "Burdock-Request", "b")
+		r.expectStatus(200, "Idempotency-Key", "k", "Burdock-Request", "b")
 		n := r.target.Runs()
 		r.is.Equal(n.Keys["k"], 2)
 		r.is.Equal(n.DoubledKeys, int64(1))
@@ -86,11 +86,11 @@
 	t.Run("refuses over its slots", func(t *testing.T) {
 		r := start(t, target.WithSlots(1))
 		var g errgroup.Group
-		g.Go(func() error { _, err := r.call(patience, "Fake-Run-Ms", "300"); return err })
+		g.Go(func() error { _, err := r.call(callTimeout, "Fake-Run-Ms", "300"); return err })
 		for r.target.Runs().Running == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		a := r.answers(503)
+		a := r.expectStatus(503)
 		r.is.Equal(string(a.Header.Peek("Burdock-Not-Run")), "1")
 		r.is.NoErr(g.Wait())
 		r.is.Equal(r.target.Runs().OversentPeak, int64(1))
@@ -99,12 +99,12 @@
 		r := start(t, target.WithRebootTime(10*time.Millisecond))
 		var g errgroup.Group
 		var lost error
-		g.Go(func() error { _, lost = r.call(patience, "Fake-Run-Ms", "60000"); return nil })
+		g.Go(func() error { _, lost = r.call(callTimeout, "Fake-Run-Ms", "60000"); return nil })
 		for r.target.Runs().Running == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		r.post("/ctl/drain", "")
-		a := r.answers(503)
+		a := r.expectStatus(503)
 		r.is.Equal(string(a.Header.Peek("Burdock-Leaving")), "1")
 		r.post("/ctl/reboot", "")
 		r.is.NoErr(g.Wait())
@@ -113,7 +113,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		r.client.CloseIdleConnections()
-		r.answers(200)
+		r.expectStatus(200)
 		n := r.target.Runs()
 		r.is.Equal(n.Cut, int64(1))
 		r.is.Equal(n.WhileLeaving, int64(1))
@@ -126,29 +126,29 @@
 			r := start(t)
 			_, err := r.call(200*time.Millisecond, "Fake-Fault", string(m))
 			r.is.True(err != nil)
-			r.answers(200)
+			r.expectStatus(200)
 			r.is.Equal(r.target.Runs().Runs, int64(2))
 		})
 	}
 	t.Run("answers late, wrong or failing", func(t *testing.T) {
 		r := start(t)
-		a := r.answers(200, "Fake-Fault", "wrongMark", "Burdock-Request", "a")
+		a := r.expectStatus(200, "Fake-Fault", "wrongMark", "Burdock-Request", "a")
 		r.is.True(strings.HasPrefix(string(a.Header.Peek("Burdock-Request")), "a-"))
-		r.answers(500, "Fake-Fault", "fail")
-		a = r.answers(200, "Fake-Fault", "longer", "Fake-Answer-Bytes", "100")
+		r.expectStatus(500, "Fake-Fault", "fail")
+		a = r.expectStatus(200, "Fake-Fault", "longer", "Fake-Answer-Bytes", "100")
 		r.is.Equal(len(a.Body()), 50)
 	})
 	t.Run("a fault set for some requests wears off", func(t *testing.T) {
 		r := start(t)
 		r.post("/ctl/fault", `{"mode":"fail","left":2}`)
-		r.answers(500)
-		r.answers(500)
-		r.answers(200)
+		r.expectStatus(500)
+		r.expectStatus(500)
+		r.expectStatus(200)
 	})
 	t.Run("closes a used connection as a request arrives", func(t *testing.T) {
 		r := start(t)
-		r.answers(200)
-		_, err := r.call(patience, "Fake-Fault", "closeIdle")
+		r.expectStatus(200)
+		_, err := r.call(callTimeout, "Fake-Fault", "closeIdle")
 		r.is.True(err != nil)
 		r.is.Equal(r.target.Runs().Runs, int64(1))
 	})
