--- a/fakes/target/count.go
+++ b/fakes/target/count.go
@@ -8,37 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Runs is what a target has counted since it was made; reboots do not reset it.
+// Runs holds the state of a target and its counters. A reboot does not reset the counters.
 type Runs struct {
 	Target          string         `json:"target"`
 	Pool            string         `json:"pool"`
 	Boot            int64          `json:"boot"`
 	Draining        bool           `json:"draining"`
-	Away            bool           `json:"away"`
-	Running         int64          `json:"running"`
+	Away            bool           `json:"away"`    // down for a reboot
+	Running         int64          `json:"running"` // requests that run now
 	Runs            int64          `json:"runs"`
-	Keys            map[string]int `json:"keys,omitempty"`
-	DoubledKeys     int64          `json:"doubledKeys"`
-	DoubledRequests int64          `json:"doubledRequests"`
-	OverSlots       int64          `json:"overSlots"`
-	OversentPeak    int64          `json:"oversentPeak"`
-	RunningPeak     int64          `json:"runningPeak"`
+	Keys            map[string]int `json:"keys,omitempty"`  // runs by idempotency key
+	DoubledKeys     int64          `json:"doubledKeys"`     // idempotency keys that ran more than once
+	DoubledRequests int64          `json:"doubledRequests"` // request IDs that ran more than once
+	OverSlots       int64          `json:"overSlots"`       // requests refused because all slots were taken
+	OversentPeak    int64          `json:"oversentPeak"`    // highest number of requests beyond the slots
+	RunningPeak     int64          `json:"runningPeak"`     // highest number of requests that ran at once
 	RefusedConns    int64          `json:"refusedConns"`
-	WhileLeaving    int64          `json:"whileLeaving"`
-	LeavingLastMs   int64          `json:"leavingLastMs"`
-	Cut             int64          `json:"cut"`
-	Crashed         int64          `json:"crashed"`
-	CutAnswers      int64          `json:"cutAnswers"`
-	Faults          int64          `json:"faults"`
-	Assigned        int64          `json:"assigned"`
+	WhileLeaving    int64          `json:"whileLeaving"`  // requests refused while draining
+	LeavingLastMs   int64          `json:"leavingLastMs"` // longest time from a drain to a request refused by it
+	Cut             int64          `json:"cut"`           // requests interrupted by planned reboots
+	Crashed         int64          `json:"crashed"`       // requests interrupted by crashes
+	CutAnswers      int64          `json:"cutAnswers"`    // responses that a fault cut, lengthened, shortened or withheld
+	Faults          int64          `json:"faults"`        // requests with a fault
+	Assigned        int64          `json:"assigned"`      // assignments to a pool
 }
 
+// counter collects the counters of a target.
 type counter struct {
-	refusedConns atomic.Int64
-	faults  atomic.Int64
-	mu      sync.Mutex
-	runs    Runs
-	runsByRequest    map[uint64]uint32
+	refusedConns  atomic.Int64
+	faults        atomic.Int64
+	mu            sync.Mutex
+	runs          Runs
+	runsByRequest map[uint64]uint32
 }
 
 func (c *counter) init() {
@@ -46,7 +47,7 @@
 	c.runs.Keys = map[string]int{}
 }
 
-// started counts a run of a request.
+// started counts a run of the request with this idempotency key and request ID, and notes the peak of concurrent runs.
 func (c *counter) started(key, request []byte, running int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// refusedOverSlots counts a request that came when all slots were taken.
+// refusedOverSlots counts a request that was refused because all slots were taken; over is the number of requests beyond the slots.
 func (c *counter) refusedOverSlots(over int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 	c.runs.OversentPeak = max(c.runs.OversentPeak, over)
 }
 
-// refusedWhileDraining counts a request that came d after the drain.
+// refusedWhileDraining counts a request that was refused d after the drain started.
 func (c *counter) refusedWhileDraining(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +85,7 @@
 	c.runs.LeavingLastMs = max(c.runs.LeavingLastMs, d.Milliseconds())
 }
 
-// stopped counts the requests that a stop cut off.
+// stopped counts the requests that a stop interrupted: as cut if the stop was planned, as crashed otherwise.
 func (c *counter) stopped(planned bool, running int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +108,7 @@
 	c.mu.Unlock()
 }
 
-// snapshot returns the counts; keys only if they are asked for.
+// snapshot returns a copy of the counters; keys says whether it includes the runs by key.
 func (c *counter) snapshot(keys bool) Runs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,10 +124,10 @@
 	return r
 }
 
-// Runs returns what the target has counted, with the runs of each key.
+// Runs returns the state and the counters of the target, with the number of runs of each key.
 func (t *Target) Runs() Runs { return t.report(true) }
 
-// Brief returns the counts without the keys.
+// Brief returns the state and the counters without the runs of each key.
 func (t *Target) Brief() Runs { return t.report(false) }
 
 func (t *Target) report(keys bool) Runs {
--- a/fakes/target/ctl.go
+++ b/fakes/target/ctl.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// control serves one request at the control address.
+// control serves one call at the control address.
 func (t *Target) control(x *fasthttp.RequestCtx) {
 	switch string(x.Path()) {
 	case "/ctl/runs":
@@ -34,7 +34,7 @@
 	}
 }
 
-// Drain makes the target refuse new requests as leaving; what runs goes on.
+// Drain makes the target refuse new requests and state that it is leaving. Running requests continue.
 func (t *Target) Drain() {
 	t.mu.Lock()
 	t.drainStart = time.Now()
@@ -42,9 +42,11 @@
 	t.draining.Store(true)
 }
 
-// Reboot stops the target at once and brings it back after its reboot time; planned says under which count cut requests fall.
+// Reboot stops the target immediately and starts it again after its reboot time.
+// Interrupted requests count as cut if the reboot is planned, as crashed otherwise.
 func (t *Target) Reboot(planned bool) { t.rebootFor(planned, t.rebootTime) }
 
+// rebootFor requests a reboot with downtime d. It does nothing if another reboot is already requested.
 func (t *Target) rebootFor(planned bool, d time.Duration) {
 	select {
 	case t.reboots <- reboot{planned: planned, downtime: d}:
@@ -52,7 +54,7 @@
 	}
 }
 
-// SetFault makes every request without its own Fake-Fault header misbehave.
+// SetFault applies the fault to every request without a Fake-Fault header. The mode None ends it.
 func (t *Target) SetFault(f Fault) {
 	if f.Mode == None {
 		t.fault.Store(nil)
@@ -89,6 +91,7 @@
 	}
 }
 
+// decodeBody decodes the JSON body of the call into v. On failure it answers 400 and returns false.
 func decodeBody(x *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(x.PostBody(), v); err != nil {
 		x.Error(err.Error(), fasthttp.StatusBadRequest)
--- a/fakes/target/doc.go
+++ b/fakes/target/doc.go
@@ -1,5 +1,5 @@
-// Package target is a stand-in of one target VM: it serves requests in slots, counts what it ran and misbehaves on demand.
+// Package target is a fake target VM for tests. It runs a limited number of requests at once, counts them and injects faults on demand.
 //
-// A request may steer its own run by the headers Fake-Run-Ms, Fake-Answer-Bytes and Fake-Fault;
-// the control address serves GET /ctl/runs and POST /ctl/{drain,undrain,reboot,assign,fault}.
+// The headers Fake-Run-Ms, Fake-Answer-Bytes, Fake-Fault and Fake-Late-Ms of a request set its own run time, response size and fault.
+// The control address serves GET /ctl/runs and POST /ctl/{drain,undrain,reboot,assign,fault}.
 package target
--- a/fakes/target/fault.go
+++ b/fakes/target/fault.go
@@ -8,40 +8,41 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Mode names a way to misbehave.
+// Mode is a kind of fault that a target injects.
 type Mode string
 
 const (
-	// None behaves well.
+	// None injects no fault.
 	None Mode = ""
 	// Fail runs the request and answers 500.
 	Fail Mode = "fail"
-	// Refuse answers 503 without a mark that it did not run; it does not run the request.
+	// Refuse answers 503 without running the request and without the header that states so.
 	Refuse Mode = "refuse"
-	// Late answers Fault.LateMs later than it should, after the slot is free.
+	// Late runs the request, frees its slot and answers Fault.LateMs later.
 	Late Mode = "late"
-	// Cut closes the connection in the middle of the answer.
+	// Cut closes the connection in the middle of the response.
 	Cut Mode = "cut"
-	// Longer sends more bytes than it declared.
+	// Longer sends more bytes than Content-Length declares.
 	Longer Mode = "longer"
-	// Shorter sends fewer bytes than it declared and then nothing.
+	// Shorter sends fewer bytes than Content-Length declares and keeps the connection open.
 	Shorter Mode = "shorter"
-	// WrongMark echoes the mark of another request.
+	// WrongMark answers with the request ID of another request.
 	WrongMark Mode = "wrongMark"
 	// Silent runs the request and never answers.
 	Silent Mode = "silent"
-	// CloseIdle closes a used connection as its next request arrives, without running it.
+	// CloseIdle closes a reused connection when its next request arrives, without running that request.
 	CloseIdle Mode = "closeIdle"
 )
 
-// Fault is what /ctl/fault sets for all requests; Left bounds the number of requests, 0 for no bound.
+// Fault is a fault and its parameters. LateMs is the delay of the mode Late, in milliseconds. A fault that SetFault or /ctl/fault
+// sets applies to every request without a Fake-Fault header, or to the next Left ones if Left is not 0.
 type Fault struct {
 	Mode   Mode  `json:"mode"`
 	LateMs int64 `json:"lateMs"`
 	Left   int64 `json:"left"`
 }
 
-// faultOf returns the fault for this request: its own header's, else the target's.
+// faultOf returns the fault of the request's header Fake-Fault, else the fault of the target, whose remaining count it reduces.
 func (t *Target) faultOf(x *fasthttp.RequestCtx) Fault {
 	if m := x.Request.Header.Peek("Fake-Fault"); len(m) > 0 {
 		return Fault{Mode: Mode(m), LateMs: int64(floatHeader(x, "Fake-Late-Ms"))}
@@ -64,8 +65,8 @@
 	}
 }
 
-// answerBroken answers with raw bytes that differ from what is declared.
-func (t *Target) answerBroken(x *fasthttp.RequestCtx, f Fault, mark string, body []byte) {
+// answerBroken writes a raw response that does not match its Content-Length, or none at all.
+func (t *Target) answerBroken(x *fasthttp.RequestCtx, f Fault, requestID string, body []byte) {
 	declared, sent := len(body), len(body)
 	switch f.Mode {
 	case Longer:
@@ -79,9 +80,9 @@
 	down, b := t.bootEnd(), append([]byte(nil), body[:max(0, sent)]...)
 	x.HijackSetNoResponse(true)
 	x.Hijack(func(c net.Conn) {
-		defer c.Close() //nolint:errcheck // the connection is broken on purpose
+		defer c.Close() //nolint:errcheck // the fault breaks the connection on purpose
 		if sent >= 0 {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nBurdock-Request: %s\r\n\r\n%s", declared, mark, b)
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nBurdock-Request: %s\r\n\r\n%s", declared, requestID, b)
 		}
 		if f.Mode != Cut {
 			discardUntilClosed(c, down)
@@ -89,7 +90,7 @@
 	})
 }
 
-// discardUntilClosed reads and drops what comes until the peer closes or the target goes down.
+// discardUntilClosed reads and discards data until the peer closes the connection or the boot ends.
 func discardUntilClosed(c net.Conn, down <-chan struct{}) {
 	b := make([]byte, 512)
 	for {
@@ -106,6 +107,7 @@
 	}
 }
 
+// bootEnd returns a channel that is closed when the current boot ends.
 func (t *Target) bootEnd() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fakes/target/limit.go
+++ b/fakes/target/limit.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// limitListener is a listener that closes connections over a bound and can close all that are open.
+// limitListener is a listener that closes new connections while limit connections are open, and that can close all open ones.
 type limitListener struct {
 	net.Listener
 	limit   int
@@ -15,16 +15,17 @@
 	open    map[*limitedConn]struct{}
 }
 
+// limitedConn is a connection that counts towards the limit of its listener until it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitListener
 }
 
-func newLimitListener(l net.Listener, bound int, refused *atomic.Int64) *limitListener {
-	return &limitListener{Listener: l, limit: bound, refused: refused, open: map[*limitedConn]struct{}{}}
+func newLimitListener(l net.Listener, limit int, refused *atomic.Int64) *limitListener {
+	return &limitListener{Listener: l, limit: limit, refused: refused, open: map[*limitedConn]struct{}{}}
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit and closes those beyond it.
 func (g *limitListener) Accept() (net.Conn, error) {
 	for {
 		c, err := g.Listener.Accept()
@@ -39,6 +40,7 @@
 	}
 }
 
+// track registers the connection, or returns nil if the limit is reached.
 func (g *limitListener) track(c net.Conn) net.Conn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +52,7 @@
 	return x
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and removes it from the listener's open connections.
 func (c *limitedConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.open, c)
@@ -58,6 +60,7 @@
 	return c.Conn.Close()
 }
 
+// closeAll closes the listener and all open connections.
 func (g *limitListener) closeAll() {
 	_ = g.Close()
 	g.mu.Lock()
--- a/fakes/target/target.go
+++ b/fakes/target/target.go
@@ -20,7 +20,7 @@
 	maxBodyBytes       = 64 << 20
 )
 
-// Target is one stand-in of a target; it is safe for concurrent use.
+// Target is a fake target VM. It is safe for concurrent use.
 type Target struct {
 	name       string
 	slots      int64
@@ -28,63 +28,64 @@
 	rebootTime time.Duration
 	runTime    func(*rand.Rand) time.Duration
 
-	running  atomic.Int64
-	handling  atomic.Int64
-	draining atomic.Bool
-	rebooting     atomic.Bool
-	fault    atomic.Pointer[Fault]
-	count    counter
-	reboots  chan reboot
-	ready    chan struct{}
-
-	mu    sync.Mutex
-	rand  *rand.Rand
-	addr  string
-	ctlAddr   string
-	pool  string
-	boot  int64
-	bootEnded  chan struct{}
+	running   atomic.Int64 // requests that occupy a slot
+	handling  atomic.Int64 // requests in handle, including those about to be refused
+	draining  atomic.Bool
+	rebooting atomic.Bool
+	fault     atomic.Pointer[Fault]
+	count     counter
+	reboots   chan reboot
+	ready     chan struct{}
+
+	mu         sync.Mutex
+	rand       *rand.Rand
+	addr       string
+	ctlAddr    string
+	pool       string
+	boot       int64
+	bootEnded  chan struct{} // closed when the current boot ends
 	drainStart time.Time
 }
 
+// reboot is a request to stop the target and start it again after downtime.
 type reboot struct {
-	planned bool
-	downtime   time.Duration
+	planned  bool
+	downtime time.Duration
 }
 
-// Option changes a Target at its making.
+// Option configures a Target.
 type Option func(*Target)
 
-// WithName sets the name that answers carry.
+// WithName sets the name that responses carry.
 func WithName(s string) Option { return func(t *Target) { t.name = s } }
 
-// WithSlots sets how many requests run at once.
+// WithSlots sets how many requests may run at once.
 func WithSlots(n int) Option { return func(t *Target) { t.slots = int64(n) } }
 
 // WithConnections sets how many connections may be open at once.
 func WithConnections(n int) Option { return func(t *Target) { t.conns = n } }
 
-// WithRebootTime sets how long the target is away for a reboot.
+// WithRebootTime sets how long the target is unreachable during a reboot.
 func WithRebootTime(d time.Duration) Option { return func(t *Target) { t.rebootTime = d } }
 
-// WithSeed sets the seed of the run times.
+// WithSeed sets the seed of the random run times.
 func WithSeed(n uint64) Option {
 	return func(t *Target) { t.rand = rand.New(rand.NewPCG(n, 0)) }
 }
 
-// WithRunTime makes a request run for d.
+// WithRunTime makes every request run for d.
 func WithRunTime(d time.Duration) Option {
 	return func(t *Target) { t.runTime = func(*rand.Rand) time.Duration { return d } }
 }
 
-// WithRandomRunTime makes requests run for an exponentially distributed time of the given mean.
+// WithRandomRunTime makes requests run for an exponentially distributed time with the given mean.
 func WithRandomRunTime(mean time.Duration) Option {
 	return func(t *Target) {
 		t.runTime = func(r *rand.Rand) time.Duration { return time.Duration(r.ExpFloat64() * float64(mean)) }
 	}
 }
 
-// New returns a target with 8 slots and 64 connections that answers at once.
+// New returns a target with 8 slots, 64 connections, a run time of 0 and a reboot time of 1 s.
 func New(opts ...Option) *Target {
 	t := &Target{
 		name: "target", slots: defaultSlots, conns: defaultConnections, rebootTime: defaultRebootTime,
@@ -99,7 +100,7 @@
 	return t
 }
 
-// Addrs waits until the target serves and returns the addresses of its requests and of its control.
+// Addrs waits until the target listens and returns its request address and its control address.
 func (t *Target) Addrs(ctx context.Context) (addr, ctl string, err error) {
 	select {
 	case <-t.ready:
@@ -111,7 +112,7 @@
 	return t.addr, t.ctlAddr, nil
 }
 
-// Serve serves requests on addr and control on ctlAddr until ctx ends; it returns an error if an address cannot be had.
+// Serve serves requests on addr and control calls on ctlAddr until ctx ends. It returns an error if it cannot listen on one of them.
 func (t *Target) Serve(ctx context.Context, addr, ctlAddr string) error {
 	var c net.ListenConfig
 	l, err := c.Listen(ctx, "tcp", addr)
@@ -133,7 +134,7 @@
 	return g.Wait()
 }
 
-// serveBoots serves from boot to boot.
+// serveBoots serves requests until ctx ends, and after each reboot listens on the same address again.
 func (t *Target) serveBoots(ctx context.Context, l net.Listener) error {
 	for {
 		r, err := t.serveBoot(ctx, l)
@@ -149,7 +150,7 @@
 	}
 }
 
-// serveBoot serves one boot and returns the reboot that ended it.
+// serveBoot serves requests until the next reboot and returns that reboot. It returns the zero reboot if ctx ended.
 func (t *Target) serveBoot(ctx context.Context, l net.Listener) (reboot, error) {
 	b, cancel := context.WithCancel(ctx)
 	g, b := errgroup.WithContext(b)
@@ -160,9 +161,9 @@
 	t.mu.Unlock()
 	t.draining.Store(false)
 	t.rebooting.Store(false)
-	gate := newLimitListener(l, t.conns, &t.count.refusedConns)
+	limited := newLimitListener(l, t.conns, &t.count.refusedConns)
 	var r reboot
-	g.Go(func() error { return serve(b, gate, t.handle, t.name) })
+	g.Go(func() error { return serve(b, limited, t.handle, t.name) })
 	g.Go(func() error {
 		select {
 		case r = <-t.reboots:
@@ -171,7 +172,7 @@
 		case <-b.Done():
 		}
 		close(down)
-		gate.closeAll()
+		limited.closeAll()
 		cancel()
 		return nil
 	})
@@ -180,6 +181,7 @@
 	return r, err
 }
 
+// listenAgain listens on the old address. It makes up to 50 further attempts, 20 ms apart.
 func (t *Target) listenAgain(ctx context.Context) (net.Listener, error) {
 	var c net.ListenConfig
 	l, err := c.Listen(ctx, "tcp", t.addr)
@@ -207,6 +209,7 @@
 	return nil
 }
 
+// sleep waits for d, or returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	k := time.NewTimer(d)
 	defer k.Stop()
--- a/fakes/target/target_test.go
+++ b/fakes/target/target_test.go
@@ -23,7 +23,7 @@
 	client    fasthttp.Client
 }
 
-// start serves a target until the test ends.
+// start runs a target until the test ends.
 func start(t *testing.T, opts ...target.Option) *rig {
 	r := &rig{T: t, is: is.New(t), target: target.New(opts...)}
 	r.client.MaxIdemponentCallAttempts = 1
@@ -42,7 +42,7 @@
 	return r
 }
 
-// call sends a request whose headers are given as name, value and so on.
+// call sends a request. The headers alternate between name and value.
 func (r *rig) call(timeout time.Duration, headers ...string) (*fasthttp.Response, error) {
 	q, a := &fasthttp.Request{}, &fasthttp.Response{}
 	q.SetRequestURI("http://" + r.addr + "/order")
@@ -64,6 +64,7 @@
 	r.is.Equal(a.StatusCode(), 200)
 }
 
+// expectStatus sends a request and checks the status of its response.
 func (r *rig) expectStatus(status int, headers ...string) *fasthttp.Response {
 	r.Helper()
 	a, err := r.call(callTimeout, headers...)
