--- a/proof/rig/caller.go
+++ b/proof/rig/caller.go
@@ -75,7 +75,7 @@
 // Await returns when ok does; the test fails after half a minute.
 func (r *Rig) Await(what string, ok func() bool) {
 	r.T.Helper()
-	limit := time.Now().Add(startWithin)
+	limit := time.Now().Add(awaitTimeout)
 	for !ok() {
 		if time.Now().After(limit) {
 			r.T.Fatalf("not in time: %s", what)
@@ -101,7 +101,7 @@
 	for k := range n {
 		l.group.Go(func() error {
 			for i := 0; x.Err() == nil; i++ {
-				l.one(fmt.Sprintf("k%d-%d", k, i), k+i, entries())
+				l.sendUntilAnswered(fmt.Sprintf("k%d-%d", k, i), k+i, entries())
 			}
 			return nil
 		})
@@ -109,13 +109,13 @@
 	return l
 }
 
-// one sends one keyed request, and its repeats, until it is answered or three copies were sent.
-func (l *Load) one(key string, turn int, to []*Entry) {
+// sendUntilAnswered sends sendUntilAnswered keyed request, and its repeats, until it is answered or three copies were sent.
+func (l *Load) sendUntilAnswered(key string, turn int, to []*Entry) {
 	const copies = 3
 	for i := range copies {
 		a := to[(turn+i)%len(to)].Ask(Request{
-			Method: "POST", Path: "/order", Key: key, Body: order(key), Wait: 5 * time.Second,
-			Head: map[string]string{"Fake-Answer-Bytes": strconv.Itoa(turn * 997 % largestAnswer)},
+			Method: "POST", Path: "/order", Key: key, Body: orderBody(key), Wait: 5 * time.Second,
+			Head: map[string]string{"Fake-Answer-Bytes": strconv.Itoa(turn * 997 % maxAnswerBytes)},
 		})
 		l.mu.Lock()
 		l.answers[key] = append(l.answers[key], a)
@@ -127,14 +127,14 @@
 	}
 }
 
-// largestAnswer bounds the answers of a load, in bytes; some are too large to be kept for repeats.
-const largestAnswer = 20_000
+// maxAnswerBytes bounds the answers of a load, in bytes; some are too large to be kept for repeats.
+const maxAnswerBytes = 20_000
 
-func order(key string) string { return "order " + key }
+func orderBody(key string) string { return "order " + key }
 
-// foul returns what is wrong with an answer of the target to the key's request: that it is cut, or another request's.
-func foul(key string, a Answer) string {
-	own := strconv.FormatUint(xxhash.Sum64String(order(key)), 16)
+// answerFault returns what is wrong with an answer of the target to the key's request: that it is cut, or another request's.
+func answerFault(key string, a Answer) string {
+	own := strconv.FormatUint(xxhash.Sum64String(orderBody(key)), 16)
 	switch {
 	case a.Status >= fasthttp.StatusInternalServerError:
 		return ""
@@ -182,7 +182,7 @@
 			case "answered", "repeat":
 				answered++
 				only = false
-				if w := foul(k, a); w != "" {
+				if w := answerFault(k, a); w != "" {
 					r.T.Errorf("key %s got %s", k, w)
 				}
 				if runs[k] != 1 {
--- a/proof/rig/operate.go
+++ b/proof/rig/operate.go
@@ -11,7 +11,7 @@
 	"burdockreach.dev/plat/conf"
 )
 
-const operateWithin = 10 * time.Second
+const operatorTimeout = 10 * time.Second
 
 // Change asks the entry's operators' API for a change; an error means that no answer came.
 func (e *Entry) Change(c conf.Change) (oper.ChangeReply, error) {
@@ -20,20 +20,20 @@
 		return oper.ChangeReply{}, err
 	}
 	var r oper.ChangeReply
-	return r, e.operate("POST", "/op/change", b, &r)
+	return r, e.callOperatorAPI("POST", "/op/change", b, &r)
 }
 
 // Applied returns the newest change in force at the entry.
 func (e *Entry) Applied() (conf.Number, error) {
 	var r oper.Applied
-	err := e.operate("GET", "/op/applied", nil, &r)
+	err := e.callOperatorAPI("GET", "/op/applied", nil, &r)
 	return r.Newest, err
 }
 
 // Teams returns the teams that are in force at the entry, by name, with the number of their last change.
 func (e *Entry) Teams() (map[string]conf.Number, error) {
 	var r oper.Objects[conf.TeamSpec]
-	if err := e.operate("GET", "/op/teams", nil, &r); err != nil {
+	if err := e.callOperatorAPI("GET", "/op/teams", nil, &r); err != nil {
 		return nil, err
 	}
 	m := make(map[string]conf.Number)
@@ -43,7 +43,7 @@
 	return m, nil
 }
 
-func (e *Entry) operate(method, path string, body []byte, v any) error {
+func (e *Entry) callOperatorAPI(method, path string, body []byte, v any) error {
 	var q fasthttp.Request
 	var a fasthttp.Response
 	q.Header.SetMethod(method)
@@ -52,7 +52,7 @@
 	q.SetBody(body)
 	q.SetConnectionClose()
 	c := fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	if err := c.DoTimeout(&q, &a, operateWithin); err != nil {
+	if err := c.DoTimeout(&q, &a, operatorTimeout); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(a.Body(), v); err != nil {
@@ -73,7 +73,7 @@
 	q.Header.SetMethod("POST")
 	q.SetRequestURI("http://" + r.Cloud.ControlAddr() + path)
 	q.SetBody(b)
-	if err := fasthttp.DoTimeout(&q, &a, operateWithin); err != nil || a.StatusCode() != fasthttp.StatusOK {
+	if err := fasthttp.DoTimeout(&q, &a, operatorTimeout); err != nil || a.StatusCode() != fasthttp.StatusOK {
 		r.T.Fatalf("%s: %v %s", path, err, a.Body())
 	}
 }
@@ -96,7 +96,7 @@
 
 // Revive thaws the entry, or starts it when its process has ended.
 func (e *Entry) Revive() {
-	if e.life() == "" {
+	if e.processName() == "" {
 		e.Start()
 		return
 	}
@@ -110,7 +110,7 @@
 	r.Await("leader of "+dataCentre, func() bool {
 		for _, e := range r.running() {
 			var l oper.Entries
-			if e.DataCentre != dataCentre || e.operate("GET", "/op/entries", nil, &l) != nil {
+			if e.DataCentre != dataCentre || e.callOperatorAPI("GET", "/op/entries", nil, &l) != nil {
 				continue
 			}
 			for _, o := range l.Items {
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	startWithin = 30 * time.Second
-	stopWithin  = 20 * time.Second
+	awaitTimeout = 30 * time.Second
+	stopTimeout  = 20 * time.Second
 )
 
 // Plan says what a rig is made of, for each data centre.
@@ -56,7 +56,7 @@
 	Targets  map[string]*target.Target
 	Entries  []*Entry
 	Holder   *conf.Holder
-	commit   *conf.Committer
+	committer   *conf.Committer
 	spares   map[string]bool // VMs that begin in the spare pool
 	plan     Plan
 	dir, bin string
@@ -70,10 +70,10 @@
 	Name, DataCentre, Caller, Peer, Operator string
 
 	rig  *Rig
-	file string
+	settingsFile string
 	mu   sync.Mutex
 	cmd  *exec.Cmd
-	done chan struct{}
+	exited chan struct{}
 	log  *os.File
 }
 
@@ -114,13 +114,13 @@
 	vms := r.startTargets()
 	for d := range p.DataCentres {
 		for range p.Entries {
-			vms = append(vms, r.plant(DataCentre(d)))
+			vms = append(vms, r.addEntry(DataCentre(d)))
 		}
 	}
 	r.startCloud(vms)
 	r.configure()
 	for _, e := range r.Entries {
-		e.write()
+		e.writeSettings()
 		e.Start()
 	}
 	for _, e := range r.Entries {
@@ -139,12 +139,12 @@
 	r.cancel()
 	_ = r.group.Wait()
 	if r.T.Failed() {
-		r.dump()
+		r.logTails()
 	}
 }
 
-// dump shows the last lines of each entry's log.
-func (r *Rig) dump() {
+// logTails shows the last lines of each entry's log.
+func (r *Rig) logTails() {
 	const tail = 3000
 	for _, e := range r.Entries {
 		b, _ := os.ReadFile(e.log.Name())
@@ -159,7 +159,7 @@
 		for k := range r.plan.Targets + r.plan.Spares {
 			w := hosts.Wire{
 				ID: fmt.Sprintf("%s-w%d", DataCentre(d), k+1), DataCentre: DataCentre(d), Rack: fmt.Sprintf("%s-r%d", DataCentre(d), k/2+1),
-				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freePair(r.T),
+				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freeTargetAddr(r.T),
 			}
 			if k >= r.plan.Targets {
 				w.Pool = Spare
@@ -175,7 +175,7 @@
 func (r *Rig) startTarget(w hosts.Wire) {
 	t := target.New(target.WithName(w.ID), target.WithRunTime(r.plan.RunTime), target.WithRebootTime(r.plan.Reboot))
 	r.Targets[w.ID] = t
-	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, control(w.Addr)) })
+	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, controlAddr(w.Addr)) })
 }
 
 func (r *Rig) startCloud(vms []hosts.Wire) {
@@ -187,7 +187,7 @@
 
 // configure commits the service, its pool, its profile, the team and its approval.
 func (r *Rig) configure() {
-	r.commit = conf.NewCommitter(r.Cloud.Store(), r.Holder)
+	r.committer = conf.NewCommitter(r.Cloud.Store(), r.Holder)
 	vms := r.plan.Targets * r.plan.DataCentres
 	for _, c := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{
@@ -207,17 +207,17 @@
 func (r *Rig) Commit(c conf.Change) conf.Number {
 	r.T.Helper()
 	c.By, c.Op = "rig", fmt.Sprintf("rig-%d-%d", time.Now().UnixNano(), r.Holder.Document().Number())
-	x, cancel := context.WithTimeout(r.ctx, startWithin)
+	x, cancel := context.WithTimeout(r.ctx, awaitTimeout)
 	defer cancel()
-	n, err := r.commit.Commit(x, c)
+	n, err := r.committer.Commit(x, c)
 	if err != nil {
 		r.T.Fatal(err)
 	}
 	return n
 }
 
-// plant makes one more entry of the data centre, which is not started, and returns its line in the platform's list.
-func (r *Rig) plant(dataCentre string) hosts.Wire {
+// addEntry makes one more entry of the data centre, which is not started, and returns its line in the platform's list.
+func (r *Rig) addEntry(dataCentre string) hosts.Wire {
 	n := 1
 	for _, e := range r.Entries {
 		if e.DataCentre == dataCentre {
@@ -239,16 +239,16 @@
 	r.T.Helper()
 	old.Kill()
 	r.Platform("/vm/fail", map[string]any{"id": old.Name})
-	w := r.plant(old.DataCentre)
+	w := r.addEntry(old.DataCentre)
 	r.Platform("/vm/add", w)
 	e := r.Entries[len(r.Entries)-1]
-	e.write()
+	e.writeSettings()
 	e.Start()
 	return e
 }
 
-// write writes the entry's settings file.
-func (e *Entry) write() {
+// writeSettings writes the entry's settings file.
+func (e *Entry) writeSettings() {
 	var all []string
 	peers := []string{}
 	for d := range e.rig.plan.DataCentres {
@@ -267,8 +267,8 @@
 	if err != nil {
 		e.rig.T.Fatal(err)
 	}
-	e.file = filepath.Join(e.rig.dir, e.Name+".json")
-	if err := os.WriteFile(e.file, b, 0o600); err != nil {
+	e.settingsFile = filepath.Join(e.rig.dir, e.Name+".json")
+	if err := os.WriteFile(e.settingsFile, b, 0o600); err != nil {
 		e.rig.T.Fatal(err)
 	}
 	if e.log, err = os.Create(filepath.Join(e.rig.dir, e.Name+".log")); err != nil {
@@ -280,13 +280,13 @@
 func (e *Entry) Start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := exec.CommandContext(e.rig.ctx, e.rig.bin, "entry", "-settings", e.file)
+	c := exec.CommandContext(e.rig.ctx, e.rig.bin, "entry", "-settings", e.settingsFile)
 	c.Stdout, c.Stderr = e.log, e.log
 	if err := c.Start(); err != nil {
 		e.rig.T.Fatal(err)
 	}
-	e.cmd, e.done = c, make(chan struct{})
-	done := e.done
+	e.cmd, e.exited = c, make(chan struct{})
+	done := e.exited
 	e.rig.group.Go(func() error {
 		defer close(done)
 		_ = c.Wait() // the state tells how it ended
@@ -298,22 +298,22 @@
 func (r *Rig) running() []*Entry {
 	var l []*Entry
 	for _, e := range r.Entries {
-		if e.life() != "" {
+		if e.processName() != "" {
 			l = append(l, e)
 		}
 	}
 	return l
 }
 
-// life names the running process; it is empty while none runs.
-func (e *Entry) life() string {
+// processName names the running process; it is empty while none runs.
+func (e *Entry) processName() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd == nil {
 		return ""
 	}
 	select {
-	case <-e.done:
+	case <-e.exited:
 		return ""
 	default:
 		return fmt.Sprintf("%s/%d", e.Name, e.cmd.Process.Pid)
@@ -332,7 +332,7 @@
 // Kill ends the process at once and returns when it is gone.
 func (e *Entry) Kill() {
 	e.signal(syscall.SIGKILL)
-	e.wait()
+	e.awaitExit()
 }
 
 // Freeze stops the process's clock and work; Thaw lets it go on.
@@ -344,17 +344,17 @@
 // Stop ends the process by SIGTERM and returns its exit status.
 func (e *Entry) Stop() int {
 	e.signal(syscall.SIGTERM)
-	e.wait()
+	e.awaitExit()
 	return e.cmd.ProcessState.ExitCode()
 }
 
-func (e *Entry) wait() {
+func (e *Entry) awaitExit() {
 	if e.cmd == nil {
 		return
 	}
 	select {
-	case <-e.done:
-	case <-time.After(stopWithin):
+	case <-e.exited:
+	case <-time.After(stopTimeout):
 		e.rig.T.Errorf("%s does not end", e.Name)
 		e.signal(syscall.SIGKILL)
 	}
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -16,36 +16,36 @@
 
 // Watcher looks at the fleet from outside all the time and notes what must never be seen.
 type Watcher struct {
-	r      *Rig
+	rig      *Rig
 	group  errgroup.Group
 	cancel context.CancelFunc
 
 	mu     sync.Mutex
-	wrong  map[string]bool
-	looks  int
-	newest map[string]conf.Number // by life of an entry
+	violations  map[string]bool
+	poolReads  int
+	newestChange map[string]conf.Number // by life of an entry
 
 	outSince map[string]time.Time // of the budget's look alone
-	planned  map[string]bool
-	spare    map[string]bool
+	plannedOut  map[string]bool
+	spareVMs    map[string]bool
 }
 
-// lookEvery is the time between looks.
-const lookEvery = 15 * time.Millisecond
+// pollInterval is the time between looks.
+const pollInterval = 15 * time.Millisecond
 
 // Watch starts a watcher of one pool for each VM, of the availability budget and of the configuration's numbers.
 func (r *Rig) Watch() *Watcher {
 	x, cancel := context.WithCancel(r.ctx)
-	w := &Watcher{r: r, cancel: cancel, wrong: make(map[string]bool), newest: make(map[string]conf.Number),
-		outSince: make(map[string]time.Time), planned: make(map[string]bool), spare: r.spares}
-	w.group.Go(func() error { return w.every(x, w.lookAtPools) })
-	w.group.Go(func() error { return w.every(x, w.lookAtBudget) })
-	w.group.Go(func() error { return w.every(x, w.lookAtNumbers) })
+	w := &Watcher{rig: r, cancel: cancel, violations: make(map[string]bool), newestChange: make(map[string]conf.Number),
+		outSince: make(map[string]time.Time), plannedOut: make(map[string]bool), spareVMs: r.spares}
+	w.group.Go(func() error { return w.poll(x, w.checkPools) })
+	w.group.Go(func() error { return w.poll(x, w.checkBudget) })
+	w.group.Go(func() error { return w.poll(x, w.checkChangeNumbers) })
 	return w
 }
 
-func (w *Watcher) every(ctx context.Context, look func(context.Context)) error {
-	t := time.NewTicker(lookEvery)
+func (w *Watcher) poll(ctx context.Context, look func(context.Context)) error {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		look(ctx)
@@ -58,28 +58,28 @@
 	}
 }
 
-func (w *Watcher) blame(format string, a ...any) {
+func (w *Watcher) addViolation(format string, a ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrong[fmt.Sprintf(format, a...)] = true
+	w.violations[fmt.Sprintf(format, a...)] = true
 }
 
 // Stop ends the watch and fails the test for all that was wrong.
 func (w *Watcher) Stop() {
-	w.r.T.Helper()
+	w.rig.T.Helper()
 	w.cancel()
 	_ = w.group.Wait()
-	for s := range w.wrong {
-		w.r.T.Error(s)
+	for s := range w.violations {
+		w.rig.T.Error(s)
 	}
-	if w.looks == 0 {
-		w.r.T.Error("nothing was looked at")
+	if w.poolReads == 0 {
+		w.rig.T.Error("nothing was looked at")
 	}
 }
 
-// lookAtPools reads one state of the whole membership, as any reader of the service can see it.
-func (w *Watcher) lookAtPools(ctx context.Context) {
-	items, _, err := w.r.Cloud.Store().List(ctx, "dc/", "", 1000)
+// checkPools reads one state of the whole membership, as any reader of the service can see it.
+func (w *Watcher) checkPools(ctx context.Context) {
+	items, _, err := w.rig.Cloud.Store().List(ctx, "dc/", "", 1000)
 	if err != nil {
 		return
 	}
@@ -88,19 +88,19 @@
 		if !strings.Contains(i.Key(), "/vms/") {
 			continue
 		}
-		for _, m := range members(i) {
+		for _, m := range shardMembers(i) {
 			if o, ok := in[m.VM]; ok {
-				w.blame("VM %s stands in %s and in %s", m.VM, o, i.Key())
+				w.addViolation("VM %s stands in %s and in %s", m.VM, o, i.Key())
 			}
 			in[m.VM] = i.Key()
 		}
 	}
 	w.mu.Lock()
-	w.looks++
+	w.poolReads++
 	w.mu.Unlock()
 }
 
-func members(i keyval.Item) []pool.Member {
+func shardMembers(i keyval.Item) []pool.Member {
 	var n int
 	k := i.Key()
 	if _, err := fmt.Sscanf(k[strings.LastIndex(k, "/")+1:], "%d", &n); err != nil {
@@ -118,17 +118,17 @@
 	return l
 }
 
-// knownWithin is the time in which a leader may not yet know that a VM has failed.
-const knownWithin = 3 * time.Second
+// detectionDelay is the time in which a leader may not yet know that a VM has failed.
+const detectionDelay = 3 * time.Second
 
-// lookAtBudget counts the targets of the service that are out, as the targets themselves know, and blames a planned stop
+// checkBudget counts the targets of the service that are out, as the targets themselves know, and blames a planned stop
 // that begins while the profile's number has been out for a while.
-func (w *Watcher) lookAtBudget(context.Context) {
+func (w *Watcher) checkBudget(context.Context) {
 	now := time.Now()
 	old, begun := 0, ""
-	for n, t := range w.r.Targets {
+	for n, t := range w.rig.Targets {
 		s := t.Brief()
-		if s.Pool == Spare || w.spare[n] && s.Pool == "" || !s.Draining && !s.Away {
+		if s.Pool == Spare || w.spareVMs[n] && s.Pool == "" || !s.Draining && !s.Away {
 			delete(w.outSince, n)
 			continue
 		}
@@ -138,29 +138,29 @@
 			if s.Draining {
 				begun = n
 			}
-		} else if now.Sub(since) > knownWithin || w.planned[n] {
+		} else if now.Sub(since) > detectionDelay || w.plannedOut[n] {
 			old++
 		}
-		w.planned[n] = s.Draining || known && w.planned[n]
+		w.plannedOut[n] = s.Draining || known && w.plannedOut[n]
 	}
-	if limit := max(1, w.r.plan.MaxOut); begun != "" && old >= limit {
-		w.blame("planned stop of %s began while %d targets were out, the profile allows %d", begun, old, limit)
+	if limit := max(1, w.rig.plan.MaxOut); begun != "" && old >= limit {
+		w.addViolation("planned stop of %s began while %d targets were out, the profile allows %d", begun, old, limit)
 	}
 }
 
-// lookAtNumbers asks each entry for its newest change.
-func (w *Watcher) lookAtNumbers(context.Context) {
-	for _, e := range w.r.running() {
-		life := e.life()
+// checkChangeNumbers asks each entry for its newest change.
+func (w *Watcher) checkChangeNumbers(context.Context) {
+	for _, e := range w.rig.running() {
+		life := e.processName()
 		n, err := e.Applied()
-		if err != nil || e.life() != life {
+		if err != nil || e.processName() != life {
 			continue
 		}
 		w.mu.Lock()
-		if n < w.newest[life] {
-			w.wrong[fmt.Sprintf("%s went back from change %d to %d", life, w.newest[life], n)] = true
+		if n < w.newestChange[life] {
+			w.violations[fmt.Sprintf("%s went back from change %d to %d", life, w.newestChange[life], n)] = true
 		}
-		w.newest[life] = n
+		w.newestChange[life] = n
 		w.mu.Unlock()
 	}
 }
