--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,2 +1,2 @@
-// Package proof holds the tests that kill, freeze and cut off entries that run as processes of their own.
+// Package proof holds the tests that run entries as separate processes and kill, freeze and disconnect them.
 package proof
--- a/proof/rig/caller.go
+++ b/proof/rig/caller.go
@@ -13,25 +13,25 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Answer is what a caller got.
+// Answer is the response to one request, or the error that took its place.
 type Answer struct {
 	Status  int
-	Outcome string // the header Burdock-Outcome; empty when no whole answer came
+	Outcome string // the header Burdock-Outcome; empty without a complete response
 	Mark    string // the header Burdock-Request
 	Body    string
-	Asked   string // digest of the request's body, as the target saw it
-	Sent    string // digest of the answer's body, as the target sent it
+	Asked   string // digest of the request body that the target received
+	Sent    string // digest of the response body that the target sent
 	Err     error
 }
 
-// Request is what a caller asks for.
+// Request is a caller's request to the service.
 type Request struct {
 	Method, Path, Key, Body string
 	Head                    map[string]string
 	Wait                    time.Duration
 }
 
-// Ask sends one request to the entry, once.
+// Ask sends the request to the entry, on a new connection and without retries.
 func (e *Entry) Ask(q Request) Answer {
 	var r fasthttp.Request
 	var a fasthttp.Response
@@ -60,41 +60,41 @@
 	}
 }
 
-// Healthy reports whether the entry's health page is good.
+// Healthy reports whether the entry's health page answers 200.
 func (e *Entry) Healthy() bool {
 	s, _, err := fasthttp.GetTimeout(nil, "http://"+e.Caller+"/health", time.Second)
 	return err == nil && s == fasthttp.StatusOK
 }
 
-// AwaitReady returns when the entry takes new work.
+// AwaitReady waits until the entry is healthy.
 func (e *Entry) AwaitReady() {
 	e.rig.T.Helper()
 	e.rig.Await("ready "+e.Name, e.Healthy)
 }
 
-// Await returns when ok does; the test fails after half a minute.
+// Await polls ok until it returns true. The test fails after 30 s.
 func (r *Rig) Await(what string, ok func() bool) {
 	r.T.Helper()
 	limit := time.Now().Add(awaitTimeout)
 	for !ok() {
 		if time.Now().After(limit) {
-			r.T.Fatalf("not in time: %s", what)
+			r.T.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Load sends keyed requests from several callers at once, each to the entries by turns, until it is stopped.
+// Load sends requests with idempotency keys from several concurrent callers, each to the entries in turn, until it is stopped.
 type Load struct {
 	rig    *Rig
 	group  errgroup.Group
 	cancel context.CancelFunc
 
 	mu      sync.Mutex
-	answers map[string][]Answer // by key, in order of sending
+	answers map[string][]Answer // by key, in the order in which the copies were sent
 }
 
-// StartLoad starts n callers; each sends every request once, and a repeat through another entry when the outcome was not an answer.
+// StartLoad starts n callers. Each sends one request after the other, and copies of a request to other entries until one is answered.
 func (r *Rig) StartLoad(n int, entries func() []*Entry) *Load {
 	x, cancel := context.WithCancel(r.ctx)
 	l := &Load{rig: r, cancel: cancel, answers: make(map[string][]Answer)}
@@ -109,7 +109,7 @@
 	return l
 }
 
-// sendUntilAnswered sends sendUntilAnswered keyed request, and its repeats, until it is answered or three copies were sent.
+// sendUntilAnswered sends up to three copies of the key's request, each to the next entry, until one is answered.
 func (l *Load) sendUntilAnswered(key string, turn int, to []*Entry) {
 	const copies = 3
 	for i := range copies {
@@ -127,19 +127,20 @@
 	}
 }
 
-// maxAnswerBytes bounds the answers of a load, in bytes; some are too large to be kept for repeats.
+// maxAnswerBytes is the limit of the response sizes of a load. Some responses are too large for entries to keep them for repeated requests.
 const maxAnswerBytes = 20_000
 
 func orderBody(key string) string { return "order " + key }
 
-// answerFault returns what is wrong with an answer of the target to the key's request: that it is cut, or another request's.
+// answerFault describes what is wrong with the target's response to the key's request: that it is truncated or belongs to another
+// request. It returns "" for a correct response and does not check those with status 500 and above.
 func answerFault(key string, a Answer) string {
 	own := strconv.FormatUint(xxhash.Sum64String(orderBody(key)), 16)
 	switch {
 	case a.Status >= fasthttp.StatusInternalServerError:
 		return ""
 	case a.Outcome == "answered" && a.Sent != strconv.FormatUint(xxhash.Sum64String(a.Body), 16):
-		return "a part of an answer"
+		return "a response whose body does not match the digest that the target sent"
 	case a.Outcome == "answered" && a.Asked != own:
 		return "another request's answer"
 	case a.Outcome == "repeat" && len(a.Body) > len(own)*8 && !strings.Contains(a.Body, own):
@@ -148,14 +149,14 @@
 	return ""
 }
 
-// Stop ends the load and returns every answer by key.
+// Stop ends the load and returns all answers by key.
 func (l *Load) Stop() map[string][]Answer {
 	l.cancel()
 	_ = l.group.Wait()
 	return l.answers
 }
 
-// Runs returns how often each key was run, summed over the targets.
+// Runs returns the number of runs of each key, summed over the targets.
 func (r *Rig) Runs() map[string]int {
 	m := make(map[string]int)
 	for _, t := range r.Targets {
@@ -166,7 +167,8 @@
 	return m
 }
 
-// Judge fails the test for each key that ran twice, was answered without a run, ran after "not run" alone, or got a foreign answer.
+// Judge fails the test for each key that ran more than once, was answered without a run, ran although every copy got "not-run",
+// or got a response that was truncated or belongs to another request. It returns the number of answers by outcome.
 func (r *Rig) Judge(answers map[string][]Answer) (answered, notRun, unknown int) {
 	r.T.Helper()
 	runs := r.Runs()
@@ -186,7 +188,7 @@
 					r.T.Errorf("key %s got %s", k, w)
 				}
 				if runs[k] != 1 {
-					r.T.Errorf("key %s was answered and ran %d times", k, runs[k])
+					r.T.Errorf("key %s was answered, but ran %d times instead of once", k, runs[k])
 				}
 			case "not-run":
 				notRun++
@@ -196,13 +198,14 @@
 			}
 		}
 		if only && runs[k] > 0 {
-			r.T.Errorf("key %s ran, and every copy was told that it was not run", k)
+			r.T.Errorf("key %s ran, but every copy got the outcome not-run", k)
 		}
 	}
 	return answered, notRun, unknown
 }
 
-// Counts sums what the targets counted.
+// Counts returns sums of the targets' counters: keys that ran more than once, requests beyond the slots,
+// requests during a drain, and requests that planned stops interrupted.
 func (r *Rig) Counts() (doubled, overSlots, whileLeaving, cut int64) {
 	for _, t := range r.Targets {
 		n := t.Runs()
--- a/proof/rig/operate.go
+++ b/proof/rig/operate.go
@@ -13,7 +13,7 @@
 
 const operatorTimeout = 10 * time.Second
 
-// Change asks the entry's operators' API for a change; an error means that no answer came.
+// Change requests a configuration change from the entry's operator API. An error means that no valid response came.
 func (e *Entry) Change(c conf.Change) (oper.ChangeReply, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -23,14 +23,14 @@
 	return r, e.callOperatorAPI("POST", "/op/change", b, &r)
 }
 
-// Applied returns the newest change in force at the entry.
+// Applied returns the number of the newest change that the entry has applied.
 func (e *Entry) Applied() (conf.Number, error) {
 	var r oper.Applied
 	err := e.callOperatorAPI("GET", "/op/applied", nil, &r)
 	return r.Newest, err
 }
 
-// Teams returns the teams that are in force at the entry, by name, with the number of their last change.
+// Teams returns the teams that the entry has applied: the number of the last change of each, by the team's name.
 func (e *Entry) Teams() (map[string]conf.Number, error) {
 	var r oper.Objects[conf.TeamSpec]
 	if err := e.callOperatorAPI("GET", "/op/teams", nil, &r); err != nil {
@@ -43,6 +43,7 @@
 	return m, nil
 }
 
+// callOperatorAPI sends one request to the entry's operator API and decodes the JSON response into v.
 func (e *Entry) callOperatorAPI(method, path string, body []byte, v any) error {
 	var q fasthttp.Request
 	var a fasthttp.Response
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Platform calls the stand-in of the platform.
+// Platform sends a call to the control address of the fake platform and fails the test if it is not accepted.
 func (r *Rig) Platform(path string, body any) {
 	r.T.Helper()
 	b, err := json.Marshal(body)
@@ -78,7 +79,7 @@
 	}
 }
 
-// Wave asks for a maintenance wave over the service's pool, in the background, through whichever entry takes it.
+// Wave requests a maintenance wave over the service's pool. In the background, it tries the running entries until one accepts.
 func (r *Rig) Wave(id string) {
 	entries := r.running()
 	r.group.Go(func() error {
@@ -94,7 +95,7 @@
 	})
 }
 
-// Revive thaws the entry, or starts it when its process has ended.
+// Revive starts the entry if its process has exited, and thaws it otherwise.
 func (e *Entry) Revive() {
 	if e.processName() == "" {
 		e.Start()
@@ -103,7 +104,7 @@
 	e.Thaw()
 }
 
-// Leader returns the entry that leads the data centre.
+// Leader waits until an entry of the data centre reports that it is the leader, and returns that entry.
 func (r *Rig) Leader(dataCentre string) *Entry {
 	r.T.Helper()
 	var found *Entry
--- a/proof/rig/ports.go
+++ b/proof/rig/ports.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	firstPort   = 11_000 // below the range from which outgoing connections take theirs
-	lastPort    = 30_000
-	portsPerProcess  = 300  // ports between the first ones of two test processes
-	controlOffset = 1000 // from a target's port to its control port
+	firstPort       = 11_000 // ports up to lastPort are below the range of ephemeral ports, so that no outgoing connection takes one
+	lastPort        = 30_000
+	portsPerProcess = 300  // offset between the first ports of test processes with consecutive process IDs
+	controlOffset   = 1000 // offset of a target's control port from its request port
 )
 
 var (
 	portMu   sync.Mutex
 	nextPort = firstPort + os.Getpid()*portsPerProcess%(lastPort-firstPort)
-	reserved    = make(map[int]bool)
+	reserved = make(map[int]bool)
 )
 
 // controlAddr returns the controlAddr address of the target at addr.
@@ -30,20 +30,20 @@
 	return net.JoinHostPort(h, strconv.Itoa(n+controlOffset))
 }
 
-// Free returns a loopback address that nothing listens on and that no outgoing connection can take.
+// Free returns a loopback address that is not in use and whose port is not an ephemeral port.
 func Free(t testing.TB) string {
 	t.Helper()
 	return address(reserve(t, 0))
 }
 
-// freeTargetAddr returns a free address whose control address is free too.
+// freeTargetAddr returns a free address for a target whose control address is free too.
 func freeTargetAddr(t testing.TB) string {
 	t.Helper()
 	return address(reserve(t, controlOffset))
 }
 
-// reserve returns a port that is free, and so is the one that stands step above.
-func reserve(t testing.TB, step int) int {
+// reserve returns a free port. The port that lies offset above it is free too, and both are reserved in this test process.
+func reserve(t testing.TB, offset int) int {
 	t.Helper()
 	portMu.Lock()
 	defer portMu.Unlock()
@@ -52,10 +52,10 @@
 		if nextPort++; nextPort >= lastPort {
 			nextPort = firstPort
 		}
-		if reserved[n] || reserved[n+step] || !canListen(n) || !canListen(n+step) {
+		if reserved[n] || reserved[n+offset] || !canListen(n) || !canListen(n+offset) {
 			continue
 		}
-		reserved[n], reserved[n+step] = true, true
+		reserved[n], reserved[n+offset] = true, true
 		return n
 	}
 	t.Fatal("no free port")
@@ -64,7 +64,7 @@
 
 func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// canListen reports whether the port can be listened on now.
+// canListen reports whether the port is free to listen on.
 func canListen(port int) bool {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address(port))
 	if err != nil {
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -22,7 +22,7 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// Names and tokens that every rig uses.
+// Names and tokens that are the same in every rig.
 const (
 	Service = "orders"
 	Team    = "kitchen"
@@ -37,44 +37,44 @@
 	stopTimeout  = 20 * time.Second
 )
 
-// Plan says what a rig is made of, for each data centre.
+// Plan sets the size and the timing of a rig.
 type Plan struct {
 	DataCentres int
-	Entries     int // in each data centre
-	Targets     int // of the service in each data centre
-	Spares      int // in each data centre
-	RunTime     time.Duration
-	MaxOut      int
-	Reboot      time.Duration
-	Lag         time.Duration
+	Entries     int           // in each data centre
+	Targets     int           // targets of the service, in each data centre
+	Spares      int           // targets that start in the spare pool, in each data centre
+	RunTime     time.Duration // of a request at a target
+	MaxOut      int           // VMs of the service that may be out at once, planned and unplanned together
+	Reboot      time.Duration // downtime of a VM during a reboot
+	Lag         time.Duration // age of the platform's VM list
 }
 
-// Rig is a running fleet.
+// Rig is a running fleet: fake platform, fake targets and entry processes.
 type Rig struct {
-	T        testing.TB
-	Cloud    *cloud.Server
-	Targets  map[string]*target.Target
-	Entries  []*Entry
-	Holder   *conf.Holder
-	committer   *conf.Committer
-	spares   map[string]bool // VMs that begin in the spare pool
-	plan     Plan
-	dir, bin string
-	group    *errgroup.Group
-	ctx      context.Context
-	cancel   context.CancelFunc
+	T         testing.TB
+	Cloud     *cloud.Server
+	Targets   map[string]*target.Target
+	Entries   []*Entry
+	Holder    *conf.Holder
+	committer *conf.Committer
+	spares    map[string]bool // VMs that start in the spare pool
+	plan      Plan
+	dir, bin  string
+	group     *errgroup.Group
+	ctx       context.Context
+	cancel    context.CancelFunc
 }
 
-// Entry is one entry process.
+// Entry is an entry with its addresses and its process, if one runs.
 type Entry struct {
 	Name, DataCentre, Caller, Peer, Operator string
 
-	rig  *Rig
+	rig          *Rig
 	settingsFile string
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	exited chan struct{}
-	log  *os.File
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	log          *os.File
 }
 
 var (
@@ -83,7 +83,7 @@
 	buildErr  error
 )
 
-// Binary builds the program once for all tests of a package, and returns its path.
+// Binary builds burdockreach once for each test process and returns the path of the program.
 func Binary(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -104,7 +104,7 @@
 	return builtPath
 }
 
-// New starts a fleet and returns when every entry is ready; it is stopped when the test ends.
+// New starts a fleet, waits until every entry is ready, and stops the fleet when the test ends.
 func New(t testing.TB, p Plan) *Rig {
 	t.Helper()
 	r := &Rig{T: t, plan: p, dir: t.TempDir(), bin: Binary(t), Targets: make(map[string]*target.Target), Holder: conf.NewHolder(), spares: make(map[string]bool)}
@@ -143,7 +143,7 @@
 	}
 }
 
-// logTails shows the last lines of each entry's log.
+// logTails writes the last 3000 bytes of each entry's log to the test's log.
 func (r *Rig) logTails() {
 	const tail = 3000
 	for _, e := range r.Entries {
@@ -152,7 +152,7 @@
 	}
 }
 
-// startTargets starts the targets and returns the platform's list of them.
+// startTargets starts the targets and returns them as items of the platform's VM list.
 func (r *Rig) startTargets() []hosts.Wire {
 	var l []hosts.Wire
 	for d := range r.plan.DataCentres {
@@ -203,7 +203,7 @@
 	}
 }
 
-// Commit makes c the next change and returns its number.
+// Commit writes c as the next configuration change, straight to the platform's store, and returns its number.
 func (r *Rig) Commit(c conf.Change) conf.Number {
 	r.T.Helper()
 	c.By, c.Op = "rig", fmt.Sprintf("rig-%d-%d", time.Now().UnixNano(), r.Holder.Document().Number())
@@ -216,7 +216,7 @@
 	return n
 }
 
-// addEntry makes one more entry of the data centre, which is not started, and returns its line in the platform's list.
+// addEntry adds an entry to the data centre without starting it and returns it as an item of the platform's VM list.
 func (r *Rig) addEntry(dataCentre string) hosts.Wire {
 	n := 1
 	for _, e := range r.Entries {
@@ -234,7 +234,8 @@
 	}
 }
 
-// Replace ends the entry's VM for good and starts a new VM with another name in its place; the new entry is not yet ready.
+// Replace kills the entry, makes its VM fail permanently at the platform, and starts an entry with another name on a new VM.
+// It does not wait until the new entry is ready.
 func (r *Rig) Replace(old *Entry) *Entry {
 	r.T.Helper()
 	old.Kill()
@@ -289,12 +290,12 @@
 	done := e.exited
 	e.rig.group.Go(func() error {
 		defer close(done)
-		_ = c.Wait() // the state tells how it ended
+		_ = c.Wait() // Stop reads the exit status from ProcessState
 		return nil
 	})
 }
 
-// running returns the entries whose processes run.
+// running returns the entries whose process is running, frozen ones included.
 func (r *Rig) running() []*Entry {
 	var l []*Entry
 	for _, e := range r.Entries {
@@ -305,7 +306,7 @@
 	return l
 }
 
-// processName names the running process; it is empty while none runs.
+// processName returns the entry's name and process ID, or "" if no process runs.
 func (e *Entry) processName() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -320,7 +321,7 @@
 	}
 }
 
-// signal sends s to the process if it runs.
+// signal sends s to the entry's process, if it was started.
 func (e *Entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -329,25 +330,26 @@
 	}
 }
 
-// Kill ends the process at once and returns when it is gone.
+// Kill sends SIGKILL to the process and waits for its exit.
 func (e *Entry) Kill() {
 	e.signal(syscall.SIGKILL)
 	e.awaitExit()
 }
 
-// Freeze stops the process's clock and work; Thaw lets it go on.
+// Freeze suspends the process by SIGSTOP until Thaw.
 func (e *Entry) Freeze() { e.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process by SIGCONT.
 func (e *Entry) Thaw() { e.signal(syscall.SIGCONT) }
 
-// Stop ends the process by SIGTERM and returns its exit status.
+// Stop sends SIGTERM to the process, waits for its exit and returns its exit status.
 func (e *Entry) Stop() int {
 	e.signal(syscall.SIGTERM)
 	e.awaitExit()
 	return e.cmd.ProcessState.ExitCode()
 }
 
+// awaitExit waits for the process's exit. After stopTimeout it fails the test and kills the process.
 func (e *Entry) awaitExit() {
 	if e.cmd == nil {
 		return
@@ -355,11 +357,12 @@
 	select {
 	case <-e.exited:
 	case <-time.After(stopTimeout):
-		e.rig.T.Errorf("%s does not end", e.Name)
+		e.rig.T.Errorf("entry %s did not exit in time", e.Name)
 		e.signal(syscall.SIGKILL)
 	}
 }
 
+// digest returns the hexadecimal SHA-256 digest of the token, as the configuration stores it.
 func digest(token string) string {
 	s := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(s[:])
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -14,26 +14,27 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// Watcher looks at the fleet from outside all the time and notes what must never be seen.
+// Watcher polls the fleet's state from outside and collects violations of its invariants.
 type Watcher struct {
-	rig      *Rig
+	rig    *Rig
 	group  errgroup.Group
 	cancel context.CancelFunc
 
-	mu     sync.Mutex
-	violations  map[string]bool
-	poolReads  int
-	newestChange map[string]conf.Number // by life of an entry
+	mu           sync.Mutex
+	violations   map[string]bool
+	poolReads    int
+	newestChange map[string]conf.Number // by the entry's process name
 
-	outSince map[string]time.Time // of the budget's look alone
-	plannedOut  map[string]bool
-	spareVMs    map[string]bool
+	outSince   map[string]time.Time // by VM, as are the next two; only checkBudget uses the three
+	plannedOut map[string]bool
+	spareVMs   map[string]bool
 }
 
-// pollInterval is the time between looks.
+// pollInterval is the time between two checks of the same kind.
 const pollInterval = 15 * time.Millisecond
 
-// Watch starts a watcher of one pool for each VM, of the availability budget and of the configuration's numbers.
+// Watch starts a watcher. It checks that each VM is in one pool only, that planned stops respect the availability budget,
+// and that the change numbers of entries never go back.
 func (r *Rig) Watch() *Watcher {
 	x, cancel := context.WithCancel(r.ctx)
 	w := &Watcher{rig: r, cancel: cancel, violations: make(map[string]bool), newestChange: make(map[string]conf.Number),
@@ -44,14 +45,15 @@
 	return w
 }
 
-func (w *Watcher) poll(ctx context.Context, look func(context.Context)) error {
+// poll calls check every pollInterval until ctx ends, and then once more.
+func (w *Watcher) poll(ctx context.Context, check func(context.Context)) error {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		look(ctx)
+		check(ctx)
 		select {
 		case <-ctx.Done():
-			look(context.WithoutCancel(ctx)) // what the watch ends with
+			check(context.WithoutCancel(ctx)) // also checks the final state
 			return nil
 		case <-t.C:
 		}
@@ -64,7 +66,7 @@
 	w.violations[fmt.Sprintf(format, a...)] = true
 }
 
-// Stop ends the watch and fails the test for all that was wrong.
+// Stop ends the checks and fails the test for each violation, and if the pools were never read.
 func (w *Watcher) Stop() {
 	w.rig.T.Helper()
 	w.cancel()
@@ -73,11 +75,11 @@
 		w.rig.T.Error(s)
 	}
 	if w.poolReads == 0 {
-		w.rig.T.Error("nothing was looked at")
+		w.rig.T.Error("the watcher never read the pools")
 	}
 }
 
-// checkPools reads one state of the whole membership, as any reader of the service can see it.
+// checkPools reads all shards of the pool membership from the platform's store in one call and checks that no VM is in two of them.
 func (w *Watcher) checkPools(ctx context.Context) {
 	items, _, err := w.rig.Cloud.Store().List(ctx, "dc/", "", 1000)
 	if err != nil {
@@ -90,7 +92,7 @@
 		}
 		for _, m := range shardMembers(i) {
 			if o, ok := in[m.VM]; ok {
-				w.addViolation("VM %s stands in %s and in %s", m.VM, o, i.Key())
+				w.addViolation("VM %s is listed in both %s and %s", m.VM, o, i.Key())
 			}
 			in[m.VM] = i.Key()
 		}
@@ -100,6 +102,7 @@
 	w.mu.Unlock()
 }
 
+// shardMembers decodes the members of the shard that is stored in i. It returns nil if i is not a valid shard.
 func shardMembers(i keyval.Item) []pool.Member {
 	var n int
 	k := i.Key()
@@ -118,14 +121,14 @@
 	return l
 }
 
-// detectionDelay is the time in which a leader may not yet know that a VM has failed.
+// detectionDelay is the longest time that a leader may take to detect the failure of a VM.
 const detectionDelay = 3 * time.Second
 
-// checkBudget counts the targets of the service that are out, as the targets themselves know, and blames a planned stop
-// that begins while the profile's number has been out for a while.
+// checkBudget checks, by the targets' own state, that no planned stop begins while as many targets of the service are out as the profile
+// allows. It counts only targets that are out by a planned stop or for longer than detectionDelay.
 func (w *Watcher) checkBudget(context.Context) {
 	now := time.Now()
-	old, begun := 0, ""
+	knownOut, stopping := 0, ""
 	for n, t := range w.rig.Targets {
 		s := t.Brief()
 		if s.Pool == Spare || w.spareVMs[n] && s.Pool == "" || !s.Draining && !s.Away {
@@ -136,19 +139,19 @@
 		if !known {
 			w.outSince[n] = now
 			if s.Draining {
-				begun = n
+				stopping = n
 			}
 		} else if now.Sub(since) > detectionDelay || w.plannedOut[n] {
-			old++
+			knownOut++
 		}
 		w.plannedOut[n] = s.Draining || known && w.plannedOut[n]
 	}
-	if limit := max(1, w.rig.plan.MaxOut); begun != "" && old >= limit {
-		w.addViolation("planned stop of %s began while %d targets were out, the profile allows %d", begun, old, limit)
+	if limit := max(1, w.rig.plan.MaxOut); stopping != "" && knownOut >= limit {
+		w.addViolation("planned stop of %s began while %d targets were out; the profile allows %d", stopping, knownOut, limit)
 	}
 }
 
-// checkChangeNumbers asks each entry for its newest change.
+// checkChangeNumbers reads the newest applied change of each entry and checks that it never decreases within one process.
 func (w *Watcher) checkChangeNumbers(context.Context) {
 	for _, e := range w.rig.running() {
 		life := e.processName()
