--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -27,20 +27,20 @@
 
 // failure brings something about and undoes it after it has lasted.
 type failure struct {
-	name string
-	do   func(r *rig.Rig, rnd *rand.Rand) (undo func())
+	name   string
+	inject func(r *rig.Rig, rnd *rand.Rand) (undo func())
 }
 
-func pick(r *rig.Rig, rnd *rand.Rand) *rig.Entry { return r.Entries[rnd.IntN(len(r.Entries))] }
+func randomEntry(r *rig.Rig, rnd *rand.Rand) *rig.Entry { return r.Entries[rnd.IntN(len(r.Entries))] }
 
-func platform(m cloud.Mode, delay int64) func(*rig.Rig, *rand.Rand) func() {
+func platformFault(m cloud.Mode, delay int64) func(*rig.Rig, *rand.Rand) func() {
 	return func(r *rig.Rig, _ *rand.Rand) func() {
 		r.Cloud.Fault(cloud.Fault{Mode: m, DelayMillis: delay})
 		return func() { r.Cloud.Fault(cloud.Fault{Mode: cloud.Up}) }
 	}
 }
 
-func misbehave(m target.Mode) func(*rig.Rig, *rand.Rand) func() {
+func targetFault(m target.Mode) func(*rig.Rig, *rand.Rand) func() {
 	return func(r *rig.Rig, rnd *rand.Rand) func() {
 		names := slices.Sorted(maps.Keys(r.Targets))
 		t := r.Targets[names[rnd.IntN(len(names))]]
@@ -52,36 +52,36 @@
 func failures() []failure {
 	return []failure{
 		{"kill and start an entry", func(r *rig.Rig, rnd *rand.Rand) func() {
-			e := pick(r, rnd)
+			e := randomEntry(r, rnd)
 			e.Kill()
 			return e.Start
 		}},
 		{"freeze an entry", func(r *rig.Rig, rnd *rand.Rand) func() {
-			e := pick(r, rnd)
+			e := randomEntry(r, rnd)
 			e.Freeze()
 			return e.Thaw
 		}},
 		{"cut an entry from the platform", func(r *rig.Rig, rnd *rand.Rand) func() {
-			e := pick(r, rnd)
+			e := randomEntry(r, rnd)
 			r.Cloud.Fault(cloud.Fault{Mode: cloud.Cut, Clients: []string{e.Name}})
 			return func() { r.Cloud.Fault(cloud.Fault{Mode: cloud.Join}) }
 		}},
-		{"platform down", platform(cloud.Down, 0)},
-		{"platform refuses", platform(cloud.Refuse, 0)},
-		{"platform silent", platform(cloud.Silent, 0)},
-		{"platform slow", platform(cloud.Slow, 400)},
-		{"platform loses answers", platform(cloud.Lose, 0)},
+		{"platform down", platformFault(cloud.Down, 0)},
+		{"platform refuses", platformFault(cloud.Refuse, 0)},
+		{"platform silent", platformFault(cloud.Silent, 0)},
+		{"platform slow", platformFault(cloud.Slow, 400)},
+		{"platform loses answers", platformFault(cloud.Lose, 0)},
 		{"crash a target", func(r *rig.Rig, rnd *rand.Rand) func() {
 			names := slices.Sorted(maps.Keys(r.Targets))
 			r.Targets[names[rnd.IntN(len(names))]].Reboot(false)
 			return func() {}
 		}},
-		{"cut answers", misbehave(target.Cut)},
-		{"longer answers", misbehave(target.Longer)},
-		{"wrong marks", misbehave(target.WrongMark)},
-		{"silent connections", misbehave(target.Silent)},
-		{"idle connections closed", misbehave(target.CloseIdle)},
-		{"late answers", misbehave(target.Late)},
+		{"cut answers", targetFault(target.Cut)},
+		{"longer answers", targetFault(target.Longer)},
+		{"wrong marks", targetFault(target.WrongMark)},
+		{"silent connections", targetFault(target.Silent)},
+		{"idle connections closed", targetFault(target.CloseIdle)},
+		{"late answers", targetFault(target.Late)},
 	}
 }
 
@@ -105,7 +105,7 @@
 				case <-o.stop:
 					return nil
 				case <-time.After(100 * time.Millisecond):
-					o.one(entries[rnd.IntN(len(entries))], fmt.Sprintf("team-%d-%d", k, i))
+					o.addTeam(entries[rnd.IntN(len(entries))], fmt.Sprintf("team-%d-%d", k, i))
 				}
 			}
 		})
@@ -113,7 +113,7 @@
 	return o
 }
 
-func (o *operators) one(e *rig.Entry, team string) {
+func (o *operators) addTeam(e *rig.Entry, team string) {
 	c := conf.Change{
 		Op: "op-" + team, By: "operator", Kind: conf.PutTeam,
 		Team: &conf.TeamSpec{Name: team, TokenDigest: fmt.Sprintf("%064x", []byte(team))},
@@ -130,8 +130,8 @@
 	}
 }
 
-// judge fails the test unless every entry has what was accepted, with its number, and nothing that was not.
-func (o *operators) judge(t *testing.T, r *rig.Rig) {
+// check fails the test unless every entry has what was accepted, with its number, and nothing that was not.
+func (o *operators) check(t *testing.T, r *rig.Rig) {
 	t.Helper()
 	for _, e := range r.Entries {
 		var teams map[string]conf.Number
@@ -165,14 +165,14 @@
 	r := rig.New(t, rig.Plan{
 		DataCentres: 1, Entries: 3, Targets: 4, RunTime: 10 * time.Millisecond, MaxOut: 1, Reboot: 300 * time.Millisecond,
 	})
-	w, o, l := r.Watch(), startOperators(r, *chaosSeed, 2), r.StartLoad(12, all(r))
+	w, o, l := r.Watch(), startOperators(r, *chaosSeed, 2), r.StartLoad(12, allEntries(r))
 	f := failures()
 	for k := range *chaosSteps {
 		a, b := f[rnd.IntN(len(f))], f[rnd.IntN(len(f))]
 		t.Logf("step %d: %s, %s", k, a.name, b.name)
-		undoA := a.do(r, rnd)
+		undoA := a.inject(r, rnd)
 		time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
-		undoB := b.do(r, rnd)
+		undoB := b.inject(r, rnd)
 		if k%4 == 0 {
 			r.Wave(fmt.Sprintf("w%d", k))
 		}
@@ -191,7 +191,7 @@
 	}
 	time.Sleep(time.Second)
 	answered, notRun, unknown := r.Judge(l.Stop())
-	o.judge(t, r)
+	o.check(t, r)
 	w.Stop()
 	_, over, leaving, cut := r.Counts()
 	t.Logf("seed %d: answered %d, not run %d, unknown %d; accepted %d changes; oversent %d, while leaving %d",
--- a/proof/fail_test.go
+++ b/proof/fail_test.go
@@ -11,15 +11,15 @@
 	"burdockreach.dev/proof/rig"
 )
 
-const callers = 16
+const loadCallers = 16
 
 // TestKilledEntryDoublesNothing kills the entry that leads in the middle of a load, and starts it again empty.
 func TestKilledEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries = 3
 	r := rig.New(t, p)
-	l := r.StartLoad(callers, all(r))
+	l := r.StartLoad(loadCallers, allEntries(r))
 	time.Sleep(500 * time.Millisecond)
 	for _, e := range r.Entries[:2] {
 		e.Kill()
@@ -36,10 +36,10 @@
 // TestFrozenEntryDoublesNothing freezes an entry past its lease and its place in the roster, in the middle of its sends.
 func TestFrozenEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries = 3
 	r := rig.New(t, p)
-	l := r.StartLoad(callers, all(r))
+	l := r.StartLoad(loadCallers, allEntries(r))
 	time.Sleep(500 * time.Millisecond)
 	r.Entries[0].Freeze()
 	time.Sleep(7 * time.Second)
@@ -53,8 +53,8 @@
 // TestServiceDownGoesOnServing takes the platform's service away; what is configured goes on, and nothing goes back.
 func TestServiceDownGoesOnServing(t *testing.T) {
 	i := is.New(t)
-	r := rig.New(t, small())
-	l := r.StartLoad(callers, all(r))
+	r := rig.New(t, smallPlan())
+	l := r.StartLoad(loadCallers, allEntries(r))
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Down})
 	time.Sleep(4 * time.Second)
 	before := r.Runs()
@@ -70,11 +70,11 @@
 // TestWaveCutsNothing maintains every VM of the pool under load.
 func TestWaveCutsNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Targets = 3
 	p.RunTime = 50 * time.Millisecond
 	r := rig.New(t, p)
-	l := r.StartLoad(8, all(r))
+	l := r.StartLoad(8, allEntries(r))
 	r.Commit(conf.Change{Kind: conf.PutWave, Wave: &conf.WaveSpec{ID: "w1", Pools: []string{rig.Pool}}})
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
@@ -97,7 +97,7 @@
 // TestStopCutsNothing stops an entry by SIGTERM under load.
 func TestStopCutsNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.RunTime = 100 * time.Millisecond
 	r := rig.New(t, p)
 	rest := r.Entries[1:]
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -13,20 +13,20 @@
 	"burdockreach.dev/proof/rig"
 )
 
-// fleetWait is how long entries may take to own the jobs.
-const fleetWait = 20 * time.Second
+// ownerTimeout is how long entries may take to own the jobs.
+const ownerTimeout = 20 * time.Second
 
 // TestFleetCommand asks the command line of a running installation what runs there.
 func TestFleetCommand(t *testing.T) {
 	is := is.New(t)
 	s := newSoak(t, 1)
 	read := func(into any, arg ...string) {
-		b, err := exec.Command(rig.Binary(t), append(append([]string{"fleet"}, arg...), "-settings", s.entries[0].file)...).Output()
+		b, err := exec.Command(rig.Binary(t), append(append([]string{"fleet"}, arg...), "-settings", s.entries[0].settingsFile)...).Output()
 		is.NoErr(err)
 		is.NoErr(json.Unmarshal(b, into))
 	}
 	var f site.Status
-	for end := time.Now().Add(fleetWait); time.Now().Before(end) && (f.Owner == "" || len(f.Entries) < *soakEntries || len(f.Services) < 2); {
+	for end := time.Now().Add(ownerTimeout); time.Now().Before(end) && (f.Owner == "" || len(f.Entries) < *soakEntries || len(f.Services) < 2); {
 		read(&f)
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -38,7 +38,7 @@
 	var j site.JobStatus
 	read(&j, "-job", "0123456789abcdef")
 	is.True(j.Accepted == nil && j.Progress == nil)
-	out, err := exec.Command(rig.Binary(t), "fleet", "-job", "x", "-settings", s.entries[0].file).CombinedOutput()
+	out, err := exec.Command(rig.Binary(t), "fleet", "-job", "x", "-settings", s.entries[0].settingsFile).CombinedOutput()
 	is.True(err != nil)
 	is.True(strings.Contains(string(out), `field "job" is x, want 16 hexadecimal digits`))
 }
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -15,7 +15,7 @@
 // TestNewcomerDuringOutage starts an entry again, empty, while the platform's service is down: its peers bring it up to date.
 func TestNewcomerDuringOutage(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries = 3
 	r := rig.New(t, p)
 	n := r.Commit(conf.Change{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "last"}})
@@ -23,7 +23,7 @@
 		r.Await("change at "+e.Name, func() bool { m, err := e.Applied(); return err == nil && m >= n })
 	}
 	w := r.Watch()
-	l := r.StartLoad(callers, all(r))
+	l := r.StartLoad(loadCallers, allEntries(r))
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Refuse})
 	e := r.Entries[0]
 	e.Kill()
@@ -45,7 +45,7 @@
 // TestServiceComesBackOlder restores an older state of the platform's service, from which the newest changes are missing.
 func TestServiceComesBackOlder(t *testing.T) {
 	i := is.New(t)
-	r := rig.New(t, small())
+	r := rig.New(t, smallPlan())
 	r.Cloud.Save()
 	var last conf.Number
 	for k := range 5 {
@@ -73,17 +73,17 @@
 // TestEveryEntryReplacedDuringWave replaces each entry's VM by a new one, one after the other within a minute, under load and a wave.
 func TestEveryEntryReplacedDuringWave(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries, p.Targets, p.RunTime = 3, 4, 20*time.Millisecond
 	r := rig.New(t, p)
 	w := r.Watch()
-	live := newRota(r.Entries)
+	live := newEntryList(r.Entries)
 	l := r.StartLoad(8, live.get)
 	r.Wave("w1")
 	for _, e := range r.Entries[:3] {
 		n := r.Replace(e)
 		n.AwaitReady()
-		live.swap(e, n)
+		live.replace(e, n)
 	}
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
@@ -104,7 +104,7 @@
 // TestOtherDataCentresEntryKnowsTheKey sends copies of one request to entries of two data centres.
 func TestOtherDataCentresEntryKnowsTheKey(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.DataCentres = 2
 	r := rig.New(t, p)
 	for k := range 20 {
@@ -125,8 +125,8 @@
 // TestLeavingTargetWithServiceDown makes a target leave while the platform's service is down.
 func TestLeavingTargetWithServiceDown(t *testing.T) {
 	i := is.New(t)
-	r := rig.New(t, small())
-	l := r.StartLoad(8, all(r))
+	r := rig.New(t, smallPlan())
+	l := r.StartLoad(8, allEntries(r))
 	time.Sleep(300 * time.Millisecond)
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Down})
 	x := r.Targets["dc1-w1"]
@@ -134,25 +134,25 @@
 	time.Sleep(4 * time.Second)
 	n := x.Brief()
 	i.True(n.WhileLeaving > 0)
-	i.True(n.LeavingLastMs <= leavingWithin.Milliseconds()) // the last request that came to it after it left
+	i.True(n.LeavingLastMs <= leavingLimit.Milliseconds()) // the last request that came to it after it left
 	answered, notRun, unknown := r.Judge(l.Stop())
 	t.Logf("answered %d, not run %d, unknown %d; %d came while leaving, the last after %d ms", answered, notRun, unknown, n.WhileLeaving, n.LeavingLastMs)
 	i.Equal(unknown, 0)
 }
 
-// leavingWithin is the time after which a leaving target gets nothing new.
-const leavingWithin = 2 * time.Second
+// leavingLimit is the time after which a leaving target gets nothing new.
+const leavingLimit = 2 * time.Second
 
 // TestFrozenLeaderStopsNothingTwice freezes the leader past its lease in the middle of a wave and lets it go on later.
 func TestFrozenLeaderStopsNothingTwice(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries, p.Targets = 3, 4
 	r := rig.New(t, p)
 	w := r.Watch()
-	l := r.StartLoad(8, all(r))
+	l := r.StartLoad(8, allEntries(r))
 	r.Wave("w1")
-	r.Await("the wave's first stop", func() bool { return out(r) > 0 })
+	r.Await("the wave's first stop", func() bool { return targetsOut(r) > 0 })
 	e := r.Leader("dc1")
 	e.Freeze()
 	time.Sleep(5 * time.Second)
@@ -176,8 +176,8 @@
 	}
 }
 
-// out counts the targets that take no work.
-func out(r *rig.Rig) int {
+// targetsOut counts the targets that take no work.
+func targetsOut(r *rig.Rig) int {
 	n := 0
 	for _, x := range r.Targets {
 		if s := x.Brief(); s.Draining || s.Away {
@@ -190,7 +190,7 @@
 // TestDataCentreLost freezes every entry of a data centre and takes its targets away; the other one goes on.
 func TestDataCentreLost(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.DataCentres = 2
 	r := rig.New(t, p)
 	near := r.Entries[:2]
--- a/proof/path_test.go
+++ b/proof/path_test.go
@@ -9,16 +9,16 @@
 	"burdockreach.dev/proof/rig"
 )
 
-func small() rig.Plan {
+func smallPlan() rig.Plan {
 	return rig.Plan{DataCentres: 1, Entries: 2, Targets: 2, RunTime: 5 * time.Millisecond, MaxOut: 1, Reboot: 300 * time.Millisecond}
 }
 
-// all returns every entry, for a load that goes to each by turns.
-func all(r *rig.Rig) func() []*rig.Entry { return func() []*rig.Entry { return r.Entries } }
+// allEntries returns every entry, for a load that goes to each by turns.
+func allEntries(r *rig.Rig) func() []*rig.Entry { return func() []*rig.Entry { return r.Entries } }
 
 func TestOrderIsServedWhole(t *testing.T) {
 	i := is.New(t)
-	r := rig.New(t, small())
+	r := rig.New(t, smallPlan())
 	a := r.Entries[0].Ask(rig.Request{Method: "POST", Path: "/order", Key: "k1", Body: "one tray"})
 	i.NoErr(a.Err)
 	i.Equal(a.Outcome, "answered")
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -32,11 +32,11 @@
 
 // Flags of the soak: go test ./proof -run TestSoak -soak.seed=7 -soak.seeds=50 -soak.for=20s.
 var (
-	soakSeed    = flag.Uint64("soak.seed", 1, "first seed of TestSoak")
-	soakSeeds   = flag.Uint64("soak.seeds", 2, "seeds that TestSoak plays")
-	soakFor     = flag.Duration("soak.for", 9*time.Second, "time under faults for each seed")
-	soakEntries = flag.Int("soak.entries", 3, "entry processes")
-	soakWorkers = flag.Int("soak.workers", 6, "workers of each of two services")
+	soakSeed     = flag.Uint64("soak.seed", 1, "first seed of TestSoak")
+	soakSeeds    = flag.Uint64("soak.seeds", 2, "seeds that TestSoak plays")
+	soakDuration = flag.Duration("soak.for", 9*time.Second, "time under faults for each seed")
+	soakEntries  = flag.Int("soak.entries", 3, "entry processes")
+	soakWorkers  = flag.Int("soak.workers", 6, "workers of each of two services")
 )
 
 // soakRegressions are seeds that failed once.
@@ -46,32 +46,32 @@
 }{}
 
 const (
-	soakHost   = "jobs.example"
-	soakSettle = 40 * time.Second // after the faults: a former owner's blind time, and the work that waits.
-	callerWait = 3 * time.Second
+	soakHost      = "jobs.example"
+	settleTimeout = 40 * time.Second // after the faults: a former owner's blind time, and the work that waits.
+	callerTimeout = 3 * time.Second
 )
 
 // soak is entries as processes in front of a stand-in of the platform.
 type soak struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	plant   *plant.Plant
-	entries []*siteProcess
-	http    *http.Client
-	next    int
-	ctx     context.Context //nolint:containedctx // the life of the soak
-	group   *errgroup.Group
+	t        *testing.T
+	rnd      *rand.Rand
+	plant    *plant.Plant
+	entries  []*entryProcess
+	client   *http.Client
+	jobCount int
+	ctx      context.Context //nolint:containedctx // the life of the soak
+	group    *errgroup.Group
 }
 
-// siteProcess is one entry process; its way to the store leads through a cutter.
-type siteProcess struct {
-	s      *soak
-	name   string
-	file   string
-	caller string
-	cut    *cutter.Cutter
-	cmd    *exec.Cmd
-	paused bool
+// entryProcess is one entry process; its way to the store leads through a cutter.
+type entryProcess struct {
+	soak         *soak
+	name         string
+	settingsFile string
+	callerAddr   string
+	storeProxy   *cutter.Cutter
+	cmd          *exec.Cmd
+	paused       bool
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
@@ -83,7 +83,7 @@
 	c, stop := context.WithCancel(context.Background())
 	s := &soak{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 3)), plant: p, ctx: c, group: &errgroup.Group{},
-		http: &http.Client{Timeout: callerWait, Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
+		client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
 	}
 	t.Cleanup(func() {
 		stop()
@@ -119,45 +119,45 @@
 
 func (s *soak) addEntry(i int) {
 	s.t.Helper()
-	e := &siteProcess{s: s, name: "entry-" + strconv.Itoa(i), caller: rig.Free(s.t)}
-	e.cut = cutter.New("127.0.0.1:0", s.plant.StoreAddr())
-	s.group.Go(func() error { return e.cut.Serve(s.ctx) })
-	store, err := e.cut.Addr(s.ctx)
+	e := &entryProcess{soak: s, name: "entry-" + strconv.Itoa(i), callerAddr: rig.Free(s.t)}
+	e.storeProxy = cutter.New("127.0.0.1:0", s.plant.StoreAddr())
+	s.group.Go(func() error { return e.storeProxy.Serve(s.ctx) })
+	store, err := e.storeProxy.Addr(s.ctx)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	b, err := json.Marshal(site.Settings{
-		Name: e.name, DataCentre: "z", CallerAddr: e.caller, ReadyAddr: rig.Free(s.t), PeerAddr: rig.Free(s.t), MetricsAddr: rig.Free(s.t),
+		Name: e.name, DataCentre: "z", CallerAddr: e.callerAddr, ReadyAddr: rig.Free(s.t), PeerAddr: rig.Free(s.t), MetricsAddr: rig.Free(s.t),
 		StoreAddr: store, MachinesAddr: s.plant.MachinesAddr(), LeaseMaxMs: floor.MaxLeaseMs, StatusSecs: 120,
 		DutyGapMs: 3000, GraceSecs: 4, Cores: 0.4, MemoryMB: 284, HelperWorkers: 6, LogLevel: "info",
 	})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	e.file = filepath.Join(s.t.TempDir(), e.name+".json")
-	if err := os.WriteFile(e.file, b, 0o600); err != nil {
+	e.settingsFile = filepath.Join(s.t.TempDir(), e.name+".json")
+	if err := os.WriteFile(e.settingsFile, b, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 	s.entries = append(s.entries, e)
 	e.start()
 }
 
-func (e *siteProcess) start() {
-	l, err := os.OpenFile(e.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (e *entryProcess) start() {
+	l, err := os.OpenFile(e.settingsFile+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		e.s.t.Fatal(err)
+		e.soak.t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	e.cmd = exec.Command(rig.Binary(e.s.t), "site", "-settings", e.file)
+	e.cmd = exec.Command(rig.Binary(e.soak.t), "site", "-settings", e.settingsFile)
 	e.cmd.Stdout, e.cmd.Stderr = l, l
 	if err := e.cmd.Start(); err != nil {
-		e.s.t.Fatal(err)
+		e.soak.t.Fatal(err)
 	}
 	e.paused = false
 }
 
 // kill ends the process by a signal and waits for its end.
-func (e *siteProcess) kill(sig syscall.Signal) {
+func (e *entryProcess) kill(sig syscall.Signal) {
 	if e.cmd == nil {
 		return
 	}
@@ -169,21 +169,21 @@
 	e.cmd, e.paused = nil, false
 }
 
-func (e *siteProcess) pause() {
+func (e *entryProcess) pause() {
 	if e.cmd != nil && !e.paused {
 		e.paused = e.cmd.Process.Signal(syscall.SIGSTOP) == nil
 	}
 }
 
-func (e *siteProcess) resume() {
+func (e *entryProcess) resume() {
 	if e.paused {
 		_ = e.cmd.Process.Signal(syscall.SIGCONT)
 		e.paused = false
 	}
 }
 
-// act brings one fault about, or ends one.
-func (s *soak) act() {
+// injectFault brings one fault about, or ends one.
+func (s *soak) injectFault() {
 	e := s.entries[s.rnd.IntN(len(s.entries))]
 	switch s.rnd.IntN(13) {
 	case 0:
@@ -195,10 +195,10 @@
 	case 3, 4, 5:
 		s.healEntry(e)
 	case 6:
-		e.cut.Stall()
+		e.storeProxy.Stall()
 	case 7:
-		e.cut.Cut()
-		e.cut.Refuse()
+		e.storeProxy.Cut()
+		e.storeProxy.Refuse()
 	case 8:
 		s.plant.SetStore(true, 0)
 	case 9:
@@ -210,10 +210,10 @@
 	}
 }
 
-func (s *soak) healEntry(e *siteProcess) {
+func (s *soak) healEntry(e *entryProcess) {
 	e.resume()
-	e.cut.Cut() // also ends stalled connections.
-	e.cut.Accept()
+	e.storeProxy.Cut() // also ends stalled connections.
+	e.storeProxy.Accept()
 	if e.cmd == nil {
 		e.start()
 	}
@@ -227,12 +227,12 @@
 	}
 }
 
-// job returns the next job: mostly two steps, now and then one whose tasks last.
-func (s *soak) job() batch.Job {
-	s.next++
+// nextJob returns the next nextJob: mostly two steps, now and then one whose tasks last.
+func (s *soak) nextJob() batch.Job {
+	s.jobCount++
 	x := plant.Spec{RunMs: int64(100 + s.rnd.IntN(400)), Fails: 30}
-	j := batch.Job{ID: fmt.Sprintf("%016x", s.next), Service: []string{"alpha", "beta"}[s.next%2], Attempts: 4, Spec: x.Encode()}
-	if s.next%40 == 1 {
+	j := batch.Job{ID: fmt.Sprintf("%016x", s.jobCount), Service: []string{"alpha", "beta"}[s.jobCount%2], Attempts: 4, Spec: x.Encode()}
+	if s.jobCount%40 == 1 {
 		j.Spec = plant.Spec{}.Encode()
 		j.Steps = []batch.Step{{Count: 3, Size: batch.Size{CPU: 1000, MemMB: 500}, EstimateMs: 500, Lasting: true, PerWorker: 1, MayMiss: 1}}
 		return j
@@ -271,12 +271,12 @@
 
 // call makes one request; status 0 means that no answer came.
 func (s *soak) call(method string, entry int, path string, body []byte) (int, []byte) {
-	q, err := http.NewRequestWithContext(s.ctx, method, "http://"+s.entries[entry].caller+path, bytes.NewReader(body))
+	q, err := http.NewRequestWithContext(s.ctx, method, "http://"+s.entries[entry].callerAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
 	q.Host = soakHost
-	a, err := s.http.Do(q)
+	a, err := s.client.Do(q)
 	if err != nil {
 		return 0, nil
 	}
@@ -288,8 +288,8 @@
 	return a.StatusCode, b
 }
 
-// state asks an entry how far a job is, until one answers.
-func (s *soak) state(j batch.Job) batch.State {
+// jobState asks an entry how far a job is, until one answers.
+func (s *soak) jobState(j batch.Job) batch.State {
 	for i := range 40 {
 		st, b := s.call(http.MethodGet, i%len(s.entries), "/"+j.Service+"/"+j.ID, nil)
 		var d struct {
@@ -306,18 +306,18 @@
 	return "unanswered"
 }
 
-// play hands jobs in under faults for d, heals, and waits for the accepted jobs.
-func (s *soak) play(d time.Duration) {
+// run hands jobs in under faults for d, heals, and waits for the accepted jobs.
+func (s *soak) run(d time.Duration) {
 	callers := errgroup.Group{}
 	callers.SetLimit(40)
 	end := time.Now().Add(d)
 	var fault time.Time
 	for time.Now().Before(end) {
 		if time.Now().After(fault) {
-			s.act()
+			s.injectFault()
 			fault = time.Now().Add(time.Duration(150+s.rnd.IntN(600)) * time.Millisecond)
 		}
-		j, first := s.job(), s.rnd.IntN(len(s.entries))
+		j, first := s.nextJob(), s.rnd.IntN(len(s.entries))
 		callers.TryGo(func() error { return s.submit(j, first) })
 		time.Sleep(time.Duration(20+s.rnd.IntN(40)) * time.Millisecond)
 	}
@@ -325,25 +325,25 @@
 	if err := callers.Wait(); err != nil {
 		s.t.Error(err)
 	}
-	s.settle()
+	s.checkJobs()
 }
 
-func (s *soak) settle() {
+func (s *soak) checkJobs() {
 	var all []*floor.Known
 	s.plant.Judge(func(g *floor.Judge) {
-		for i := range s.next {
+		for i := range s.jobCount {
 			if k := g.Find(fmt.Sprintf("%016x", i+1)); k != nil {
 				all = append(all, k)
 			}
 		}
 	})
 	states := map[string]batch.State{}
-	end := time.Now().Add(soakSettle)
+	end := time.Now().Add(settleTimeout)
 	for _, k := range all {
-		st := s.state(k.Job)
+		st := s.jobState(k.Job)
 		for k.Accepted && !k.Job.Steps[0].Lasting && st != batch.Completed && st != batch.Broke && time.Now().Before(end) {
 			time.Sleep(100 * time.Millisecond)
-			st = s.state(k.Job)
+			st = s.jobState(k.Job)
 		}
 		states[k.Job.ID] = st
 	}
@@ -366,8 +366,8 @@
 	}
 }
 
-// logs keeps the entries' logs of a seed that failed.
-func (s *soak) logs(seed uint64) {
+// keepLogs keeps the entries' keepLogs of a seed that failed.
+func (s *soak) keepLogs(seed uint64) {
 	if !s.t.Failed() {
 		return
 	}
@@ -378,7 +378,7 @@
 	}
 	var once sync.Once
 	for _, e := range s.entries {
-		b, err := os.ReadFile(e.file + ".log")
+		b, err := os.ReadFile(e.settingsFile + ".log")
 		if err == nil {
 			err = os.WriteFile(filepath.Join(d, e.name+".log"), b, 0o600)
 		}
@@ -395,8 +395,8 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			s := newSoak(t, seed)
 			time.Sleep(1500 * time.Millisecond)
-			s.play(*soakFor)
-			s.logs(seed)
+			s.run(*soakDuration)
+			s.keepLogs(seed)
 		})
 	}
 	for i := range *soakSeeds {
