--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -21,11 +21,11 @@
 )
 
 var (
-	chaosSeed  = flag.Uint64("chaos.seed", 1, "seed of the failures that TestFailuresTogether brings about")
-	chaosSteps = flag.Int("chaos.steps", 14, "number of failures that TestFailuresTogether brings about")
+	chaosSeed  = flag.Uint64("chaos.seed", 1, "seed of the failures that TestFailuresTogether injects")
+	chaosSteps = flag.Int("chaos.steps", 14, "number of steps of TestFailuresTogether, with two failures each")
 )
 
-// failure brings something about and undoes it after it has lasted.
+// failure is a failure that a test injects and ends later.
 type failure struct {
 	name   string
 	inject func(r *rig.Rig, rnd *rand.Rand) (undo func())
@@ -85,7 +85,7 @@
 	}
 }
 
-// operators change teams through random entries at once and remember what they were told.
+// operators are concurrent callers of the operator API that add teams through random entries and record the outcomes.
 type operators struct {
 	mu       sync.Mutex
 	accepted map[string]conf.Number
@@ -130,7 +130,8 @@
 	}
 }
 
-// check fails the test unless every entry has what was accepted, with its number, and nothing that was not.
+// check fails the test unless every entry has each accepted team with its change number and none of the rejected teams.
+// Teams with an unknown outcome may be present or absent.
 func (o *operators) check(t *testing.T, r *rig.Rig) {
 	t.Helper()
 	for _, e := range r.Entries {
@@ -142,7 +143,7 @@
 		})
 		for _, n := range o.rejected {
 			if _, ok := teams[n]; ok {
-				t.Errorf("%s has team %s, whose operator was told that it was not accepted", e.Name, n)
+				t.Errorf("entry %s has team %s, which was rejected", e.Name, n)
 			}
 		}
 	}
@@ -150,6 +151,7 @@
 
 var errMissing = errors.New("missing")
 
+// missing returns errMissing unless have contains every team of want with the same change number.
 func missing(want, have map[string]conf.Number) error {
 	for n, c := range want {
 		if have[n] != c {
@@ -159,7 +161,8 @@
 	return nil
 }
 
-// TestFailuresTogether brings failures about, two at a time, during a load, racing operators and maintenance waves.
+// TestFailuresTogether injects random failures, two at a time, during a load, concurrent operator changes and maintenance waves.
+// No request may run twice, be interrupted by a planned stop or get a wrong answer, and no accepted change may be lost.
 func TestFailuresTogether(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(*chaosSeed, 0))
 	r := rig.New(t, rig.Plan{
@@ -194,7 +197,7 @@
 	o.check(t, r)
 	w.Stop()
 	_, over, leaving, cut := r.Counts()
-	t.Logf("seed %d: answered %d, not run %d, unknown %d; accepted %d changes; oversent %d, while leaving %d",
+	t.Logf("seed %d: answered %d, not run %d, unknown %d; accepted %d changes; %d requests over the slots, %d while draining",
 		*chaosSeed, answered, notRun, unknown, len(o.accepted), over, leaving)
 	if cut > 0 {
 		t.Errorf("planned stops cut %d requests", cut)
--- a/proof/fail_test.go
+++ b/proof/fail_test.go
@@ -13,7 +13,8 @@
 
 const loadCallers = 16
 
-// TestKilledEntryDoublesNothing kills the entry that leads in the middle of a load, and starts it again empty.
+// TestKilledEntryDoublesNothing kills two of three entries, one after the other, during a load and restarts each without its state.
+// Requests whose entry died between send and answer must not run a second time.
 func TestKilledEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -33,7 +34,8 @@
 	i.True(answered > 0)
 }
 
-// TestFrozenEntryDoublesNothing freezes an entry past its lease and its place in the roster, in the middle of its sends.
+// TestFrozenEntryDoublesNothing freezes an entry during its sends, for longer than its lease and its membership in the roster last.
+// Requests that were in flight at the freeze must not run a second time.
 func TestFrozenEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -50,7 +52,8 @@
 	i.True(answered > 0)
 }
 
-// TestServiceDownGoesOnServing takes the platform's service away; what is configured goes on, and nothing goes back.
+// TestServiceDownGoesOnServing makes the platform unavailable during a load. The entries must keep serving the configured services,
+// without any refused request or unknown outcome.
 func TestServiceDownGoesOnServing(t *testing.T) {
 	i := is.New(t)
 	r := rig.New(t, smallPlan())
@@ -59,7 +62,7 @@
 	time.Sleep(4 * time.Second)
 	before := r.Runs()
 	time.Sleep(500 * time.Millisecond)
-	i.True(len(r.Runs()) > len(before)) // requests are still run
+	i.True(len(r.Runs()) > len(before)) // requests still run
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Up})
 	time.Sleep(500 * time.Millisecond)
 	answered, notRun, unknown := r.Judge(l.Stop())
@@ -67,7 +70,8 @@
 	i.Equal(notRun+unknown, 0)
 }
 
-// TestWaveCutsNothing maintains every VM of the pool under load.
+// TestWaveCutsNothing reboots every VM of the pool in a maintenance wave under load. The drains must leave no request for a reboot
+// to interrupt.
 func TestWaveCutsNothing(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -87,14 +91,15 @@
 	time.Sleep(500 * time.Millisecond)
 	answered, notRun, unknown := r.Judge(l.Stop())
 	doubled, over, leaving, cut := r.Counts()
-	t.Logf("answered %d, not run %d, unknown %d; oversent %d, while leaving %d", answered, notRun, unknown, over, leaving)
-	i.Equal(cut, int64(0))     // requests in flight cut by a reboot
-	i.Equal(doubled, int64(0)) // keys run twice
+	t.Logf("answered %d, not run %d, unknown %d; %d requests over the slots, %d while draining", answered, notRun, unknown, over, leaving)
+	i.Equal(cut, int64(0))     // requests interrupted by a planned reboot
+	i.Equal(doubled, int64(0)) // keys that ran more than once
 	i.Equal(unknown, 0)
 	i.True(answered > 0)
 }
 
-// TestStopCutsNothing stops an entry by SIGTERM under load.
+// TestStopCutsNothing stops an entry by SIGTERM under load. The entry must drain and exit with status 0, and every request must end
+// with an answer.
 func TestStopCutsNothing(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -13,10 +13,11 @@
 	"burdockreach.dev/proof/rig"
 )
 
-// ownerTimeout is how long entries may take to own the jobs.
+// ownerTimeout is the longest time until one of the entries owns the jobs and the status lists all of them.
 const ownerTimeout = 20 * time.Second
 
-// TestFleetCommand asks the command line of a running installation what runs there.
+// TestFleetCommand runs the fleet command against running entries and checks the status, the state of an unknown job and the
+// refusal of a malformed job ID.
 func TestFleetCommand(t *testing.T) {
 	is := is.New(t)
 	s := newSoak(t, 1)
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -12,7 +12,8 @@
 	"burdockreach.dev/proof/rig"
 )
 
-// TestNewcomerDuringOutage starts an entry again, empty, while the platform's service is down: its peers bring it up to date.
+// TestNewcomerDuringOutage restarts an entry, which keeps nothing on disk, while the platform refuses connections.
+// The entry must get the newest configuration from its peers before it is ready, never an older one.
 func TestNewcomerDuringOutage(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -31,7 +32,7 @@
 	e.AwaitReady()
 	m, err := e.Applied()
 	i.NoErr(err)
-	i.Equal(m, n) // never an older configuration
+	i.Equal(m, n) // the newest configuration
 	a := e.Ask(rig.Request{Method: "GET", Path: "/menu"})
 	i.Equal(a.Outcome, "answered")
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Up})
@@ -42,7 +43,8 @@
 	i.True(answered > 0)
 }
 
-// TestServiceComesBackOlder restores an older state of the platform's service, from which the newest changes are missing.
+// TestServiceComesBackOlder restores the platform's key-value service from an older snapshot that lacks the newest changes.
+// The changes that were accepted must stay, and new changes must continue their numbers.
 func TestServiceComesBackOlder(t *testing.T) {
 	i := is.New(t)
 	r := rig.New(t, smallPlan())
@@ -63,14 +65,15 @@
 	i.True(r.Cloud.Restore())
 	a, err := r.Entries[1].Change(conf.Change{Op: "op-after", By: "operator", Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: "after"}})
 	i.NoErr(err)
-	i.Equal(a.Number, last+1) // what was accepted stays, and numbers go on
+	i.Equal(a.Number, last+1) // accepted changes stay, and the numbers continue
 	for _, e := range r.Entries {
 		r.Await("change at "+e.Name, func() bool { m, err := e.Applied(); return err == nil && m == last+1 })
 	}
 	w.Stop()
 }
 
-// TestEveryEntryReplacedDuringWave replaces each entry's VM by a new one, one after the other within a minute, under load and a wave.
+// TestEveryEntryReplacedDuringWave replaces the VM of each entry, one after the other within a minute, under load and during a maintenance
+// wave. The wave must still reboot every target, and no request may be interrupted or run twice.
 func TestEveryEntryReplacedDuringWave(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -96,12 +99,13 @@
 	answered, notRun, unknown := r.Judge(l.Stop())
 	w.Stop()
 	_, over, leaving, cut := r.Counts()
-	t.Logf("answered %d, not run %d, unknown %d; oversent %d, while leaving %d", answered, notRun, unknown, over, leaving)
+	t.Logf("answered %d, not run %d, unknown %d; %d requests over the slots, %d while draining", answered, notRun, unknown, over, leaving)
 	i.Equal(cut, int64(0))
 	i.True(answered > 0)
 }
 
-// TestOtherDataCentresEntryKnowsTheKey sends copies of one request to entries of two data centres.
+// TestOtherDataCentresEntryKnowsTheKey sends two copies of each request, one to each data centre. Only the first may run;
+// the other data centre must answer the second copy from the record of the key.
 func TestOtherDataCentresEntryKnowsTheKey(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -117,12 +121,13 @@
 		})
 	}
 	for k, n := range r.Runs() {
-		i.True(n == 1) // runs
+		i.True(n == 1) // runs of the key
 		_ = k
 	}
 }
 
-// TestLeavingTargetWithServiceDown makes a target leave while the platform's service is down.
+// TestLeavingTargetWithServiceDown drains a target while the platform is down and cannot report the drain. The target's refusals must
+// make the entries stop sending to it within leavingLimit, and no request may end with an unknown outcome.
 func TestLeavingTargetWithServiceDown(t *testing.T) {
 	i := is.New(t)
 	r := rig.New(t, smallPlan())
@@ -134,16 +139,17 @@
 	time.Sleep(4 * time.Second)
 	n := x.Brief()
 	i.True(n.WhileLeaving > 0)
-	i.True(n.LeavingLastMs <= leavingLimit.Milliseconds()) // the last request that came to it after it left
+	i.True(n.LeavingLastMs <= leavingLimit.Milliseconds()) // time from the drain to the last request that the target received
 	answered, notRun, unknown := r.Judge(l.Stop())
-	t.Logf("answered %d, not run %d, unknown %d; %d came while leaving, the last after %d ms", answered, notRun, unknown, n.WhileLeaving, n.LeavingLastMs)
+	t.Logf("answered %d, not run %d, unknown %d; %d came while draining, the last after %d ms", answered, notRun, unknown, n.WhileLeaving, n.LeavingLastMs)
 	i.Equal(unknown, 0)
 }
 
-// leavingLimit is the time after which a leaving target gets nothing new.
+// leavingLimit is the longest time for which a draining target may still receive new requests.
 const leavingLimit = 2 * time.Second
 
-// TestFrozenLeaderStopsNothingTwice freezes the leader past its lease in the middle of a wave and lets it go on later.
+// TestFrozenLeaderStopsNothingTwice freezes the leader during a wave for longer than its lease and thaws it. The former leader must not
+// repeat orders of its successor: every VM reboots exactly once and no request is interrupted.
 func TestFrozenLeaderStopsNothingTwice(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -176,7 +182,7 @@
 	}
 }
 
-// targetsOut counts the targets that take no work.
+// targetsOut returns the number of targets that are draining or rebooting.
 func targetsOut(r *rig.Rig) int {
 	n := 0
 	for _, x := range r.Targets {
@@ -187,7 +193,8 @@
 	return n
 }
 
-// TestDataCentreLost freezes every entry of a data centre and takes its targets away; the other one goes on.
+// TestDataCentreLost freezes all entries of a data centre and crashes its targets. The other data centre must keep serving, except
+// for keys whose home is the lost data centre: it must not run them, because an earlier copy may have run there.
 func TestDataCentreLost(t *testing.T) {
 	i := is.New(t)
 	p := smallPlan()
@@ -206,9 +213,9 @@
 	}
 	time.Sleep(2 * time.Second)
 	a := near[0].Ask(rig.Request{Method: "POST", Path: "/grant", Key: "dc1/at-home", Body: "50"})
-	i.Equal(a.Outcome, "answered") // a key that names this data centre as its home
+	i.Equal(a.Outcome, "answered") // the key's home is this data centre
 	b := near[1].Ask(rig.Request{Method: "POST", Path: "/grant", Key: "dc2/away", Body: "50"})
-	i.Equal(b.Outcome, "unknown") // its home cannot be asked whether an earlier copy ran; this one is not sent
+	i.Equal(b.Outcome, "unknown") // the key's home cannot be asked whether an earlier copy ran, so this copy is not sent
 	i.Equal(b.Status, 503)
 	i.Equal(r.Runs()["dc2/away"], 0)
 	c := near[1].Ask(rig.Request{Method: "GET", Path: "/menu"})
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -33,25 +33,27 @@
 // Flags of the soak: go test ./proof -run TestSoak -soak.seed=7 -soak.seeds=50 -soak.for=20s.
 var (
 	soakSeed     = flag.Uint64("soak.seed", 1, "first seed of TestSoak")
-	soakSeeds    = flag.Uint64("soak.seeds", 2, "seeds that TestSoak plays")
+	soakSeeds    = flag.Uint64("soak.seeds", 2, "number of seeds that TestSoak runs")
 	soakDuration = flag.Duration("soak.for", 9*time.Second, "time under faults for each seed")
-	soakEntries  = flag.Int("soak.entries", 3, "entry processes")
-	soakWorkers  = flag.Int("soak.workers", 6, "workers of each of two services")
+	soakEntries  = flag.Int("soak.entries", 3, "number of entry processes")
+	soakWorkers  = flag.Int("soak.workers", 6, "number of workers of each of two services")
 )
 
-// soakRegressions are seeds that failed once.
+// soakRegressions are seeds that failed in the past, each with the cause.
 var soakRegressions = []struct {
 	seed  uint64
 	cause string
 }{}
 
 const (
-	soakHost      = "jobs.example"
-	settleTimeout = 40 * time.Second // after the faults: a former owner's blind time, and the work that waits.
+	soakHost = "jobs.example"
+	// settleTimeout covers the backlog after the faults, and the time after a takeover in which unreachable workers may still run
+	// tasks of the former owner.
+	settleTimeout = 40 * time.Second
 	callerTimeout = 3 * time.Second
 )
 
-// soak is entries as processes in front of a stand-in of the platform.
+// soak runs entry processes against a fake platform.
 type soak struct {
 	t        *testing.T
 	rnd      *rand.Rand
@@ -59,11 +61,11 @@
 	entries  []*entryProcess
 	client   *http.Client
 	jobCount int
-	ctx      context.Context //nolint:containedctx // the life of the soak
+	ctx      context.Context //nolint:containedctx // ends with the soak
 	group    *errgroup.Group
 }
 
-// entryProcess is one entry process; its way to the store leads through a cutter.
+// entryProcess is one entry process. Its connections to the store go through storeProxy, which can cut and stall them.
 type entryProcess struct {
 	soak         *soak
 	name         string
@@ -156,7 +158,7 @@
 	e.paused = false
 }
 
-// kill ends the process by a signal and waits for its end.
+// kill sends a signal that ends the process and waits for its exit.
 func (e *entryProcess) kill(sig syscall.Signal) {
 	if e.cmd == nil {
 		return
@@ -165,7 +167,7 @@
 		_ = e.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	_ = e.cmd.Process.Signal(sig)
-	_ = e.cmd.Wait() // ends with the signal, or with status 0.
+	_ = e.cmd.Wait() // an exit by the signal is no failure
 	e.cmd, e.paused = nil, false
 }
 
@@ -182,7 +184,7 @@
 	}
 }
 
-// injectFault brings one fault about, or ends one.
+// injectFault injects a random fault, or ends those of one entry.
 func (s *soak) injectFault() {
 	e := s.entries[s.rnd.IntN(len(s.entries))]
 	switch s.rnd.IntN(13) {
@@ -212,7 +214,7 @@
 
 func (s *soak) healEntry(e *entryProcess) {
 	e.resume()
-	e.storeProxy.Cut() // also ends stalled connections.
+	e.storeProxy.Cut() // also closes stalled connections
 	e.storeProxy.Accept()
 	if e.cmd == nil {
 		e.start()
@@ -227,7 +229,7 @@
 	}
 }
 
-// nextJob returns the next nextJob: mostly two steps, now and then one whose tasks last.
+// nextJob returns a new job. One job in 40 has a single step of lasting tasks; the others have two steps.
 func (s *soak) nextJob() batch.Job {
 	s.jobCount++
 	x := plant.Spec{RunMs: int64(100 + s.rnd.IntN(400)), Fails: 30}
@@ -244,7 +246,7 @@
 	return j
 }
 
-// submit hands a job in, at up to four entries in turn, as callers do.
+// submit sends a job to up to four entries in turn until one accepts it, and records the outcome for the judge.
 func (s *soak) submit(j batch.Job, first int) error {
 	b, err := wire.EncodeJob(j)
 	if err != nil {
@@ -269,7 +271,7 @@
 	return nil
 }
 
-// call makes one request; status 0 means that no answer came.
+// call sends one request to an entry. Status 0 means that no complete response came.
 func (s *soak) call(method string, entry int, path string, body []byte) (int, []byte) {
 	q, err := http.NewRequestWithContext(s.ctx, method, "http://"+s.entries[entry].callerAddr+path, bytes.NewReader(body))
 	if err != nil {
@@ -288,7 +290,7 @@
 	return a.StatusCode, b
 }
 
-// jobState asks an entry how far a job is, until one answers.
+// jobState asks the entries in turn for the state of a job until one answers, in up to 40 attempts.
 func (s *soak) jobState(j batch.Job) batch.State {
 	for i := range 40 {
 		st, b := s.call(http.MethodGet, i%len(s.entries), "/"+j.Service+"/"+j.ID, nil)
@@ -306,7 +308,7 @@
 	return "unanswered"
 }
 
-// run hands jobs in under faults for d, heals, and waits for the accepted jobs.
+// run submits jobs under faults for d, ends all faults, and checks the jobs.
 func (s *soak) run(d time.Duration) {
 	callers := errgroup.Group{}
 	callers.SetLimit(40)
@@ -328,6 +330,7 @@
 	s.checkJobs()
 }
 
+// checkJobs waits until the accepted jobs have ended, for settleTimeout at most, and has the judge check every job.
 func (s *soak) checkJobs() {
 	var all []*floor.Known
 	s.plant.Judge(func(g *floor.Judge) {
@@ -347,7 +350,7 @@
 		}
 		states[k.Job.ID] = st
 	}
-	time.Sleep(2 * time.Second) // lasting tasks are back within it, once nothing else is lost.
+	time.Sleep(2 * time.Second) // lasting tasks run again within this time after the last fault
 	accepted := 0
 	s.plant.Judge(func(g *floor.Judge) {
 		g.Settle(func(id string) batch.State { return states[id] }, func(string) string { return "" })
@@ -366,7 +369,7 @@
 	}
 }
 
-// keepLogs keeps the entries' keepLogs of a seed that failed.
+// keepLogs copies the entries' logs to a temporary directory if the seed failed.
 func (s *soak) keepLogs(seed uint64) {
 	if !s.t.Failed() {
 		return
@@ -389,7 +392,7 @@
 	s.t.Logf("logs of seed %d are in %s", seed, d)
 }
 
-// TestSoak plays entries as processes under faults brought about from outside.
+// TestSoak runs entry processes under random faults of entries, store, workers and orders, and checks that no job or task is lost or doubled.
 func TestSoak(t *testing.T) {
 	one := func(seed uint64) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
