--- a/fakes/target/target_test.go
+++ b/fakes/target/target_test.go
@@ -74,7 +74,7 @@
 }
 
 func TestRuns(t *testing.T) {
-	t.Run("counts by key and echoes the mark", func(t *testing.T) {
+	t.Run("counts runs by key and echoes the request ID", func(t *testing.T) {
 		r := start(t)
 		a := r.expectStatus(200, "Idempotency-Key", "k", "Burdock-Request", "a")
 		r.is.Equal(string(a.Header.Peek("Burdock-Request")), "a")
@@ -84,7 +84,7 @@
 		r.is.Equal(n.DoubledKeys, int64(1))
 		r.is.Equal(n.DoubledRequests, int64(0))
 	})
-	t.Run("refuses over its slots", func(t *testing.T) {
+	t.Run("refuses requests beyond its slots", func(t *testing.T) {
 		r := start(t, target.WithSlots(1))
 		var g errgroup.Group
 		g.Go(func() error { _, err := r.call(callTimeout, "Fake-Run-Ms", "300"); return err })
@@ -96,7 +96,7 @@
 		r.is.NoErr(g.Wait())
 		r.is.Equal(r.target.Runs().OversentPeak, int64(1))
 	})
-	t.Run("refuses as leaving after a drain and counts what a reboot cuts", func(t *testing.T) {
+	t.Run("refuses requests after a drain and counts those that a reboot interrupts", func(t *testing.T) {
 		r := start(t, target.WithRebootTime(10*time.Millisecond))
 		var g errgroup.Group
 		var lost error
@@ -123,7 +123,7 @@
 
 func TestFaults(t *testing.T) {
 	for _, m := range []target.Mode{target.Cut, target.Shorter, target.Silent} {
-		t.Run("no whole answer when "+string(m), func(t *testing.T) {
+		t.Run("no complete response with the fault "+string(m), func(t *testing.T) {
 			r := start(t)
 			_, err := r.call(200*time.Millisecond, "Fake-Fault", string(m))
 			r.is.True(err != nil)
@@ -131,7 +131,7 @@
 			r.is.Equal(r.target.Runs().Runs, int64(2))
 		})
 	}
-	t.Run("answers late, wrong or failing", func(t *testing.T) {
+	t.Run("answers with the faults wrongMark, fail and longer", func(t *testing.T) {
 		r := start(t)
 		a := r.expectStatus(200, "Fake-Fault", "wrongMark", "Burdock-Request", "a")
 		r.is.True(strings.HasPrefix(string(a.Header.Peek("Burdock-Request")), "a-"))
@@ -139,14 +139,14 @@
 		a = r.expectStatus(200, "Fake-Fault", "longer", "Fake-Answer-Bytes", "100")
 		r.is.Equal(len(a.Body()), 50)
 	})
-	t.Run("a fault set for some requests wears off", func(t *testing.T) {
+	t.Run("a fault with a limit ends after that many requests", func(t *testing.T) {
 		r := start(t)
 		r.post("/ctl/fault", `{"mode":"fail","left":2}`)
 		r.expectStatus(500)
 		r.expectStatus(500)
 		r.expectStatus(200)
 	})
-	t.Run("closes a used connection as a request arrives", func(t *testing.T) {
+	t.Run("closes a reused connection when a request arrives", func(t *testing.T) {
 		r := start(t)
 		r.expectStatus(200)
 		_, err := r.call(callTimeout, "Fake-Fault", "closeIdle")
