--- a/fakes/demo/call.go
+++ b/fakes/demo/call.go
@@ -41,8 +41,8 @@
 	return s
 }
 
-// caller sends requests; a request is sent once.
-var caller = &fasthttp.Client{
+// client sends requests; a request is sent once.
+var client = &fasthttp.Client{
 	MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 256,
 	RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 }
@@ -60,14 +60,14 @@
 	}
 	q.SetBody(r.body)
 	t := time.Now()
-	if err := caller.DoTimeout(q, p, callTimeout); err != nil {
+	if err := client.DoTimeout(q, p, callTimeout); err != nil {
 		return answer{}, eris.Wrapf(err, "call %s", addr)
 	}
-	return read(p, time.Since(t)), nil
+	return parseAnswer(p, time.Since(t)), nil
 }
 
-// read returns the answer in p.
-func read(p *fasthttp.Response, took time.Duration) answer {
+// parseAnswer returns the answer in p.
+func parseAnswer(p *fasthttp.Response, took time.Duration) answer {
 	h := func(k string) string { return string(p.Header.Peek(k)) }
 	a := answer{status: p.StatusCode(), outcome: h("Burdock-Outcome"), step: h("Burdock-Step"), took: took}
 	var b struct {
@@ -81,8 +81,8 @@
 	return a
 }
 
-// ran is what the stand-ins of targets counted together.
-type ran struct {
+// runCounts is what the stand-ins of targets counted together.
+type runCounts struct {
 	Runs            int64 `json:"runs"`
 	Cut             int64 `json:"cut"`
 	DoubledKeys     int64 `json:"doubledKeys"`
@@ -90,11 +90,11 @@
 	Boot            int64 `json:"boot"`
 }
 
-// counted asks every target's stand-in what it has counted.
-func (s *site) counted() (ran, error) {
-	var all ran
+// totalCounts asks every target's stand-in what it has totalCounts.
+func (s *fleet) totalCounts() (runCounts, error) {
+	var all runCounts
 	for _, t := range s.targets {
-		r, err := s.countedBy(t.name)
+		r, err := s.targetCounts(t.name)
 		if err != nil {
 			return all, err
 		}
@@ -107,14 +107,14 @@
 	return all, nil
 }
 
-// countedBy asks one target's stand-in what it has counted.
-func (s *site) countedBy(name string) (ran, error) {
-	var r ran
-	i := slices.IndexFunc(s.targets, func(t vm) bool { return t.name == name })
+// targetCounts asks one target's stand-in what it has counted.
+func (s *fleet) targetCounts(name string) (runCounts, error) {
+	var r runCounts
+	i := slices.IndexFunc(s.targets, func(t targetVM) bool { return t.name == name })
 	if i < 0 {
 		return r, eris.Errorf("no target is named %s", name)
 	}
-	code, b, err := fasthttp.GetTimeout(nil, "http://"+s.targets[i].control+"/ctl/runs?brief", callTimeout)
+	code, b, err := fasthttp.GetTimeout(nil, "http://"+s.targets[i].controlAddr+"/ctl/runs?brief", callTimeout)
 	if err != nil || code != fasthttp.StatusOK {
 		return r, eris.Wrapf(err, "ask %s what it ran: status %d", name, code)
 	}
--- a/fakes/demo/cli.go
+++ b/fakes/demo/cli.go
@@ -9,19 +9,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// cli runs an operators' command and returns its output; an error when its status is not 0.
-func (s *site) cli(c context.Context, stdin string, words ...string) (string, error) {
+// runCLI runs an operators' command and returns its output; an error when its status is not 0.
+func (s *fleet) runCLI(c context.Context, stdin string, words ...string) (string, error) {
 	x := exec.CommandContext(c, s.program("burdockreach"), words...)
-	x.Env = append(os.Environ(), "BURDOCKREACH_ENTRIES="+s.operators(), "BURDOCKREACH_TOKEN_FILE="+s.path("operator.token"))
+	x.Env = append(os.Environ(), "BURDOCKREACH_ENTRIES="+s.operatorAddrs(), "BURDOCKREACH_TOKEN_FILE="+s.path("operator.token"))
 	x.Stdin = strings.NewReader(stdin)
 	b, err := x.CombinedOutput()
 	out := strings.TrimRight(string(b), "\n")
 	return out, eris.Wrapf(err, "burdockreach %s: %s", strings.Join(words, " "), out)
 }
 
-// operate prints a command and what it said.
-func (s *site) operate(c context.Context, stdin string, words ...string) error {
-	out, err := s.cli(c, stdin, words...)
+// runAndPrint prints a command and what it said.
+func (s *fleet) runAndPrint(c context.Context, stdin string, words ...string) error {
+	out, err := s.runCLI(c, stdin, words...)
 	if err != nil {
 		return err
 	}
@@ -29,13 +29,13 @@
 	if stdin != "" {
 		pipe = "echo TOKEN | "
 	}
-	tell("$ %sburdockreach %s\n%s", pipe, strings.Join(words, " "), out)
+	printLine("$ %sburdockreach %s\n%s", pipe, strings.Join(words, " "), out)
 	return nil
 }
 
 // configure creates everything through operators' commands.
-func (s *site) configure(c context.Context) error {
-	say("create a profile, pools, services, teams and an approval")
+func (s *fleet) configure(c context.Context) error {
+	printStep("create a profile, pools, services, teams and an approval")
 	for _, w := range [][]string{
 		{"", "profile put -max-out 1 -min-vms 4 -drain-seconds 10 -reboot-seconds 20 -objective 0.99 steady"},
 		{"", "pool put orders"}, {"", "pool put ledger"}, {"", "pool put -spare spare"},
@@ -46,12 +46,12 @@
 		{"", "approve desk orders"},
 		{"", "approve -wait 10s desk ledger"},
 	} {
-		if err := s.operate(c, w[0], strings.Fields(w[1])...); err != nil {
+		if err := s.runAndPrint(c, w[0], strings.Fields(w[1])...); err != nil {
 			return err
 		}
 	}
-	if err := s.ready(c); err != nil {
+	if err := s.awaitReady(c); err != nil {
 		return err
 	}
-	return s.operate(c, "", "status")
+	return s.runAndPrint(c, "", "status")
 }
--- a/fakes/demo/site.go
+++ b/fakes/demo/fleet.go
@@ -41,33 +41,33 @@
 // services are also the names of the pools that serve them.
 func services() []string { return []string{"orders", "ledger"} }
 
-// node is an entry of the demo.
-type node struct {
-	name, dataCentre          string
-	callers, peers, operators string
+// entry is an entry of the demo.
+type entry struct {
+	name, dataCentre                   string
+	callerAddr, peerAddr, operatorAddr string
 }
 
-// vm is a target of the demo.
-type vm struct {
-	name, addr, control string
+// targetVM is a target of the demo.
+type targetVM struct {
+	name, addr, controlAddr string
 }
 
-// site is all that the demo started.
-type site struct {
-	dir, bin string
-	port     int
-	began    time.Time
-	nodes    []node
-	targets  []vm
-	wires    []hosts.Wire
-	procs    *procs
+// fleet is all that the demo started.
+type fleet struct {
+	dir, bin    string
+	port        int
+	startedAt   time.Time
+	entries     []entry
+	targets     []targetVM
+	platformVMs []hosts.Wire
+	procs       *procs
 }
 
-func newSite(dir, bin string, port int) *site {
-	s := &site{dir: dir, bin: bin, port: port, began: time.Now(), procs: &procs{dir: dir}}
+func newFleet(dir, bin string, port int) *fleet {
+	s := &fleet{dir: dir, bin: bin, port: port, startedAt: time.Now(), procs: &procs{dir: dir}}
 	for _, d := range dataCentres() {
 		for i := range entriesPerDC {
-			s.addNode(fmt.Sprintf("entry-%s-%d", d, i+1), d)
+			s.addEntry(fmt.Sprintf("entry-%s-%d", d, i+1), d)
 		}
 		for _, p := range services() {
 			for i := range targetsPerPool {
@@ -79,25 +79,25 @@
 	return s
 }
 
-func (s *site) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", s.port+offset) }
+func (s *fleet) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", s.port+offset) }
 
-func (s *site) addNode(name, dc string) {
-	i := len(s.nodes)
-	n := node{name: name, dataCentre: dc, callers: s.addr(callerPort + i), peers: s.addr(peerPort + i), operators: s.addr(operatorPort + i)}
-	s.nodes = append(s.nodes, n)
-	s.wires = append(s.wires, hosts.Wire{ID: name, Addr: n.peers, DataCentre: dc, Rack: fmt.Sprintf("rack-%d", i+1), State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 4, MemoryMB: 8192})
+func (s *fleet) addEntry(name, dc string) {
+	i := len(s.entries)
+	n := entry{name: name, dataCentre: dc, callerAddr: s.addr(callerPort + i), peerAddr: s.addr(peerPort + i), operatorAddr: s.addr(operatorPort + i)}
+	s.entries = append(s.entries, n)
+	s.platformVMs = append(s.platformVMs, hosts.Wire{ID: name, Addr: n.peerAddr, DataCentre: dc, Rack: fmt.Sprintf("rack-%d", i+1), State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 4, MemoryMB: 8192})
 }
 
-func (s *site) addTarget(name, dc, rack, pool string) {
+func (s *fleet) addTarget(name, dc, rack, pool string) {
 	o := targetPort + len(s.targets)
-	t := vm{name: name, addr: s.addr(o), control: s.addr(o + 1000)}
+	t := targetVM{name: name, addr: s.addr(o), controlAddr: s.addr(o + 1000)}
 	s.targets = append(s.targets, t)
-	s.wires = append(s.wires, hosts.Wire{ID: name, Addr: t.addr, DataCentre: dc, Rack: dc + "-" + rack, Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 65536})
+	s.platformVMs = append(s.platformVMs, hosts.Wire{ID: name, Addr: t.addr, DataCentre: dc, Rack: dc + "-" + rack, Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 65536})
 }
 
 // start starts every process and waits until the entries serve operators.
-func (s *site) start(c context.Context) error {
-	say("start the platform's stand-in, %d target stand-ins with 8 slots and 64 connections each, %d entries", len(s.targets), len(s.nodes))
+func (s *fleet) start(c context.Context) error {
+	printStep("start the platform's stand-in, %d target stand-ins with 8 slots and 64 connections each, %d entries", len(s.targets), len(s.entries))
 	if err := s.startPlatform(); err != nil {
 		return err
 	}
@@ -110,22 +110,22 @@
 	if err := s.write("operator.token", operatorToken); err != nil {
 		return err
 	}
-	for _, n := range s.nodes {
-		if err := s.startNode(n); err != nil {
+	for _, n := range s.entries {
+		if err := s.startEntry(n); err != nil {
 			return err
 		}
 	}
-	return until(c, startTimeout, "entries are up", func() error {
-		_, err := s.cli(c, "", "status")
+	return pollUntil(c, startTimeout, "entries are up", func() error {
+		_, err := s.runCLI(c, "", "status")
 		return err
 	})
 }
 
 // startPlatform starts the platform's stand-in with the demo's VMs.
-func (s *site) startPlatform() error {
+func (s *fleet) startPlatform() error {
 	f := map[string]any{
 		"addr": s.addr(platformPort), "controlAddr": s.addr(platformControl), "lagMs": listLagMs,
-		"rebootMs": rebootTime.Milliseconds(), "vms": s.wires,
+		"rebootMs": rebootTime.Milliseconds(), "vms": s.platformVMs,
 	}
 	if err := s.writeJSON("platform.json", f); err != nil {
 		return err
@@ -133,17 +133,17 @@
 	return s.procs.start("platform", false, s.program("standin"), "platform", "-settings", s.path("platform.json"))
 }
 
-// startNode starts one entry with a settings file of its own.
-func (s *site) startNode(n node) error {
+// startEntry starts one entry with a settings file of its own.
+func (s *fleet) startEntry(n entry) error {
 	d := sha256.Sum256([]byte(operatorToken))
 	f := setup.Document{
-		Name: n.name, DataCentre: n.dataCentre, DataCentres: dataCentres(), CallerAddr: n.callers, PeerAddr: n.peers, OperatorAddr: n.operators,
+		Name: n.name, DataCentre: n.dataCentre, DataCentres: dataCentres(), CallerAddr: n.callerAddr, PeerAddr: n.peerAddr, OperatorAddr: n.operatorAddr,
 		PlatformAddr: s.addr(platformPort), OperatorTokenDigests: []string{hex.EncodeToString(d[:])},
 		MaxBodyBytes: maxBodyBytes, TickMs: 200, BeatMs: 100, LeaderLeaseMs: 2000, EntryUnheardSeconds: 3, DrainWaitMs: 3000,
 	}
-	for _, o := range s.nodes {
+	for _, o := range s.entries {
 		if o.name != n.name && o.dataCentre == n.dataCentre {
-			f.PeerAddrs = append(f.PeerAddrs, o.peers)
+			f.PeerAddrs = append(f.PeerAddrs, o.peerAddr)
 		}
 	}
 	if err := s.writeJSON(n.name+".json", f); err != nil {
@@ -152,14 +152,14 @@
 	return s.procs.start(n.name, true, s.program("burdockreach"), "entry", "-settings", s.path(n.name+".json"))
 }
 
-func (s *site) path(name string) string    { return filepath.Join(s.dir, name) }
-func (s *site) program(name string) string { return filepath.Join(s.bin, name) }
+func (s *fleet) path(name string) string    { return filepath.Join(s.dir, name) }
+func (s *fleet) program(name string) string { return filepath.Join(s.bin, name) }
 
-func (s *site) write(name, text string) error {
+func (s *fleet) write(name, text string) error {
 	return eris.Wrapf(os.WriteFile(s.path(name), []byte(text+"\n"), 0o600), "write %s", name)
 }
 
-func (s *site) writeJSON(name string, v any) error {
+func (s *fleet) writeJSON(name string, v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return eris.Wrapf(err, "encode %s", name)
@@ -167,17 +167,17 @@
 	return s.write(name, string(b))
 }
 
-// operators returns the operator addresses of all entries.
-func (s *site) operators() string {
+// operatorAddrs returns the operator addresses of all entries.
+func (s *fleet) operatorAddrs() string {
 	var as []string
-	for _, n := range s.nodes {
-		as = append(as, n.operators)
+	for _, n := range s.entries {
+		as = append(as, n.operatorAddr)
 	}
 	return strings.Join(as, ",")
 }
 
-// say prints one line of what happens.
-func say(form string, args ...any) { fmt.Printf("\n# "+form+"\n", args...) }
+// printStep prints one line of what happens.
+func printStep(form string, args ...any) { fmt.Printf("\n# "+form+"\n", args...) }
 
-// tell prints one line of what came of it.
-func tell(form string, args ...any) { fmt.Printf(form+"\n", args...) }
+// printLine prints one line of what came of it.
+func printLine(form string, args ...any) { fmt.Printf(form+"\n", args...) }
--- a/fakes/demo/load.go
+++ b/fakes/demo/load.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	senders     = 6                     // in each data centre
-	pause       = 10 * time.Millisecond // of a sender between orders
-	healthEvery = 50 * time.Millisecond // of the balancer's checks
+	sendersPerDC   = 6                     // in each data centre
+	sendPause      = 10 * time.Millisecond // of a sender between orders
+	healthInterval = 50 * time.Millisecond // of the balancer's checks
 )
 
 // balancer sends to the entries whose health page is good, as the platform's does.
 type balancer struct {
-	nodes []node
-	good  []atomic.Bool
+	entries []entry
+	healthy []atomic.Bool
 }
 
-func newBalancer(nodes []node) *balancer {
-	b := &balancer{nodes: nodes, good: make([]atomic.Bool, len(nodes))}
+func newBalancer(nodes []entry) *balancer {
+	b := &balancer{entries: nodes, healthy: make([]atomic.Bool, len(nodes))}
 	b.check()
 	return b
 }
 
 // check asks every health page once.
 func (b *balancer) check() {
-	for i, n := range b.nodes {
-		a, err := call(n.callers, request{"GET", "/health", "", "", nil})
-		b.good[i].Store(err == nil && a.status == 200)
+	for i, n := range b.entries {
+		a, err := call(n.callerAddr, request{"GET", "/health", "", "", nil})
+		b.healthy[i].Store(err == nil && a.status == 200)
 	}
 }
 
-// watch checks until c ends.
-func (b *balancer) watch(c context.Context) error {
-	t := time.NewTicker(healthEvery)
+// run checks until c ends.
+func (b *balancer) run(c context.Context) error {
+	t := time.NewTicker(healthInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -51,14 +51,14 @@
 }
 
 // pick returns the entry of the data centre for the i-th request.
-func (b *balancer) pick(dc string, i int) (node, error) {
-	for k := range b.nodes {
-		j := (i + k) % len(b.nodes)
-		if b.nodes[j].dataCentre == dc && b.good[j].Load() {
-			return b.nodes[j], nil
+func (b *balancer) pick(dc string, i int) (entry, error) {
+	for k := range b.entries {
+		j := (i + k) % len(b.entries)
+		if b.entries[j].dataCentre == dc && b.healthy[j].Load() {
+			return b.entries[j], nil
 		}
 	}
-	return node{}, eris.Errorf("no entry of %s takes work", dc)
+	return entry{}, eris.Errorf("no entry of %s takes work", dc)
 }
 
 // load counts what became of the orders that were sent.
@@ -69,23 +69,23 @@
 	slowestMs                     atomic.Int64
 }
 
-// loads numbers the loads, so that their keys differ.
-var loads atomic.Int64
+// loadCount numbers the loadCount, so that their keys differ.
+var loadCount atomic.Int64
 
 // underLoad does f while orders come to every entry, holds what callers were told against what the targets counted, and returns the
 // number of reboots.
-func (s *site) underLoad(c context.Context, f func(context.Context) error) (int64, error) {
-	before, err := s.counted()
+func (s *fleet) underLoad(c context.Context, f func(context.Context) error) (int64, error) {
+	before, err := s.totalCounts()
 	if err != nil {
 		return 0, err
 	}
-	l := &load{name: fmt.Sprintf("load-%d", loads.Add(1)), balancer: newBalancer(s.nodes)}
+	l := &load{name: fmt.Sprintf("load-%d", loadCount.Add(1)), balancer: newBalancer(s.entries)}
 	g, t := errgroup.WithContext(c)
 	t, stop := context.WithCancel(t)
 	defer stop()
-	g.Go(func() error { return l.balancer.watch(t) })
+	g.Go(func() error { return l.balancer.run(t) })
 	for _, d := range dataCentres() {
-		for i := range senders {
+		for i := range sendersPerDC {
 			g.Go(func() error { return l.send(t, d, i) })
 		}
 	}
@@ -97,7 +97,7 @@
 	if ferr != nil {
 		return 0, ferr
 	}
-	return s.judge(before, l)
+	return s.compareCounts(before, l)
 }
 
 // send sends orders of one data centre until c ends.
@@ -109,12 +109,12 @@
 		}
 		key := fmt.Sprintf("%s/%s-%d-%d", dc, l.name, sender, i)
 		l.sent.Add(1)
-		a, err := call(n.callers, request{"POST", "/call/orders/basket", deskToken, key, []byte(`{"trays": 1}`)})
+		a, err := call(n.callerAddr, request{"POST", "/call/orders/basket", deskToken, key, []byte(`{"trays": 1}`)})
 		if err != nil {
 			return err
 		}
 		l.count(a)
-		time.Sleep(pause)
+		time.Sleep(sendPause)
 	}
 	return nil
 }
@@ -129,23 +129,23 @@
 		l.answered.Add(1)
 	case a.outcome == "not-run":
 		l.notRun.Add(1)
-		tell("an order was refused: %v", a)
+		printLine("an order was refused: %v", a)
 	default:
 		l.other.Add(1)
-		tell("an order ended as %v", a)
+		printLine("an order ended as %v", a)
 	}
 }
 
-// judge holds what callers were told against what the targets counted and returns the number of reboots.
-func (s *site) judge(before ran, l *load) (int64, error) {
-	after, err := s.counted()
+// compareCounts holds what callers were told against what the targets counted and returns the number of reboots.
+func (s *fleet) compareCounts(before runCounts, l *load) (int64, error) {
+	after, err := s.totalCounts()
 	if err != nil {
 		return 0, err
 	}
 	runs, boots := after.Runs-before.Runs, after.Boot-before.Boot
-	tell("callers: %d orders sent, %d answered, %d not run, %d other; slowest answer %d ms",
+	printLine("callers: %d orders sent, %d answered, %d not run, %d other; slowest answer %d ms",
 		l.sent.Load(), l.answered.Load(), l.notRun.Load(), l.other.Load(), l.slowestMs.Load())
-	tell("targets: %d runs, %d cut, %d doubled, %d reboots", runs, after.Cut, after.DoubledKeys+after.DoubledRequests, boots)
+	printLine("targets: %d runs, %d cut, %d doubled, %d reboots", runs, after.Cut, after.DoubledKeys+after.DoubledRequests, boots)
 	switch {
 	case after.Cut != 0 || after.DoubledKeys != 0 || after.DoubledRequests != 0:
 		return boots, eris.New("requests were cut or run twice")
--- a/fakes/demo/main.go
+++ b/fakes/demo/main.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	defaultPort = 21000
-	lastPort    = 60000
-	maxTime     = 60 * time.Second // of the steps together
+	defaultPort  = 21000
+	lastPort     = 60000
+	stepsTimeout = 60 * time.Second // of the steps together
 )
 
 func main() {
@@ -46,16 +46,16 @@
 	if err != nil {
 		return eris.Wrap(err, "make a directory")
 	}
-	s := newSite(dir, bin, port)
-	err = s.show(c)
+	s := newFleet(dir, bin, port)
+	err = s.runSteps(c)
 	if err != nil {
-		s.tails()
+		s.printLogTails()
 	}
 	if err == nil && !once {
-		s.invite()
+		s.printHints()
 		<-c.Done()
 	}
-	if e := s.procs.end(); err == nil {
+	if e := s.procs.stopAll(); err == nil {
 		err = e
 	}
 	if keep {
@@ -68,9 +68,9 @@
 	return err
 }
 
-// show performs the steps in order.
-func (s *site) show(c context.Context) error {
-	t, cancel := context.WithTimeout(c, maxTime)
+// runSteps performs the steps in order.
+func (s *fleet) runSteps(c context.Context) error {
+	t, cancel := context.WithTimeout(c, stepsTimeout)
 	defer cancel()
 	for _, step := range []func(context.Context) error{
 		s.start, s.configure, s.order, s.refusals, s.withdraw, s.maintain, s.replace, s.report,
@@ -79,12 +79,12 @@
 			return err
 		}
 	}
-	fmt.Printf("\nall was as it should be, after %.1f s\n", time.Since(s.began).Seconds())
+	fmt.Printf("\nall was as it should be, after %.1f s\n", time.Since(s.startedAt).Seconds())
 	return nil
 }
 
-// tails prints the last lines of every log.
-func (s *site) tails() {
+// printLogTails prints the last lines of every log.
+func (s *fleet) printLogTails() {
 	logs, _ := filepath.Glob(filepath.Join(s.dir, "*.log"))
 	for _, l := range logs {
 		if b, err := os.ReadFile(l); err == nil && len(b) > 0 {
--- a/fakes/demo/procs.go
+++ b/fakes/demo/procs.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	endWait      = 8 * time.Second // for one process to end after SIGTERM
+	exitTimeout  = 8 * time.Second // for one process to end after SIGTERM
 	tailLines    = 8
 	startTimeout = 15 * time.Second
 	pollInterval = 50 * time.Millisecond
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// end stops the entries and then all else, and reports a process that did not end by itself with status 0.
-func (p *procs) end() error {
+// stopAll stops the entries and then all else, and reports a process that did not stopAll by itself with status 0.
+func (p *procs) stopAll() error {
 	var entries, rest []*proc
 	for _, x := range p.all {
 		if x.entry {
@@ -63,7 +63,7 @@
 		}
 	}
 	p.all = nil
-	return errors.Join(stop(entries), stop(rest))
+	return errors.Join(stopProcs(entries), stopProcs(rest))
 }
 
 // stopOne stops the process of that name and reports when it did not end by itself with status 0.
@@ -74,11 +74,11 @@
 	}
 	x := p.all[i]
 	p.all = slices.Delete(p.all, i, i+1)
-	return stop([]*proc{x})
+	return stopProcs([]*proc{x})
 }
 
-// stop signals the processes and waits for all.
-func stop(ps []*proc) error {
+// stopProcs signals the processes and waits for all.
+func stopProcs(ps []*proc) error {
 	for _, x := range ps {
 		_ = x.cmd.Process.Signal(syscall.SIGTERM)
 	}
@@ -91,7 +91,7 @@
 
 // wait waits for the end of the process and kills it when it takes too long.
 func (p *proc) wait() error {
-	k := time.AfterFunc(endWait, func() { _ = p.cmd.Process.Kill() })
+	k := time.AfterFunc(exitTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer k.Stop()
 	err := p.cmd.Wait()
 	_ = p.log.Close()
@@ -104,8 +104,8 @@
 	return append(bytes.Join(ls[max(0, len(ls)-tailLines):], nil), '\n')
 }
 
-// until polls ok until it holds.
-func until(c context.Context, longest time.Duration, what string, ok func() error) error {
+// pollUntil polls ok pollUntil it holds.
+func pollUntil(c context.Context, longest time.Duration, what string, ok func() error) error {
 	t, cancel := context.WithTimeout(c, longest)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
--- a/fakes/demo/replace.go
+++ b/fakes/demo/replace.go
@@ -12,31 +12,31 @@
 )
 
 // replace ends one entry by SIGTERM while orders come, and starts it anew with nothing kept.
-func (s *site) replace(c context.Context) error {
-	n := s.nodes[1]
-	say("replace %s while orders come: SIGTERM, and a new process with the same name", n.name)
+func (s *fleet) replace(c context.Context) error {
+	n := s.entries[1]
+	printStep("replace %s while orders come: SIGTERM, and a new process with the same name", n.name)
 	_, err := s.underLoad(c, func(c context.Context) error {
 		t := time.Now()
 		if err := s.procs.stopOne(n.name); err != nil {
 			return err
 		}
-		tell("%s ended with status 0 after %.1f s", n.name, time.Since(t).Seconds())
-		if err := s.startNode(n); err != nil {
+		printLine("%s ended with status 0 after %.1f s", n.name, time.Since(t).Seconds())
+		if err := s.startEntry(n); err != nil {
 			return err
 		}
-		err := until(c, readyWait, n.name+" is back", func() error { return s.rejoined(c, n) })
-		tell("%s takes work again after %.1f s", n.name, time.Since(t).Seconds())
+		err := pollUntil(c, readyTimeout, n.name+" is back", func() error { return s.checkRejoined(c, n) })
+		printLine("%s takes work again after %.1f s", n.name, time.Since(t).Seconds())
 		return err
 	})
 	return err
 }
 
-// rejoined reports whether the entry has the newest change and its targets, and takes work.
-func (s *site) rejoined(c context.Context, n node) error {
-	if err := s.sees(c, n); err != nil {
+// checkRejoined reports whether the entry has the newest change and its targets, and takes work.
+func (s *fleet) checkRejoined(c context.Context, n entry) error {
+	if err := s.checkSeesTargets(c, n); err != nil {
 		return err
 	}
-	out, err := s.cli(c, "", "status", "-json")
+	out, err := s.runCLI(c, "", "status", "-json")
 	if err != nil {
 		return err
 	}
@@ -50,5 +50,5 @@
 	if i < 0 || r.Entries[i].Applied != r.Entries[0].Applied {
 		return eris.Errorf("%s lacks changes", n.name)
 	}
-	return s.healthy()
+	return s.checkHealthy()
 }
--- a/fakes/demo/steps.go
+++ b/fakes/demo/steps.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	readyWait  = 10 * time.Second // until targets and entries serve
-	repeatWait = 3 * time.Second  // until a copy gets the kept answer
+	readyTimeout  = 10 * time.Second // until targets and entries serve
+	repeatTimeout = 3 * time.Second  // until a copy gets the kept answer
 )
 
-// ready waits until every entry sees all targets of its data centre serve and takes new work.
-func (s *site) ready(c context.Context) error {
-	for _, n := range s.nodes {
-		if err := until(c, readyWait, n.name+" sees its targets serve", func() error { return s.sees(c, n) }); err != nil {
+// awaitReady waits until every entry sees all targets of its data centre serve and takes new work.
+func (s *fleet) awaitReady(c context.Context) error {
+	for _, n := range s.entries {
+		if err := pollUntil(c, readyTimeout, n.name+" sees its targets serve", func() error { return s.checkSeesTargets(c, n) }); err != nil {
 			return err
 		}
 	}
-	return until(c, readyWait, "all entries take work", s.healthy)
+	return pollUntil(c, readyTimeout, "all entries take work", s.checkHealthy)
 }
 
-// sees reports whether the entry alone knows that all targets of its data centre serve.
-func (s *site) sees(c context.Context, n node) error {
-	vs, err := s.vms(c, "-entries", n.operators, "-data-centre", n.dataCentre)
+// checkSeesTargets reports whether the entry alone knows that all targets of its data centre serve.
+func (s *fleet) checkSeesTargets(c context.Context, n entry) error {
+	vs, err := s.vms(c, "-entries", n.operatorAddr, "-data-centre", n.dataCentre)
 	if err != nil {
 		return err
 	}
 	for _, v := range vs {
-		if v.State != servingAs {
+		if v.State != stateServing {
 			return eris.Errorf("%s is %s", v.ID, v.State)
 		}
 	}
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// healthy asks every entry's health page.
-func (s *site) healthy() error {
-	for _, n := range s.nodes {
-		a, err := call(n.callers, request{"GET", "/health", "", "", nil})
+// checkHealthy asks every entry's health page.
+func (s *fleet) checkHealthy() error {
+	for _, n := range s.entries {
+		a, err := call(n.callerAddr, request{"GET", "/health", "", "", nil})
 		if err != nil {
 			return err
 		}
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// first returns the first entry of each data centre.
-func (s *site) first() []node {
-	var ns []node
+// firstEntries returns the firstEntries entry of each data centre.
+func (s *fleet) firstEntries() []entry {
+	var ns []entry
 	seen := map[string]bool{}
-	for _, n := range s.nodes {
+	for _, n := range s.entries {
 		if !seen[n.dataCentre] {
 			ns = append(ns, n)
 		}
@@ -69,33 +69,33 @@
 }
 
 // order sends one order to one entry of each data centre and a copy of it again.
-func (s *site) order(c context.Context) error {
-	say("send one order to one entry of each data centre, then the same order again")
-	for _, n := range s.first() {
+func (s *fleet) order(c context.Context) error {
+	printStep("send one order to one entry of each data centre, then the same order again")
+	for _, n := range s.firstEntries() {
 		r := request{"POST", "/call/orders/basket", deskToken, n.dataCentre + "/order-1", []byte(`{"trays": 12}`)}
-		a, err := call(n.callers, r)
+		a, err := call(n.callerAddr, r)
 		if err != nil {
 			return err
 		}
-		tell("%s: %v", n.name, a)
+		printLine("%s: %v", n.name, a)
 		if a.status != 200 || a.outcome != "answered" {
 			return eris.Errorf("an order was not answered: %v", a)
 		}
-		if err := s.repeat(c, n, r); err != nil {
+		if err := s.awaitRepeat(c, n, r); err != nil {
 			return err
 		}
 	}
-	return s.runsAre(int64(len(s.first())))
+	return s.checkRuns(int64(len(s.firstEntries())))
 }
 
-// repeat sends a copy of an answered order until its kept answer comes; until the record is settled, a copy is told to come back.
-func (s *site) repeat(c context.Context, n node, r request) error {
-	return until(c, repeatWait, "a copy gets the kept answer", func() error {
-		a, err := call(n.callers, r)
+// awaitRepeat sends a copy of an answered order until its kept answer comes; until the record is settled, a copy is told to come back.
+func (s *fleet) awaitRepeat(c context.Context, n entry, r request) error {
+	return pollUntil(c, repeatTimeout, "a copy gets the kept answer", func() error {
+		a, err := call(n.callerAddr, r)
 		if err != nil {
 			return err
 		}
-		tell("%s, the copy: %v", n.name, a)
+		printLine("%s, the copy: %v", n.name, a)
 		if a.outcome != "repeat" {
 			return eris.Errorf("the copy of an answered order: %v", a)
 		}
@@ -103,27 +103,27 @@
 	})
 }
 
-// runsAre checks how many requests the targets ran since the demo began.
-func (s *site) runsAre(want int64) error {
-	r, err := s.counted()
+// checkRuns checks how many requests the targets ran since the demo began.
+func (s *fleet) checkRuns(want int64) error {
+	r, err := s.totalCounts()
 	if err != nil {
 		return err
 	}
 	if r.Runs != want || r.DoubledKeys != 0 || r.Cut != 0 {
 		return eris.Errorf("the targets counted %+v; %d runs were due", r, want)
 	}
-	tell("the targets counted %d runs, none twice", r.Runs)
+	printLine("the targets counted %d runs, none twice", r.Runs)
 	return nil
 }
 
 // refusals shows requests of which nothing is run.
-func (s *site) refusals(context.Context) error {
-	say("send what must be refused")
-	before, err := s.counted()
+func (s *fleet) refusals(context.Context) error {
+	printStep("send what must be refused")
+	before, err := s.totalCounts()
 	if err != nil {
 		return err
 	}
-	n := s.nodes[0]
+	n := s.entries[0]
 	long := []byte(strings.Repeat("x", maxBodyBytes+1))
 	for _, x := range []struct {
 		what   string
@@ -136,30 +136,30 @@
 		{"malformed: an order without a key", 400, request{"POST", "/call/orders/basket", deskToken, "", nil}},
 		{"too long", 413, request{"POST", "/call/orders/basket", deskToken, "north/order-2", long}},
 	} {
-		a, err := call(n.callers, x.r)
+		a, err := call(n.callerAddr, x.r)
 		if err != nil {
 			return err
 		}
-		tell("%s: %v", x.what, a)
+		printLine("%s: %v", x.what, a)
 		if a.status != x.status || a.outcome != "not-run" || a.reason == "" {
 			return eris.Errorf("%s: answered %v, not %d not-run with a reason", x.what, a, x.status)
 		}
 	}
-	return s.runsAre(before.Runs)
+	return s.checkRuns(before.Runs)
 }
 
 // withdraw takes an approval back and shows that every entry refuses the team.
-func (s *site) withdraw(c context.Context) error {
-	say("withdraw the approval of the team desk for the service ledger")
-	if err := s.operate(c, "", "withdraw", "-wait", "10s", "desk", "ledger"); err != nil {
+func (s *fleet) withdraw(c context.Context) error {
+	printStep("withdraw the approval of the team desk for the service ledger")
+	if err := s.runAndPrint(c, "", "withdraw", "-wait", "10s", "desk", "ledger"); err != nil {
 		return err
 	}
-	for _, n := range s.nodes {
-		a, err := call(n.callers, request{"GET", "/call/ledger/day", deskToken, "", nil})
+	for _, n := range s.entries {
+		a, err := call(n.callerAddr, request{"GET", "/call/ledger/day", deskToken, "", nil})
 		if err != nil {
 			return err
 		}
-		tell("%s: %v", n.name, a)
+		printLine("%s: %v", n.name, a)
 		if a.status != 403 || a.outcome != "not-run" {
 			return eris.Errorf("%s still serves a withdrawn approval: %v", n.name, a)
 		}
@@ -168,20 +168,20 @@
 }
 
 // report prints the service-level burn.
-func (s *site) report(c context.Context) error {
-	say("report the service-level burn")
-	return s.operate(c, "", "report")
+func (s *fleet) report(c context.Context) error {
+	printStep("report the service-level burn")
+	return s.runAndPrint(c, "", "report")
 }
 
-// invite tells how to send more.
-func (s *site) invite() {
-	n := s.nodes[0]
-	say("everything goes on until this is interrupted; send more, for example")
-	tell("curl -i -H 'Authorization: Bearer %s' http://%s/call/orders/menu", deskToken, n.callers)
-	tell("curl -i -H 'Authorization: Bearer %s' -H 'Idempotency-Key: north/order-9' -d '{\"trays\": 3}' http://%s/call/orders/basket", deskToken, n.callers)
-	tell("export BURDOCKREACH_ENTRIES=%s BURDOCKREACH_TOKEN_FILE=%s", s.operators(), s.path("operator.token"))
+// printHints tells how to send more.
+func (s *fleet) printHints() {
+	n := s.entries[0]
+	printStep("everything goes on until this is interrupted; send more, for example")
+	printLine("curl -i -H 'Authorization: Bearer %s' http://%s/call/orders/menu", deskToken, n.callerAddr)
+	printLine("curl -i -H 'Authorization: Bearer %s' -H 'Idempotency-Key: north/order-9' -d '{\"trays\": 3}' http://%s/call/orders/basket", deskToken, n.callerAddr)
+	printLine("export BURDOCKREACH_ENTRIES=%s BURDOCKREACH_TOKEN_FILE=%s", s.operatorAddrs(), s.path("operator.token"))
 	for _, w := range []string{"status", "vm list", "wave put -pools orders week-2", "wave show week-2", "report -svg burn.svg"} {
-		tell("%s %s", s.program("burdockreach"), w)
+		printLine("%s %s", s.program("burdockreach"), w)
 	}
 	fmt.Println()
 }
--- a/fakes/demo/wave.go
+++ b/fakes/demo/wave.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	waveWait  = 25 * time.Second
-	waveID    = "week-1"
-	servingAs = "serving"
-	firstBoot = 1
+	waveTimeout  = 25 * time.Second
+	waveID       = "week-1"
+	stateServing = "serving"
+	firstBoot    = 1
 )
 
 // maintain runs a wave of one VM while orders come to every entry.
-func (s *site) maintain(c context.Context) error {
-	say("maintain one VM of the pool orders while orders come to every entry")
-	boots, err := s.underLoad(c, s.wave)
+func (s *fleet) maintain(c context.Context) error {
+	printStep("maintain one VM of the pool orders while orders come to every entry")
+	boots, err := s.underLoad(c, s.runWave)
 	if err == nil && boots == 0 {
 		err = eris.New("no VM was rebooted")
 	}
 	return err
 }
 
-// wave starts the wave, pauses it when a VM is out, waits until that VM serves again, and ends the wave.
-func (s *site) wave(c context.Context) error {
+// runWave starts the runWave, pauses it when a VM is out, waits until that VM serves again, and ends the runWave.
+func (s *fleet) runWave(c context.Context) error {
 	began := time.Now()
-	if err := s.operate(c, "", "wave", "put", "-pools", "orders", waveID); err != nil {
+	if err := s.runAndPrint(c, "", "wave", "put", "-pools", "orders", waveID); err != nil {
 		return err
 	}
 	var out oper.VM
-	err := until(c, waveWait, "the wave takes a VM out", func() error {
+	err := pollUntil(c, waveTimeout, "the wave takes a VM out", func() error {
 		var err error
-		out, err = s.outVM(c)
+		out, err = s.vmOutOfService(c)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	tell("%s of %s is out (%s) after %.1f s", out.ID, out.DataCentre, out.State, time.Since(began).Seconds())
-	if err := s.operate(c, "", "wave", "put", "-paused", waveID); err != nil {
+	printLine("%s of %s is out (%s) after %.1f s", out.ID, out.DataCentre, out.State, time.Since(began).Seconds())
+	if err := s.runAndPrint(c, "", "wave", "put", "-paused", waveID); err != nil {
 		return err
 	}
-	err = until(c, waveWait, out.ID+" serves again", func() error { return s.back(c, out) })
+	err = pollUntil(c, waveTimeout, out.ID+" serves again", func() error { return s.checkServesAgain(c, out) })
 	if err != nil {
 		return err
 	}
-	tell("%s has rebooted and serves again after %.1f s", out.ID, time.Since(began).Seconds())
-	return s.operate(c, "", "wave", "drop", waveID)
+	printLine("%s has rebooted and serves again after %.1f s", out.ID, time.Since(began).Seconds())
+	return s.runAndPrint(c, "", "wave", "drop", waveID)
 }
 
 // vms asks for the VMs that the flags name.
-func (s *site) vms(c context.Context, flags ...string) ([]oper.VM, error) {
-	out, err := s.cli(c, "", append([]string{"vm", "list", "-json"}, flags...)...)
+func (s *fleet) vms(c context.Context, flags ...string) ([]oper.VM, error) {
+	out, err := s.runCLI(c, "", append([]string{"vm", "list", "-json"}, flags...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -67,23 +67,23 @@
 	return v.Items, nil
 }
 
-// outVM returns a VM of the pool that does not serve.
-func (s *site) outVM(c context.Context) (oper.VM, error) {
+// vmOutOfService returns a VM of the pool that does not serve.
+func (s *fleet) vmOutOfService(c context.Context) (oper.VM, error) {
 	vs, err := s.vms(c, "-pool", "orders")
 	if err != nil {
 		return oper.VM{}, err
 	}
 	for _, v := range vs {
-		if v.State != servingAs {
+		if v.State != stateServing {
 			return v, nil
 		}
 	}
 	return oper.VM{}, eris.Errorf("all of %d VMs serve", len(vs))
 }
 
-// back reports whether the VM serves again after a reboot, of which its stand-in tells.
-func (s *site) back(c context.Context, out oper.VM) error {
-	r, err := s.countedBy(out.ID)
+// checkServesAgain reports whether the VM serves again after a reboot, of which its stand-in tells.
+func (s *fleet) checkServesAgain(c context.Context, out oper.VM) error {
+	r, err := s.targetCounts(out.ID)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 		return err
 	}
 	for _, v := range vs {
-		if v.ID == out.ID && v.State == servingAs {
+		if v.ID == out.ID && v.State == stateServing {
 			return nil
 		}
 	}
