--- a/fakes/demo/call.go
+++ b/fakes/demo/call.go
@@ -10,16 +10,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// callTimeout bounds the wait for one answer.
+// callTimeout is the timeout of one request.
 const callTimeout = 12 * time.Second
 
-// request is what a caller sends.
+// request is a caller's request to an entry.
 type request struct {
 	method, path, token, key string
 	body                     []byte
 }
 
-// answer is what came back.
+// answer is the response to a request. Its outcome and step are those of the Burdock headers, its target and reason those of the body.
 type answer struct {
 	status        int
 	outcome, step string
@@ -41,13 +41,13 @@
 	return s
 }
 
-// client sends requests; a request is sent once.
+// client sends requests to entries without retries.
 var client = &fasthttp.Client{
 	MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 256,
 	RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 }
 
-// call sends r to the address of an entry.
+// call sends r to the entry at the caller address addr.
 func call(addr string, r request) (answer, error) {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
@@ -66,7 +66,7 @@
 	return parseAnswer(p, time.Since(t)), nil
 }
 
-// parseAnswer returns the answer in p.
+// parseAnswer converts the response p, which arrived after took, to an answer.
 func parseAnswer(p *fasthttp.Response, took time.Duration) answer {
 	h := func(k string) string { return string(p.Header.Peek(k)) }
 	a := answer{status: p.StatusCode(), outcome: h("Burdock-Outcome"), step: h("Burdock-Step"), took: took}
@@ -81,7 +81,7 @@
 	return a
 }
 
-// runCounts is what the stand-ins of targets counted together.
+// runCounts holds the counters of one fake target, or the sums over several.
 type runCounts struct {
 	Runs            int64 `json:"runs"`
 	Cut             int64 `json:"cut"`
@@ -90,7 +90,7 @@
 	Boot            int64 `json:"boot"`
 }
 
-// totalCounts asks every target's stand-in what it has totalCounts.
+// totalCounts returns the sums of all targets' counters.
 func (s *fleet) totalCounts() (runCounts, error) {
 	var all runCounts
 	for _, t := range s.targets {
@@ -107,7 +107,7 @@
 	return all, nil
 }
 
-// targetCounts asks one target's stand-in what it has counted.
+// targetCounts requests the counters of the target with that name.
 func (s *fleet) targetCounts(name string) (runCounts, error) {
 	var r runCounts
 	i := slices.IndexFunc(s.targets, func(t targetVM) bool { return t.name == name })
@@ -116,7 +116,7 @@
 	}
 	code, b, err := fasthttp.GetTimeout(nil, "http://"+s.targets[i].controlAddr+"/ctl/runs?brief", callTimeout)
 	if err != nil || code != fasthttp.StatusOK {
-		return r, eris.Wrapf(err, "ask %s what it ran: status %d", name, code)
+		return r, eris.Wrapf(err, "get the counters of %s: status %d", name, code)
 	}
-	return r, eris.Wrapf(json.Unmarshal(b, &r), "read what %s ran", name)
+	return r, eris.Wrapf(json.Unmarshal(b, &r), "decode the counters of %s", name)
 }
--- a/fakes/demo/cli.go
+++ b/fakes/demo/cli.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// runCLI runs an operators' command and returns its output; an error when its status is not 0.
+// runCLI runs a burdockreach command as an operator and returns its output, or an error if its exit status is not 0.
 func (s *fleet) runCLI(c context.Context, stdin string, words ...string) (string, error) {
 	x := exec.CommandContext(c, s.program("burdockreach"), words...)
 	x.Env = append(os.Environ(), "BURDOCKREACH_ENTRIES="+s.operatorAddrs(), "BURDOCKREACH_TOKEN_FILE="+s.path("operator.token"))
@@ -19,7 +19,7 @@
 	return out, eris.Wrapf(err, "burdockreach %s: %s", strings.Join(words, " "), out)
 }
 
-// runAndPrint prints a command and what it said.
+// runAndPrint runs a burdockreach command and prints the command line and its output.
 func (s *fleet) runAndPrint(c context.Context, stdin string, words ...string) error {
 	out, err := s.runCLI(c, stdin, words...)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// configure creates everything through operators' commands.
+// configure creates the profile, pools, services, teams and approvals through operator commands and waits until all entries are ready.
 func (s *fleet) configure(c context.Context) error {
 	printStep("create a profile, pools, services, teams and an approval")
 	for _, w := range [][]string{
--- a/fakes/demo/fleet.go
+++ b/fakes/demo/fleet.go
@@ -17,9 +17,9 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// The demo's fleet.
+// Sizes, tokens, timing and port offsets of the demo's fleet.
 const (
-	targetsPerPool  = 2 // in each data centre
+	targetsPerPool  = 2 // of each data centre
 	entriesPerDC    = 2
 	operatorToken   = "demo-operators-token"
 	deskToken       = "demo-token-of-the-desk"
@@ -38,21 +38,21 @@
 
 func dataCentres() []string { return []string{"north", "south"} }
 
-// services are also the names of the pools that serve them.
+// services returns the names of the services. The pool that serves a service has the same name.
 func services() []string { return []string{"orders", "ledger"} }
 
-// entry is an entry of the demo.
+// entry is an entry of the demo with its listening addresses.
 type entry struct {
 	name, dataCentre                   string
 	callerAddr, peerAddr, operatorAddr string
 }
 
-// targetVM is a target of the demo.
+// targetVM is a fake target of the demo with its request address and its control address.
 type targetVM struct {
 	name, addr, controlAddr string
 }
 
-// fleet is all that the demo started.
+// fleet holds the entries, targets and processes of the demo.
 type fleet struct {
 	dir, bin    string
 	port        int
@@ -95,7 +95,7 @@
 	s.platformVMs = append(s.platformVMs, hosts.Wire{ID: name, Addr: t.addr, DataCentre: dc, Rack: dc + "-" + rack, Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 65536})
 }
 
-// start starts every process and waits until the entries serve operators.
+// start starts all processes and waits until the entries answer operator commands.
 func (s *fleet) start(c context.Context) error {
 	printStep("start the platform's stand-in, %d target stand-ins with 8 slots and 64 connections each, %d entries", len(s.targets), len(s.entries))
 	if err := s.startPlatform(); err != nil {
@@ -121,7 +121,7 @@
 	})
 }
 
-// startPlatform starts the platform's stand-in with the demo's VMs.
+// startPlatform starts the fake platform with the demo's VMs.
 func (s *fleet) startPlatform() error {
 	f := map[string]any{
 		"addr": s.addr(platformPort), "controlAddr": s.addr(platformControl), "lagMs": listLagMs,
@@ -133,7 +133,7 @@
 	return s.procs.start("platform", false, s.program("standin"), "platform", "-settings", s.path("platform.json"))
 }
 
-// startEntry starts one entry with a settings file of its own.
+// startEntry writes the settings file of an entry and starts its process.
 func (s *fleet) startEntry(n entry) error {
 	d := sha256.Sum256([]byte(operatorToken))
 	f := setup.Document{
@@ -167,7 +167,7 @@
 	return s.write(name, string(b))
 }
 
-// operatorAddrs returns the operator addresses of all entries.
+// operatorAddrs returns the operator addresses of all entries, separated by commas.
 func (s *fleet) operatorAddrs() string {
 	var as []string
 	for _, n := range s.entries {
@@ -176,8 +176,8 @@
 	return strings.Join(as, ",")
 }
 
-// printStep prints one line of what happens.
-func printStep(form string, args ...any) { fmt.Printf("\n# "+form+"\n", args...) }
+// printStep prints the heading of a step.
+func printStep(format string, args ...any) { fmt.Printf("\n# "+format+"\n", args...) }
 
-// printLine prints one line of what came of it.
-func printLine(form string, args ...any) { fmt.Printf(form+"\n", args...) }
+// printLine prints one line of a step's results.
+func printLine(format string, args ...any) { fmt.Printf(format+"\n", args...) }
--- a/fakes/demo/load.go
+++ b/fakes/demo/load.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	sendersPerDC   = 6                     // in each data centre
-	sendPause      = 10 * time.Millisecond // of a sender between orders
-	healthInterval = 50 * time.Millisecond // of the balancer's checks
+	sendersPerDC   = 6
+	sendPause      = 10 * time.Millisecond // of a sender, from an answer to its next order
+	healthInterval = 50 * time.Millisecond // between two health checks of the balancer
 )
 
-// balancer sends to the entries whose health page is good, as the platform's does.
+// balancer selects entries whose health page answers 200, as the platform's load balancer does.
 type balancer struct {
 	entries []entry
 	healthy []atomic.Bool
@@ -28,7 +28,7 @@
 	return b
 }
 
-// check asks every health page once.
+// check requests the health page of every entry once.
 func (b *balancer) check() {
 	for i, n := range b.entries {
 		a, err := call(n.callerAddr, request{"GET", "/health", "", "", nil})
@@ -36,7 +36,7 @@
 	}
 }
 
-// run checks until c ends.
+// run checks all entries every healthInterval until c ends.
 func (b *balancer) run(c context.Context) error {
 	t := time.NewTicker(healthInterval)
 	defer t.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// pick returns the entry of the data centre for the i-th request.
+// pick returns the healthy entry of the data centre that the i-th request goes to, in turn.
 func (b *balancer) pick(dc string, i int) (entry, error) {
 	for k := range b.entries {
 		j := (i + k) % len(b.entries)
@@ -58,10 +58,10 @@
 			return b.entries[j], nil
 		}
 	}
-	return entry{}, eris.Errorf("no entry of %s takes work", dc)
+	return entry{}, eris.Errorf("no entry of data centre %s is healthy", dc)
 }
 
-// load counts what became of the orders that were sent.
+// load sends orders and counts them by outcome.
 type load struct {
 	name                          string
 	balancer                      *balancer
@@ -69,11 +69,11 @@
 	slowestMs                     atomic.Int64
 }
 
-// loadCount numbers the loadCount, so that their keys differ.
+// loadCount is the number of loads so far. It makes the keys of different loads differ.
 var loadCount atomic.Int64
 
-// underLoad does f while orders come to every entry, holds what callers were told against what the targets counted, and returns the
-// number of reboots.
+// underLoad calls f while orders go to every entry, checks the callers' outcomes against the targets' counters and returns the number
+// of reboots.
 func (s *fleet) underLoad(c context.Context, f func(context.Context) error) (int64, error) {
 	before, err := s.totalCounts()
 	if err != nil {
@@ -100,7 +100,7 @@
 	return s.compareCounts(before, l)
 }
 
-// send sends orders of one data centre until c ends.
+// send sends orders to entries of the data centre, one after the other, until c ends.
 func (l *load) send(c context.Context, dc string, sender int) error {
 	for i := 0; c.Err() == nil; i++ {
 		n, err := l.balancer.pick(dc, sender+i)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// count counts one answer.
+// count counts the answer by its outcome and prints it unless the order was answered.
 func (l *load) count(a answer) {
 	for old := l.slowestMs.Load(); old < a.took.Milliseconds(); old = l.slowestMs.Load() {
 		l.slowestMs.CompareAndSwap(old, a.took.Milliseconds())
@@ -136,7 +136,7 @@
 	}
 }
 
-// compareCounts holds what callers were told against what the targets counted and returns the number of reboots.
+// compareCounts checks the callers' outcomes against the increase of the targets' counters and returns the number of reboots.
 func (s *fleet) compareCounts(before runCounts, l *load) (int64, error) {
 	after, err := s.totalCounts()
 	if err != nil {
@@ -150,7 +150,7 @@
 	case after.Cut != 0 || after.DoubledKeys != 0 || after.DoubledRequests != 0:
 		return boots, eris.New("requests were cut or run twice")
 	case l.other.Load() != 0 || runs != l.answered.Load():
-		return boots, eris.New("what callers were told is not what the targets ran")
+		return boots, eris.New("the number of answered orders differs from the number of runs at the targets")
 	case l.notRun.Load() != 0:
 		return boots, eris.New("orders were refused")
 	}
--- a/fakes/demo/main.go
+++ b/fakes/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo shows burdockreach at work: it starts the stand-ins of the platform and of two services' targets and four entries,
-// runs orders, refusals, a withdrawn approval and a maintenance wave through them, and stays until it is interrupted.
+// Command demo starts a fake platform, fake targets of two services and four entries as processes on loopback. It shows orders, refusals,
+// a withdrawn approval, a maintenance wave and the replacement of an entry, and then keeps running until it is interrupted.
 package main
 
 import (
@@ -18,7 +18,7 @@
 const (
 	defaultPort  = 21000
 	lastPort     = 60000
-	stepsTimeout = 60 * time.Second // of the steps together
+	stepsTimeout = 60 * time.Second // of all steps together
 )
 
 func main() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// demo runs all steps and ends every process that it started.
+// demo runs all steps and stops every process that it started. Unless once is set, it keeps the processes running until c ends.
 func demo(c context.Context, bin string, port int, once, keep bool) error {
 	dir, err := os.MkdirTemp("", "burdockreach-demo-")
 	if err != nil {
@@ -68,7 +68,7 @@
 	return err
 }
 
-// runSteps performs the steps in order.
+// runSteps runs the steps in order and stops at the first error.
 func (s *fleet) runSteps(c context.Context) error {
 	t, cancel := context.WithTimeout(c, stepsTimeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// printLogTails prints the last lines of every log.
+// printLogTails prints the last lines of every process's log to standard error.
 func (s *fleet) printLogTails() {
 	logs, _ := filepath.Glob(filepath.Join(s.dir, "*.log"))
 	for _, l := range logs {
--- a/fakes/demo/procs.go
+++ b/fakes/demo/procs.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	exitTimeout  = 8 * time.Second // for one process to end after SIGTERM
+	exitTimeout  = 8 * time.Second // of one process, from SIGTERM to SIGKILL
 	tailLines    = 8
 	startTimeout = 15 * time.Second
 	pollInterval = 50 * time.Millisecond
 )
 
-// procs holds the processes that the demo started, in order.
+// procs holds the running processes that the demo started, in the order of their start.
 type procs struct {
 	dir string
 	all []*proc
 }
 
-// proc is one process with its log.
+// proc is one process with its log file.
 type proc struct {
 	name  string
-	entry bool // it needs the others for its drain.
+	entry bool // stopped before the other processes, which it needs for its drain
 	cmd   *exec.Cmd
 	log   *os.File
 }
 
-// start runs a program until end; its output goes to a log of its own.
+// start starts a program, with its output in a log file of its own.
 func (p *procs) start(name string, entry bool, program string, args ...string) error {
 	l, err := os.OpenFile(filepath.Join(p.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "create log")
 	}
-	x := exec.Command(program, args...) //nolint:noctx // it is ended by SIGTERM first, so that it can drain.
+	x := exec.Command(program, args...) //nolint:noctx // stopped by SIGTERM, so that it can drain; a context would kill it
 	x.Stdout, x.Stderr = l, l
-	x.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal reaches the demo alone.
+	x.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal reaches the demo only
 	if err := x.Start(); err != nil {
 		_ = l.Close()
 		return eris.Wrapf(err, "start %s", name)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// stopAll stops the entries and then all else, and reports a process that did not stopAll by itself with status 0.
+// stopAll stops the entries and then all other processes. It returns an error for each that did not exit with status 0 within exitTimeout.
 func (p *procs) stopAll() error {
 	var entries, rest []*proc
 	for _, x := range p.all {
@@ -66,7 +66,7 @@
 	return errors.Join(stopProcs(entries), stopProcs(rest))
 }
 
-// stopOne stops the process of that name and reports when it did not end by itself with status 0.
+// stopOne stops the process with that name. It returns an error if it did not exit with status 0 within exitTimeout.
 func (p *procs) stopOne(name string) error {
 	i := slices.IndexFunc(p.all, func(x *proc) bool { return x.name == name })
 	if i < 0 {
@@ -77,7 +77,7 @@
 	return stopProcs([]*proc{x})
 }
 
-// stopProcs signals the processes and waits for all.
+// stopProcs sends SIGTERM to the processes and waits until all have exited.
 func stopProcs(ps []*proc) error {
 	for _, x := range ps {
 		_ = x.cmd.Process.Signal(syscall.SIGTERM)
@@ -89,24 +89,24 @@
 	return errors.Join(errs...)
 }
 
-// wait waits for the end of the process and kills it when it takes too long.
+// wait waits until the process exits and kills it after exitTimeout.
 func (p *proc) wait() error {
 	k := time.AfterFunc(exitTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer k.Stop()
 	err := p.cmd.Wait()
 	_ = p.log.Close()
-	return eris.Wrapf(err, "%s did not end well", p.name)
+	return eris.Wrapf(err, "%s did not exit with status 0", p.name)
 }
 
-// lastLines returns the last lines of a log.
+// lastLines returns the last tailLines lines of a log.
 func lastLines(b []byte) []byte {
 	ls := bytes.SplitAfter(bytes.TrimRight(b, "\n"), []byte("\n"))
 	return append(bytes.Join(ls[max(0, len(ls)-tailLines):], nil), '\n')
 }
 
-// pollUntil polls ok pollUntil it holds.
-func pollUntil(c context.Context, longest time.Duration, what string, ok func() error) error {
-	t, cancel := context.WithTimeout(c, longest)
+// pollUntil calls ok every pollInterval until it returns no error or the timeout has passed.
+func pollUntil(c context.Context, timeout time.Duration, what string, ok func() error) error {
+	t, cancel := context.WithTimeout(c, timeout)
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -117,7 +117,7 @@
 		}
 		select {
 		case <-t.Done():
-			return eris.Wrapf(err, "%s: not within %v", what, longest)
+			return eris.Wrapf(err, "%s: not within %v", what, timeout)
 		case <-tick.C:
 		}
 	}
--- a/fakes/demo/replace.go
+++ b/fakes/demo/replace.go
@@ -11,7 +11,7 @@
 	"burdockreach.dev/node/oper"
 )
 
-// replace ends one entry by SIGTERM while orders come, and starts it anew with nothing kept.
+// replace stops one entry by SIGTERM under load and starts a new process with the same name and no state.
 func (s *fleet) replace(c context.Context) error {
 	n := s.entries[1]
 	printStep("replace %s while orders come: SIGTERM, and a new process with the same name", n.name)
@@ -31,7 +31,7 @@
 	return err
 }
 
-// checkRejoined reports whether the entry has the newest change and its targets, and takes work.
+// checkRejoined returns an error until the entry has applied all changes, sees all its targets serve, and all entries are healthy.
 func (s *fleet) checkRejoined(c context.Context, n entry) error {
 	if err := s.checkSeesTargets(c, n); err != nil {
 		return err
@@ -48,7 +48,7 @@
 	}
 	i := slices.IndexFunc(r.Entries, func(e oper.Entry) bool { return e.Entry == n.name })
 	if i < 0 || r.Entries[i].Applied != r.Entries[0].Applied {
-		return eris.Errorf("%s lacks changes", n.name)
+		return eris.Errorf("%s has not applied all changes", n.name)
 	}
 	return s.checkHealthy()
 }
--- a/fakes/demo/steps.go
+++ b/fakes/demo/steps.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	readyTimeout  = 10 * time.Second // until targets and entries serve
-	repeatTimeout = 3 * time.Second  // until a copy gets the kept answer
+	readyTimeout  = 10 * time.Second // until targets serve and entries are healthy
+	repeatTimeout = 3 * time.Second  // until a copy gets the recorded answer
 )
 
-// awaitReady waits until every entry sees all targets of its data centre serve and takes new work.
+// awaitReady waits until every entry sees all targets of its data centre serve and is healthy.
 func (s *fleet) awaitReady(c context.Context) error {
 	for _, n := range s.entries {
 		if err := pollUntil(c, readyTimeout, n.name+" sees its targets serve", func() error { return s.checkSeesTargets(c, n) }); err != nil {
@@ -24,7 +24,7 @@
 	return pollUntil(c, readyTimeout, "all entries take work", s.checkHealthy)
 }
 
-// checkSeesTargets reports whether the entry alone knows that all targets of its data centre serve.
+// checkSeesTargets returns an error unless the entry itself lists all targets of its data centre as serving. It asks no other entry.
 func (s *fleet) checkSeesTargets(c context.Context, n entry) error {
 	vs, err := s.vms(c, "-entries", n.operatorAddr, "-data-centre", n.dataCentre)
 	if err != nil {
@@ -36,12 +36,12 @@
 		}
 	}
 	if due := len(s.targets) / len(dataCentres()); len(vs) != due {
-		return eris.Errorf("it knows %d of %d VMs", len(vs), due)
+		return eris.Errorf("the entry lists %d of %d VMs", len(vs), due)
 	}
 	return nil
 }
 
-// checkHealthy asks every entry's health page.
+// checkHealthy returns an error unless every entry's health page answers 200.
 func (s *fleet) checkHealthy() error {
 	for _, n := range s.entries {
 		a, err := call(n.callerAddr, request{"GET", "/health", "", "", nil})
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// firstEntries returns the firstEntries entry of each data centre.
+// firstEntries returns the first entry of each data centre.
 func (s *fleet) firstEntries() []entry {
 	var ns []entry
 	seen := map[string]bool{}
@@ -68,7 +68,7 @@
 	return ns
 }
 
-// order sends one order to one entry of each data centre and a copy of it again.
+// order sends one order to one entry of each data centre, and then copies of it.
 func (s *fleet) order(c context.Context) error {
 	printStep("send one order to one entry of each data centre, then the same order again")
 	for _, n := range s.firstEntries() {
@@ -88,7 +88,7 @@
 	return s.checkRuns(int64(len(s.firstEntries())))
 }
 
-// awaitRepeat sends a copy of an answered order until its kept answer comes; until the record is settled, a copy is told to come back.
+// awaitRepeat sends copies of an answered order until one gets the recorded answer. Until the record is settled, copies get 409.
 func (s *fleet) awaitRepeat(c context.Context, n entry, r request) error {
 	return pollUntil(c, repeatTimeout, "a copy gets the kept answer", func() error {
 		a, err := call(n.callerAddr, r)
@@ -103,20 +103,20 @@
 	})
 }
 
-// checkRuns checks how many requests the targets ran since the demo began.
+// checkRuns checks the number of requests that the targets ran since the start of the demo, and that none was doubled or cut.
 func (s *fleet) checkRuns(want int64) error {
 	r, err := s.totalCounts()
 	if err != nil {
 		return err
 	}
 	if r.Runs != want || r.DoubledKeys != 0 || r.Cut != 0 {
-		return eris.Errorf("the targets counted %+v; %d runs were due", r, want)
+		return eris.Errorf("the targets counted %+v; want %d runs, none cut or doubled", r, want)
 	}
 	printLine("the targets counted %d runs, none twice", r.Runs)
 	return nil
 }
 
-// refusals shows requests of which nothing is run.
+// refusals sends requests that must be refused and checks that none of them runs.
 func (s *fleet) refusals(context.Context) error {
 	printStep("send what must be refused")
 	before, err := s.totalCounts()
@@ -148,7 +148,7 @@
 	return s.checkRuns(before.Runs)
 }
 
-// withdraw takes an approval back and shows that every entry refuses the team.
+// withdraw withdraws an approval and checks that every entry refuses the team.
 func (s *fleet) withdraw(c context.Context) error {
 	printStep("withdraw the approval of the team desk for the service ledger")
 	if err := s.runAndPrint(c, "", "withdraw", "-wait", "10s", "desk", "ledger"); err != nil {
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// report prints the service-level burn.
+// report prints the report of the service levels and their burn rates.
 func (s *fleet) report(c context.Context) error {
 	printStep("report the service-level burn")
 	return s.runAndPrint(c, "", "report")
 }
 
-// printHints tells how to send more.
+// printHints prints commands that the user can try while the demo keeps running.
 func (s *fleet) printHints() {
 	n := s.entries[0]
 	printStep("everything goes on until this is interrupted; send more, for example")
--- a/fakes/demo/wave.go
+++ b/fakes/demo/wave.go
@@ -17,7 +17,7 @@
 	firstBoot    = 1
 )
 
-// maintain runs a wave of one VM while orders come to every entry.
+// maintain runs a maintenance wave of one VM while orders go to every entry.
 func (s *fleet) maintain(c context.Context) error {
 	printStep("maintain one VM of the pool orders while orders come to every entry")
 	boots, err := s.underLoad(c, s.runWave)
@@ -27,7 +27,7 @@
 	return err
 }
 
-// runWave starts the runWave, pauses it when a VM is out, waits until that VM serves again, and ends the runWave.
+// runWave starts the wave, pauses it once a VM is out of service, waits until that VM serves again, and drops the wave.
 func (s *fleet) runWave(c context.Context) error {
 	began := time.Now()
 	if err := s.runAndPrint(c, "", "wave", "put", "-pools", "orders", waveID); err != nil {
@@ -54,7 +54,7 @@
 	return s.runAndPrint(c, "", "wave", "drop", waveID)
 }
 
-// vms asks for the VMs that the flags name.
+// vms returns the output of the command "vm list" with these flags.
 func (s *fleet) vms(c context.Context, flags ...string) ([]oper.VM, error) {
 	out, err := s.runCLI(c, "", append([]string{"vm", "list", "-json"}, flags...)...)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return v.Items, nil
 }
 
-// vmOutOfService returns a VM of the pool that does not serve.
+// vmOutOfService returns a VM of the pool orders that is not serving, or an error if all serve.
 func (s *fleet) vmOutOfService(c context.Context) (oper.VM, error) {
 	vs, err := s.vms(c, "-pool", "orders")
 	if err != nil {
@@ -81,7 +81,7 @@
 	return oper.VM{}, eris.Errorf("all of %d VMs serve", len(vs))
 }
 
-// checkServesAgain reports whether the VM serves again after a reboot, of which its stand-in tells.
+// checkServesAgain returns an error unless the fake target has counted a reboot and the VM serves again.
 func (s *fleet) checkServesAgain(c context.Context, out oper.VM) error {
 	r, err := s.targetCounts(out.ID)
 	if err != nil {
