--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -25,14 +25,16 @@
 	chaosSteps = flag.Int("chaos.steps", 14, "number of steps of TestFailuresTogether, with two failures each")
 )
 
-// failure is a failure that a test injects and ends later.
+// failure is a kind of failure. inject causes it and returns the function that ends it.
 type failure struct {
 	name   string
 	inject func(r *rig.Rig, rnd *rand.Rand) (undo func())
 }
 
+// randomEntry returns a random entry of the rig.
 func randomEntry(r *rig.Rig, rnd *rand.Rand) *rig.Entry { return r.Entries[rnd.IntN(len(r.Entries))] }
 
+// platformFault returns a failure's inject function that sets a fault of the fake platform; delay is in milliseconds.
 func platformFault(m cloud.Mode, delay int64) func(*rig.Rig, *rand.Rand) func() {
 	return func(r *rig.Rig, _ *rand.Rand) func() {
 		r.Cloud.Fault(cloud.Fault{Mode: m, DelayMillis: delay})
@@ -40,6 +42,7 @@
 	}
 }
 
+// targetFault returns a failure's inject function that sets a fault for the next 20 requests of a random target.
 func targetFault(m target.Mode) func(*rig.Rig, *rand.Rand) func() {
 	return func(r *rig.Rig, rnd *rand.Rand) func() {
 		names := slices.Sorted(maps.Keys(r.Targets))
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	awaitTimeout = 30 * time.Second
-	stopTimeout  = 20 * time.Second
+	awaitTimeout = 30 * time.Second // of Await and Commit
+	stopTimeout  = 20 * time.Second // from a signal to the exit of a process
 )
 
 // Plan sets the size and the timing of a rig.
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -154,16 +154,16 @@
 // checkChangeNumbers reads the newest applied change of each entry and checks that it never decreases within one process.
 func (w *Watcher) checkChangeNumbers(context.Context) {
 	for _, e := range w.rig.running() {
-		life := e.processName()
+		process := e.processName()
 		n, err := e.Applied()
-		if err != nil || e.processName() != life {
+		if err != nil || e.processName() != process {
 			continue
 		}
 		w.mu.Lock()
-		if n < w.newestChange[life] {
-			w.violations[fmt.Sprintf("%s went back from change %d to %d", life, w.newestChange[life], n)] = true
+		if n < w.newestChange[process] {
+			w.violations[fmt.Sprintf("%s went back from change %d to %d", process, w.newestChange[process], n)] = true
 		}
-		w.newestChange[life] = n
+		w.newestChange[process] = n
 		w.mu.Unlock()
 	}
 }
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -119,6 +119,7 @@
 	return c
 }
 
+// addEntry starts the entry with the number i, and the proxy between it and the store.
 func (s *soak) addEntry(i int) {
 	s.t.Helper()
 	e := &entryProcess{soak: s, name: "entry-" + strconv.Itoa(i), callerAddr: rig.Free(s.t)}
@@ -144,6 +145,7 @@
 	e.start()
 }
 
+// start starts the process and appends its output to a log file next to the settings file.
 func (e *entryProcess) start() {
 	l, err := os.OpenFile(e.settingsFile+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -167,7 +169,7 @@
 		_ = e.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	_ = e.cmd.Process.Signal(sig)
-	_ = e.cmd.Wait() // an exit by the signal is no failure
+	_ = e.cmd.Wait() // the process ends by the signal or with status 0; neither is a failure
 	e.cmd, e.paused = nil, false
 }
 
@@ -212,6 +214,7 @@
 	}
 }
 
+// healEntry ends the faults of an entry: it resumes or restarts the process and lets connections to the store through again.
 func (s *soak) healEntry(e *entryProcess) {
 	e.resume()
 	e.storeProxy.Cut() // also closes stalled connections
@@ -221,6 +224,7 @@
 	}
 }
 
+// heal ends all faults of the store, of the orders to workers and of the entries.
 func (s *soak) heal() {
 	s.plant.SetStore(false, 0)
 	s.plant.SetOrders(0, 0)
@@ -313,11 +317,11 @@
 	callers := errgroup.Group{}
 	callers.SetLimit(40)
 	end := time.Now().Add(d)
-	var fault time.Time
+	var nextFault time.Time
 	for time.Now().Before(end) {
-		if time.Now().After(fault) {
+		if time.Now().After(nextFault) {
 			s.injectFault()
-			fault = time.Now().Add(time.Duration(150+s.rnd.IntN(600)) * time.Millisecond)
+			nextFault = time.Now().Add(time.Duration(150+s.rnd.IntN(600)) * time.Millisecond)
 		}
 		j, first := s.nextJob(), s.rnd.IntN(len(s.entries))
 		callers.TryGo(func() error { return s.submit(j, first) })
@@ -350,7 +354,7 @@
 		}
 		states[k.Job.ID] = st
 	}
-	time.Sleep(2 * time.Second) // lasting tasks run again within this time after the last fault
+	time.Sleep(2 * time.Second) // lasting tasks run again within this time once the faults have ended
 	accepted := 0
 	s.plant.Judge(func(g *floor.Judge) {
 		g.Settle(func(id string) batch.State { return states[id] }, func(string) string { return "" })
