--- a/fakes/demo/main.go
+++ b/fakes/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo shows burdockreach at work: it starts the stand-ins of the platform and of two services' targets and four entries,
-// runs orders, refusals, a withdrawn approval and a maintenance wave through them, and stays until it is interrupted.
+// Command demo starts a fake platform, fake targets of two services and four entries as processes on loopback. It shows orders, refusals,
+// a withdrawn approval, a maintenance wave and the replacement of an entry, and then keeps running until it is interrupted.
 package main
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	defaultPort = 21000
-	lastPort    = 60000
-	maxTime     = 60 * time.Second // of the steps together
+	defaultPort  = 21000
+	lastPort     = 60000
+	stepsTimeout = 60 * time.Second // of all steps together
 )
 
 func main() {
@@ -40,22 +40,22 @@
 	}
 }
 
-// demo runs all steps and ends every process that it started.
+// demo runs all steps and stops every process that it started. Unless once is set, it keeps the processes running until c ends.
 func demo(c context.Context, bin string, port int, once, keep bool) error {
 	dir, err := os.MkdirTemp("", "burdockreach-demo-")
 	if err != nil {
 		return eris.Wrap(err, "make a directory")
 	}
-	s := newSite(dir, bin, port)
-	err = s.show(c)
+	s := newFleet(dir, bin, port)
+	err = s.runSteps(c)
 	if err != nil {
-		s.tails()
+		s.printLogTails()
 	}
 	if err == nil && !once {
-		s.invite()
+		s.printHints()
 		<-c.Done()
 	}
-	if e := s.procs.end(); err == nil {
+	if e := s.procs.stopAll(); err == nil {
 		err = e
 	}
 	if keep {
@@ -68,9 +68,9 @@
 	return err
 }
 
-// show performs the steps in order.
-func (s *site) show(c context.Context) error {
-	t, cancel := context.WithTimeout(c, maxTime)
+// runSteps runs the steps in order and stops at the first error.
+func (s *fleet) runSteps(c context.Context) error {
+	t, cancel := context.WithTimeout(c, stepsTimeout)
 	defer cancel()
 	for _, step := range []func(context.Context) error{
 		s.start, s.configure, s.order, s.refusals, s.withdraw, s.maintain, s.replace, s.report,
@@ -79,12 +79,12 @@
 			return err
 		}
 	}
-	fmt.Printf("\nall was as it should be, after %.1f s\n", time.Since(s.began).Seconds())
+	fmt.Printf("\nall was as it should be, after %.1f s\n", time.Since(s.startedAt).Seconds())
 	return nil
 }
 
-// tails prints the last lines of every log.
-func (s *site) tails() {
+// printLogTails prints the last lines of every process's log to standard error.
+func (s *fleet) printLogTails() {
 	logs, _ := filepath.Glob(filepath.Join(s.dir, "*.log"))
 	for _, l := range logs {
 		if b, err := os.ReadFile(l); err == nil && len(b) > 0 {
--- a/fakes/target/ctl.go
+++ b/fakes/target/ctl.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// control serves one request at the control address.
+// control serves one call at the control address.
 func (t *Target) control(x *fasthttp.RequestCtx) {
 	switch string(x.Path()) {
 	case "/ctl/runs":
@@ -34,25 +34,27 @@
 	}
 }
 
-// Drain makes the target refuse new requests as leaving; what runs goes on.
+// Drain makes the target refuse new requests and state that it is leaving. Running requests continue.
 func (t *Target) Drain() {
 	t.mu.Lock()
-	t.drain = time.Now()
+	t.drainStart = time.Now()
 	t.mu.Unlock()
 	t.draining.Store(true)
 }
 
-// Reboot stops the target at once and brings it back after its reboot time; planned says under which count cut requests fall.
+// Reboot stops the target immediately and starts it again after its reboot time.
+// Interrupted requests count as cut if the reboot is planned, as crashed otherwise.
 func (t *Target) Reboot(planned bool) { t.rebootFor(planned, t.rebootTime) }
 
+// rebootFor requests a reboot with downtime d. It does nothing if another reboot is already requested.
 func (t *Target) rebootFor(planned bool, d time.Duration) {
 	select {
-	case t.reboots <- reboot{planned: planned, after: d}:
+	case t.reboots <- reboot{planned: planned, downtime: d}:
 	default:
 	}
 }
 
-// SetFault makes every request without its own Fake-Fault header misbehave.
+// SetFault applies the fault to every request without a Fake-Fault header. The mode None ends it.
 func (t *Target) SetFault(f Fault) {
 	if f.Mode == None {
 		t.fault.Store(nil)
@@ -73,7 +75,7 @@
 	var a struct {
 		Pool string `json:"pool"`
 	}
-	if !read(x, &a) {
+	if !decodeBody(x, &a) {
 		return
 	}
 	t.mu.Lock()
@@ -84,12 +86,13 @@
 
 func (t *Target) ctlFault(x *fasthttp.RequestCtx) {
 	var f Fault
-	if read(x, &f) {
+	if decodeBody(x, &f) {
 		t.SetFault(f)
 	}
 }
 
-func read(x *fasthttp.RequestCtx, v any) bool {
+// decodeBody decodes the JSON body of the call into v. On failure it answers 400 and returns false.
+func decodeBody(x *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(x.PostBody(), v); err != nil {
 		x.Error(err.Error(), fasthttp.StatusBadRequest)
 		return false
--- a/proof/fail_test.go
+++ b/proof/fail_test.go
@@ -11,15 +11,16 @@
 	"burdockreach.dev/proof/rig"
 )
 
-const callers = 16
+const loadCallers = 16
 
-// TestKilledEntryDoublesNothing kills the entry that leads in the middle of a load, and starts it again empty.
+// TestKilledEntryDoublesNothing kills two of three entries, one after the other, during a load and restarts each without its state.
+// Requests whose entry died between send and answer must not run a second time.
 func TestKilledEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries = 3
 	r := rig.New(t, p)
-	l := r.StartLoad(callers, all(r))
+	l := r.StartLoad(loadCallers, allEntries(r))
 	time.Sleep(500 * time.Millisecond)
 	for _, e := range r.Entries[:2] {
 		e.Kill()
@@ -33,13 +34,14 @@
 	i.True(answered > 0)
 }
 
-// TestFrozenEntryDoublesNothing freezes an entry past its lease and its place in the roster, in the middle of its sends.
+// TestFrozenEntryDoublesNothing freezes an entry during its sends, for longer than its lease and its membership in the roster last.
+// Requests that were in flight at the freeze must not run a second time.
 func TestFrozenEntryDoublesNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Entries = 3
 	r := rig.New(t, p)
-	l := r.StartLoad(callers, all(r))
+	l := r.StartLoad(loadCallers, allEntries(r))
 	time.Sleep(500 * time.Millisecond)
 	r.Entries[0].Freeze()
 	time.Sleep(7 * time.Second)
@@ -50,16 +52,17 @@
 	i.True(answered > 0)
 }
 
-// TestServiceDownGoesOnServing takes the platform's service away; what is configured goes on, and nothing goes back.
+// TestServiceDownGoesOnServing makes the platform unavailable during a load. The entries must keep serving the configured services,
+// without any refused request or unknown outcome.
 func TestServiceDownGoesOnServing(t *testing.T) {
 	i := is.New(t)
-	r := rig.New(t, small())
-	l := r.StartLoad(callers, all(r))
+	r := rig.New(t, smallPlan())
+	l := r.StartLoad(loadCallers, allEntries(r))
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Down})
 	time.Sleep(4 * time.Second)
 	before := r.Runs()
 	time.Sleep(500 * time.Millisecond)
-	i.True(len(r.Runs()) > len(before)) // requests are still run
+	i.True(len(r.Runs()) > len(before)) // requests still run
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Up})
 	time.Sleep(500 * time.Millisecond)
 	answered, notRun, unknown := r.Judge(l.Stop())
@@ -67,14 +70,15 @@
 	i.Equal(notRun+unknown, 0)
 }
 
-// TestWaveCutsNothing maintains every VM of the pool under load.
+// TestWaveCutsNothing reboots every VM of the pool in a maintenance wave under load. The drains must leave no request for a reboot
+// to interrupt.
 func TestWaveCutsNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.Targets = 3
 	p.RunTime = 50 * time.Millisecond
 	r := rig.New(t, p)
-	l := r.StartLoad(8, all(r))
+	l := r.StartLoad(8, allEntries(r))
 	r.Commit(conf.Change{Kind: conf.PutWave, Wave: &conf.WaveSpec{ID: "w1", Pools: []string{rig.Pool}}})
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
@@ -87,17 +91,18 @@
 	time.Sleep(500 * time.Millisecond)
 	answered, notRun, unknown := r.Judge(l.Stop())
 	doubled, over, leaving, cut := r.Counts()
-	t.Logf("answered %d, not run %d, unknown %d; oversent %d, while leaving %d", answered, notRun, unknown, over, leaving)
-	i.Equal(cut, int64(0))     // requests in flight cut by a reboot
-	i.Equal(doubled, int64(0)) // keys run twice
+	t.Logf("answered %d, not run %d, unknown %d; %d requests over the slots, %d while draining", answered, notRun, unknown, over, leaving)
+	i.Equal(cut, int64(0))     // requests interrupted by a planned reboot
+	i.Equal(doubled, int64(0)) // keys that ran more than once
 	i.Equal(unknown, 0)
 	i.True(answered > 0)
 }
 
-// TestStopCutsNothing stops an entry by SIGTERM under load.
+// TestStopCutsNothing stops an entry by SIGTERM under load. The entry must drain and exit with status 0, and every request must end
+// with an answer.
 func TestStopCutsNothing(t *testing.T) {
 	i := is.New(t)
-	p := small()
+	p := smallPlan()
 	p.RunTime = 100 * time.Millisecond
 	r := rig.New(t, p)
 	rest := r.Entries[1:]
--- a/proof/rig/operate.go
+++ b/proof/rig/operate.go
@@ -11,29 +11,29 @@
 	"burdockreach.dev/plat/conf"
 )
 
-const operateWithin = 10 * time.Second
+const operatorTimeout = 10 * time.Second
 
-// Change asks the entry's operators' API for a change; an error means that no answer came.
+// Change requests a configuration change from the entry's operator API. An error means that no valid response came.
 func (e *Entry) Change(c conf.Change) (oper.ChangeReply, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
 		return oper.ChangeReply{}, err
 	}
 	var r oper.ChangeReply
-	return r, e.operate("POST", "/op/change", b, &r)
+	return r, e.callOperatorAPI("POST", "/op/change", b, &r)
 }
 
-// Applied returns the newest change in force at the entry.
+// Applied returns the number of the newest change that the entry has applied.
 func (e *Entry) Applied() (conf.Number, error) {
 	var r oper.Applied
-	err := e.operate("GET", "/op/applied", nil, &r)
+	err := e.callOperatorAPI("GET", "/op/applied", nil, &r)
 	return r.Newest, err
 }
 
-// Teams returns the teams that are in force at the entry, by name, with the number of their last change.
+// Teams returns the teams that the entry has applied: the number of the last change of each, by the team's name.
 func (e *Entry) Teams() (map[string]conf.Number, error) {
 	var r oper.Objects[conf.TeamSpec]
-	if err := e.operate("GET", "/op/teams", nil, &r); err != nil {
+	if err := e.callOperatorAPI("GET", "/op/teams", nil, &r); err != nil {
 		return nil, err
 	}
 	m := make(map[string]conf.Number)
@@ -43,7 +43,8 @@
 	return m, nil
 }
 
-func (e *Entry) operate(method, path string, body []byte, v any) error {
+// callOperatorAPI sends one request to the entry's operator API and decodes the JSON response into v.
+func (e *Entry) callOperatorAPI(method, path string, body []byte, v any) error {
 	var q fasthttp.Request
 	var a fasthttp.Response
 	q.Header.SetMethod(method)
@@ -52,7 +53,7 @@
 	q.SetBody(body)
 	q.SetConnectionClose()
 	c := fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	if err := c.DoTimeout(&q, &a, operateWithin); err != nil {
+	if err := c.DoTimeout(&q, &a, operatorTimeout); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(a.Body(), v); err != nil {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Platform calls the stand-in of the platform.
+// Platform sends a call to the control address of the fake platform and fails the test if it is not accepted.
 func (r *Rig) Platform(path string, body any) {
 	r.T.Helper()
 	b, err := json.Marshal(body)
@@ -73,12 +74,12 @@
 	q.Header.SetMethod("POST")
 	q.SetRequestURI("http://" + r.Cloud.ControlAddr() + path)
 	q.SetBody(b)
-	if err := fasthttp.DoTimeout(&q, &a, operateWithin); err != nil || a.StatusCode() != fasthttp.StatusOK {
+	if err := fasthttp.DoTimeout(&q, &a, operatorTimeout); err != nil || a.StatusCode() != fasthttp.StatusOK {
 		r.T.Fatalf("%s: %v %s", path, err, a.Body())
 	}
 }
 
-// Wave asks for a maintenance wave over the service's pool, in the background, through whichever entry takes it.
+// Wave requests a maintenance wave over the service's pool. In the background, it tries the running entries until one accepts.
 func (r *Rig) Wave(id string) {
 	entries := r.running()
 	r.group.Go(func() error {
@@ -94,23 +95,23 @@
 	})
 }
 
-// Revive thaws the entry, or starts it when its process has ended.
+// Revive starts the entry if its process has exited, and thaws it otherwise.
 func (e *Entry) Revive() {
-	if e.life() == "" {
+	if e.processName() == "" {
 		e.Start()
 		return
 	}
 	e.Thaw()
 }
 
-// Leader returns the entry that leads the data centre.
+// Leader waits until an entry of the data centre reports that it is the leader, and returns that entry.
 func (r *Rig) Leader(dataCentre string) *Entry {
 	r.T.Helper()
 	var found *Entry
 	r.Await("leader of "+dataCentre, func() bool {
 		for _, e := range r.running() {
 			var l oper.Entries
-			if e.DataCentre != dataCentre || e.operate("GET", "/op/entries", nil, &l) != nil {
+			if e.DataCentre != dataCentre || e.callOperatorAPI("GET", "/op/entries", nil, &l) != nil {
 				continue
 			}
 			for _, o := range l.Items {
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -22,7 +22,7 @@
 	"burdockreach.dev/plat/hosts"
 )
 
-// Names and tokens that every rig uses.
+// Names and tokens that are the same in every rig.
 const (
 	Service = "orders"
 	Team    = "kitchen"
@@ -33,48 +33,48 @@
 )
 
 const (
-	startWithin = 30 * time.Second
-	stopWithin  = 20 * time.Second
+	awaitTimeout = 30 * time.Second // of Await and Commit
+	stopTimeout  = 20 * time.Second // from a signal to the exit of a process
 )
 
-// Plan says what a rig is made of, for each data centre.
+// Plan sets the size and the timing of a rig.
 type Plan struct {
 	DataCentres int
-	Entries     int // in each data centre
-	Targets     int // of the service in each data centre
-	Spares      int // in each data centre
-	RunTime     time.Duration
-	MaxOut      int
-	Reboot      time.Duration
-	Lag         time.Duration
+	Entries     int           // in each data centre
+	Targets     int           // targets of the service, in each data centre
+	Spares      int           // targets that start in the spare pool, in each data centre
+	RunTime     time.Duration // of a request at a target
+	MaxOut      int           // VMs of the service that may be out at once, planned and unplanned together
+	Reboot      time.Duration // downtime of a VM during a reboot
+	Lag         time.Duration // age of the platform's VM list
 }
 
-// Rig is a running fleet.
+// Rig is a running fleet: fake platform, fake targets and entry processes.
 type Rig struct {
-	T        testing.TB
-	Cloud    *cloud.Server
-	Targets  map[string]*target.Target
-	Entries  []*Entry
-	Holder   *conf.Holder
-	commit   *conf.Committer
-	spares   map[string]bool // VMs that begin in the spare pool
-	plan     Plan
-	dir, bin string
-	group    *errgroup.Group
-	ctx      context.Context
-	cancel   context.CancelFunc
+	T         testing.TB
+	Cloud     *cloud.Server
+	Targets   map[string]*target.Target
+	Entries   []*Entry
+	Holder    *conf.Holder
+	committer *conf.Committer
+	spares    map[string]bool // VMs that start in the spare pool
+	plan      Plan
+	dir, bin  string
+	group     *errgroup.Group
+	ctx       context.Context
+	cancel    context.CancelFunc
 }
 
-// Entry is one entry process.
+// Entry is an entry with its addresses and its process, if one runs.
 type Entry struct {
 	Name, DataCentre, Caller, Peer, Operator string
 
-	rig  *Rig
-	file string
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	log  *os.File
+	rig          *Rig
+	settingsFile string
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	log          *os.File
 }
 
 var (
@@ -83,7 +83,7 @@
 	buildErr  error
 )
 
-// Binary builds the program once for all tests of a package, and returns its path.
+// Binary builds burdockreach once for each test process and returns the path of the program.
 func Binary(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -104,7 +104,7 @@
 	return builtPath
 }
 
-// New starts a fleet and returns when every entry is ready; it is stopped when the test ends.
+// New starts a fleet, waits until every entry is ready, and stops the fleet when the test ends.
 func New(t testing.TB, p Plan) *Rig {
 	t.Helper()
 	r := &Rig{T: t, plan: p, dir: t.TempDir(), bin: Binary(t), Targets: make(map[string]*target.Target), Holder: conf.NewHolder(), spares: make(map[string]bool)}
@@ -114,13 +114,13 @@
 	vms := r.startTargets()
 	for d := range p.DataCentres {
 		for range p.Entries {
-			vms = append(vms, r.plant(DataCentre(d)))
+			vms = append(vms, r.addEntry(DataCentre(d)))
 		}
 	}
 	r.startCloud(vms)
 	r.configure()
 	for _, e := range r.Entries {
-		e.write()
+		e.writeSettings()
 		e.Start()
 	}
 	for _, e := range r.Entries {
@@ -139,12 +139,12 @@
 	r.cancel()
 	_ = r.group.Wait()
 	if r.T.Failed() {
-		r.dump()
+		r.logTails()
 	}
 }
 
-// dump shows the last lines of each entry's log.
-func (r *Rig) dump() {
+// logTails writes the last 3000 bytes of each entry's log to the test's log.
+func (r *Rig) logTails() {
 	const tail = 3000
 	for _, e := range r.Entries {
 		b, _ := os.ReadFile(e.log.Name())
@@ -152,14 +152,14 @@
 	}
 }
 
-// startTargets starts the targets and returns the platform's list of them.
+// startTargets starts the targets and returns them as items of the platform's VM list.
 func (r *Rig) startTargets() []hosts.VMWire {
 	var l []hosts.VMWire
 	for d := range r.plan.DataCentres {
 		for k := range r.plan.Targets + r.plan.Spares {
 			w := hosts.VMWire{
 				ID: fmt.Sprintf("%s-w%d", DataCentre(d), k+1), DataCentre: DataCentre(d), Rack: fmt.Sprintf("%s-r%d", DataCentre(d), k/2+1),
-				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freePair(r.T),
+				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freeTargetAddr(r.T),
 			}
 			if k >= r.plan.Targets {
 				w.Pool = Spare
@@ -175,7 +175,7 @@
 func (r *Rig) startTarget(w hosts.VMWire) {
 	t := target.New(target.WithName(w.ID), target.WithRunTime(r.plan.RunTime), target.WithRebootTime(r.plan.Reboot))
 	r.Targets[w.ID] = t
-	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, control(w.Addr)) })
+	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, controlAddr(w.Addr)) })
 }
 
 func (r *Rig) startCloud(vms []hosts.VMWire) {
@@ -187,7 +187,7 @@
 
 // configure commits the service, its pool, its profile, the team and its approval.
 func (r *Rig) configure() {
-	r.commit = conf.NewCommitter(r.Cloud.Store(), r.Holder)
+	r.committer = conf.NewCommitter(r.Cloud.Store(), r.Holder)
 	vms := r.plan.Targets * r.plan.DataCentres
 	for _, c := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{
@@ -203,21 +203,21 @@
 	}
 }
 
-// Commit makes c the next change and returns its number.
+// Commit writes c as the next configuration change, straight to the platform's store, and returns its number.
 func (r *Rig) Commit(c conf.Change) conf.Number {
 	r.T.Helper()
 	c.By, c.Op = "rig", fmt.Sprintf("rig-%d-%d", time.Now().UnixNano(), r.Holder.Document().Number())
-	x, cancel := context.WithTimeout(r.ctx, startWithin)
+	x, cancel := context.WithTimeout(r.ctx, awaitTimeout)
 	defer cancel()
-	n, err := r.commit.Commit(x, c)
+	n, err := r.committer.Commit(x, c)
 	if err != nil {
 		r.T.Fatal(err)
 	}
 	return n
 }
 
-// plant makes one more entry of the data centre, which is not started, and returns its line in the platform's list.
-func (r *Rig) plant(dataCentre string) hosts.VMWire {
+// addEntry adds an entry to the data centre without starting it and returns it as an item of the platform's VM list.
+func (r *Rig) addEntry(dataCentre string) hosts.VMWire {
 	n := 1
 	for _, e := range r.Entries {
 		if e.DataCentre == dataCentre {
@@ -234,21 +234,22 @@
 	}
 }
 
-// Replace ends the entry's VM for good and starts a new VM with another name in its place; the new entry is not yet ready.
+// Replace kills the entry, makes its VM fail permanently at the platform, and starts an entry with another name on a new VM.
+// It does not wait until the new entry is ready.
 func (r *Rig) Replace(old *Entry) *Entry {
 	r.T.Helper()
 	old.Kill()
 	r.Platform("/vm/fail", map[string]any{"id": old.Name})
-	w := r.plant(old.DataCentre)
+	w := r.addEntry(old.DataCentre)
 	r.Platform("/vm/add", w)
 	e := r.Entries[len(r.Entries)-1]
-	e.write()
+	e.writeSettings()
 	e.Start()
 	return e
 }
 
-// write writes the entry's settings file.
-func (e *Entry) write() {
+// writeSettings writes the entry's settings file.
+func (e *Entry) writeSettings() {
 	var all []string
 	peers := []string{}
 	for d := range e.rig.plan.DataCentres {
@@ -267,8 +268,8 @@
 	if err != nil {
 		e.rig.T.Fatal(err)
 	}
-	e.file = filepath.Join(e.rig.dir, e.Name+".json")
-	if err := os.WriteFile(e.file, b, 0o600); err != nil {
+	e.settingsFile = filepath.Join(e.rig.dir, e.Name+".json")
+	if err := os.WriteFile(e.settingsFile, b, 0o600); err != nil {
 		e.rig.T.Fatal(err)
 	}
 	if e.log, err = os.Create(filepath.Join(e.rig.dir, e.Name+".log")); err != nil {
@@ -280,47 +281,47 @@
 func (e *Entry) Start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := exec.CommandContext(e.rig.ctx, e.rig.bin, "entry", "-settings", e.file)
+	c := exec.CommandContext(e.rig.ctx, e.rig.bin, "entry", "-settings", e.settingsFile)
 	c.Stdout, c.Stderr = e.log, e.log
 	if err := c.Start(); err != nil {
 		e.rig.T.Fatal(err)
 	}
-	e.cmd, e.done = c, make(chan struct{})
-	done := e.done
+	e.cmd, e.exited = c, make(chan struct{})
+	done := e.exited
 	e.rig.group.Go(func() error {
 		defer close(done)
-		_ = c.Wait() // the state tells how it ended
+		_ = c.Wait() // Stop reads the exit status from ProcessState
 		return nil
 	})
 }
 
-// running returns the entries whose processes run.
+// running returns the entries whose process is running, frozen ones included.
 func (r *Rig) running() []*Entry {
 	var l []*Entry
 	for _, e := range r.Entries {
-		if e.life() != "" {
+		if e.processName() != "" {
 			l = append(l, e)
 		}
 	}
 	return l
 }
 
-// life names the running process; it is empty while none runs.
-func (e *Entry) life() string {
+// processName returns the entry's name and process ID, or "" if no process runs.
+func (e *Entry) processName() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd == nil {
 		return ""
 	}
 	select {
-	case <-e.done:
+	case <-e.exited:
 		return ""
 	default:
 		return fmt.Sprintf("%s/%d", e.Name, e.cmd.Process.Pid)
 	}
 }
 
-// signal sends s to the process if it runs.
+// signal sends s to the entry's process, if it was started.
 func (e *Entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -329,37 +330,39 @@
 	}
 }
 
-// Kill ends the process at once and returns when it is gone.
+// Kill sends SIGKILL to the process and waits for its exit.
 func (e *Entry) Kill() {
 	e.signal(syscall.SIGKILL)
-	e.wait()
+	e.awaitExit()
 }
 
-// Freeze stops the process's clock and work; Thaw lets it go on.
+// Freeze suspends the process by SIGSTOP until Thaw.
 func (e *Entry) Freeze() { e.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process by SIGCONT.
 func (e *Entry) Thaw() { e.signal(syscall.SIGCONT) }
 
-// Stop ends the process by SIGTERM and returns its exit status.
+// Stop sends SIGTERM to the process, waits for its exit and returns its exit status.
 func (e *Entry) Stop() int {
 	e.signal(syscall.SIGTERM)
-	e.wait()
+	e.awaitExit()
 	return e.cmd.ProcessState.ExitCode()
 }
 
-func (e *Entry) wait() {
+// awaitExit waits for the process's exit. After stopTimeout it fails the test and kills the process.
+func (e *Entry) awaitExit() {
 	if e.cmd == nil {
 		return
 	}
 	select {
-	case <-e.done:
-	case <-time.After(stopWithin):
-		e.rig.T.Errorf("%s does not end", e.Name)
+	case <-e.exited:
+	case <-time.After(stopTimeout):
+		e.rig.T.Errorf("entry %s did not exit in time", e.Name)
 		e.signal(syscall.SIGKILL)
 	}
 }
 
+// digest returns the hexadecimal SHA-256 digest of the token, as the configuration stores it.
 func digest(token string) string {
 	s := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(s[:])
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -14,72 +14,74 @@
 	"burdockreach.dev/plat/keyval"
 )
 
-// Watcher looks at the fleet from outside all the time and notes what must never be seen.
+// Watcher polls the fleet's state from outside and collects violations of its invariants.
 type Watcher struct {
-	r      *Rig
+	rig    *Rig
 	group  errgroup.Group
 	cancel context.CancelFunc
 
-	mu     sync.Mutex
-	wrong  map[string]bool
-	looks  int
-	newest map[string]conf.Number // by life of an entry
+	mu           sync.Mutex
+	violations   map[string]bool
+	poolReads    int
+	newestChange map[string]conf.Number // by the entry's process name
 
-	outSince map[string]time.Time // of the budget's look alone
-	planned  map[string]bool
-	spare    map[string]bool
+	outSince   map[string]time.Time // by VM, as are the next two; only checkBudget uses the three
+	plannedOut map[string]bool
+	spareVMs   map[string]bool
 }
 
-// lookEvery is the time between looks.
-const lookEvery = 15 * time.Millisecond
+// pollInterval is the time between two checks of the same kind.
+const pollInterval = 15 * time.Millisecond
 
-// Watch starts a watcher of one pool for each VM, of the availability budget and of the configuration's numbers.
+// Watch starts a watcher. It checks that each VM is in one pool only, that planned stops respect the availability budget,
+// and that the change numbers of entries never go back.
 func (r *Rig) Watch() *Watcher {
 	x, cancel := context.WithCancel(r.ctx)
-	w := &Watcher{r: r, cancel: cancel, wrong: make(map[string]bool), newest: make(map[string]conf.Number),
-		outSince: make(map[string]time.Time), planned: make(map[string]bool), spare: r.spares}
-	w.group.Go(func() error { return w.every(x, w.lookAtPools) })
-	w.group.Go(func() error { return w.every(x, w.lookAtBudget) })
-	w.group.Go(func() error { return w.every(x, w.lookAtNumbers) })
+	w := &Watcher{rig: r, cancel: cancel, violations: make(map[string]bool), newestChange: make(map[string]conf.Number),
+		outSince: make(map[string]time.Time), plannedOut: make(map[string]bool), spareVMs: r.spares}
+	w.group.Go(func() error { return w.poll(x, w.checkPools) })
+	w.group.Go(func() error { return w.poll(x, w.checkBudget) })
+	w.group.Go(func() error { return w.poll(x, w.checkChangeNumbers) })
 	return w
 }
 
-func (w *Watcher) every(ctx context.Context, look func(context.Context)) error {
-	t := time.NewTicker(lookEvery)
+// poll calls check every pollInterval until ctx ends, and then once more.
+func (w *Watcher) poll(ctx context.Context, check func(context.Context)) error {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		look(ctx)
+		check(ctx)
 		select {
 		case <-ctx.Done():
-			look(context.WithoutCancel(ctx)) // what the watch ends with
+			check(context.WithoutCancel(ctx)) // also checks the final state
 			return nil
 		case <-t.C:
 		}
 	}
 }
 
-func (w *Watcher) blame(format string, a ...any) {
+func (w *Watcher) addViolation(format string, a ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrong[fmt.Sprintf(format, a...)] = true
+	w.violations[fmt.Sprintf(format, a...)] = true
 }
 
-// Stop ends the watch and fails the test for all that was wrong.
+// Stop ends the checks and fails the test for each violation, and if the pools were never read.
 func (w *Watcher) Stop() {
-	w.r.T.Helper()
+	w.rig.T.Helper()
 	w.cancel()
 	_ = w.group.Wait()
-	for s := range w.wrong {
-		w.r.T.Error(s)
+	for s := range w.violations {
+		w.rig.T.Error(s)
 	}
-	if w.looks == 0 {
-		w.r.T.Error("nothing was looked at")
+	if w.poolReads == 0 {
+		w.rig.T.Error("the watcher never read the pools")
 	}
 }
 
-// lookAtPools reads one state of the whole membership, as any reader of the service can see it.
-func (w *Watcher) lookAtPools(ctx context.Context) {
-	items, _, err := w.r.Cloud.Store().List(ctx, "dc/", "", 1000)
+// checkPools reads all shards of the pool membership from the platform's store in one call and checks that no VM is in two of them.
+func (w *Watcher) checkPools(ctx context.Context) {
+	items, _, err := w.rig.Cloud.Store().List(ctx, "dc/", "", 1000)
 	if err != nil {
 		return
 	}
@@ -88,19 +90,20 @@
 		if !strings.Contains(i.Key(), "/vms/") {
 			continue
 		}
-		for _, m := range members(i) {
+		for _, m := range shardMembers(i) {
 			if o, ok := in[m.VM]; ok {
-				w.blame("VM %s stands in %s and in %s", m.VM, o, i.Key())
+				w.addViolation("VM %s is listed in both %s and %s", m.VM, o, i.Key())
 			}
 			in[m.VM] = i.Key()
 		}
 	}
 	w.mu.Lock()
-	w.looks++
+	w.poolReads++
 	w.mu.Unlock()
 }
 
-func members(i keyval.Item) []pool.Member {
+// shardMembers decodes the members of the shard that is stored in i. It returns nil if i is not a valid shard.
+func shardMembers(i keyval.Item) []pool.Member {
 	var n int
 	k := i.Key()
 	if _, err := fmt.Sscanf(k[strings.LastIndex(k, "/")+1:], "%d", &n); err != nil {
@@ -118,17 +121,17 @@
 	return l
 }
 
-// knownWithin is the time in which a leader may not yet know that a VM has failed.
-const knownWithin = 3 * time.Second
+// detectionDelay is the longest time that a leader may take to detect the failure of a VM.
+const detectionDelay = 3 * time.Second
 
-// lookAtBudget counts the targets of the service that are out, as the targets themselves know, and blames a planned stop
-// that begins while the profile's number has been out for a while.
-func (w *Watcher) lookAtBudget(context.Context) {
+// checkBudget checks, by the targets' own state, that no planned stop begins while as many targets of the service are out as the profile
+// allows. It counts only targets that are out by a planned stop or for longer than detectionDelay.
+func (w *Watcher) checkBudget(context.Context) {
 	now := time.Now()
-	old, begun := 0, ""
-	for n, t := range w.r.Targets {
+	knownOut, stopping := 0, ""
+	for n, t := range w.rig.Targets {
 		s := t.Brief()
-		if s.Pool == Spare || w.spare[n] && s.Pool == "" || !s.Draining && !s.Away {
+		if s.Pool == Spare || w.spareVMs[n] && s.Pool == "" || !s.Draining && !s.Away {
 			delete(w.outSince, n)
 			continue
 		}
@@ -136,31 +139,31 @@
 		if !known {
 			w.outSince[n] = now
 			if s.Draining {
-				begun = n
+				stopping = n
 			}
-		} else if now.Sub(since) > knownWithin || w.planned[n] {
-			old++
+		} else if now.Sub(since) > detectionDelay || w.plannedOut[n] {
+			knownOut++
 		}
-		w.planned[n] = s.Draining || known && w.planned[n]
+		w.plannedOut[n] = s.Draining || known && w.plannedOut[n]
 	}
-	if limit := max(1, w.r.plan.MaxOut); begun != "" && old >= limit {
-		w.blame("planned stop of %s began while %d targets were out, the profile allows %d", begun, old, limit)
+	if limit := max(1, w.rig.plan.MaxOut); stopping != "" && knownOut >= limit {
+		w.addViolation("planned stop of %s began while %d targets were out; the profile allows %d", stopping, knownOut, limit)
 	}
 }
 
-// lookAtNumbers asks each entry for its newest change.
-func (w *Watcher) lookAtNumbers(context.Context) {
-	for _, e := range w.r.running() {
-		life := e.life()
+// checkChangeNumbers reads the newest applied change of each entry and checks that it never decreases within one process.
+func (w *Watcher) checkChangeNumbers(context.Context) {
+	for _, e := range w.rig.running() {
+		process := e.processName()
 		n, err := e.Applied()
-		if err != nil || e.life() != life {
+		if err != nil || e.processName() != process {
 			continue
 		}
 		w.mu.Lock()
-		if n < w.newest[life] {
-			w.wrong[fmt.Sprintf("%s went back from change %d to %d", life, w.newest[life], n)] = true
+		if n < w.newestChange[process] {
+			w.violations[fmt.Sprintf("%s went back from change %d to %d", process, w.newestChange[process], n)] = true
 		}
-		w.newest[life] = n
+		w.newestChange[process] = n
 		w.mu.Unlock()
 	}
 }
