--- a/bench/decide.go
+++ b/bench/decide.go
@@ -13,21 +13,21 @@
 
 // Aims of the table.
 const (
-	leastGoodput   = 0.97
-	mostOfBound    = 1.1 // a wave's time beside the least
-	mostOfNaive    = 0.7 // spare VMs beside a fixed share
-	mostOfMoves    = 1.2 // moves beside hindsight
-	perService     = 10  // VMs of a service
-	rackVMs        = 4
-	survivedRacks  = 1
-	hoursOfTheDay  = 24
-	waveBudget     = 2
-	busiestEntry   = 3.0 // times the requests of the next one
-	shapedTurnsFor = "three entries, the busiest asked 3 times as much"
+	minGoodput       = 0.97
+	maxWaveRatio     = 1.1 // a wave's time beside the least
+	maxSpareRatio    = 0.7 // spare VMs beside a fixed share
+	maxMoveRatio     = 1.2 // moves beside hindsight
+	vmsPerService    = 10  // VMs of a service
+	vmsPerRack       = 4
+	survivedRacks    = 1
+	hoursPerDay      = 24
+	maxOutPerService = 2
+	busiestEntryLoad = 3.0 // times the requests of the next one
+	skewedLoadLabel  = "three entries, the busiest asked 3 times as much"
 )
 
-// turns compares the ways to share slots over the five-fold turns.
-func turns(seed uint64) []row {
+// sharingRows compares the ways to share slots over the five-fold sharingRows.
+func sharingRows(seed uint64) []row {
 	var rows []row
 	for _, c := range []struct {
 		name string
@@ -35,25 +35,25 @@
 	}{
 		{"one entry", []share.ShapeOption{share.WithEntries(1)}},
 		{"three entries asked alike", nil},
-		{shapedTurnsFor, []share.ShapeOption{share.WithSkew(busiestEntry)}},
+		{skewedLoadLabel, []share.ShapeOption{share.WithSkew(busiestEntryLoad)}},
 	} {
 		t := share.FiveFold(seed, c.opts...)
 		l, q, f, s := share.Replay(t, share.Lending), share.Replay(t, share.Queueing), share.Replay(t, share.Fixed), share.Replay(t, share.Refusing)
 		rows = append(rows, row{
-			what:   "goodput over the five-fold turns, " + c.name,
-			ours:   fmt.Sprintf("%.3f of capacity", l.Goodput()),
-			beside: fmt.Sprintf("first come first served %.3f; static shares %.3f; send and be refused %.3f", q.Goodput(), f.Goodput(), s.Goodput()),
-			aim:    fmt.Sprintf("at least %.2f", leastGoodput), kept: l.Goodput() >= leastGoodput,
+			metric:   "goodput over the five-fold turns, " + c.name,
+			result:   fmt.Sprintf("%.3f of capacity", l.Goodput()),
+			baseline: fmt.Sprintf("first come first served %.3f; static shares %.3f; send and be refused %.3f", q.Goodput(), f.Goodput(), s.Goodput()),
+			goal:     fmt.Sprintf("at least %.2f", minGoodput), goalMet: l.Goodput() >= minGoodput,
 		}, row{
-			what:   "urgent requests in time, " + c.name,
-			ours:   fmt.Sprintf("%.4f, p99 %v", l.InTime(sched.Urgent), l.Quantile(sched.Urgent, 0.99).Round(time.Millisecond)),
-			beside: fmt.Sprintf("first come first served %.4f; static shares %.4f; send and be refused %.4f", q.InTime(sched.Urgent), f.InTime(sched.Urgent), s.InTime(sched.Urgent)),
-			aim:    "all", kept: l.InTime(sched.Urgent) == 1,
+			metric:   "urgent requests in time, " + c.name,
+			result:   fmt.Sprintf("%.4f, p99 %v", l.InTime(sched.Urgent), l.Quantile(sched.Urgent, 0.99).Round(time.Millisecond)),
+			baseline: fmt.Sprintf("first come first served %.4f; static shares %.4f; send and be refused %.4f", q.InTime(sched.Urgent), f.InTime(sched.Urgent), s.InTime(sched.Urgent)),
+			goal:     "all", goalMet: l.InTime(sched.Urgent) == 1,
 		}, row{
-			what:   "time to normal goodput after a turn, " + c.name,
-			ours:   l.Recovery().Round(time.Millisecond).String(),
-			beside: fmt.Sprintf("first come first served %v", q.Recovery().Round(time.Millisecond)),
-			aim:    "below first come first served", kept: l.Recovery() <= q.Recovery(),
+			metric:   "time to normal goodput after a turn, " + c.name,
+			result:   l.Recovery().Round(time.Millisecond).String(),
+			baseline: fmt.Sprintf("first come first served %v", q.Recovery().Round(time.Millisecond)),
+			goal:     "below first come first served", goalMet: l.Recovery() <= q.Recovery(),
 		})
 	}
 	return rows
@@ -65,47 +65,47 @@
 	strike bool
 }{{"Kijani's day", false}, {"Picketline's strike day", true}}
 
-// days compares moves and spare VMs over the days of both deployments.
-func days(seed int64) []row {
+// moveRows compares moves and spare VMs over the moveRows of both deployments.
+func moveRows(seed int64) []row {
 	var rows []row
 	for _, d := range deployments {
 		t := spare.DayTrace(seed, d.strike)
 		a, n := spare.Replay(t, spare.New()), spare.Replay(t, spare.NewThreshold())
 		ratio := float64(a.Moves) / float64(max(1, a.Least))
 		rows = append(rows, row{
-			what: "VM moves, " + d.name, ours: fmt.Sprintf("%d (%.2f of hindsight); late %.4f", a.Moves, ratio, a.LateShare),
-			beside: fmt.Sprintf("hindsight %d; at each threshold %d, late %.4f", a.Least, n.Moves, n.LateShare),
-			aim:    fmt.Sprintf("at most %.1f of hindsight", mostOfMoves), kept: ratio <= mostOfMoves,
-		}, buffers(t, d.name))
+			metric: "VM moves, " + d.name, result: fmt.Sprintf("%d (%.2f of hindsight); late %.4f", a.Moves, ratio, a.LateShare),
+			baseline: fmt.Sprintf("hindsight %d; at each threshold %d, late %.4f", a.Least, n.Moves, n.LateShare),
+			goal:     fmt.Sprintf("at most %.1f of hindsight", maxMoveRatio), goalMet: ratio <= maxMoveRatio,
+		}, spareRow(t, d.name))
 	}
 	return rows
 }
 
-// buffers compares the spare VMs that keep the profiles through the loss of a rack, over the hours of the day.
-func buffers(t spare.Trace, name string) row {
+// spareRow compares the spare VMs that keep the profiles through the loss of a rack, over the hours of the day.
+func spareRow(t spare.Trace, name string) row {
 	var s spare.Buffer
-	for h := range hoursOfTheDay {
-		b := spare.Buffers(t.Needs(h), rackVMs, survivedRacks)
+	for h := range hoursPerDay {
+		b := spare.Buffers(t.Needs(h), vmsPerRack, survivedRacks)
 		s.Shared, s.PerPool, s.Share = s.Shared+b.Shared, s.PerPool+b.PerPool, s.Share+b.Share
 	}
 	ratio := float64(s.Shared) / float64(s.Share)
 	return row{
-		what: "spare VM hours that survive a rack, " + name, ours: fmt.Sprintf("%d (%.2f of naive)", s.Shared, ratio),
-		beside: fmt.Sprintf("fixed share for each pool %d; least for each pool alone %d", s.Share, s.PerPool),
-		aim:    fmt.Sprintf("at most %.1f of naive", mostOfNaive), kept: ratio <= mostOfNaive,
+		metric: "spare VM hours that survive a rack, " + name, result: fmt.Sprintf("%d (%.2f of naive)", s.Shared, ratio),
+		baseline: fmt.Sprintf("fixed share for each pool %d; least for each pool alone %d", s.Share, s.PerPool),
+		goal:     fmt.Sprintf("at most %.1f of naive", maxSpareRatio), goalMet: ratio <= maxSpareRatio,
 	}
 }
 
-// waves compares a wave's time with the least that the budget allows.
-func waves(seed int64) []row {
+// waveRows compares a wave's time with the least that the budget allows.
+func waveRows(seed int64) []row {
 	var rows []row
-	for _, out := range []int{1, waveBudget} {
-		r := wave.Replay(wave.DayTrace(seed, perService, out))
+	for _, out := range []int{1, maxOutPerService} {
+		r := wave.Replay(wave.DayTrace(seed, vmsPerService, out))
 		ratio := float64(r.Took) / float64(max(1, r.Least))
 		rows = append(rows, row{
-			what: fmt.Sprintf("time of a wave over 58 VMs, %d of a service out at most", out),
-			ours: fmt.Sprintf("%v (%.2f of the least); at most %d out", millis(r.Took), ratio, r.MaxOut), beside: "least " + millis(r.Least).String(),
-			aim: fmt.Sprintf("at most %.1f of the least", mostOfBound), kept: r.Took > 0 && ratio <= mostOfBound && r.MaxOut <= out,
+			metric: fmt.Sprintf("time of a wave over 58 VMs, %d of a service out at most", out),
+			result: fmt.Sprintf("%v (%.2f of the least); at most %d out", roundedSeconds(r.Took), ratio, r.MaxOut), baseline: "least " + roundedSeconds(r.Least).String(),
+			goal: fmt.Sprintf("at most %.1f of the least", maxWaveRatio), goalMet: r.Took > 0 && ratio <= maxWaveRatio && r.MaxOut <= out,
 		})
 	}
 	return rows
@@ -113,29 +113,29 @@
 
 // Sizes of the night of jobs.
 const (
-	nightWorkers = 20
-	nightJobs    = 2400
-	mostUrgent   = 1500 // milliseconds until an urgent job starts
+	nightWorkers        = 20
+	nightJobs           = 2400
+	maxUrgentWaitMillis = 1500 // milliseconds until an urgent job starts
 )
 
-// nights compares the placement of jobs with first fit on declared sizes.
-func nights(seed int64) []row {
+// jobRows compares the placement of jobs with first fit on declared sizes.
+func jobRows(seed int64) []row {
 	t := place.NightTrace(seed, nightWorkers, nightJobs)
 	a, f := place.Replay(t, place.New()), place.Replay(t, place.NewFirstFit())
 	return []row{{
-		what:   fmt.Sprintf("jobs of a night in time, %d workers", nightWorkers),
-		ours:   fmt.Sprintf("%d of %d runnable; %d failed attempts, %d with two copies", a.InTime, a.Runnable, a.Failures, a.Doubled),
-		beside: fmt.Sprintf("first fit on declared sizes %d; %d failed attempts", f.InTime, f.Failures),
-		aim:    "all, none with two copies", kept: a.InTime == a.Runnable && a.Doubled == 0,
+		metric:   fmt.Sprintf("jobs of a night in time, %d workers", nightWorkers),
+		result:   fmt.Sprintf("%d of %d runnable; %d failed attempts, %d with two copies", a.InTime, a.Runnable, a.Failures, a.Doubled),
+		baseline: fmt.Sprintf("first fit on declared sizes %d; %d failed attempts", f.InTime, f.Failures),
+		goal:     "all, none with two copies", goalMet: a.InTime == a.Runnable && a.Doubled == 0,
 	}, {
-		what: "longest wait of an urgent job, pool full of background jobs", ours: fmt.Sprintf("%d ms", a.UrgentWait),
-		beside: fmt.Sprintf("first fit %d ms", f.UrgentWait), aim: fmt.Sprintf("at most %d ms", mostUrgent), kept: a.UrgentWait <= mostUrgent,
+		metric: "longest wait of an urgent job, pool full of background jobs", result: fmt.Sprintf("%d ms", a.UrgentWait),
+		baseline: fmt.Sprintf("first fit %d ms", f.UrgentWait), goal: fmt.Sprintf("at most %d ms", maxUrgentWaitMillis), goalMet: a.UrgentWait <= maxUrgentWaitMillis,
 	}, {
-		what: "core hours of attempts that did not end well", ours: fmt.Sprintf("%.1f", float64(a.WastedRun)/float64(time.Hour.Milliseconds())),
-		beside: fmt.Sprintf("first fit %.1f", float64(f.WastedRun)/float64(time.Hour.Milliseconds())), aim: "below first fit", kept: a.WastedRun < f.WastedRun,
+		metric: "core hours of attempts that did not end well", result: fmt.Sprintf("%.1f", float64(a.WastedRun)/float64(time.Hour.Milliseconds())),
+		baseline: fmt.Sprintf("first fit %.1f", float64(f.WastedRun)/float64(time.Hour.Milliseconds())), goal: "below first fit", goalMet: a.WastedRun < f.WastedRun,
 	}}
 }
 
-func millis(n int64) time.Duration {
+func roundedSeconds(n int64) time.Duration {
 	return (time.Duration(n) * time.Millisecond).Round(time.Second)
 }
--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	changePoll   = 2 * time.Millisecond
-	changeWithin = 20 * time.Second
+	changePollInterval = 2 * time.Millisecond
+	changeTimeout      = 20 * time.Second
 )
 
 // Changes is how long accepted changes took to be in force at every entry.
-type Changes struct{ took []time.Duration }
+type Changes struct{ delays []time.Duration }
 
 // Len returns the number of changes.
-func (c Changes) Len() int { return len(c.took) }
+func (c Changes) Len() int { return len(c.delays) }
 
 // Quantile returns the time within which the share f of the changes was in force.
 func (c Changes) Quantile(f float64) time.Duration {
-	if len(c.took) == 0 {
+	if len(c.delays) == 0 {
 		return 0
 	}
-	return c.took[min(len(c.took)-1, int(f*float64(len(c.took))))]
+	return c.delays[min(len(c.delays)-1, int(f*float64(len(c.delays))))]
 }
 
 // Changes withdraws and renews the team's approval n times and measures until every entry answers by it.
 func (s *Site) Changes(ctx context.Context, n int) (Changes, error) {
-	c := conf.NewCommitter(s.cloud.Store(), conf.NewHolder())
+	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	var out Changes
 	for k := range n {
 		h := conf.Change{Op: fmt.Sprint("toggle-", k), By: "bench", Kind: conf.Withdraw, Approval: &conf.ApprovalSpec{Team: team, Service: service}}
@@ -46,30 +46,30 @@
 			return out, err
 		}
 		at := time.Now()
-		if err := s.everywhere(ctx, want); err != nil {
+		if err := s.awaitStatus(ctx, want); err != nil {
 			return out, err
 		}
-		out.took = append(out.took, time.Since(at))
+		out.delays = append(out.delays, time.Since(at))
 	}
-	slices.Sort(out.took)
+	slices.Sort(out.delays)
 	return out, nil
 }
 
-// everywhere returns when every entry answers with the status.
-func (s *Site) everywhere(ctx context.Context, status int) error {
-	x, cancel := context.WithTimeout(ctx, changeWithin)
+// awaitStatus returns when every entry answers with the status.
+func (s *Site) awaitStatus(ctx context.Context, status int) error {
+	x, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	g, x := errgroup.WithContext(x)
 	for _, e := range s.entries {
 		g.Go(func() error {
 			for {
-				if ask(e) == status {
+				if requestStatus(e) == status {
 					return nil
 				}
 				select {
 				case <-x.Done():
 					return eris.Wrapf(x.Err(), "change at %s", e)
-				case <-time.After(changePoll):
+				case <-time.After(changePollInterval):
 				}
 			}
 		})
@@ -77,8 +77,8 @@
 	return g.Wait()
 }
 
-// ask sends one request and returns its status, or 0.
-func ask(entry string) int {
+// requestStatus sends one request and returns its status, or 0.
+func requestStatus(entry string) int {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	warmUp    = time.Second
-	measure   = 3 * time.Second
-	rounds    = 5
-	callers   = 64
-	lowest    = int64(time.Microsecond)
-	highest   = int64(10 * time.Second)
-	precision = 3 // digits
-	openShare = 0.5
+	warmUp        = time.Second
+	measurePeriod = 3 * time.Second
+	rounds        = 5
+	callers       = 64
+	minLatency    = int64(time.Microsecond)
+	maxLatency    = int64(10 * time.Second)
+	latencyDigits = 3 // digits
+	openShare     = 0.5
 )
 
 // Kind is what callers send.
@@ -53,21 +53,21 @@
 func (p Pair) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
 
 // Highest measures entry and relay by turns as fast as the callers can go, and returns the median round of each.
-func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.byTurns(ctx, k, 0) }
+func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.alternate(ctx, k, 0) }
 
 // Steady measures both at the same given rate, in requests a second.
 func (s *Site) Steady(ctx context.Context, k Kind, rate float64) (Pair, error) {
-	return s.byTurns(ctx, k, rate)
+	return s.alternate(ctx, k, rate)
 }
 
-func (s *Site) byTurns(ctx context.Context, k Kind, rate float64) (Pair, error) {
+func (s *Site) alternate(ctx context.Context, k Kind, rate float64) (Pair, error) {
 	var es, rs []Figures
 	for n := range rounds {
-		e, err := run(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
+		e, err := runLoad(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
 		if err != nil {
 			return Pair{}, err
 		}
-		r, err := run(ctx, s.relay, "/x", k, rate, fmt.Sprintf("r%d-%.0f", n, rate))
+		r, err := runLoad(ctx, s.relay, "/x", k, rate, fmt.Sprintf("r%d-%.0f", n, rate))
 		if err != nil {
 			return Pair{}, err
 		}
@@ -93,58 +93,58 @@
 
 // caller is one connection's loop.
 type caller struct {
-	h      *hdrhistogram.Histogram
-	failed int64
+	latencies *hdrhistogram.Histogram
+	failed    int64
 }
 
-func run(ctx context.Context, addr, path string, k Kind, rate float64, mark string) (Figures, error) {
+func runLoad(ctx context.Context, addr, path string, k Kind, rate float64, mark string) (Figures, error) {
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 2 * callers, MaxIdemponentCallAttempts: 1}
 	defer c.CloseIdleConnections()
 	from := time.Now().Add(warmUp)
-	to := from.Add(measure)
+	to := from.Add(measurePeriod)
 	var ids atomic.Int64
 	l := make([]*caller, callers)
 	var g errgroup.Group
 	for n := range l {
-		l[n] = &caller{h: hdrhistogram.New(lowest, highest, precision)}
-		g.Go(func() error { return l[n].loop(ctx, c, path, k, pace(rate, n), from, to, mark, &ids) })
+		l[n] = &caller{latencies: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
+		g.Go(func() error { return l[n].loop(ctx, c, path, k, newPacer(rate, n), from, to, mark, &ids) })
 	}
 	if err := g.Wait(); err != nil {
 		return Figures{}, err
 	}
-	h := hdrhistogram.New(lowest, highest, precision)
+	h := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	var failed int64
 	for _, x := range l {
-		h.Merge(x.h)
+		h.Merge(x.latencies)
 		failed += x.failed
 	}
 	return Figures{
-		PerSecond: float64(h.TotalCount()) / measure.Seconds(), Failed: failed,
+		PerSecond: float64(h.TotalCount()) / measurePeriod.Seconds(), Failed: failed,
 		P50: time.Duration(h.ValueAtQuantile(50)), P99: time.Duration(h.ValueAtQuantile(99)),
 	}, nil
 }
 
 // pacer says when the next request of a caller is due; without one it is due at once.
 type pacer struct {
-	next time.Time
-	gap  time.Duration
+	next     time.Time
+	interval time.Duration
 }
 
-func pace(rate float64, n int) *pacer {
+func newPacer(rate float64, n int) *pacer {
 	if rate <= 0 {
 		return nil
 	}
 	gap := time.Duration(float64(callers) / rate * float64(time.Second))
-	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), gap: gap}
+	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), interval: gap}
 }
 
-// due waits for the next request's time and returns it, so that a late one counts from when it was due.
-func (p *pacer) due() time.Time {
+// waitForNext waits for the next request's time and returns it, so that a late one counts from when it was waitForNext.
+func (p *pacer) waitForNext() time.Time {
 	if p == nil {
 		return time.Now()
 	}
 	t := p.next
-	p.next = t.Add(p.gap)
+	p.next = t.Add(p.interval)
 	time.Sleep(time.Until(t))
 	return t
 }
@@ -160,7 +160,7 @@
 		q.SetBodyString(`{"tray":"soup","count":2}`)
 	}
 	for ctx.Err() == nil {
-		at := p.due()
+		at := p.waitForNext()
 		if at.After(to) {
 			return nil
 		}
@@ -175,7 +175,7 @@
 			w.failed++
 			continue
 		}
-		if err := w.h.RecordValue(int64(time.Since(at))); err != nil {
+		if err := w.latencies.RecordValue(int64(time.Since(at))); err != nil {
 			return eris.Wrap(err, "record")
 		}
 	}
--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	service    = "orders"
-	team       = "kitchen"
-	token      = "kitchen-token"
-	dataCentre = "dc1"
-	pool       = "kitchen-pool"
-	slots      = 1000 // of the one target, so that slots do not bound the rate
-	readyIn    = 20 * time.Second
-	stopIn     = 10 * time.Second
-	maxKeys    = 5_000_000 // of an entry, which remembers the keys of all rounds
+	service      = "orders"
+	team         = "kitchen"
+	token        = "kitchen-token"
+	dataCentre   = "dc1"
+	pool         = "kitchen-pool"
+	slots        = 1000 // of the one target, so that slots do not bound the rate
+	readyTimeout = 20 * time.Second
+	stopTimeout  = 10 * time.Second
+	maxKeys      = 5_000_000 // of an entry, which remembers the keys of all rounds
 )
 
 // Site is a platform, a target, entries and a bare relay on loopback.
@@ -39,7 +39,7 @@
 	bin, dir string
 	group    *errgroup.Group
 	cancel   context.CancelFunc
-	cloud    *cloud.Server
+	platform *cloud.Server
 	procs    []*exec.Cmd
 	target   string
 	entries  []string // callers' addresses
@@ -63,45 +63,45 @@
 
 func (s *Site) start(ctx context.Context, self string, entries int) error {
 	var err error
-	if s.target, err = free(ctx); err != nil {
+	if s.target, err = freeAddr(ctx); err != nil {
 		return err
 	}
-	s.cloud = cloud.New(cloud.WithVMs(hosts.Wire{
+	s.platform = cloud.New(cloud.WithVMs(hosts.Wire{
 		ID: "w1", Addr: s.target, DataCentre: dataCentre, Rack: "r1", Pool: pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1,
 	}))
-	addr, err := free(ctx)
+	addr, err := freeAddr(ctx)
 	if err != nil {
 		return err
 	}
-	s.group.Go(func() error { return s.cloud.Serve(ctx, addr) })
-	<-s.cloud.Ready()
+	s.group.Go(func() error { return s.platform.Serve(ctx, addr) })
+	<-s.platform.Ready()
 	if err := s.configure(ctx); err != nil {
 		return err
 	}
-	if err := s.run(ctx, filepath.Join(s.bin, "standin"), "target", "-name", "w1", "-addr", s.target,
+	if err := s.startProcess(ctx, filepath.Join(s.bin, "standin"), "target", "-name", "w1", "-addr", s.target,
 		"-slots", fmt.Sprint(slots), "-conns", fmt.Sprint(slots), "-run", "0s"); err != nil {
 		return err
 	}
-	if s.relay, err = free(ctx); err != nil {
+	if s.relay, err = freeAddr(ctx); err != nil {
 		return err
 	}
-	if err := s.run(ctx, self, "-relay", s.relay, "-to", s.target); err != nil {
+	if err := s.startProcess(ctx, self, "-relay", s.relay, "-to", s.target); err != nil {
 		return err
 	}
 	for k := range entries {
-		if err := s.entry(ctx, k); err != nil {
+		if err := s.startEntry(ctx, k); err != nil {
 			return err
 		}
 	}
-	return s.await(ctx)
+	return s.awaitReady(ctx)
 }
 
-// run starts one process.
-func (s *Site) run(ctx context.Context, name string, args ...string) error {
+// startProcess starts one process.
+func (s *Site) startProcess(ctx context.Context, name string, args ...string) error {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = os.Stderr
 	c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
-	c.WaitDelay = stopIn
+	c.WaitDelay = stopTimeout
 	if err := c.Start(); err != nil {
 		return eris.Wrapf(err, "start %s", name)
 	}
@@ -109,17 +109,17 @@
 	return nil
 }
 
-func (s *Site) entry(ctx context.Context, k int) error {
+func (s *Site) startEntry(ctx context.Context, k int) error {
 	var a [3]string
 	for i := range a {
 		var err error
-		if a[i], err = free(ctx); err != nil {
+		if a[i], err = freeAddr(ctx); err != nil {
 			return err
 		}
 	}
 	b, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("e%d", k+1), "dataCentre": dataCentre, "dataCentres": []string{dataCentre},
-		"callerAddr": a[0], "peerAddr": a[1], "operatorAddr": a[2], "platformAddr": s.cloud.Addr(), "logLevel": "error", "drainWaitMs": 2000, "maxKeys": maxKeys,
+		"callerAddr": a[0], "peerAddr": a[1], "operatorAddr": a[2], "platformAddr": s.platform.Addr(), "logLevel": "error", "drainWaitMs": 2000, "maxKeys": maxKeys,
 	})
 	if err != nil {
 		return eris.Wrap(err, "encode settings")
@@ -129,11 +129,11 @@
 		return eris.Wrap(err, "write settings")
 	}
 	s.entries = append(s.entries, a[0])
-	return s.run(ctx, filepath.Join(s.bin, "burdockreach"), "entry", "-settings", f)
+	return s.startProcess(ctx, filepath.Join(s.bin, "burdockreach"), "entry", "-settings", f)
 }
 
 func (s *Site) configure(ctx context.Context) error {
-	c := conf.NewCommitter(s.cloud.Store(), conf.NewHolder())
+	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	sum := sha256.Sum256([]byte(token))
 	for n, h := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "gold", MinVMs: 1, MaxVMs: 4, MaxOut: 1, DeadlineMillis: 5000}},
@@ -150,9 +150,9 @@
 	return nil
 }
 
-// await returns when every process answers.
-func (s *Site) await(ctx context.Context) error {
-	x, cancel := context.WithTimeout(ctx, readyIn)
+// awaitReady returns when every process answers.
+func (s *Site) awaitReady(ctx context.Context) error {
+	x, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	urls := []string{"http://" + s.relay + "/"}
 	for _, e := range s.entries {
@@ -183,8 +183,8 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// free returns a loopback address that nothing listens on.
-func free(ctx context.Context) (string, error) {
+// freeAddr returns a loopback address that nothing listens on.
+func freeAddr(ctx context.Context) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", eris.Wrap(err, "find a free port")
--- a/bench/main.go
+++ b/bench/main.go
@@ -38,39 +38,39 @@
 	if *relay != "" {
 		return live.Relay(ctx, *relay, *to)
 	}
-	rows := append(turns(*seed), days(int64(*seed))...)
-	rows = append(rows, waves(int64(*seed))...)
-	rows = append(rows, nights(int64(*seed))...)
+	rows := append(sharingRows(*seed), moveRows(int64(*seed))...)
+	rows = append(rows, waveRows(int64(*seed))...)
+	rows = append(rows, jobRows(int64(*seed))...)
 	if !*decisions {
-		l, err := requests(ctx, *bin)
+		l, err := liveRows(ctx, *bin)
 		if err != nil {
 			return err
 		}
 		rows = append(l, rows...)
 	}
-	return table(os.Stdout, rows)
+	return writeTable(os.Stdout, rows)
 }
 
 // Aims of the live rows.
 const (
-	leastRate     = 0.8 // of the bare relay's
-	mostP99       = 1.3 // of the bare relay's
-	steadyShare   = 0.25
-	mostChange    = 2 * time.Second
-	changes       = 200
-	changeEntries = 6
-	changeShare   = 0.999
+	minRateRatio    = 0.8 // of the bare relay's
+	maxP99Ratio     = 1.3 // of the bare relay's
+	steadyRateRatio = 0.25
+	maxChangeDelay  = 2 * time.Second
+	changeCount     = 200
+	changeEntries   = 6
+	changeQuantile  = 0.999
 )
 
-// requests measures through processes on loopback.
-func requests(ctx context.Context, bin string) ([]row, error) {
+// liveRows measures through processes on loopback.
+func liveRows(ctx context.Context, bin string) ([]row, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, eris.Wrap(err, "own path")
 	}
 	var rows []row
 	for _, k := range []live.Kind{live.Read, live.Order} {
-		l, err := pairs(ctx, bin, self, k)
+		l, err := loadRows(ctx, bin, self, k)
 		if err != nil {
 			return nil, err
 		}
@@ -81,16 +81,16 @@
 		return nil, err
 	}
 	defer s.Stop()
-	c, err := s.Changes(ctx, changes)
+	c, err := s.Changes(ctx, changeCount)
 	return append(rows, row{
-		what: fmt.Sprintf("a change in force at %d entries, %d changes", changeEntries, c.Len()),
-		ours: fmt.Sprintf("p50 %v, p99.9 %v", c.Quantile(0.5).Round(time.Millisecond), c.Quantile(changeShare).Round(time.Millisecond)), beside: "—",
-		aim: "p99.9 within 2s", kept: c.Len() == changes && c.Quantile(changeShare) <= mostChange,
+		metric: fmt.Sprintf("a change in force at %d entries, %d changes", changeEntries, c.Len()),
+		result: fmt.Sprintf("p50 %v, p99.9 %v", c.Quantile(0.5).Round(time.Millisecond), c.Quantile(changeQuantile).Round(time.Millisecond)), baseline: "—",
+		goal: "p99.9 within 2s", goalMet: c.Len() == changeCount && c.Quantile(changeQuantile) <= maxChangeDelay,
 	}), err
 }
 
-// pairs measures one kind of request at the highest rate and at a steady one.
-func pairs(ctx context.Context, bin, self string, k live.Kind) ([]row, error) {
+// loadRows measures one kind of request at the highest rate and at a steady one.
+func loadRows(ctx context.Context, bin, self string, k live.Kind) ([]row, error) {
 	s, err := live.Start(ctx, bin, self, 2)
 	if err != nil {
 		return nil, err
@@ -100,27 +100,27 @@
 	if err != nil {
 		return nil, err
 	}
-	low, err := s.Steady(ctx, k, steadyShare*high.Relay.PerSecond)
+	low, err := s.Steady(ctx, k, steadyRateRatio*high.Relay.PerSecond)
 	return []row{
 		{
-			what: "requests a second, " + name(k), ours: figures(high.Entry) + fmt.Sprintf(" (%.2f)", high.RateRatio()), beside: "bare relay " + figures(high.Relay),
-			aim: fmt.Sprintf("at least %.1f of its rate", leastRate), kept: high.RateRatio() >= leastRate && high.Entry.Failed == 0,
+			metric: "requests a second, " + kindLabel(k), result: formatFigures(high.Entry) + fmt.Sprintf(" (%.2f)", high.RateRatio()), baseline: "bare relay " + formatFigures(high.Relay),
+			goal: fmt.Sprintf("at least %.1f of its rate", minRateRatio), goalMet: high.RateRatio() >= minRateRatio && high.Entry.Failed == 0,
 		},
 		{
-			what: fmt.Sprintf("p99 at %.0f requests a second, %s", steadyShare*high.Relay.PerSecond, name(k)),
-			ours: figures(low.Entry) + fmt.Sprintf(" (%.2f)", low.P99Ratio()), beside: "bare relay " + figures(low.Relay),
-			aim: fmt.Sprintf("at most %.1f of its p99", mostP99), kept: low.P99Ratio() <= mostP99 && low.Entry.Failed == 0,
+			metric: fmt.Sprintf("p99 at %.0f requests a second, %s", steadyRateRatio*high.Relay.PerSecond, kindLabel(k)),
+			result: formatFigures(low.Entry) + fmt.Sprintf(" (%.2f)", low.P99Ratio()), baseline: "bare relay " + formatFigures(low.Relay),
+			goal: fmt.Sprintf("at most %.1f of its p99", maxP99Ratio), goalMet: low.P99Ratio() <= maxP99Ratio && low.Entry.Failed == 0,
 		},
 	}, err
 }
 
-func name(k live.Kind) string {
+func kindLabel(k live.Kind) string {
 	if k == live.Order {
 		return "POST with a key that two entries hold"
 	}
 	return "GET"
 }
 
-func figures(f live.Figures) string {
+func formatFigures(f live.Figures) string {
 	return fmt.Sprintf("%.0f/s, p50 %v, p99 %v, failed %d", f.PerSecond, f.P50, f.P99, f.Failed)
 }
--- a/bench/row.go
+++ b/bench/row.go
@@ -8,21 +8,21 @@
 
 // row is one line of the table; kept tells whether the aim is kept in this run.
 type row struct {
-	what, ours, beside, aim string
-	kept                    bool
+	metric, result, baseline, goal string
+	goalMet                        bool
 }
 
-// table writes the rows as Markdown, the figure first.
-func table(w io.Writer, rows []row) error {
+// writeTable writes the rows as Markdown, the figure first.
+func writeTable(w io.Writer, rows []row) error {
 	if _, err := fmt.Fprintln(w, "| what | ours | beside | aim | kept |\n|---|---|---|---|---|"); err != nil {
 		return err
 	}
 	for _, r := range rows {
 		k := "yes"
-		if !r.kept {
+		if !r.goalMet {
 			k = "**no**"
 		}
-		cells := []string{r.what, r.ours, r.beside, r.aim, k}
+		cells := []string{r.metric, r.result, r.baseline, r.goal, k}
 		if _, err := fmt.Fprintln(w, "| "+strings.Join(cells, " | ")+" |"); err != nil {
 			return err
 		}
