--- a/bench/decide.go
+++ b/bench/decide.go
@@ -11,22 +11,22 @@
 	"burdockreach.dev/flow/share"
 )
 
-// Aims of the table.
+// Goals of the replayed rows, and the sizes of their fleets.
 const (
 	minGoodput       = 0.97
-	maxWaveRatio     = 1.1 // a wave's time beside the least
-	maxSpareRatio    = 0.7 // spare VMs beside a fixed share
-	maxMoveRatio     = 1.2 // moves beside hindsight
-	vmsPerService    = 10  // VMs of a service
+	maxWaveRatio     = 1.1 // duration of a maintenance wave, as a multiple of the shortest that the budget allows
+	maxSpareRatio    = 0.7 // spare VMs, as a share of those with a fixed share for each pool
+	maxMoveRatio     = 1.2 // VM moves, as a multiple of the best plan that knows the whole day
+	vmsPerService    = 10
 	vmsPerRack       = 4
 	survivedRacks    = 1
 	hoursPerDay      = 24
 	maxOutPerService = 2
-	busiestEntryLoad = 3.0 // times the requests of the next one
+	busiestEntryLoad = 3.0 // requests, as a multiple of the next busiest entry's
 	skewedLoadLabel  = "three entries, the busiest asked 3 times as much"
 )
 
-// sharingRows compares the ways to share slots over the five-fold sharingRows.
+// sharingRows compares the ways to share slots, on a trace of turns in which demand is five times its mean.
 func sharingRows(seed uint64) []row {
 	var rows []row
 	for _, c := range []struct {
@@ -59,13 +59,13 @@
 	return rows
 }
 
-// deployments are the two days of the users.
+// deployments lists the simulated days: an ordinary day of one user and the strike day of the other.
 var deployments = []struct {
 	name   string
 	strike bool
 }{{"Kijani's day", false}, {"Picketline's strike day", true}}
 
-// moveRows compares moves and spare VMs over the moveRows of both deployments.
+// moveRows compares VM moves and spare VMs with their baselines over the day of each deployment.
 func moveRows(seed int64) []row {
 	var rows []row
 	for _, d := range deployments {
@@ -81,7 +81,7 @@
 	return rows
 }
 
-// spareRow compares the spare VMs that keep the profiles through the loss of a rack, over the hours of the day.
+// spareRow compares the spare VMs that keep every pool within its profile after the loss of a rack, summed over the hours of the day.
 func spareRow(t spare.Trace, name string) row {
 	var s spare.Buffer
 	for h := range hoursPerDay {
@@ -96,7 +96,7 @@
 	}
 }
 
-// waveRows compares a wave's time with the least that the budget allows.
+// waveRows compares the duration of a maintenance wave with the shortest that the budget allows.
 func waveRows(seed int64) []row {
 	var rows []row
 	for _, out := range []int{1, maxOutPerService} {
@@ -111,14 +111,14 @@
 	return rows
 }
 
-// Sizes of the night of jobs.
+// Sizes of the simulated night of jobs, and the goal for its urgent jobs.
 const (
 	nightWorkers        = 20
 	nightJobs           = 2400
-	maxUrgentWaitMillis = 1500 // milliseconds until an urgent job starts
+	maxUrgentWaitMillis = 1500 // longest wait until an urgent job starts
 )
 
-// jobRows compares the placement of jobs with first fit on declared sizes.
+// jobRows compares the placement of jobs with first-fit placement by declared sizes.
 func jobRows(seed int64) []row {
 	t := place.NightTrace(seed, nightWorkers, nightJobs)
 	a, f := place.Replay(t, place.New()), place.Replay(t, place.NewFirstFit())
--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -18,13 +18,13 @@
 	changeTimeout      = 20 * time.Second
 )
 
-// Changes is how long accepted changes took to be in force at every entry.
+// Changes holds, in ascending order, how long each accepted change took to be in force at every entry.
 type Changes struct{ delays []time.Duration }
 
-// Len returns the number of changes.
+// Len returns the number of measured changes.
 func (c Changes) Len() int { return len(c.delays) }
 
-// Quantile returns the time within which the share f of the changes was in force.
+// Quantile returns the time within which the fraction f of the changes was in force.
 func (c Changes) Quantile(f float64) time.Duration {
 	if len(c.delays) == 0 {
 		return 0
@@ -32,7 +32,7 @@
 	return c.delays[min(len(c.delays)-1, int(f*float64(len(c.delays))))]
 }
 
-// Changes withdraws and renews the team's approval n times and measures until every entry answers by it.
+// Changes alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers accordingly.
 func (s *Site) Changes(ctx context.Context, n int) (Changes, error) {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	var out Changes
@@ -55,7 +55,7 @@
 	return out, nil
 }
 
-// awaitStatus returns when every entry answers with the status.
+// awaitStatus waits until every entry answers with the status.
 func (s *Site) awaitStatus(ctx context.Context, status int) error {
 	x, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 	return g.Wait()
 }
 
-// requestStatus sends one request and returns its status, or 0.
+// requestStatus sends one request and returns the status of its answer, or 0 if it failed or took longer than a second.
 func requestStatus(entry string) int {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
--- a/bench/live/doc.go
+++ b/bench/live/doc.go
@@ -1,2 +1,3 @@
-// Package live measures requests through real processes on loopback: an entry beside a bare relay in the same run.
+// Package live measures request rate and latency through real processes on loopback: those of an entry and, as a baseline in the
+// same run, those of a bare relay.
 package live
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -20,28 +20,28 @@
 	callers       = 64
 	minLatency    = int64(time.Microsecond)
 	maxLatency    = int64(10 * time.Second)
-	latencyDigits = 3 // digits
+	latencyDigits = 3 // significant digits of a latency
 	openShare     = 0.5
 )
 
-// Kind is what callers send.
+// Kind is the kind of request that callers send.
 type Kind string
 
 const (
 	// Read is a GET without a key.
 	Read Kind = "GET"
-	// Order is a POST with an idempotency key, which two entries must hold before it is sent.
+	// Order is a POST with an idempotency key. Two entries must hold the key before the request is sent to the target.
 	Order Kind = "POST"
 )
 
-// Figures are one measured rate with its latencies.
+// Figures holds the request rate, the latencies and the failures of a measurement.
 type Figures struct {
 	PerSecond float64
 	P50, P99  time.Duration
 	Failed    int64
 }
 
-// Pair is the entry's figures beside the bare relay's.
+// Pair holds the figures of an entry and those of the bare relay.
 type Pair struct {
 	Entry, Relay Figures
 }
@@ -52,10 +52,10 @@
 // P99Ratio returns the entry's p99 as a multiple of the relay's.
 func (p Pair) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
 
-// Highest measures entry and relay by turns as fast as the callers can go, and returns the median round of each.
+// Highest measures entry and relay in alternate rounds, with each caller sending as fast as it can, and returns the medians of each.
 func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.alternate(ctx, k, 0) }
 
-// Steady measures both at the same given rate, in requests a second.
+// Steady measures both at the same fixed rate, in requests a second.
 func (s *Site) Steady(ctx context.Context, k Kind, rate float64) (Pair, error) {
 	return s.alternate(ctx, k, rate)
 }
@@ -76,7 +76,7 @@
 	return Pair{Entry: median(es), Relay: median(rs)}, nil
 }
 
-// median returns the figures of the median rate, and the median of each latency.
+// median returns the median rate, the median of each latency, and the sum of the failures.
 func median(l []Figures) Figures {
 	m := Figures{}
 	for _, f := range l {
@@ -91,7 +91,7 @@
 	return m
 }
 
-// caller is one connection's loop.
+// caller sends one request after the other and records their latencies.
 type caller struct {
 	latencies *hdrhistogram.Histogram
 	failed    int64
@@ -124,7 +124,7 @@
 	}, nil
 }
 
-// pacer says when the next request of a caller is due; without one it is due at once.
+// pacer spaces the requests of a caller evenly. With a nil pacer the next request is due at once.
 type pacer struct {
 	next     time.Time
 	interval time.Duration
@@ -138,7 +138,7 @@
 	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), interval: gap}
 }
 
-// waitForNext waits for the next request's time and returns it, so that a late one counts from when it was waitForNext.
+// waitForNext waits until the next request is due and returns that time. Latency counts from it, so that it includes the delay of a late request.
 func (p *pacer) waitForNext() time.Time {
 	if p == nil {
 		return time.Now()
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// Relay is the bare relay: one handler with one client.
+// Relay serves the bare relay on addr until ctx ends: one handler with one client, which sends every request to the target at to.
 func Relay(ctx context.Context, addr, to string) error {
 	c := &fasthttp.HostClient{Addr: to, MaxConns: slots}
 	s := &fasthttp.Server{Handler: func(x *fasthttp.RequestCtx) {
--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -28,13 +28,13 @@
 	token        = "kitchen-token"
 	dataCentre   = "dc1"
 	pool         = "kitchen-pool"
-	slots        = 1000 // of the one target, so that slots do not bound the rate
+	slots        = 1000 // of the only target; enough that slots do not limit the rate
 	readyTimeout = 20 * time.Second
 	stopTimeout  = 10 * time.Second
-	maxKeys      = 5_000_000 // of an entry, which remembers the keys of all rounds
+	maxKeys      = 5_000_000 // of an entry; enough for the keys of all rounds, which it remembers
 )
 
-// Site is a platform, a target, entries and a bare relay on loopback.
+// Site is a stand-in of the platform, a target, entries and a bare relay on loopback.
 type Site struct {
 	bin, dir string
 	group    *errgroup.Group
@@ -42,11 +42,12 @@
 	platform *cloud.Server
 	procs    []*exec.Cmd
 	target   string
-	entries  []string // callers' addresses
+	entries  []string // where callers send requests
 	relay    string
 }
 
-// Start starts everything; bin is the folder of the built programs and self the path of this one, which runs the relay.
+// Start starts a site and waits until it answers. bin is the folder of the built programs; self is the path of this program, which
+// also runs the relay.
 func Start(ctx context.Context, bin, self string, entries int) (*Site, error) {
 	d, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -96,7 +97,7 @@
 	return s.awaitReady(ctx)
 }
 
-// startProcess starts one process.
+// startProcess starts a program, which gets SIGTERM when ctx ends.
 func (s *Site) startProcess(ctx context.Context, name string, args ...string) error {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = os.Stderr
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// awaitReady returns when every process answers.
+// awaitReady waits until the relay and every entry answer.
 func (s *Site) awaitReady(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// Stop ends every process that Start started and returns when they are gone.
+// Stop ends every process that Start started and waits until they have exited.
 func (s *Site) Stop() {
 	s.cancel()
 	for _, c := range s.procs {
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,4 +1,5 @@
-// Command bench prints the project's figures: ours, a naive or bare one, and the aim.
+// Command bench prints a table of performance figures: the result of this system, that of a simple baseline, and the goal.
+// Some rows come from real processes on loopback, the others from traces that are replayed through the decision code.
 package main
 
 import (
@@ -51,18 +52,18 @@
 	return writeTable(os.Stdout, rows)
 }
 
-// Aims of the live rows.
+// Goals and sizes of the measurements through real processes.
 const (
-	minRateRatio    = 0.8 // of the bare relay's
-	maxP99Ratio     = 1.3 // of the bare relay's
-	steadyRateRatio = 0.25
+	minRateRatio    = 0.8  // of the bare relay's request rate
+	maxP99Ratio     = 1.3  // of the bare relay's p99 latency
+	steadyRateRatio = 0.25 // of the bare relay's highest rate
 	maxChangeDelay  = 2 * time.Second
 	changeCount     = 200
 	changeEntries   = 6
 	changeQuantile  = 0.999
 )
 
-// liveRows measures through processes on loopback.
+// liveRows measures requests and configuration changes through real processes on loopback.
 func liveRows(ctx context.Context, bin string) ([]row, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -89,7 +90,7 @@
 	}), err
 }
 
-// loadRows measures one kind of request at the highest rate and at a steady one.
+// loadRows measures one kind of request, first at the highest rate and then at a fixed one.
 func loadRows(ctx context.Context, bin, self string, k live.Kind) ([]row, error) {
 	s, err := live.Start(ctx, bin, self, 2)
 	if err != nil {
--- a/bench/row.go
+++ b/bench/row.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// row is one line of the table; kept tells whether the aim is kept in this run.
+// row is one line of the table; goalMet reports whether this run meets the goal.
 type row struct {
 	metric, result, baseline, goal string
 	goalMet                        bool
 }
 
-// writeTable writes the rows as Markdown, the figure first.
+// writeTable writes the rows as a Markdown table.
 func writeTable(w io.Writer, rows []row) error {
 	if _, err := fmt.Fprintln(w, "| what | ours | beside | aim | kept |\n|---|---|---|---|---|"); err != nil {
 		return err
