--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -24,7 +24,7 @@
 	callSizes    = []int{50, 100, 200, 400}
 )
 
-const beatsCounted = 200
+const measuredBeats = 200
 
 // countedConn adds the bytes of both ways to a sum.
 type countedConn struct {
@@ -44,8 +44,8 @@
 	return n, err
 }
 
-// bulletin is what node/daemon puts into the members field of a beat.
-type bulletin struct {
+// peerReport is what node/daemon puts into the members field of a beat.
+type peerReport struct {
 	Version view.Version    `json:"v"`
 	Leading bool            `json:"lead,omitempty"`
 	Quits   []entry.Quit    `json:"quits,omitempty"`
@@ -54,14 +54,14 @@
 	Shares  int64           `json:"shares,omitempty"`
 }
 
-// carrier is an entry with so many services at which nothing changes.
-type carrier int
+// idleEntry is an entry with so many services at which nothing changes.
+type idleEntry int
 
-func (carrier) Applied() int64                     { return 16_000 }
-func (carrier) Since(int64) (c [][]byte, s []byte) { return nil, nil }
-func (carrier) Offer([][]byte, []byte)             {}
-func (n carrier) Report() relay.Report {
-	b, err := json.Marshal(bulletin{Version: view.Version{Fence: 1 << 20, Count: 4000}, Shares: 3 << 40})
+func (idleEntry) Applied() int64                     { return 16_000 }
+func (idleEntry) Since(int64) (c [][]byte, s []byte) { return nil, nil }
+func (idleEntry) Offer([][]byte, []byte)             {}
+func (n idleEntry) Report() relay.Report {
+	b, err := json.Marshal(peerReport{Version: view.Version{Fence: 1 << 20, Count: 4000}, Shares: 3 << 40})
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
@@ -75,20 +75,20 @@
 // beatSeries measures beats between two entries over loopback and calls of the platform's service.
 func beatSeries() []slope.Series {
 	return []slope.Series{
-		series("beatBytes", "beat and its answer on the wire, both ways", "B", "service", serviceSizes, func(n int) float64 { return beat(n).bytes }),
-		series("beatCPU", "beat at sender and receiver together", "ns", "service", serviceSizes, func(n int) float64 { return beat(n).cpu }),
-		series("farBytes", "beat to another data centre on the wire, both ways", "B", "beat", callSizes, farBytes),
-		series("callBytes", "calls of the platform's service without values on the wire, both ways", "B", "call", callSizes,
-			func(n int) float64 { return calls(n).bytes }),
-		series("callCPU", "calls of the platform's service with its stand-in", "ns", "call", callSizes,
-			func(n int) float64 { return calls(n).cpu }),
+		measureSeries("beatBytes", "beat and its answer on the wire, both ways", "B", "service", serviceSizes, func(n int) float64 { return measureBeats(n).bytes }),
+		measureSeries("beatCPU", "beat at sender and receiver together", "ns", "service", serviceSizes, func(n int) float64 { return measureBeats(n).cpu }),
+		measureSeries("farBytes", "beat to another data centre on the wire, both ways", "B", "beat", callSizes, farBytes),
+		measureSeries("callBytes", "calls of the platform's service without values on the wire, both ways", "B", "call", callSizes,
+			func(n int) float64 { return measureCalls(n).bytes }),
+		measureSeries("callCPU", "calls of the platform's service with its stand-in", "ns", "call", callSizes,
+			func(n int) float64 { return measureCalls(n).cpu }),
 	}
 }
 
 type beatCost struct{ bytes, cpu float64 }
 
-// peers runs f with a client and the address of an entry whose bytes are counted.
-func peers(n int, f func(c *relay.Client, addr string, sum *atomic.Int64)) {
+// withPeer runs f with a client and the address of an entry whose bytes are counted.
+func withPeer(n int, f func(c *relay.Client, addr string, sum *atomic.Int64)) {
 	var lc net.ListenConfig
 	ctx, stop := context.WithCancel(context.Background())
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -102,8 +102,8 @@
 		return countedConn{o, &sum}, err
 	}))
 	self := ledger.Member{Entry: "entry-north-1-02", Addr: l.Addr().String(), Incarnation: 2}
-	k := relay.NewKeeper(self, home, dataCentres, keyval.NewMemory(), c)
-	s := relay.NewServer(relay.Service{Keeper: k, Beater: relay.NewBeater(k, c, carrier(n))})
+	k := relay.NewKeeper(self, homeDataCentre, dataCentres, keyval.NewMemory(), c)
+	s := relay.NewServer(relay.Service{Keeper: k, Beater: relay.NewBeater(k, c, idleEntry(n))})
 	var g errgroup.Group
 	g.Go(func() error { return s.Serve(ctx, l) })
 	f(c, l.Addr().String(), &sum)
@@ -125,24 +125,24 @@
 	}
 }
 
-func beat(n int) (b beatCost) {
-	peers(n, func(c *relay.Client, addr string, sum *atomic.Int64) {
-		q, r := beatRequest(home), carrier(n).Report()
+func measureBeats(n int) (b beatCost) {
+	withPeer(n, func(c *relay.Client, addr string, sum *atomic.Int64) {
+		q, r := beatRequest(homeDataCentre), idleEntry(n).Report()
 		q.Roster = 0 // the receiver knows none, and must not go and ask for it
 		q.Loads, q.Members = r.Loads, r.Members
 		sendBeat(c, addr, q)
 		at := sum.Load()
-		for range beatsCounted {
+		for range measuredBeats {
 			sendBeat(c, addr, q)
 		}
-		b.bytes = float64(sum.Load()-at) / beatsCounted
+		b.bytes = float64(sum.Load()-at) / measuredBeats
 		b.cpu = cpuOf(func() { sendBeat(c, addr, q) })
 	})
 	return b
 }
 
 func farBytes(n int) (b float64) {
-	peers(pools, func(c *relay.Client, addr string, sum *atomic.Int64) {
+	withPeer(poolCount, func(c *relay.Client, addr string, sum *atomic.Int64) {
 		q := beatRequest(dataCentres[1])
 		sendBeat(c, addr, q)
 		at := sum.Load()
@@ -154,15 +154,15 @@
 	return b
 }
 
-// calls makes n calls of a stand-in of the platform's service.
-func calls(n int) (b beatCost) {
+// measureCalls makes n measureCalls of a stand-in of the platform's service.
+func measureCalls(n int) (b beatCost) {
 	ctx, stop := context.WithCancel(context.Background())
 	var g errgroup.Group
 	s := cloud.New()
 	g.Go(func() error { return s.Serve(ctx, "127.0.0.1:0") })
 	<-s.Ready()
 	var sum atomic.Int64
-	addr := forward(ctx, &g, s.Addr(), &sum)
+	addr := startForwarder(ctx, &g, s.Addr(), &sum)
 	direct, counted := keyval.New(s.Addr(), keyval.WithName("entry-north-1-01")), keyval.New(addr, keyval.WithName("entry-north-1-01"))
 	get := func(c *keyval.Client) {
 		if _, err := c.Get(ctx, "dc/north-1/leader"); err != nil {
--- a/bench/slopes/claims.go
+++ b/bench/slopes/claims.go
@@ -18,25 +18,25 @@
 var claimSizes = []int{500, 1000, 2000, 4000}
 
 const (
-	holders   = 3 // entries of the small data centre in which keys are claimed
-	formed    = 20 * time.Second
-	formPause = 50 * time.Millisecond
-	settled   = 200 * time.Millisecond // for settlements to arrive
+	holderCount        = 3 // entries of the small data centre in which keys are claimed
+	rosterTimeout      = 20 * time.Second
+	rosterPollInterval = 50 * time.Millisecond
+	settlementWait     = 200 * time.Millisecond // for settlements to arrive
 )
 
 // claimSeries measures keyed requests at the entry that takes them and at both holders together.
 func claimSeries() []slope.Series {
 	var cpu, wire slope.Series
-	runHolders(func(k *relay.Keeper, sum *atomic.Int64) {
+	withHolders(func(k *relay.Keeper, sum *atomic.Int64) {
 		round := 0
 		claimAll(k, 0, claimSizes[0]) // connections are open afterwards
-		cpu = series("claimCPU", "claims and settlements between 3 entries over loopback, all entries together", "ns", "key", claimSizes, func(n int) float64 {
+		cpu = measureSeries("claimCPU", "claims and settlements between 3 entries over loopback, all entries together", "ns", "key", claimSizes, func(n int) float64 {
 			round++
 			at := cpuNow()
 			claimAll(k, round, n)
 			return float64(cpuNow() - at)
 		})
-		wire = series("claimBytes", "claims and settlements on the wire, both ways", "B", "key", claimSizes, func(n int) float64 {
+		wire = measureSeries("claimBytes", "claims and settlements on the wire, both ways", "B", "key", claimSizes, func(n int) float64 {
 			round++
 			at := sum.Load()
 			claimAll(k, round, n)
@@ -46,8 +46,8 @@
 	return []slope.Series{cpu, wire}
 }
 
-// runHolders calls f with the first of the entries once all hold keys under one roster.
-func runHolders(f func(k *relay.Keeper, sum *atomic.Int64)) {
+// withHolders calls f with the first of the entries once all hold keys under one roster.
+func withHolders(f func(k *relay.Keeper, sum *atomic.Int64)) {
 	var g errgroup.Group
 	var sum atomic.Int64
 	ctx, stop := context.WithCancel(context.Background())
@@ -55,28 +55,28 @@
 	var ks []*relay.Keeper
 	var bs []*relay.Beater
 	var known []relay.Address
-	for i := range holders {
+	for i := range holderCount {
 		k, b, a := startHolder(ctx, &g, store, i, &sum)
 		ks, bs, known = append(ks, k), append(bs, b), append(known, a)
 	}
 	for _, b := range bs {
 		b.Know(known)
 	}
-	end := time.Now().Add(formed)
-	for !inForce(ks) {
+	end := time.Now().Add(rosterTimeout)
+	for !rosterAdopted(ks) {
 		if time.Now().After(end) {
 			panic("bench: the entries agree on no roster")
 		}
-		time.Sleep(formPause)
+		time.Sleep(rosterPollInterval)
 	}
 	f(ks[0], &sum)
 	stop()
 	_ = g.Wait()
 }
 
-func inForce(ks []*relay.Keeper) bool {
+func rosterAdopted(ks []*relay.Keeper) bool {
 	for _, k := range ks {
-		r := k.Roster(home)
+		r := k.Roster(homeDataCentre)
 		if len(r.Members()) != len(ks) || k.Holding() != r.Number() {
 			return false
 		}
@@ -96,14 +96,14 @@
 		return countedConn{o, sum}, err
 	}))
 	self := ledger.Member{Entry: fmt.Sprintf("entry-north-1-%02d", i), Addr: l.Addr().String(), Incarnation: time.Now().UnixNano()}
-	k := relay.NewKeeper(self, home, dataCentres[:1], store, c)
-	b := relay.NewBeater(k, c, carrier(1))
+	k := relay.NewKeeper(self, homeDataCentre, dataCentres[:1], store, c)
+	b := relay.NewBeater(k, c, idleEntry(1))
 	s := relay.NewServer(relay.Service{Keeper: k, Beater: b})
 	g.Go(func() error { return s.Serve(ctx, l) })
 	g.Go(func() error { return k.Run(ctx) })
 	g.Go(func() error { return b.Run(ctx) })
 	context.AfterFunc(ctx, c.Close)
-	return k, b, relay.NewAddress(self.Entry, self.Addr, home)
+	return k, b, relay.NewAddress(self.Entry, self.Addr, homeDataCentre)
 }
 
 // claimAll claims and settles n keys by as many callers as are at work at once.
@@ -113,7 +113,7 @@
 	for c := range callers {
 		g.Go(func() error {
 			for i := range n / callers {
-				t, err := k.Take(context.Background(), fmt.Sprintf("%s/%d-%d-%d", home, round, c, i), body, fmt.Sprintf("attempt-%d-%d", c, i))
+				t, err := k.Take(context.Background(), fmt.Sprintf("%s/%d-%d-%d", homeDataCentre, round, c, i), body, fmt.Sprintf("attempt-%d-%d", c, i))
 				if err != nil {
 					return err
 				}
@@ -125,5 +125,5 @@
 	if err := g.Wait(); err != nil {
 		panic(fmt.Sprint("bench: claim: ", err))
 	}
-	time.Sleep(settled)
+	time.Sleep(settlementWait)
 }
--- a/bench/slopes/confs.go
+++ b/bench/slopes/confs.go
@@ -21,25 +21,25 @@
 // confSeries measures the configuration's document and log.
 func confSeries() []slope.Series {
 	return []slope.Series{
-		series("documentPerTeam", "document in JSON, 51 pools with a service each", "B", "team with 4 approvals", teamSizes,
-			func(n int) float64 { return marshalled(holder(pools, n)) }),
-		series("documentPerPool", "document in JSON, 230 teams", "B", "pool with a service", poolSizes,
-			func(n int) float64 { return marshalled(holder(n, designTeams)) }),
-		series("documentHeap", "document in memory, 51 pools with a service each", "B", "team with 4 approvals", teamSizes, documentHeap),
-		series("documentEncode", "document to JSON", "ns", "team with 4 approvals", teamSizes, func(n int) float64 {
-			h := holder(pools, n)
-			return cpuOf(func() { marshalled(h) })
+		measureSeries("documentPerTeam", "document in JSON, 51 pools with a service each", "B", "team with 4 approvals", teamSizes,
+			func(n int) float64 { return documentSize(configHolder(poolCount, n)) }),
+		measureSeries("documentPerPool", "document in JSON, 230 teams", "B", "pool with a service", poolSizes,
+			func(n int) float64 { return documentSize(configHolder(n, designTeams)) }),
+		measureSeries("documentHeap", "document in memory, 51 pools with a service each", "B", "team with 4 approvals", teamSizes, documentHeap),
+		measureSeries("documentEncode", "document to JSON", "ns", "team with 4 approvals", teamSizes, func(n int) float64 {
+			h := configHolder(poolCount, n)
+			return cpuOf(func() { documentSize(h) })
 		}),
-		series("changeApply", "one change to a document", "ns", "team with 4 approvals", teamSizes, applyCPU),
-		series("changeBytes", "changes in JSON", "B", "change", changeSizes, func(n int) float64 { return encoded(tail(n)) }),
-		series("changeHeap", "changes kept in the log's tail", "B", "change", changeSizes,
-			func(n int) float64 { return heapOf(func() any { return tail(n) }) }),
-		series("changeList", "answer of the service that lists changes", "B", "change", changeSizes, func(n int) float64 { return encoded(listAnswer(n)) }),
-		series("changeRead", "read of the service's answer and its changes", "ns", "change", changeSizes, readCPU),
+		measureSeries("changeApply", "one change to a document", "ns", "team with 4 approvals", teamSizes, changeApplyCPU),
+		measureSeries("changeBytes", "changes in JSON", "B", "change", changeSizes, func(n int) float64 { return jsonSize(logTail(n)) }),
+		measureSeries("changeHeap", "changes kept in the log's tail", "B", "change", changeSizes,
+			func(n int) float64 { return heapOf(func() any { return logTail(n) }) }),
+		measureSeries("changeList", "answer of the service that lists changes", "B", "change", changeSizes, func(n int) float64 { return jsonSize(listAnswer(n)) }),
+		measureSeries("changeRead", "read of the service's answer and its changes", "ns", "change", changeSizes, changeReadCPU),
 	}
 }
 
-func encoded(v any) float64 {
+func jsonSize(v any) float64 {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
@@ -47,7 +47,7 @@
 	return float64(len(b))
 }
 
-func marshalled(h *conf.Holder) float64 {
+func documentSize(h *conf.Holder) float64 {
 	b, err := h.Document().Marshal()
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
@@ -56,7 +56,7 @@
 }
 
 func documentHeap(n int) float64 {
-	b, err := holder(pools, n).Document().Marshal()
+	b, err := configHolder(poolCount, n).Document().Marshal()
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
@@ -76,12 +76,12 @@
 	t := teamName(i % designTeams)
 	return conf.Change{
 		Number: conf.Number(n), Op: fmt.Sprintf("op-%032x", n), Prev: "1xk3nvk9w9cqz", By: "operator-07", Kind: conf.PutTeam,
-		Team: &conf.TeamSpec{Name: t, TokenDigest: digest(t), QuotaPerSec: 1000 + i},
+		Team: &conf.TeamSpec{Name: t, TokenDigest: tokenDigest(t), QuotaPerSec: 1000 + i},
 	}
 }
 
-func applyCPU(n int) float64 {
-	d := holder(pools, n).Document()
+func changeApplyCPU(n int) float64 {
+	d := configHolder(poolCount, n).Document()
 	c := quotaChange(int(d.Number())+1, 7)
 	c.Prev = ""
 	return cpuOf(func() {
@@ -91,7 +91,7 @@
 	})
 }
 
-func tail(n int) []conf.Change {
+func logTail(n int) []conf.Change {
 	l := make([]conf.Change, n)
 	for i := range l {
 		l[i] = quotaChange(20_000+i, i)
@@ -101,7 +101,7 @@
 
 func listAnswer(n int) keyval.ListAnswer {
 	var a keyval.ListAnswer
-	for _, c := range tail(n) {
+	for _, c := range logTail(n) {
 		b, err := json.Marshal(c)
 		if err != nil {
 			panic(fmt.Sprint("bench: encode: ", err))
@@ -111,7 +111,7 @@
 	return a
 }
 
-func readCPU(n int) float64 {
+func changeReadCPU(n int) float64 {
 	b, err := json.Marshal(listAnswer(n))
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
--- a/bench/slopes/fleet.go
+++ b/bench/slopes/fleet.go
@@ -22,21 +22,21 @@
 // fleetSeries measures the membership's documents, the platform's list and the leader's loop.
 func fleetSeries() []slope.Series {
 	return []slope.Series{
-		series("shardBytes", "membership of a data centre, 16 shards in JSON", "B", "VM of the data centre", vmSizes, shardBytes),
-		series("budgetBytes", "availability budget of a service in JSON", "B", "VM that is out", absenceSizes, budgetBytes),
-		series("listBytes", "platform's list in JSON", "B", "VM of the fleet", fleetSizes,
-			func(n int) float64 { return encoded(hosts.ListAnswer{VMs: platformVMs(n, true)}) }),
-		series("listZipped", "platform's list in JSON, compressed by gzip", "B", "VM of the fleet", fleetSizes, zipped),
-		series("listRead", "read of the platform's list", "ns", "VM of the fleet", fleetSizes, listCPU),
-		series("leaderTick", "one tick of the leader's loop, the platform's calls not counted", "ns", "VM of the data centre", vmSizes,
-			func(n int) float64 { return lead(n).cpu }),
-		series("leaderHeap", "leader's loop in memory, the shelf's past views counted", "B", "VM of the data centre", vmSizes,
-			func(n int) float64 { return lead(n).heap }),
-		series("coldCalls", "calls of the service in a leader's first seconds over a membership that stands", "call", "VM of the data centre", vmSizes,
-			func(n int) float64 { return takeOver(n).calls }),
-		series("coldBytes", "values that those calls carry", "B", "VM of the data centre", vmSizes,
-			func(n int) float64 { return takeOver(n).bytes }),
-		series("lossWrites", "writes of the service when workers of 1,500 are gone at once", "write", "lost VM", lossSizes, lossWrites),
+		measureSeries("shardBytes", "membership of a data centre, 16 shards in JSON", "B", "VM of the data centre", vmSizes, shardBytes),
+		measureSeries("budgetBytes", "availability budget of a service in JSON", "B", "VM that is out", absenceSizes, budgetBytes),
+		measureSeries("listBytes", "platform's list in JSON", "B", "VM of the fleet", fleetSizes,
+			func(n int) float64 { return jsonSize(hosts.ListAnswer{VMs: platformVMs(n, true)}) }),
+		measureSeries("listZipped", "platform's list in JSON, compressed by gzip", "B", "VM of the fleet", fleetSizes, gzipSize),
+		measureSeries("listRead", "read of the platform's list", "ns", "VM of the fleet", fleetSizes, listCPU),
+		measureSeries("leaderTick", "one tick of the leader's loop, the platform's calls not counted", "ns", "VM of the data centre", vmSizes,
+			func(n int) float64 { return measureLeader(n).cpu }),
+		measureSeries("leaderHeap", "leader's loop in memory, the shelf's past views counted", "B", "VM of the data centre", vmSizes,
+			func(n int) float64 { return measureLeader(n).heap }),
+		measureSeries("coldCalls", "calls of the service in a leader's first seconds over a membership that stands", "call", "VM of the data centre", vmSizes,
+			func(n int) float64 { return measureTakeover(n).calls }),
+		measureSeries("coldBytes", "values that those calls carry", "B", "VM of the data centre", vmSizes,
+			func(n int) float64 { return measureTakeover(n).bytes }),
+		measureSeries("lossWrites", "writes of the service when workers of 1,500 are gone at once", "write", "lost VM", lossSizes, lossWrites),
 	}
 }
 
@@ -44,7 +44,7 @@
 	puts := make([][]pool.Member, pool.Count)
 	for _, w := range platformVMs(n, false) {
 		i := pool.Index(w.ID, pool.Count)
-		puts[i] = append(puts[i], pool.Member{VM: w.ID, Pool: w.Pool, Rack: w.Rack, Wave: "wave-2026-49", Since: began + int64(i), Boot: began, Seq: 26})
+		puts[i] = append(puts[i], pool.Member{VM: w.ID, Pool: w.Pool, Rack: w.Rack, Wave: "wave-2026-49", Since: startMillis + int64(i), Boot: startMillis, Seq: 26})
 	}
 	sum := 0
 	for i, l := range puts {
@@ -66,8 +66,8 @@
 	for i := range n {
 		var err error
 		a := wave.Absence{
-			VM: vmName(home, i), DataCentre: home, Rack: fmt.Sprintf("rack-%s-%03d", home, i), Since: began, Wave: "wave-2026-49",
-			Op: fmt.Sprintf("%s/%d", vmName(home, i), i), Seq: 26,
+			VM: vmName(homeDataCentre, i), DataCentre: homeDataCentre, Rack: fmt.Sprintf("rack-%s-%03d", homeDataCentre, i), Since: startMillis, Wave: "wave-2026-49",
+			Op: fmt.Sprintf("%s/%d", vmName(homeDataCentre, i), i), Seq: 26,
 		}
 		if b, err = b.Reserve(a, n); err != nil {
 			panic(fmt.Sprint("bench: budget: ", err))
@@ -80,7 +80,7 @@
 	return float64(len(w))
 }
 
-func zipped(n int) float64 {
+func gzipSize(n int) float64 {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(hosts.ListAnswer{VMs: platformVMs(n, true)}); err != nil {
--- a/bench/slopes/forward.go
+++ b/bench/slopes/forward.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// forward passes connections on to addr, counts their bytes and returns where it listens.
-func forward(ctx context.Context, g *errgroup.Group, addr string, sum *atomic.Int64) string {
+// startForwarder passes connections on to addr, counts their bytes and returns where it listens.
+func startForwarder(ctx context.Context, g *errgroup.Group, addr string, sum *atomic.Int64) string {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,14 +24,14 @@
 			if err != nil {
 				return nil
 			}
-			g.Go(func() error { return join(ctx, countedConn{c, sum}, addr) })
+			g.Go(func() error { return proxyConn(ctx, countedConn{c, sum}, addr) })
 		}
 	})
 	return l.Addr().String()
 }
 
-// join copies both ways until one side ends.
-func join(ctx context.Context, c net.Conn, addr string) error {
+// proxyConn copies both ways until one side ends.
+func proxyConn(ctx context.Context, c net.Conn, addr string) error {
 	var d net.Dialer
 	o, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/bench/slopes/lead.go
+++ b/bench/slopes/lead.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	leaderTick  = 100 * time.Millisecond // a tenth of the usual, so that a short run has enough ticks
-	leaderTicks = 8
-	settleTicks = 20 // before the ticks that count, in which the membership is written
-	talkers     = 12 // entries of a data centre
+	leaderTick           = 100 * time.Millisecond // a tenth of the usual, so that a short run has enough ticks
+	measuredTicks        = 8
+	warmUpTicks          = 20 // before the ticks that count, in which the membership is written
+	entriesPerDataCentre = 12 // entries of a data centre
 )
 
-// quietPlatform has VMs that nothing happens to until they are lost.
-type quietPlatform struct{ list atomic.Pointer[[]hosts.VM] }
+// staticPlatform has VMs that nothing happens to until they are lost.
+type staticPlatform struct{ list atomic.Pointer[[]hosts.VM] }
 
-func newPlatform(n int) *quietPlatform {
-	p := &quietPlatform{}
-	p.lose(n, 0)
+func newPlatform(n int) *staticPlatform {
+	p := &staticPlatform{}
+	p.setLost(n, 0)
 	return p
 }
 
-// lose makes the first k of n VMs gone.
-func (p *quietPlatform) lose(n, k int) {
+// setLost makes the first k of n VMs gone.
+func (p *staticPlatform) setLost(n, k int) {
 	l := make([]hosts.VM, 0, n)
 	for i, w := range platformVMs(n, false) {
 		if i < k {
@@ -43,25 +43,25 @@
 	p.list.Store(&l)
 }
 
-func (p *quietPlatform) List(context.Context) ([]hosts.VM, error)   { return *p.list.Load(), nil }
-func (*quietPlatform) Drain(context.Context, string) error          { return nil }
-func (*quietPlatform) Undrain(context.Context, string) error        { return nil }
-func (*quietPlatform) Reboot(context.Context, string, string) error { return nil }
-func (*quietPlatform) Assign(context.Context, string, string) error { return nil }
+func (p *staticPlatform) List(context.Context) ([]hosts.VM, error)   { return *p.list.Load(), nil }
+func (*staticPlatform) Drain(context.Context, string) error          { return nil }
+func (*staticPlatform) Undrain(context.Context, string) error        { return nil }
+func (*staticPlatform) Reboot(context.Context, string, string) error { return nil }
+func (*staticPlatform) Assign(context.Context, string, string) error { return nil }
 
-// alwaysLeads holds the lease for ever.
-type alwaysLeads struct{}
+// heldLease holds the lease for ever.
+type heldLease struct{}
 
-func (alwaysLeads) Held() (keyval.Revision, bool) { return 1, true }
+func (heldLease) Held() (keyval.Revision, bool) { return 1, true }
 
-// talk is the word of as many entries, each with the use of every service.
-type talk int
+// fixedReports is the word of as many entries, each with the use of every service.
+type fixedReports int
 
-func (n talk) Words() []steer.Word {
+func (n fixedReports) Words() []steer.Word {
 	l := make([]steer.Word, n)
 	for i := range l {
 		l[i] = steer.Word{Entry: fmt.Sprint("entry-", i), At: time.Now()}
-		for s := range pools {
+		for s := range poolCount {
 			l[i].Loads = append(l[i].Loads, steer.Load{Service: serviceName(s), Busy: 3, Arrivals: 40})
 		}
 	}
@@ -96,25 +96,25 @@
 	return c.Memory.Put(ctx, key, v, cond, id)
 }
 
-// term is a leader at work.
-type term struct {
+// leaderRun is a leader at work.
+type leaderRun struct {
 	shelf *view.Shelf
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
-// rule starts a leader over the platform's VMs.
-func rule(s keyval.Store, p hosts.Platform, h *conf.Holder) *term {
-	t := &term{shelf: view.NewShelf()}
-	l := steer.New(home, "entry-0", s, p, alwaysLeads{}, h, talk(talkers), t.shelf, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
+// startLeader starts a leader over the platform's VMs.
+func startLeader(s keyval.Store, p hosts.Platform, h *conf.Holder) *leaderRun {
+	t := &leaderRun{shelf: view.NewShelf()}
+	l := steer.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.shelf, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.group.Go(func() error { return l.Run(ctx) })
 	return t
 }
 
-// end stops the leader, which must show n targets.
-func (t *term) end(n int) {
+// stopAndCheck stops the leader, which must show n targets.
+func (t *leaderRun) stopAndCheck(n int) {
 	if got := t.shelf.View().Len(); got != n {
 		panic(fmt.Sprintf("bench: the leader shows %d of %d targets", got, n))
 	}
@@ -122,47 +122,47 @@
 	_ = t.group.Wait()
 }
 
-type ledCost struct{ cpu, heap float64 }
+type leaderCost struct{ cpu, heap float64 }
 
-// lead runs the leader's loop over n VMs.
-func lead(n int) (c ledCost) {
-	h, p := holder(pools, designTeams), newPlatform(n)
+// measureLeader runs the leader's loop over n VMs.
+func measureLeader(n int) (c leaderCost) {
+	h, p := configHolder(poolCount, designTeams), newPlatform(n)
 	before := heapNow()
-	t := rule(keyval.NewMemory(), p, h)
-	time.Sleep(settleTicks * leaderTick)
-	c.cpu = least(func() float64 {
+	t := startLeader(keyval.NewMemory(), p, h)
+	time.Sleep(warmUpTicks * leaderTick)
+	c.cpu = minOfRuns(func() float64 {
 		at, began := cpuNow(), time.Now()
-		time.Sleep(leaderTicks * leaderTick)
+		time.Sleep(measuredTicks * leaderTick)
 		return float64(cpuNow()-at) / (float64(time.Since(began)) / float64(leaderTick))
 	})
 	c.heap = float64(heapNow()) - float64(before)
-	t.end(n)
+	t.stopAndCheck(n)
 	return c
 }
 
-type coldCost struct{ calls, bytes float64 }
+type takeoverCost struct{ calls, bytes float64 }
 
-// takeOver counts what a second leader asks of the service in its first ticks.
-func takeOver(n int) coldCost {
-	h, p, s := holder(pools, designTeams), newPlatform(n), &countedStore{Memory: keyval.NewMemory()}
-	t := rule(s, p, h)
-	time.Sleep(settleTicks * leaderTick)
-	t.end(n)
+// measureTakeover counts what a second leader asks of the service in its first ticks.
+func measureTakeover(n int) takeoverCost {
+	h, p, s := configHolder(poolCount, designTeams), newPlatform(n), &countedStore{Memory: keyval.NewMemory()}
+	t := startLeader(s, p, h)
+	time.Sleep(warmUpTicks * leaderTick)
+	t.stopAndCheck(n)
 	calls, bytes := s.reads.Load()+s.writes.Load(), s.bytes.Load()
-	t = rule(s, p, h)
-	time.Sleep(leaderTicks * leaderTick)
-	t.end(n)
-	return coldCost{calls: float64(s.reads.Load() + s.writes.Load() - calls), bytes: float64(s.bytes.Load() - bytes)}
+	t = startLeader(s, p, h)
+	time.Sleep(measuredTicks * leaderTick)
+	t.stopAndCheck(n)
+	return takeoverCost{calls: float64(s.reads.Load() + s.writes.Load() - calls), bytes: float64(s.bytes.Load() - bytes)}
 }
 
 // lossWrites counts the writes after k VMs are gone.
 func lossWrites(k int) float64 {
-	h, p, s := holder(pools, designTeams), newPlatform(designVMs), &countedStore{Memory: keyval.NewMemory()}
-	t := rule(s, p, h)
-	time.Sleep(settleTicks * leaderTick)
+	h, p, s := configHolder(poolCount, designTeams), newPlatform(designVMs), &countedStore{Memory: keyval.NewMemory()}
+	t := startLeader(s, p, h)
+	time.Sleep(warmUpTicks * leaderTick)
 	at := s.writes.Load()
-	p.lose(designVMs, k)
-	time.Sleep(2 * settleTicks * leaderTick)
-	t.end(designVMs)
+	p.setLost(designVMs, k)
+	time.Sleep(2 * warmUpTicks * leaderTick)
+	t.stopAndCheck(designVMs)
 	return float64(s.writes.Load() - at)
 }
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -36,9 +36,9 @@
 		return eris.Wrap(err, "flags")
 	}
 	if *again {
-		return rewrite(*out, *page)
+		return writePage(*out, *page)
 	}
-	r := slope.Record{Command: "make slopes", Machine: machine(), Size: z, Settings: pace()}
+	r := slope.Record{Command: "make slopes", Machine: machine(), Size: z, Settings: defaultSettings()}
 	for _, m := range []func() []slope.Series{confSeries, viewSeries, fleetSeries, beatSeries, claimSeries, pathSeries} {
 		for _, s := range m() {
 			l := slope.Fit(s.Points)
@@ -49,10 +49,10 @@
 	if err := r.Save(*out); err != nil {
 		return err
 	}
-	return rewrite(*out, *page)
+	return writePage(*out, *page)
 }
 
-func rewrite(record, page string) error {
+func writePage(record, page string) error {
 	r, err := slope.Load(record)
 	if err != nil {
 		return err
@@ -60,8 +60,8 @@
 	return eris.Wrap(os.WriteFile(page, []byte(r.Page()), 0o644), "write page") //nolint:gosec // a public page.
 }
 
-// pace returns the default settings that set the pace of control.
-func pace() slope.Settings {
+// defaultSettings returns the default settings that set the defaultSettings of control.
+func defaultSettings() slope.Settings {
 	s := settings()
 	return slope.Settings{
 		BeatMs: float64(s.Beat().Milliseconds()), TickMs: float64(s.Tick().Milliseconds()),
--- a/bench/slopes/meter.go
+++ b/bench/slopes/meter.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	leastRun  = 50 * time.Millisecond // of processor time in one measurement
-	firstRuns = 4
-	repeats   = 3
+	minRunTime  = 50 * time.Millisecond // of processor time in one measurement
+	initialRuns = 4
+	repeats     = 3
 
-	settleRounds = 4
-	settlePause  = 10 * time.Millisecond
+	gcRounds = 4
+	gcPause  = 10 * time.Millisecond
 )
 
 // cpuNow returns the processor time that this process has used.
@@ -26,8 +26,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// least returns the smallest of a few runs of f, since other work on the machine only adds.
-func least(f func() float64) float64 {
+// minOfRuns returns the smallest of a few runs of f, since other work on the machine only adds.
+func minOfRuns(f func() float64) float64 {
 	v := f()
 	for range repeats - 1 {
 		v = min(v, f())
@@ -38,17 +38,17 @@
 // cpuOf returns the processor time in nanoseconds of one call of f.
 func cpuOf(f func()) float64 {
 	f()
-	return least(func() float64 { return meanOf(f) })
+	return minOfRuns(func() float64 { return meanCPU(f) })
 }
 
-func meanOf(f func()) float64 {
-	for n := firstRuns; ; n *= 2 {
+func meanCPU(f func()) float64 {
+	for n := initialRuns; ; n *= 2 {
 		runtime.GC()
 		at := cpuNow()
 		for range n {
 			f()
 		}
-		if d := cpuNow() - at; d >= leastRun {
+		if d := cpuNow() - at; d >= minRunTime {
 			return float64(d) / float64(n)
 		}
 	}
@@ -65,16 +65,16 @@
 
 func heapNow() uint64 {
 	var m runtime.MemStats
-	for range settleRounds { // pools and finalizers let go only after a few collections
+	for range gcRounds { // pools and finalizers let go only after a few collections
 		runtime.GC()
-		time.Sleep(settlePause)
+		time.Sleep(gcPause)
 	}
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// series measures f at each size.
-func series(name, what, unit, per string, sizes []int, f func(n int) float64) slope.Series {
+// measureSeries measures f at each size.
+func measureSeries(name, what, unit, per string, sizes []int, f func(n int) float64) slope.Series {
 	s := slope.Series{Name: name, What: what, Unit: unit, Per: per}
 	for _, n := range sizes {
 		s.Points = append(s.Points, slope.Point{X: float64(n), Y: f(n)})
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -29,17 +29,17 @@
 )
 
 const (
-	idleWarm  = 300 * time.Millisecond
-	idleFor   = 1000 * time.Millisecond
-	callers   = 16
-	freeQuota = 1e6 // requests a second
-	minimal   = `{"name":"entry-0","dataCentre":"north-1","dataCentres":["north-1"],"callerAddr":"127.0.0.1:1",
+	warmUpTime      = 300 * time.Millisecond
+	idlePeriod      = 1000 * time.Millisecond
+	callers         = 16
+	ampleQuota      = 1e6 // requests a second
+	minimalSettings = `{"name":"entry-0","dataCentre":"north-1","dataCentres":["north-1"],"callerAddr":"127.0.0.1:1",
 		"peerAddr":"127.0.0.1:2","operatorAddr":"127.0.0.1:3","platformAddr":"127.0.0.1:4"}`
 )
 
 // settings returns an entry's settings with the defaults.
 func settings() setup.Settings {
-	s, err := setup.Parse([]byte(minimal))
+	s, err := setup.Parse([]byte(minimalSettings))
 	if err != nil {
 		panic(fmt.Sprint("bench: settings: ", err))
 	}
@@ -49,24 +49,24 @@
 // pathSeries measures an entry's request path and what it holds.
 func pathSeries() []slope.Series {
 	return []slope.Series{
-		series("queueHeap", "requests that wait in the scheduler", "B", "request", queueSizes, queueHeap),
-		series("quotaHeap", "quotas of 51 services in memory", "B", "team", teamSizes, quotaHeap),
-		series("keyHeap", "records of keys in memory", "B", "key", keySizes, keyHeap),
-		series("entryIdle", "entry with 51 services and 12 entries, without requests, each second", "ns", "VM of the data centre", vmSizes,
-			func(n int) float64 { return idle(holder(pools, designTeams), n) }),
-		series("entryServices", "entry with 1,500 targets, without requests, each second", "ns", "service", idleServices,
-			func(n int) float64 { return idle(holder(n, designTeams), designVMs) }),
-		series("entryChange", "entry's tables made anew for one change", "ns", "VM of the data centre", vmSizes, changeCPU),
-		series("entryHeap", "entry's tables of targets, shares and connections in memory", "B", "VM of the data centre", heapSizes, func(n int) float64 {
-			h, v := holder(pools, designTeams), shelfOf(targets(n))
+		measureSeries("queueHeap", "requests that wait in the scheduler", "B", "request", queueSizes, queueHeap),
+		measureSeries("quotaHeap", "quotas of 51 services in memory", "B", "team", teamSizes, quotaHeap),
+		measureSeries("keyHeap", "records of keys in memory", "B", "key", keySizes, keyHeap),
+		measureSeries("entryIdle", "entry with 51 services and 12 entries, without requests, each second", "ns", "VM of the data centre", vmSizes,
+			func(n int) float64 { return idleCPU(configHolder(poolCount, designTeams), n) }),
+		measureSeries("entryServices", "entry with 1,500 targets, without requests, each second", "ns", "service", idleServices,
+			func(n int) float64 { return idleCPU(configHolder(n, designTeams), designVMs) }),
+		measureSeries("entryChange", "entry's tables made anew for one change", "ns", "VM of the data centre", vmSizes, changeCPU),
+		measureSeries("entryHeap", "entry's tables of targets, shares and connections in memory", "B", "VM of the data centre", heapSizes, func(n int) float64 {
+			h, v := configHolder(poolCount, designTeams), viewHolder(targets(n))
 			return max(entryHeap(h, v, designTeams), entryHeap(h, v, designTeams)) // what earlier runs let go of late only lessens it
 		}),
-		series("requestCPU", "requests through the entry, less the same straight to the target", "ns", "request", requestSizes, requestCPU),
-		series("keyCPU", "claims and settlements at one holder without the wire", "ns", "key", keySizes, keyCPU),
+		measureSeries("requestCPU", "requests through the entry, less the same straight to the target", "ns", "request", requestSizes, requestCPU),
+		measureSeries("keyCPU", "claims and settlements at one holder without the wire", "ns", "key", keySizes, keyCPU),
 	}
 }
 
-func shelfOf(l []view.Target) *view.Shelf {
+func viewHolder(l []view.Target) *view.Shelf {
 	s := view.NewShelf()
 	if err := s.Put(view.New(view.Version{Fence: 1, Count: 1}, l)); err != nil {
 		panic(fmt.Sprint("bench: put: ", err))
@@ -85,52 +85,52 @@
 	e := entry.New(settings(), zerolog.Nop(), h, v, entry.WithSelf("entry-0"))
 	var g errgroup.Group
 	g.Go(func() error { return e.Run(ctx, l) })
-	time.Sleep(idleWarm / 3)
+	time.Sleep(warmUpTime / 3)
 	now, names, rates := time.Now(), []string{}, map[string]float64{}
-	for i := range talkers {
+	for i := range entriesPerDataCentre {
 		names = append(names, fmt.Sprint("entry-", i))
 	}
 	for i := range teams {
-		rates[teamName(i)] = freeQuota
+		rates[teamName(i)] = ampleQuota
 	}
 	e.SetRoster(now, 2, names)
 	for _, n := range names {
 		e.SetSettled(now, n, 2)
 	}
 	e.SetQuotas(now, rates)
-	time.Sleep(idleWarm)
+	time.Sleep(warmUpTime)
 	f(l.Addr().String())
 	stop()
 	_ = g.Wait()
 }
 
-// idle is the processor time a second of an entry that has nothing to do.
-func idle(h *conf.Holder, n int) (c float64) {
-	runEntry(h, shelfOf(targets(n)), designTeams, func(string) {
-		c = least(func() float64 {
+// idleCPU is the processor time a second of an entry that has nothing to do.
+func idleCPU(h *conf.Holder, n int) (c float64) {
+	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
+		c = minOfRuns(func() float64 {
 			at, began := cpuNow(), time.Now()
-			time.Sleep(idleFor)
+			time.Sleep(idlePeriod)
 			return float64(cpuNow()-at) / time.Since(began).Seconds()
 		})
 	})
 	return c
 }
 
-// changesTried is the number of changes over which the cost of one is taken.
+// measuredChanges is the number of changes over which the cost of one is taken.
 const (
-	changesTried = 20
-	changePause  = 30 * time.Millisecond
+	measuredChanges = 20
+	changePause     = 30 * time.Millisecond
 )
 
 // changeCPU is the cost of changes over that of the same time without them.
 func changeCPU(n int) (c float64) {
-	h := holder(pools, designTeams)
-	runEntry(h, shelfOf(targets(n)), designTeams, func(string) {
+	h := configHolder(poolCount, designTeams)
+	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
 		at := cpuNow()
-		time.Sleep(changesTried * changePause)
+		time.Sleep(measuredChanges * changePause)
 		idle := cpuNow() - at
 		at = cpuNow()
-		for i := range changesTried {
+		for i := range measuredChanges {
 			time.Sleep(changePause)
 			q := quotaChange(int(h.Document().Number())+1, i)
 			q.Prev = ""
@@ -138,7 +138,7 @@
 				panic(fmt.Sprint("bench: offer: ", err))
 			}
 		}
-		c = float64(cpuNow()-at-idle) / changesTried
+		c = float64(cpuNow()-at-idle) / measuredChanges
 	})
 	return max(c, 0)
 }
@@ -163,15 +163,15 @@
 	for i := range ts {
 		ts[i].Addr = l.Addr().String()
 	}
-	runEntry(holder(pools, designTeams), shelfOf(ts), designTeams, func(addr string) {
-		send(addr, n/4)
-		send(l.Addr().String(), n/4)
+	runEntry(configHolder(poolCount, designTeams), viewHolder(ts), designTeams, func(addr string) {
+		sendRequests(addr, n/4)
+		sendRequests(l.Addr().String(), n/4)
 		cost := func(to string) float64 {
 			at := cpuNow()
-			send(to, n)
+			sendRequests(to, n)
 			return float64(cpuNow() - at)
 		}
-		c = least(func() float64 { return cost(addr) }) - least(func() float64 { return cost(l.Addr().String()) })
+		c = minOfRuns(func() float64 { return cost(addr) }) - minOfRuns(func() float64 { return cost(l.Addr().String()) })
 	})
 	_ = s.Shutdown()
 	_ = g.Wait()
@@ -180,8 +180,8 @@
 
 const designVMs = 1500 // of a data centre
 
-// send makes n requests by as many callers as are at work at once.
-func send(addr string, n int) {
+// sendRequests makes n requests by as many callers as are at work at once.
+func sendRequests(addr string, n int) {
 	c := fasthttp.HostClient{Addr: addr, MaxConns: callers, NoDefaultUserAgentHeader: true}
 	var g errgroup.Group
 	for range callers {
@@ -205,12 +205,12 @@
 }
 
 func queueHeap(n int) float64 {
-	now := time.UnixMilli(began)
+	now := time.UnixMilli(startMillis)
 	return heapOf(func() any {
 		s := sched.New(serviceName(0), sched.WithBound(2*n))
-		s.Update(sched.QuotasMsg{Now: now, Rates: map[string]float64{teamName(0): freeQuota}})
-		s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget(vmName(home, 0), "rack", slots)}})
-		for i := range n + slots {
+		s.Update(sched.QuotasMsg{Now: now, Rates: map[string]float64{teamName(0): ampleQuota}})
+		s.Update(sched.TargetsMsg{Now: now, Targets: []sched.Target{sched.NewTarget(vmName(homeDataCentre, 0), "rack", slotsPerWorker)}})
+		for i := range n + slotsPerWorker {
 			s.Update(sched.ArriveMsg{Now: now, ID: sched.ID(i), Team: teamName(0), Deadline: now.Add(time.Hour)})
 		}
 		if got := s.Stats().Queued(sched.Normal) + s.Stats().Queued(sched.Urgent); got != n {
@@ -223,13 +223,13 @@
 func quotaHeap(n int) float64 {
 	rates := map[string]float64{}
 	for i := range n {
-		rates[teamName(i)] = freeQuota
+		rates[teamName(i)] = ampleQuota
 	}
 	c := heapOf(func() any {
 		var l []*sched.Scheduler
-		for i := range pools {
+		for i := range poolCount {
 			s := sched.New(serviceName(i))
-			s.Update(sched.QuotasMsg{Now: time.UnixMilli(began), Rates: rates})
+			s.Update(sched.QuotasMsg{Now: time.UnixMilli(startMillis), Rates: rates})
 			l = append(l, s)
 		}
 		return l
@@ -241,16 +241,16 @@
 func keyIDs(n int) []ledger.ID {
 	l := make([]ledger.ID, n)
 	for i := range l {
-		l[i] = ledger.NewID(fmt.Sprint(home, "/order-", i))
+		l[i] = ledger.NewID(fmt.Sprint(homeDataCentre, "/order-", i))
 	}
 	return l
 }
 
-// book claims and settles every id at one holder.
-func book(ids []ledger.ID) *ledger.Book {
-	now, m := time.UnixMilli(began), ledger.Member{Entry: "entry-0", Incarnation: 1}
+// settledBook claims and settles every id at one holder.
+func settledBook(ids []ledger.ID) *ledger.Book {
+	now, m := time.UnixMilli(startMillis), ledger.Member{Entry: "entry-0", Incarnation: 1}
 	b := ledger.NewBook(m, ledger.WithRecords(2*len(ids)))
-	r := ledger.NewRoster(home, []ledger.Member{m}, 1)
+	r := ledger.NewRoster(homeDataCentre, []ledger.Member{m}, 1)
 	b.Adopt(ledger.RosterMsg{Now: now, Roster: r})
 	for _, id := range ids {
 		if a := b.Claim(ledger.ClaimMsg{Now: now, ID: id, Roster: r.Number(), Attempt: 7, Digest: 9}); a.Verdict != ledger.Granted {
@@ -263,12 +263,12 @@
 
 func keyHeap(n int) float64 {
 	ids := keyIDs(n)
-	c := heapOf(func() any { return book(ids) })
+	c := heapOf(func() any { return settledBook(ids) })
 	runtime.KeepAlive(ids)
 	return c
 }
 
 func keyCPU(n int) float64 {
 	ids := keyIDs(n)
-	return cpuOf(func() { book(ids) })
+	return cpuOf(func() { settledBook(ids) })
 }
