--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -26,7 +26,7 @@
 
 const measuredBeats = 200
 
-// countedConn adds the bytes of both ways to a sum.
+// countedConn adds the bytes that it reads and writes to a sum.
 type countedConn struct {
 	net.Conn
 	sum *atomic.Int64
@@ -44,7 +44,7 @@
 	return n, err
 }
 
-// peerReport is what node/daemon puts into the members field of a beat.
+// peerReport has the JSON form of what node/daemon puts into the members field of a beat.
 type peerReport struct {
 	Version view.Version    `json:"v"`
 	Leading bool            `json:"lead,omitempty"`
@@ -54,7 +54,7 @@
 	Shares  int64           `json:"shares,omitempty"`
 }
 
-// idleEntry is an entry with so many services at which nothing changes.
+// idleEntry is the state of an entry with that number of services, in which nothing changes.
 type idleEntry int
 
 func (idleEntry) Applied() int64                     { return 16_000 }
@@ -72,7 +72,7 @@
 	return r
 }
 
-// beatSeries measures beats between two entries over loopback and calls of the platform's service.
+// beatSeries measures beats between two entries, and calls of the platform's service, over loopback.
 func beatSeries() []slope.Series {
 	return []slope.Series{
 		measureSeries("beatBytes", "beat and its answer on the wire, both ways", "B", "service", serviceSizes, func(n int) float64 { return measureBeats(n).bytes }),
@@ -87,7 +87,7 @@
 
 type beatCost struct{ bytes, cpu float64 }
 
-// withPeer runs f with a client and the address of an entry whose bytes are counted.
+// withPeer starts an entry with n services and calls f with a client, the entry's address and the count of their bytes.
 func withPeer(n int, f func(c *relay.Client, addr string, sum *atomic.Int64)) {
 	var lc net.ListenConfig
 	ctx, stop := context.WithCancel(context.Background())
@@ -128,7 +128,7 @@
 func measureBeats(n int) (b beatCost) {
 	withPeer(n, func(c *relay.Client, addr string, sum *atomic.Int64) {
 		q, r := beatRequest(homeDataCentre), idleEntry(n).Report()
-		q.Roster = 0 // the receiver knows none, and must not go and ask for it
+		q.Roster = 0 // the receiver has no roster, and with another number would fetch one
 		q.Loads, q.Members = r.Loads, r.Members
 		sendBeat(c, addr, q)
 		at := sum.Load()
@@ -154,7 +154,8 @@
 	return b
 }
 
-// measureCalls makes n measureCalls of a stand-in of the platform's service.
+// measureCalls makes n calls of a stand-in of the platform's service, through a forwarder to count bytes and directly to measure
+// processor time.
 func measureCalls(n int) (b beatCost) {
 	ctx, stop := context.WithCancel(context.Background())
 	var g errgroup.Group
--- a/bench/slopes/claims.go
+++ b/bench/slopes/claims.go
@@ -21,15 +21,15 @@
 	holderCount        = 3 // entries of the small data centre in which keys are claimed
 	rosterTimeout      = 20 * time.Second
 	rosterPollInterval = 50 * time.Millisecond
-	settlementWait     = 200 * time.Millisecond // for settlements to arrive
+	settlementWait     = 200 * time.Millisecond // time for settlements to arrive
 )
 
-// claimSeries measures keyed requests at the entry that takes them and at both holders together.
+// claimSeries measures claims of idempotency keys, at the entry that takes the requests and at both holders together.
 func claimSeries() []slope.Series {
 	var cpu, wire slope.Series
 	withHolders(func(k *relay.Keeper, sum *atomic.Int64) {
 		round := 0
-		claimAll(k, 0, claimSizes[0]) // connections are open afterwards
+		claimAll(k, 0, claimSizes[0]) // opens the connections
 		cpu = measureSeries("claimCPU", "claims and settlements between 3 entries over loopback, all entries together", "ns", "key", claimSizes, func(n int) float64 {
 			round++
 			at := cpuNow()
@@ -46,7 +46,7 @@
 	return []slope.Series{cpu, wire}
 }
 
-// withHolders calls f with the first of the entries once all hold keys under one roster.
+// withHolders starts the entries and calls f with the first one as soon as all of them hold keys by the same roster.
 func withHolders(f func(k *relay.Keeper, sum *atomic.Int64)) {
 	var g errgroup.Group
 	var sum atomic.Int64
@@ -106,7 +106,7 @@
 	return k, b, relay.NewAddress(self.Entry, self.Addr, homeDataCentre)
 }
 
-// claimAll claims and settles n keys by as many callers as are at work at once.
+// claimAll claims and settles n keys, divided among concurrent callers.
 func claimAll(k *relay.Keeper, round, n int) {
 	var g errgroup.Group
 	body := []byte("a digest of 32 bytes or so, here")
--- a/bench/slopes/confs.go
+++ b/bench/slopes/confs.go
@@ -71,7 +71,8 @@
 	return c
 }
 
-// quotaChange is the change that operators make most: a team's quota.
+// quotaChange returns change n of the log: a new quota for a team, which operators change most
+// often. i selects the team and its quota.
 func quotaChange(n, i int) conf.Change {
 	t := teamName(i % designTeams)
 	return conf.Change{
--- a/bench/slopes/fleet.go
+++ b/bench/slopes/fleet.go
@@ -19,7 +19,7 @@
 	absenceSizes = []int{0, 10, 20, 40}
 )
 
-// fleetSeries measures the membership's documents, the platform's list and the leader's loop.
+// fleetSeries measures the documents of membership and budgets, the platform's list of VMs and the leader's loop.
 func fleetSeries() []slope.Series {
 	return []slope.Series{
 		measureSeries("shardBytes", "membership of a data centre, 16 shards in JSON", "B", "VM of the data centre", vmSizes, shardBytes),
--- a/bench/slopes/forward.go
+++ b/bench/slopes/forward.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// startForwarder passes connections on to addr, counts their bytes and returns where it listens.
+// startForwarder forwards connections to addr, adds their bytes to sum and returns the address where it listens.
 func startForwarder(ctx context.Context, g *errgroup.Group, addr string, sum *atomic.Int64) string {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return l.Addr().String()
 }
 
-// proxyConn copies both ways until one side ends.
+// proxyConn connects to addr and copies data both ways until one side closes.
 func proxyConn(ctx context.Context, c net.Conn, addr string) error {
 	var d net.Dialer
 	o, err := d.DialContext(ctx, "tcp", addr)
--- a/bench/slopes/lead.go
+++ b/bench/slopes/lead.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	leaderTick           = 100 * time.Millisecond // a tenth of the usual, so that a short run has enough ticks
+	leaderTick           = 100 * time.Millisecond // a tenth of the default, so that a short run has enough ticks
 	measuredTicks        = 8
-	warmUpTicks          = 20 // before the ticks that count, in which the membership is written
-	entriesPerDataCentre = 12 // entries of a data centre
+	warmUpTicks          = 20 // ticks before the measurement, in which the leader writes the membership
+	entriesPerDataCentre = 12
 )
 
-// staticPlatform has VMs that nothing happens to until they are lost.
+// staticPlatform is a platform whose VMs do not change, except by setLost.
 type staticPlatform struct{ list atomic.Pointer[[]hosts.VM] }
 
 func newPlatform(n int) *staticPlatform {
@@ -31,7 +31,7 @@
 	return p
 }
 
-// setLost makes the first k of n VMs gone.
+// setLost marks the first k of n VMs as gone.
 func (p *staticPlatform) setLost(n, k int) {
 	l := make([]hosts.VM, 0, n)
 	for i, w := range platformVMs(n, false) {
@@ -49,12 +49,12 @@
 func (*staticPlatform) Reboot(context.Context, string, string) error { return nil }
 func (*staticPlatform) Assign(context.Context, string, string) error { return nil }
 
-// heldLease holds the lease for ever.
+// heldLease is a leader's lease that is always held.
 type heldLease struct{}
 
 func (heldLease) Held() (keyval.Revision, bool) { return 1, true }
 
-// fixedReports is the word of as many entries, each with the use of every service.
+// fixedReports is the number of entries that report; each reports the same load for every service.
 type fixedReports int
 
 func (n fixedReports) Words() []steer.Word {
@@ -68,7 +68,7 @@
 	return l
 }
 
-// countedStore counts calls and the bytes of their values.
+// countedStore counts reads, writes and the bytes of their values.
 type countedStore struct {
 	*keyval.Memory
 	reads, writes, bytes atomic.Int64
@@ -96,14 +96,14 @@
 	return c.Memory.Put(ctx, key, v, cond, id)
 }
 
-// leaderRun is a leader at work.
+// leaderRun is a running leader.
 type leaderRun struct {
 	shelf *view.Shelf
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
-// startLeader starts a leader over the platform's VMs.
+// startLeader starts a leader for the platform's VMs.
 func startLeader(s keyval.Store, p hosts.Platform, h *conf.Holder) *leaderRun {
 	t := &leaderRun{shelf: view.NewShelf()}
 	l := steer.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.shelf, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
@@ -113,7 +113,7 @@
 	return t
 }
 
-// stopAndCheck stops the leader, which must show n targets.
+// stopAndCheck stops the leader and panics unless its view has n targets.
 func (t *leaderRun) stopAndCheck(n int) {
 	if got := t.shelf.View().Len(); got != n {
 		panic(fmt.Sprintf("bench: the leader shows %d of %d targets", got, n))
@@ -124,7 +124,7 @@
 
 type leaderCost struct{ cpu, heap float64 }
 
-// measureLeader runs the leader's loop over n VMs.
+// measureLeader measures the processor time of a tick and the heap of a leader with n VMs.
 func measureLeader(n int) (c leaderCost) {
 	h, p := configHolder(poolCount, designTeams), newPlatform(n)
 	before := heapNow()
@@ -142,7 +142,7 @@
 
 type takeoverCost struct{ calls, bytes float64 }
 
-// measureTakeover counts what a second leader asks of the service in its first ticks.
+// measureTakeover counts the calls and bytes of a second leader in its first ticks, after a first leader wrote the membership.
 func measureTakeover(n int) takeoverCost {
 	h, p, s := configHolder(poolCount, designTeams), newPlatform(n), &countedStore{Memory: keyval.NewMemory()}
 	t := startLeader(s, p, h)
@@ -155,7 +155,7 @@
 	return takeoverCost{calls: float64(s.reads.Load() + s.writes.Load() - calls), bytes: float64(s.bytes.Load() - bytes)}
 }
 
-// lossWrites counts the writes after k VMs are gone.
+// lossWrites counts the leader's writes after k VMs are lost at once.
 func lossWrites(k int) float64 {
 	h, p, s := configHolder(poolCount, designTeams), newPlatform(designVMs), &countedStore{Memory: keyval.NewMemory()}
 	t := startLeader(s, p, h)
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -1,4 +1,4 @@
-// Command slopes measures what the parts cost against their sizes and writes the record and the page of capacity.
+// Command slopes measures the costs of the system's parts at several sizes, and writes the record and the capacity page.
 package main
 
 import (
@@ -60,7 +60,7 @@
 	return eris.Wrap(os.WriteFile(page, []byte(r.Page()), 0o644), "write page") //nolint:gosec // a public page.
 }
 
-// defaultSettings returns the default settings that set the defaultSettings of control.
+// defaultSettings returns the defaults of those entry settings that the costs depend on.
 func defaultSettings() slope.Settings {
 	s := settings()
 	return slope.Settings{
--- a/bench/slopes/meter.go
+++ b/bench/slopes/meter.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	minRunTime  = 50 * time.Millisecond // of processor time in one measurement
+	minRunTime  = 50 * time.Millisecond // least processor time of one measurement
 	initialRuns = 4
 	repeats     = 3
 
@@ -26,7 +26,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// minOfRuns returns the smallest of a few runs of f, since other work on the machine only adds.
+// minOfRuns returns the smallest result of several runs of f, since other work on the machine can only add to it.
 func minOfRuns(f func() float64) float64 {
 	v := f()
 	for range repeats - 1 {
@@ -35,7 +35,7 @@
 	return v
 }
 
-// cpuOf returns the processor time in nanoseconds of one call of f.
+// cpuOf returns the processor time of one call of f, in nanoseconds.
 func cpuOf(f func()) float64 {
 	f()
 	return minOfRuns(func() float64 { return meanCPU(f) })
@@ -54,7 +54,7 @@
 	}
 }
 
-// heapOf returns the bytes of heap that what f returns holds.
+// heapOf returns the bytes of heap that the result of f occupies.
 func heapOf(f func() any) float64 {
 	before := heapNow()
 	v := f()
@@ -65,7 +65,7 @@
 
 func heapNow() uint64 {
 	var m runtime.MemStats
-	for range gcRounds { // pools and finalizers let go only after a few collections
+	for range gcRounds { // pools and finalizers release memory only after several collections
 		runtime.GC()
 		time.Sleep(gcPause)
 	}
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -37,7 +37,7 @@
 		"peerAddr":"127.0.0.1:2","operatorAddr":"127.0.0.1:3","platformAddr":"127.0.0.1:4"}`
 )
 
-// settings returns an entry's settings with the defaults.
+// settings returns the settings of an entry, all with their defaults.
 func settings() setup.Settings {
 	s, err := setup.Parse([]byte(minimalSettings))
 	if err != nil {
@@ -46,7 +46,7 @@
 	return s
 }
 
-// pathSeries measures an entry's request path and what it holds.
+// pathSeries measures an entry's request path and the memory that it uses.
 func pathSeries() []slope.Series {
 	return []slope.Series{
 		measureSeries("queueHeap", "requests that wait in the scheduler", "B", "request", queueSizes, queueHeap),
@@ -59,7 +59,8 @@
 		measureSeries("entryChange", "entry's tables made anew for one change", "ns", "VM of the data centre", vmSizes, changeCPU),
 		measureSeries("entryHeap", "entry's tables of targets, shares and connections in memory", "B", "VM of the data centre", heapSizes, func(n int) float64 {
 			h, v := configHolder(poolCount, designTeams), viewHolder(targets(n))
-			return max(entryHeap(h, v, designTeams), entryHeap(h, v, designTeams)) // what earlier runs let go of late only lessens it
+			// The larger of two runs: memory that earlier runs release late can only lower the result.
+			return max(entryHeap(h, v, designTeams), entryHeap(h, v, designTeams))
 		}),
 		measureSeries("requestCPU", "requests through the entry, less the same straight to the target", "ns", "request", requestSizes, requestCPU),
 		measureSeries("keyCPU", "claims and settlements at one holder without the wire", "ns", "key", keySizes, keyCPU),
@@ -74,7 +75,8 @@
 	return s
 }
 
-// runEntry starts an entry among 12 that all keep to their shares and calls f with its address.
+// runEntry starts an entry and calls f with its address. Its roster has 12 entries, all settled on it, so that
+// each keeps to its share.
 func runEntry(h *conf.Holder, v *view.Shelf, teams int, f func(addr string)) {
 	var lc net.ListenConfig
 	ctx, stop := context.WithCancel(context.Background())
@@ -104,7 +106,7 @@
 	_ = g.Wait()
 }
 
-// idleCPU is the processor time a second of an entry that has nothing to do.
+// idleCPU returns the processor time, in nanoseconds a second, of an entry without requests.
 func idleCPU(h *conf.Holder, n int) (c float64) {
 	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
 		c = minOfRuns(func() float64 {
@@ -116,13 +118,13 @@
 	return c
 }
 
-// measuredChanges is the number of changes over which the cost of one is taken.
+// measuredChanges is the number of changes over which the cost of one is averaged.
 const (
 	measuredChanges = 20
 	changePause     = 30 * time.Millisecond
 )
 
-// changeCPU is the cost of changes over that of the same time without them.
+// changeCPU returns the processor time of one change in nanoseconds: that of a period with changes less that of one without.
 func changeCPU(n int) (c float64) {
 	h := configHolder(poolCount, designTeams)
 	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
@@ -149,7 +151,7 @@
 	return c
 }
 
-// requestCPU is the processor time of n requests through an entry, less that of the same straight to the target.
+// requestCPU returns the processor time of n requests through an entry, less that of n requests sent directly to the target.
 func requestCPU(n int) (c float64) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -178,9 +180,9 @@
 	return c
 }
 
-const designVMs = 1500 // of a data centre
+const designVMs = 1500 // in one data centre
 
-// sendRequests makes n requests by as many callers as are at work at once.
+// sendRequests makes n requests, divided among concurrent callers.
 func sendRequests(addr string, n int) {
 	c := fasthttp.HostClient{Addr: addr, MaxConns: callers, NoDefaultUserAgentHeader: true}
 	var g errgroup.Group
@@ -246,7 +248,7 @@
 	return l
 }
 
-// settledBook claims and settles every id at one holder.
+// settledBook returns the book of a holder in which every key is claimed and settled.
 func settledBook(ids []ledger.ID) *ledger.Book {
 	now, m := time.UnixMilli(startMillis), ledger.Member{Entry: "entry-0", Incarnation: 1}
 	b := ledger.NewBook(m, ledger.WithRecords(2*len(ids)))
--- a/bench/slopes/views.go
+++ b/bench/slopes/views.go
@@ -9,12 +9,12 @@
 	"burdockreach.dev/node/view"
 )
 
-// viewVersions is the number of versions with which a shelf is surely full.
+// viewVersions is a number of past versions that is more than a view holder keeps.
 const viewVersions = 80
 
 var deltaSizes = []int{1, 10, 50, 200}
 
-// viewSeries measures the view of the targets and the operators' list of them.
+// viewSeries measures the view of the targets and the operators' list of VMs.
 func viewSeries() []slope.Series {
 	return []slope.Series{
 		measureSeries("viewWhole", "whole view in JSON", "B", "VM of the data centre", vmSizes, func(n int) float64 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// changedViews returns a view of n targets and its successor, in which k have changed.
+// changedViews returns a view of n targets and the next version of it, in which k targets have changed.
 func changedViews(n, k int) (a, b *view.View) {
 	l := targets(n)
 	a = view.New(view.Version{Fence: 1, Count: 1}, l)
@@ -66,7 +66,8 @@
 	})
 }
 
-// fullViewHolder returns the shelf of an entry that has followed the leader for long, one VM a version.
+// fullViewHolder returns the view holder of an entry that has followed the leader for long, so that it keeps as many past versions as
+// it can. Each version changes one VM.
 func fullViewHolder(n int) *view.Shelf {
 	s, l := view.NewShelf(), targets(n)
 	if err := s.Put(view.New(view.Version{Fence: 1, Count: 1}, l)); err != nil {
--- a/bench/slopes/world.go
+++ b/bench/slopes/world.go
@@ -38,7 +38,7 @@
 	return hex.EncodeToString(d[:])
 }
 
-// platformVMs returns the platform's list of n VMs, spread over the data centres or all in the own one.
+// platformVMs returns the platform's list of n VMs, either spread over all data centres or all in the own one.
 func platformVMs(n int, spread bool) []hosts.Wire {
 	l := make([]hosts.Wire, n)
 	for i := range l {
@@ -55,7 +55,7 @@
 	return l
 }
 
-// targets returns the lines of n VMs of one data centre.
+// targets returns the targets of a view, one for each of n VMs of one data centre.
 func targets(n int) []view.Target {
 	l := make([]view.Target, n)
 	for i, w := range platformVMs(n, false) {
@@ -64,7 +64,7 @@
 	return l
 }
 
-// configChanges returns those that make a document of that many pools with a service each, and teams.
+// configChanges returns the changes that create a configuration with the given numbers of pools, with one service each, and teams.
 func configChanges(pools, teams int) []conf.Change {
 	l := []conf.Change{{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: profile, MinVMs: 6, MaxVMs: 400, MaxOut: 4, SurviveRacks: 1}}}
 	for i := range pools {
@@ -86,7 +86,7 @@
 	return l
 }
 
-// configHolder returns the configuration after the changes; it panics on changes that do not apply, since they are the bench's own.
+// configHolder returns the configuration after these changes. It panics if one does not apply, since this program made them itself.
 func configHolder(pools, teams int) *conf.Holder {
 	h := conf.NewHolder()
 	l := configChanges(pools, teams)
