--- a/bench/slope/page.go
+++ b/bench/slope/page.go
@@ -14,43 +14,43 @@
 		"`make slopes` measures and writes this page and `docs/slopes.json`.\n\n",
 		r.Size.Workers, r.Size.Accelerators, r.Size.Pools, r.Size.Teams, r.Size.DataCentres, r.Size.ChangesPerDay, r.Size.FailuresPerDay, r.Size.RestartsPerDay, r.Size.WaveDays)
 	fmt.Fprintf(&b, "Limits a node for control: %s, %s, %s (both ways together); aimed at is half of each. The service: %.0f reads/s with watches, %.0f writes/s, values of 1 MiB.\n\n",
-		show(cpuLimit, core), show(memoryLimit, bytesOf), show(wireLimit, wire), readLimit, writeLimit)
+		formatValue(cpuLimit, unitCores), formatValue(memoryLimit, unitBytes), formatValue(bandwidthLimit, unitBytesPerSecond), readLimit, writeLimit)
 	all := append(m.roles(), m.peaks())
-	over(&b, all)
+	writeOverLimit(&b, all)
 	for _, t := range all {
 		t.write(&b)
 	}
-	m.traffic(&b)
-	m.promises(&b)
-	r.how(&b)
+	m.writeTraffic(&b)
+	m.writeTimes(&b)
+	r.writeMethod(&b)
 	return b.String()
 }
 
-// over writes the rows that break a limit.
-func over(b *strings.Builder, l []role) {
+// writeOverLimit writes the rows that break a limit.
+func writeOverLimit(b *strings.Builder, l []role) {
 	b.WriteString("## Over the limit\n\n| role | what | figure | limit | cause | proposed |\n|---|---|---|---|---|---|\n")
 	for _, t := range l {
 		for _, r := range t.rows {
-			if r.over() {
-				fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s |\n", t.title, r.what, r.shown(), show(r.limit, r.unit), r.carrier, r.mend)
+			if r.exceedsLimit() {
+				fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s |\n", t.title, r.metric, r.formatted(), formatValue(r.limit, r.unit), r.mechanism, r.proposal)
 			}
 		}
 	}
 	b.WriteString("\n")
 }
 
-// promises tells what carries the promises that have a time, and what is not proved.
-func (m model) promises(b *strings.Builder) {
+// writeTimes tells what carries the writeTimes that have a time, and what is not proved.
+func (m model) writeTimes(b *strings.Builder) {
 	fmt.Fprintf(b, "## Times\n\n- A change in force everywhere within %.0f s: a waiting watch brings it at once to each entry that reaches the service; for the others it goes by beats, "+
-		"at once and then each %.2g s to %.0f peers, and to one entry of another data centre each %.2g s. Not measured at this size.\n", forceLimit, m.Settings.BeatMs/1000, m.fan(), farRounds*m.Settings.BeatMs/1000)
+		"at once and then each %.2g s to %.0f peers, and to one entry of another data centre each %.2g s. Not measured at this size.\n", changeDelayLimit, m.Settings.BeatMs/1000, m.beatPeers(), roundsPerFarBeat*m.Settings.BeatMs/1000)
 	b.WriteString("- Urgent work starts within 1.5 s: flow/queue holds it as long as urgent work alone fits the slots; what it costs is in requestCPU. Not measured at this size.\n" +
 		"- Regions parted for minutes: each data centre goes on from its view; leaders start no planned stop while another leader's key is gone (node/steer/read.go listen). No row grows while parted but the queue of settlements.\n" +
 		"- A rack lost weekly: 4 VMs, the same writes as four failures.\n" +
 		"- Accelerators: the platform's list counts them; nothing places work by them (" + notBuilt + ").\n\n")
 }
 
-// how tells how the record was measured, with each fit.
-func (r Record) how(b *strings.Builder) {
+// writeMethod tells writeMethod the record was measured, with each fit.
+func (r Record) writeMethod(b *strings.Builder) {
 	fmt.Fprintf(b, "## How it was measured\n\n`%s` on a machine with %d cores and %d GB, %s, %s, which other work shared; so times are processor time of the whole process "+
 		"(the loopback's other end included where it says so), never wall time, and the least of three runs where runs could be repeated. Each line is a least-squares fit; the residual is the largest distance from it as a share of the largest value. "+
 		"A negative base comes from costs that grow faster than the size. Times vary from run to run with the other work on the machine, which the residual shows only in part; bytes on the wire hardly do.\n\n| series | what | base | slope | per | sizes | residual |\n|---|---|---|---|---|---|---|\n",
@@ -59,8 +59,8 @@
 		f := Fit(s.Points)
 		var x []string
 		for _, p := range s.Points {
-			x = append(x, figure(p.X))
+			x = append(x, formatNumber(p.X))
 		}
-		fmt.Fprintf(b, "| %s | %s | %s %s | %s %s | %s | %s | %.1f%% |\n", s.Name, s.What, figure(f.Base()), s.Unit, figure(f.Slope()), s.Unit, s.Per, strings.Join(x, ", "), 100*f.Residual())
+		fmt.Fprintf(b, "| %s | %s | %s %s | %s %s | %s | %s | %.1f%% |\n", s.Name, s.What, formatNumber(f.Base()), s.Unit, formatNumber(f.Slope()), s.Unit, s.Per, strings.Join(x, ", "), 100*f.Residual())
 	}
 }
--- a/bench/slope/row.go
+++ b/bench/slope/row.go
@@ -11,70 +11,70 @@
 type unit int
 
 const (
-	bytesOf unit = iota
-	perSecond
-	wire
-	core
-	nanos
-	count
+	unitBytes unit = iota
+	unitPerSecond
+	unitBytesPerSecond
+	unitCores
+	unitNanos
+	unitCount
 )
 
 // row is one line of a role's table.
 type row struct {
-	what    string
-	value   float64
-	unit    unit
-	limit   float64 // none if zero.
-	from    string
-	carrier string // the mechanism, and where in the code it stands.
-	mend    string // for a figure over its limit.
+	metric     string
+	value      float64
+	unit       unit
+	limit      float64 // none if zero.
+	derivation string
+	mechanism  string // the mechanism, and where in the code it stands.
+	proposal   string // for a figure over its limit.
 }
 
-func (r row) over() bool { return r.limit > 0 && r.value > r.limit }
+func (r row) exceedsLimit() bool { return r.limit > 0 && r.value > r.limit }
 
-// state tells how the figure stands to its limit and to half of it.
-func (r row) state() string {
+// limitShare tells how the figure stands to its limit and to half of it.
+func (r row) limitShare() string {
 	switch {
 	case r.limit == 0:
 		return ""
-	case r.over():
-		return fmt.Sprintf("**over, %s times**", figure(r.value/r.limit))
+	case r.exceedsLimit():
+		return fmt.Sprintf("**over, %s times**", formatNumber(r.value/r.limit))
 	case r.value > aimShare*r.limit:
 		return fmt.Sprintf("%.0f%%, over the aim", 100*r.value/r.limit)
 	}
 	return fmt.Sprintf("%.0f%%", 100*r.value/r.limit)
 }
 
-func (r row) shown() string { return show(r.value, r.unit) }
+func (r row) formatted() string { return formatValue(r.value, r.unit) }
 
-func show(v float64, u unit) string {
+func formatValue(v float64, u unit) string {
 	switch u {
-	case bytesOf:
-		return scaled(v, "B")
-	case perSecond:
-		return figure(v) + "/s"
-	case wire:
-		return scaled(v, "B/s")
-	case core:
-		return fmt.Sprintf("%s%% of a core", figure(100*v))
-	case nanos:
-		return figure(v/1000) + " us"
+	case unitBytes:
+		return formatScaled(v, "B")
+	case unitPerSecond:
+		return formatNumber(v) + "/s"
+	case unitBytesPerSecond:
+		return formatScaled(v, "B/s")
+	case unitCores:
+		return fmt.Sprintf("%s%% of a core", formatNumber(100*v))
+	case unitNanos:
+		return formatNumber(v/1000) + " us"
 	}
-	return figure(v)
+	return formatNumber(v)
 }
 
-func scaled(v float64, u string) string {
+func formatScaled(v float64, u string) string {
 	switch {
 	case v >= 1e6:
-		return figure(v/1e6) + " M" + u
+		return formatNumber(v/1e6) + " M" + u
 	case v >= 1e3:
-		return figure(v/1e3) + " k" + u
+		return formatNumber(v/1e3) + " k" + u
 	}
-	return figure(v) + " " + u
+	return formatNumber(v) + " " + u
 }
 
-// figure writes three digits that count.
-func figure(v float64) string {
+// formatNumber writes three digits that count.
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
@@ -87,14 +87,14 @@
 
 // role is one table.
 type role struct {
-	title, about string
-	rows         []row
+	title, summary string
+	rows           []row
 }
 
 func (t role) write(b *strings.Builder) {
-	fmt.Fprintf(b, "## %s\n\n%s\n\n| what | figure | of the limit | worked out from | carried by |\n|---|---|---|---|---|\n", t.title, t.about)
+	fmt.Fprintf(b, "## %s\n\n%s\n\n| what | figure | of the limit | worked out from | carried by |\n|---|---|---|---|---|\n", t.title, t.summary)
 	for _, r := range t.rows {
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", r.what, r.shown(), r.state(), r.from, r.carrier)
+		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", r.metric, r.formatted(), r.limitShare(), r.derivation, r.mechanism)
 	}
 	b.WriteString("\n")
 }
--- a/bench/slope/slope_test.go
+++ b/bench/slope/slope_test.go
@@ -38,14 +38,14 @@
 	i := is.New(t)
 	r := load(t)
 	for _, n := range []string{"shardBytes", "viewWhole", "shelfHeap", "leaderTick", "entryIdle"} {
-		i.True(last(r, n) >= r.Size.Workers/r.Size.DataCentres)
+		i.True(largestSize(r, n) >= r.Size.Workers/r.Size.DataCentres)
 	}
-	i.True(last(r, "listBytes") >= r.Size.Workers)
-	i.True(last(r, "documentPerTeam") >= r.Size.Teams)
-	i.True(last(r, "beatBytes") >= r.Size.Pools)
+	i.True(largestSize(r, "listBytes") >= r.Size.Workers)
+	i.True(largestSize(r, "documentPerTeam") >= r.Size.Teams)
+	i.True(largestSize(r, "beatBytes") >= r.Size.Pools)
 }
 
-func last(r Record, name string) (x float64) {
+func largestSize(r Record, name string) (x float64) {
 	for _, s := range r.Series {
 		for _, p := range s.Points {
 			if s.Name == name {
@@ -60,12 +60,12 @@
 	i := is.New(t)
 	f := Fit([]Point{{1, 5}, {2, 7}, {4, 11}})
 	i.True(f.Residual() < 1e-9)
-	i.True(near(f.At(10), 23))
-	i.True(near(Fit([]Point{{0, 0}, {1, 2}, {2, 2}}).Residual(), 1.0/3))
+	i.True(almostEqual(f.At(10), 23))
+	i.True(almostEqual(Fit([]Point{{0, 0}, {1, 2}, {2, 2}}).Residual(), 1.0/3))
 	i.Equal(f.At(-100), 0.0)
 }
 
-func near(a, b float64) bool { return a-b < 1e-9 && b-a < 1e-9 }
+func almostEqual(a, b float64) bool { return a-b < 1e-9 && b-a < 1e-9 }
 
 func TestRowsOverTheLimitAreNamedFirst(t *testing.T) {
 	i := is.New(t)
@@ -74,10 +74,10 @@
 	top, _, _ := strings.Cut(strings.SplitN(r.Page(), "## Over the limit", 2)[1], "\n## ")
 	for _, t := range append(m.roles(), m.peaks()) {
 		for _, o := range t.rows {
-			if o.over() {
+			if o.exceedsLimit() {
 				n++
-				i.True(strings.Contains(top, "| "+t.title+" | "+o.what+" |"))
-				i.True(o.mend != "") // what is proposed
+				i.True(strings.Contains(top, "| "+t.title+" | "+o.metric+" |"))
+				i.True(o.proposal != "") // what is proposed
 			}
 		}
 	}
@@ -86,8 +86,8 @@
 
 func TestFigures(t *testing.T) {
 	i := is.New(t)
-	i.Equal(show(1234567, bytesOf), "1.23 MB")
-	i.Equal(show(0.0153, core), "1.53% of a core")
-	i.Equal(show(999, wire), "999 B/s")
-	i.Equal(figure(0.00123), "0.00123")
+	i.Equal(formatValue(1234567, unitBytes), "1.23 MB")
+	i.Equal(formatValue(0.0153, unitCores), "1.53% of a core")
+	i.Equal(formatValue(999, unitBytesPerSecond), "999 B/s")
+	i.Equal(formatNumber(0.00123), "0.00123")
 }
