--- a/bench/slope/doc.go
+++ b/bench/slope/doc.go
@@ -1,3 +1,3 @@
-// Package slope fits measured costs to sizes, keeps them in a record and works out from them a page of capacity at the
-// size of design.
+// Package slope fits lines to costs that were measured at several sizes, stores the measurements as a record, and computes the
+// capacity page from them: the costs at the size that the system is designed for.
 package slope
--- a/bench/slope/fit.go
+++ b/bench/slope/fit.go
@@ -16,12 +16,12 @@
 type Series struct {
 	Name   string  `json:"name"`
 	What   string  `json:"what"`
-	Unit   string  `json:"unit"` // of Y.
-	Per    string  `json:"per"`  // what X counts.
+	Unit   string  `json:"unit"` // unit of Y
+	Per    string  `json:"per"`  // what X counts
 	Points []Point `json:"points"`
 }
 
-// Line is a linear fit.
+// Line is a linear fit of cost to size.
 type Line struct {
 	base, slope, residual float64
 }
@@ -48,11 +48,11 @@
 // Base returns the cost at size zero.
 func (l Line) Base() float64 { return l.base }
 
-// Slope returns the cost of one more of what the size counts.
+// Slope returns the additional cost when the size grows by one.
 func (l Line) Slope() float64 { return l.slope }
 
-// Residual returns the largest distance of a point from the line as a share of the largest point.
+// Residual returns the largest distance of a point from the line, as a fraction of the largest cost.
 func (l Line) Residual() float64 { return l.residual }
 
-// At returns the cost at size x; never below zero.
+// At returns the cost at size x, at least zero.
 func (l Line) At(x float64) float64 { return max(l.base+l.slope*x, 0) }
--- a/bench/slope/page.go
+++ b/bench/slope/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Page returns the page of capacity that follows from the record.
+// Page returns the capacity page, in Markdown, computed from the record.
 func (r Record) Page() string {
 	m := newModel(r)
 	var b strings.Builder
@@ -26,7 +26,7 @@
 	return b.String()
 }
 
-// writeOverLimit writes the rows that break a limit.
+// writeOverLimit writes the rows that exceed their limit, each with the proposed remedy.
 func writeOverLimit(b *strings.Builder, l []role) {
 	b.WriteString("## Over the limit\n\n| role | what | figure | limit | cause | proposed |\n|---|---|---|---|---|---|\n")
 	for _, t := range l {
@@ -39,7 +39,7 @@
 	b.WriteString("\n")
 }
 
-// writeTimes tells what carries the writeTimes that have a time, and what is not proved.
+// writeTimes writes how the promised times are reached, and which of them are not measured.
 func (m model) writeTimes(b *strings.Builder) {
 	fmt.Fprintf(b, "## Times\n\n- A change in force everywhere within %.0f s: a waiting watch brings it at once to each entry that reaches the service; for the others it goes by beats, "+
 		"at once and then each %.2g s to %.0f peers, and to one entry of another data centre each %.2g s. Not measured at this size.\n", changeDelayLimit, m.Settings.BeatMs/1000, m.beatPeers(), roundsPerFarBeat*m.Settings.BeatMs/1000)
@@ -49,7 +49,7 @@
 		"- Accelerators: the platform's list counts them; nothing places work by them (" + notBuilt + ").\n\n")
 }
 
-// writeMethod tells writeMethod the record was measured, with each fit.
+// writeMethod writes how the record was measured, and the fit of each series.
 func (r Record) writeMethod(b *strings.Builder) {
 	fmt.Fprintf(b, "## How it was measured\n\n`%s` on a machine with %d cores and %d GB, %s, %s, which other work shared; so times are processor time of the whole process "+
 		"(the loopback's other end included where it says so), never wall time, and the least of three runs where runs could be repeated. Each line is a least-squares fit; the residual is the largest distance from it as a share of the largest value. "+
--- a/bench/slope/peaks.go
+++ b/bench/slope/peaks.go
@@ -6,6 +6,7 @@
 	"strings"
 )
 
+// peaks returns the costs during failures, takeovers and demand peaks.
 func (m model) peaks() role {
 	n, shown := m.totalEntries(), m.newcomerViewBytes()
 	return role{
@@ -35,7 +36,7 @@
 	}
 }
 
-// writeEntryScaling is the control's cost by the number of entries of a data centre.
+// writeEntryScaling writes what the control traffic costs with different numbers of entries in a data centre.
 func (m model) writeEntryScaling(b *strings.Builder) {
 	b.WriteString("| entries a data centre | in all | beats of one | bytes of one | processor time of one | reads of the service | calls when an outage ends | whole views for one newcomer | keys of one |\n" +
 		"|---|---|---|---|---|---|---|---|---|\n")
@@ -50,7 +51,7 @@
 		"then few entries should follow the log and pass it on.\n\n")
 }
 
-// boldIfOver marks what is over its limit.
+// boldIfOver formats the value, in bold if it is over its limit.
 func boldIfOver(v float64, u unit, limit float64) string {
 	if v > limit {
 		return "**" + formatValue(v, u) + "**"
@@ -58,6 +59,7 @@
 	return formatValue(v, u)
 }
 
+// writeTraffic writes the number of entries that each multiple of the mean demand needs.
 func (m model) writeTraffic(b *strings.Builder) {
 	fmt.Fprintf(b, "## Traffic and the number of entry VMs\n\nAssumed: %s requests/s a worker in the mean (8 slots, a quarter of them busy, 50 ms a request; the brief names slots and turns but no times), "+
 		"%s/s in all, %g of them with an idempotency key. An entry VM has %g cores of which the mean may use %g. One entry more than needed stands in each data centre.\n\n",
--- a/bench/slope/record.go
+++ b/bench/slope/record.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Machine tells in general words where the measurements were made.
+// Machine describes, in general terms, the machine that ran the measurements.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryGB int    `json:"memoryGB"`
@@ -15,24 +15,24 @@
 	Go       string `json:"go"`
 }
 
-// Size is the size of design and what is assumed of its load.
+// Size is the size that the system is designed for, with the assumed load.
 type Size struct {
 	Workers           float64 `json:"workers"`
 	Accelerators      float64 `json:"accelerators"`
-	Pools             float64 `json:"pools"` // with one service each.
+	Pools             float64 `json:"pools"` // with one service each
 	Teams             float64 `json:"teams"`
 	DataCentres       float64 `json:"dataCentres"`
 	ChangesPerDay     float64 `json:"changesPerDay"`
 	FailuresPerDay    float64 `json:"failuresPerDay"`
 	RestartsPerDay    float64 `json:"restartsPerDay"`
-	WaveDays          float64 `json:"waveDays"`          // in which every VM is maintained once.
-	RequestsPerWorker float64 `json:"requestsPerWorker"` // mean, a second.
-	KeyedShare        float64 `json:"keyedShare"`        // of the requests that carry an idempotency key.
-	EntryCores        float64 `json:"entryCores"`        // of one entry VM.
-	EntryUse          float64 `json:"entryUse"`          // share of them that the mean demand may use.
+	WaveDays          float64 `json:"waveDays"`          // days in which every VM is maintained once
+	RequestsPerWorker float64 `json:"requestsPerWorker"` // mean requests a second of one worker
+	KeyedShare        float64 `json:"keyedShare"`        // fraction of requests with an idempotency key
+	EntryCores        float64 `json:"entryCores"`        // cores of one entry VM
+	EntryUse          float64 `json:"entryUse"`          // fraction of these cores that the mean demand may use
 }
 
-// Settings are the defaults of an entry's settings that set the pace of control.
+// Settings holds the defaults of those entry settings that the costs depend on.
 type Settings struct {
 	BeatMs      float64 `json:"beatMs"`
 	TickMs      float64 `json:"tickMs"`
@@ -43,7 +43,7 @@
 	DeadlineMs  float64 `json:"deadlineMs"`
 }
 
-// Record is one run of the measurements.
+// Record holds the results of one run of the measurements.
 type Record struct {
 	Command  string   `json:"command"`
 	Machine  Machine  `json:"machine"`
@@ -52,7 +52,7 @@
 	Series   []Series `json:"series"`
 }
 
-// Load reads a record.
+// Load reads a record from a JSON file.
 func Load(path string) (Record, error) {
 	var r Record
 	b, err := os.ReadFile(path)
@@ -62,7 +62,7 @@
 	return r, eris.Wrapf(json.Unmarshal(b, &r), "parse %s", path)
 }
 
-// Save writes the record.
+// Save writes the record to a JSON file.
 func (r Record) Save(path string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -71,7 +71,7 @@
 	return eris.Wrap(os.WriteFile(path, append(b, '\n'), 0o644), "write record") //nolint:gosec // a public page.
 }
 
-// line returns the fit of the named series; the zero line if there is none.
+// line returns the fit of the named series, or the zero line if there is no such series.
 func (r Record) line(name string) Line {
 	for _, s := range r.Series {
 		if s.Name == name {
--- a/bench/slope/row.go
+++ b/bench/slope/row.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// unit tells how a figure is written.
+// unit is the unit of a value and selects its format.
 type unit int
 
 const (
@@ -24,15 +24,15 @@
 	metric     string
 	value      float64
 	unit       unit
-	limit      float64 // none if zero.
+	limit      float64 // zero if there is none
 	derivation string
-	mechanism  string // the mechanism, and where in the code it stands.
-	proposal   string // for a figure over its limit.
+	mechanism  string // what causes the cost, with its source file
+	proposal   string // remedy for a value over its limit
 }
 
 func (r row) exceedsLimit() bool { return r.limit > 0 && r.value > r.limit }
 
-// limitShare tells how the figure stands to its limit and to half of it.
+// limitShare returns the value as a share of its limit, and notes if it is over the limit or over the aim, half of the limit.
 func (r row) limitShare() string {
 	switch {
 	case r.limit == 0:
@@ -73,7 +73,7 @@
 	return formatNumber(v) + " " + u
 }
 
-// formatNumber writes three digits that count.
+// formatNumber returns v with three significant digits; whole numbers are written in full.
 func formatNumber(v float64) string {
 	if v == math.Trunc(v) {
 		return strconv.FormatFloat(v, 'f', -1, 64)
@@ -85,7 +85,7 @@
 	return strconv.FormatFloat(v, 'f', max(d, 0), 64)
 }
 
-// role is one table.
+// role is a titled table of costs, mostly those of one part of the system.
 type role struct {
 	title, summary string
 	rows           []row
--- a/bench/slope/size.go
+++ b/bench/slope/size.go
@@ -2,54 +2,54 @@
 
 import "math"
 
-// Limits of the users' letters, and what is aimed at.
+// Limits from the users' requirements, and the share of each limit that the design aims at.
 const (
-	cpuLimit         = 0.015  // of a core.
-	memoryLimit      = 32e6   // bytes.
-	bandwidthLimit   = 3000.0 // bytes a second, both ways together.
-	aimShare         = 0.5    // of each limit.
-	readLimit        = 2000.0 // calls a second of the platform's service, watches included.
-	writeLimit       = 300.0  // calls a second; "several hundred".
-	valueLimit       = 1 << 20
-	changeDelayLimit = 9.0 // seconds until a change is in force.
+	cpuLimit         = 0.015   // cores
+	memoryLimit      = 32e6    // bytes
+	bandwidthLimit   = 3000.0  // bytes a second, sent and received together
+	aimShare         = 0.5     // of each limit
+	readLimit        = 2000.0  // calls a second to the platform's service, watches included
+	writeLimit       = 300.0   // calls a second to the service; the requirement says "several hundred"
+	valueLimit       = 1 << 20 // bytes
+	changeDelayLimit = 9.0     // seconds until a change is in force
 )
 
-// Constants of the code that the page counts with, and where they stand.
+// Values that the page copies from other packages, each with the file that defines it.
 const (
-	minBeatPeers        = 2.0    // node/relay/beater.go beatFan
-	roundsPerTurn       = 10.0   // node/relay/beater.go beatTurns
-	roundsPerFarBeat    = 2.0    // node/relay/beater.go farRounds
-	roundsPerLoadReport = 4.0    // node/relay/beater.go reportRounds
-	auditSeconds        = 20.0   // plat/conf/follow.go DefaultAudit
-	auditDepth          = 64.0   // plat/conf/follow.go auditDepth
-	listsPerAudit       = 2.0    // plat/conf/follow.go sync: pullLog and lacks
-	rosterWatchSeconds  = 30.0   // seconds; node/relay/roster.go rosterWatchFor
-	rosterRoundSeconds  = 67.5   // seconds, the mean; node/relay/roster.go othersEvery
-	renewalsPerLease    = 3.0    // plat/lease/model.go
-	ticksPerWatch       = 2.0    // node/steer/read.go watchWait
-	ticksPerLeaderCheck = 2.0    // node/steer/read.go listen
-	keptChanges         = 1000.0 // changes; plat/conf/log.go DefaultTail
-	snapshotInterval    = 500.0  // plat/conf/compact.go SnapEvery
-	holdersPerKey       = 2.0    // flow/ledger
-	maxQueueRequests    = 10_000 // requests; setting maxQueueRequests
-	resyncCalls         = 7.0    // of an entry after an outage: lists and watches of log and roster, the lease's key
-	resyncSpread        = 2.0    // seconds; plat/conf/follow.go lastOutageWait
+	minBeatPeers        = 2.0    // least number of peers in the own data centre that get a beat each round; node/relay/beater.go
+	roundsPerTurn       = 10.0   // rounds in which every peer of the own data centre gets a beat; node/relay/beater.go
+	roundsPerFarBeat    = 2.0    // rounds between beats to another data centre; node/relay/beater.go
+	roundsPerLoadReport = 4.0    // rounds between reports of loads to the leader; node/relay/beater.go
+	auditSeconds        = 20.0   // seconds between the audits of the configuration; plat/conf/follow.go
+	auditDepth          = 64.0   // recent changes that an audit looks for; plat/conf/follow.go
+	listsPerAudit       = 2.0    // one list to read new changes, one to look for the recent ones; plat/conf/follow.go
+	rosterWatchSeconds  = 30.0   // seconds that one watch of the roster waits; node/relay/roster.go
+	rosterRoundSeconds  = 67.5   // mean seconds between reads of the other data centres' rosters; node/relay/roster.go
+	renewalsPerLease    = 3.0    // renewals in the time to live of a lease; plat/lease/model.go
+	ticksPerWatch       = 2.0    // ticks that one watch by a leader waits; node/steer/read.go
+	ticksPerLeaderCheck = 2.0    // ticks between reads of the other leaders' keys; node/steer/read.go
+	keptChanges         = 1000.0 // changes of the log that an entry keeps; plat/conf/log.go
+	snapshotInterval    = 500.0  // changes between two snapshots; plat/conf/compact.go
+	holdersPerKey       = 2.0    // entries that hold each key; flow/ledger
+	maxQueueRequests    = 10_000 // default of the setting maxQueueRequests
+	resyncCalls         = 7.0    // calls of one entry after an outage: lists and watches of the log and the roster, and the lease's key
+	resyncSpread        = 2.0    // seconds: the longest wait of an entry before it tries again; plat/conf/follow.go
 )
 
 // Assumptions of the page.
 const (
-	viewsPerStop       = 2.0 // versions of the view for one VM that goes and comes back.
-	shardsPerStop      = 3.0 // writes of a shard: draining, rebooting, serving.
-	budgetPerStop      = 2.0 // writes of a budget: reserved, released.
-	absencesPerService = 4.0 // VMs of a service that are out at once.
+	viewsPerStop       = 2.0 // versions of the view when one VM stops and comes back
+	shardsPerStop      = 3.0 // writes of a shard: draining, rebooting, serving
+	budgetPerStop      = 2.0 // writes of a budget: reserved, released
+	absencesPerService = 4.0 // VMs of a service that are out at once
 	base64Share        = 4.0 / 3
 	daySeconds         = 86400.0
-	peakDemand         = 5.0 // of a queue's mean in its turn.
-	minEntries         = 2.0 // of a data centre, and one more for a loss.
+	peakDemand         = 5.0 // peak demand of a queue, as a multiple of its mean
+	minEntries         = 2.0 // entries of a data centre; one more is added for the loss of an entry
 )
 
-// Letter returns the size of the users' letter; traffic is 8 slots a worker, a quarter of them busy in the mean (a queue's
-// turn of five times its mean is more than its pool), requests of 50 ms.
+// Letter returns the size from the users' requirements. Traffic assumes 8 slots a worker, a quarter of them busy in the mean, and
+// requests of 50 ms. A queue that peaks at five times its mean then needs more than its own pool.
 func Letter() Size {
 	return Size{
 		Workers: 9000, Accelerators: 9800, Pools: 51, Teams: 230, DataCentres: 6, ChangesPerDay: 16_000, FailuresPerDay: 170,
@@ -57,7 +57,7 @@
 	}
 }
 
-// model works costs out of a record; entries is the number of entries of a data centre.
+// model computes costs from a record; entries is the number of entries in each data centre.
 type model struct {
 	Record
 	entries float64
@@ -72,11 +72,11 @@
 func (m model) costAt(name string, x float64) float64 { return m.line(name).At(x) }
 func (m model) costPerUnit(name string) float64       { return m.line(name).Slope() }
 
-// vms returns the workers of one data centre.
+// vms returns the number of workers in one data centre.
 func (m model) vms() float64              { return m.Size.Workers / m.Size.DataCentres }
 func (m model) changesPerSecond() float64 { return m.Size.ChangesPerDay / daySeconds }
 
-// stopsPerSecond returns the VMs of the fleet that go and come back, a second.
+// stopsPerSecond returns how many VMs of the whole fleet stop and come back each second.
 func (m model) stopsPerSecond() float64 {
 	return (m.Size.Workers/m.Size.WaveDays + m.Size.FailuresPerDay + m.Size.RestartsPerDay) / daySeconds
 }
@@ -86,23 +86,24 @@
 }
 func (m model) totalEntries() float64 { return m.entries * m.Size.DataCentres }
 
-// requestsPerSecond returns the mean requestsPerSecond a second of one data centre.
+// requestsPerSecond returns the mean request rate of one data centre.
 func (m model) requestsPerSecond() float64 {
 	return m.Size.Workers * m.Size.RequestsPerWorker / m.Size.DataCentres
 }
 
-// requestNs returns the processor time of a request in the mean, with its share of claims.
+// requestNs returns the mean processor time of a request in nanoseconds, with the claims of those requests that carry a key.
 func (m model) requestNs() float64 {
 	return m.costPerUnit("requestCPU") + m.Size.KeyedShare*m.costPerUnit("claimCPU")
 }
 
-// entriesFor returns the entries of a data centre that a multiple of the mean demand needs, one of them lost.
+// entriesFor returns the number of entries that a data centre needs so that, with one of them lost, the others serve the given
+// multiple of the mean demand.
 func (m model) entriesFor(times float64) float64 {
 	n := math.Ceil(times * m.requestsPerSecond() * m.requestNs() / 1e9 / (m.Size.EntryCores * m.Size.EntryUse))
 	return max(n, minEntries) + 1
 }
 
-// beatPeers returns the peers of the own data centre that one round beats.
+// beatPeers returns the number of peers in the own data centre that an entry sends a beat to in one round.
 func (m model) beatPeers() float64 {
 	peers := m.entries - 1
 	return min(peers, max(minBeatPeers, math.Ceil(peers/roundsPerTurn)))
@@ -110,19 +111,19 @@
 
 func (m model) roundsPerSecond() float64 { return 1000 / m.Settings.BeatMs }
 
-// nearBeats returns the beats a second that an entry sends in its own data centre; it hears as many.
+// nearBeats returns the beats a second that an entry sends in its own data centre; it receives as many.
 func (m model) nearBeats() float64 {
 	return m.roundsPerSecond()*m.beatPeers() + (m.changesPerSecond()+m.viewsPerSecond())*(m.entries-1)
 }
 
 func (m model) farBeats() float64 { return m.roundsPerSecond() / roundsPerFarBeat }
 
-// beatBandwidth returns bytes a second, sent and received, while every beat carries the loads.
+// beatBandwidth returns the bytes a second of beats, sent and received, while every beat carries the loads of all services.
 func (m model) beatBandwidth() float64 {
 	return 2 * (m.nearBeats()*m.costAt("beatBytes", m.Size.Pools) + m.farBeats()*m.costPerUnit("farBytes"))
 }
 
-// routedBeatBandwidth is beatWire if the loads go to the leader alone, every fourth round and with one beat more.
+// routedBeatBandwidth returns the same while the loads go only to the leader, every fourth round and in an additional beat.
 func (m model) routedBeatBandwidth() float64 {
 	loads := m.Size.Pools * m.costPerUnit("beatBytes")
 	n := m.roundsPerSecond() / roundsPerLoadReport
@@ -133,7 +134,7 @@
 	return m.nearBeats()*m.costAt("beatCPU", m.Size.Pools) + m.farBeats()*m.costAt("beatCPU", 0)
 }
 
-// logWatches returns the watches a second of one follower: each ends with a change or with its wait.
+// logWatches returns the watches a second of one follower of the log. Each watch ends with a change or when its wait is over.
 func (m model) logWatches() float64 {
 	l := m.changesPerSecond()
 	return l / (1 - math.Exp(-l*m.Settings.WatchWaitMs/1000))
@@ -147,7 +148,7 @@
 
 func (m model) leaseReads() float64 { return renewalsPerLease * 1000 / m.Settings.LeaseMs }
 
-// entryReads returns the calls a second that any entry makes on the service.
+// entryReads returns the calls a second that each entry makes to the platform's service.
 func (m model) entryReads() float64 {
 	return m.logWatches() + m.auditReads() + m.rosterReads() + m.leaseReads()
 }
@@ -175,15 +176,15 @@
 
 func (m model) stopWrites() float64 { return m.stopsPerSecond() * (shardsPerStop + budgetPerStop) }
 
-// watchReads returns the watches a second of a leader: its shards, and all budgets.
+// watchReads returns the watches a second of a leader, which watches its own shards and the budgets of all data centres.
 func (m model) watchReads() float64 {
 	return 2/ticksPerWatch/m.tick() + m.stopsPerSecond()*(shardsPerStop/m.Size.DataCentres+budgetPerStop)
 }
 
-// leaderReads returns what a leader asks the service a second beyond an entry's calls.
+// leaderReads returns the calls a second that a leader makes in addition to those of an entry.
 func (m model) leaderReads() float64 { return m.otherLeaderReads() + m.watchReads() }
 
-// documentBandwidth returns a leader's bytes a second for shards and budgets written and seen by its watches.
+// documentBandwidth returns the bytes a second of the shards and budgets that a leader writes and its watches receive.
 func (m model) documentBandwidth() float64 {
 	own := m.stopsPerSecond() / m.Size.DataCentres
 	return own*(2*shardsPerStop*m.shardValue()+budgetPerStop*m.budgetValue()) + m.stopsPerSecond()*budgetPerStop*m.budgetValue()
@@ -193,26 +194,26 @@
 
 func (m model) listBandwidth() float64 { return m.costAt("listBytes", m.listedVMs()) / m.tick() }
 
-// serviceReads returns the calls a second of all entries, watches included.
+// serviceReads returns the calls a second that all entries make to the platform's service, watches included.
 func (m model) serviceReads() float64 {
 	return m.totalEntries()*m.entryReads() + m.Size.DataCentres*m.leaderReads() + m.changesPerSecond()
 }
 
-// serviceWrites returns the writes a second of all: changes and their pruning, stops, renewals.
+// serviceWrites returns the writes a second of all entries: changes and their removal from the log, stops of VMs, lease renewals.
 func (m model) serviceWrites() float64 {
 	return 2*m.changesPerSecond() + m.stopWrites() + m.Size.DataCentres*m.leaseReads()
 }
 
-// resyncCallRate returns the calls a second when an outage of the service ends.
+// resyncCallRate returns the calls a second to the platform's service when an outage of it ends.
 func (m model) resyncCallRate() float64 { return m.totalEntries() * resyncCalls / resyncSpread }
 
-// newcomerViewBytes returns the bytes of whole views that a leader sends until one newcomer has been heard.
+// newcomerViewBytes returns the bytes of whole views that a leader sends to its peers until it receives a beat of one new entry.
 func (m model) newcomerViewBytes() float64 {
 	peers := m.entries - 1
 	return math.Ceil(peers/m.beatPeers()) * m.beatPeers() * m.costAt("viewWhole", m.vms())
 }
 
-// keysHeld returns the records of keys that one entry holds.
+// keysHeld returns the number of key records that one entry holds.
 func (m model) keysHeld() float64 {
 	return m.requestsPerSecond() * m.Size.KeyedShare * m.Settings.RememberS * holdersPerKey / m.entries
 }
--- a/bench/slope/slope_test.go
+++ b/bench/slope/slope_test.go
@@ -77,7 +77,7 @@
 			if o.exceedsLimit() {
 				n++
 				i.True(strings.Contains(top, "| "+t.title+" | "+o.metric+" |"))
-				i.True(o.proposal != "") // what is proposed
+				i.True(o.proposal != "") // every row over its limit has a proposal
 			}
 		}
 	}
