--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -45,11 +45,11 @@
 		if _, err := c.Commit(ctx, h); err != nil {
 			return out, err
 		}
-		at := time.Now()
+		committedAt := time.Now()
 		if err := s.awaitStatus(ctx, want); err != nil {
 			return out, err
 		}
-		out.delays = append(out.delays, time.Since(at))
+		out.delays = append(out.delays, time.Since(committedAt))
 	}
 	slices.Sort(out.delays)
 	return out, nil
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -97,17 +97,19 @@
 	failed    int64
 }
 
-func runLoad(ctx context.Context, addr, path string, k Kind, rate float64, mark string) (Figures, error) {
+func runLoad(ctx context.Context, addr, path string, k Kind, rate float64, keyPrefix string) (Figures, error) {
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 2 * callers, MaxIdemponentCallAttempts: 1}
 	defer c.CloseIdleConnections()
-	from := time.Now().Add(warmUp)
-	to := from.Add(measurePeriod)
+	recordFrom := time.Now().Add(warmUp)
+	recordUntil := recordFrom.Add(measurePeriod)
 	var ids atomic.Int64
 	l := make([]*caller, callers)
 	var g errgroup.Group
 	for n := range l {
 		l[n] = &caller{latencies: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
-		g.Go(func() error { return l[n].loop(ctx, c, path, k, newPacer(rate, n), from, to, mark, &ids) })
+		g.Go(func() error {
+			return l[n].sendUntilEnd(ctx, c, path, k, newPacer(rate, n), recordFrom, recordUntil, keyPrefix, &ids)
+		})
 	}
 	if err := g.Wait(); err != nil {
 		return Figures{}, err
@@ -149,7 +151,7 @@
 	return t
 }
 
-func (w *caller) loop(ctx context.Context, c *fasthttp.HostClient, path string, k Kind, p *pacer, from, to time.Time, mark string, ids *atomic.Int64) error {
+func (w *caller) sendUntilEnd(ctx context.Context, c *fasthttp.HostClient, path string, k Kind, p *pacer, recordFrom, recordUntil time.Time, keyPrefix string, ids *atomic.Int64) error {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
@@ -160,22 +162,22 @@
 		q.SetBodyString(`{"tray":"soup","count":2}`)
 	}
 	for ctx.Err() == nil {
-		at := p.waitForNext()
-		if at.After(to) {
+		dueAt := p.waitForNext()
+		if dueAt.After(recordUntil) {
 			return nil
 		}
 		if k == Order {
-			q.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", mark, ids.Add(1)))
+			q.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", keyPrefix, ids.Add(1)))
 		}
 		err := c.Do(q, a)
-		if at.Before(from) {
+		if dueAt.Before(recordFrom) {
 			continue
 		}
 		if err != nil || a.StatusCode() != fasthttp.StatusOK {
 			w.failed++
 			continue
 		}
-		if err := w.latencies.RecordValue(int64(time.Since(at))); err != nil {
+		if err := w.latencies.RecordValue(int64(time.Since(dueAt))); err != nil {
 			return eris.Wrap(err, "record")
 		}
 	}
--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -131,11 +131,11 @@
 		q.Roster = 0 // the receiver has no roster, and with another number would fetch one
 		q.Loads, q.Members = r.Loads, r.Members
 		sendBeat(c, addr, q)
-		at := sum.Load()
+		bytesBefore := sum.Load()
 		for range measuredBeats {
 			sendBeat(c, addr, q)
 		}
-		b.bytes = float64(sum.Load()-at) / measuredBeats
+		b.bytes = float64(sum.Load()-bytesBefore) / measuredBeats
 		b.cpu = cpuOf(func() { sendBeat(c, addr, q) })
 	})
 	return b
@@ -145,11 +145,11 @@
 	withPeer(poolCount, func(c *relay.Client, addr string, sum *atomic.Int64) {
 		q := beatRequest(dataCentres[1])
 		sendBeat(c, addr, q)
-		at := sum.Load()
+		bytesBefore := sum.Load()
 		for range n {
 			sendBeat(c, addr, q)
 		}
-		b = float64(sum.Load() - at)
+		b = float64(sum.Load() - bytesBefore)
 	})
 	return b
 }
@@ -174,11 +174,11 @@
 		get(counted)
 	}
 	b.bytes = float64(sum.Load())
-	at := cpuNow()
+	cpuBefore := cpuNow()
 	for range n {
 		get(direct)
 	}
-	b.cpu = float64(cpuNow() - at)
+	b.cpu = float64(cpuNow() - cpuBefore)
 	direct.Close()
 	counted.Close()
 	stop()
--- a/bench/slopes/claims.go
+++ b/bench/slopes/claims.go
@@ -32,15 +32,15 @@
 		claimAll(k, 0, claimSizes[0]) // opens the connections
 		cpu = measureSeries("claimCPU", "claims and settlements between 3 entries over loopback, all entries together", "ns", "key", claimSizes, func(n int) float64 {
 			round++
-			at := cpuNow()
+			cpuBefore := cpuNow()
 			claimAll(k, round, n)
-			return float64(cpuNow() - at)
+			return float64(cpuNow() - cpuBefore)
 		})
 		wire = measureSeries("claimBytes", "claims and settlements on the wire, both ways", "B", "key", claimSizes, func(n int) float64 {
 			round++
-			at := sum.Load()
+			bytesBefore := sum.Load()
 			claimAll(k, round, n)
-			return float64(sum.Load() - at)
+			return float64(sum.Load() - bytesBefore)
 		})
 	})
 	return []slope.Series{cpu, wire}
--- a/bench/slopes/leader.go
+++ b/bench/slopes/leader.go
@@ -98,15 +98,15 @@
 
 // leaderRun is a running leader.
 type leaderRun struct {
-	shelf *view.Shelf
+	views *view.Shelf
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
 // startLeader starts a leader for the platform's VMs.
 func startLeader(s keyval.Store, p hosts.Platform, h *conf.Holder) *leaderRun {
-	t := &leaderRun{shelf: view.NewShelf()}
-	l := steer.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.shelf, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
+	t := &leaderRun{views: view.NewShelf()}
+	l := steer.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.views, steer.WithTick(leaderTick), steer.WithOthers(dataCentres[1:]))
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.group.Go(func() error { return l.Run(ctx) })
@@ -115,7 +115,7 @@
 
 // stopAndCheck stops the leader and panics unless its view has n targets.
 func (t *leaderRun) stopAndCheck(n int) {
-	if got := t.shelf.View().Len(); got != n {
+	if got := t.views.View().Len(); got != n {
 		panic(fmt.Sprintf("bench: the leader shows %d of %d targets", got, n))
 	}
 	t.stop()
@@ -131,9 +131,9 @@
 	t := startLeader(keyval.NewMemory(), p, h)
 	time.Sleep(warmUpTicks * leaderTick)
 	c.cpu = minOfRuns(func() float64 {
-		at, began := cpuNow(), time.Now()
+		cpuBefore, began := cpuNow(), time.Now()
 		time.Sleep(measuredTicks * leaderTick)
-		return float64(cpuNow()-at) / (float64(time.Since(began)) / float64(leaderTick))
+		return float64(cpuNow()-cpuBefore) / (float64(time.Since(began)) / float64(leaderTick))
 	})
 	c.heap = float64(heapNow()) - float64(before)
 	t.stopAndCheck(n)
@@ -160,9 +160,9 @@
 	h, p, s := configHolder(poolCount, designTeams), newPlatform(designVMs), &countedStore{Memory: keyval.NewMemory()}
 	t := startLeader(s, p, h)
 	time.Sleep(warmUpTicks * leaderTick)
-	at := s.writes.Load()
+	writesBefore := s.writes.Load()
 	p.setLost(designVMs, k)
 	time.Sleep(2 * warmUpTicks * leaderTick)
 	t.stopAndCheck(designVMs)
-	return float64(s.writes.Load() - at)
+	return float64(s.writes.Load() - writesBefore)
 }
--- a/bench/slopes/meter.go
+++ b/bench/slopes/meter.go
@@ -44,11 +44,11 @@
 func meanCPU(f func()) float64 {
 	for n := initialRuns; ; n *= 2 {
 		runtime.GC()
-		at := cpuNow()
+		start := cpuNow()
 		for range n {
 			f()
 		}
-		if d := cpuNow() - at; d >= minRunTime {
+		if d := cpuNow() - start; d >= minRunTime {
 			return float64(d) / float64(n)
 		}
 	}
--- a/bench/slopes/path.go
+++ b/bench/slopes/path.go
@@ -110,9 +110,9 @@
 func idleCPU(h *conf.Holder, n int) (c float64) {
 	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
 		c = minOfRuns(func() float64 {
-			at, began := cpuNow(), time.Now()
+			cpuBefore, began := cpuNow(), time.Now()
 			time.Sleep(idlePeriod)
-			return float64(cpuNow()-at) / time.Since(began).Seconds()
+			return float64(cpuNow()-cpuBefore) / time.Since(began).Seconds()
 		})
 	})
 	return c
@@ -128,10 +128,10 @@
 func changeCPU(n int) (c float64) {
 	h := configHolder(poolCount, designTeams)
 	runEntry(h, viewHolder(targets(n)), designTeams, func(string) {
-		at := cpuNow()
+		cpuBefore := cpuNow()
 		time.Sleep(measuredChanges * changePause)
-		idle := cpuNow() - at
-		at = cpuNow()
+		idle := cpuNow() - cpuBefore
+		cpuBefore = cpuNow()
 		for i := range measuredChanges {
 			time.Sleep(changePause)
 			q := quotaChange(int(h.Document().Number())+1, i)
@@ -140,7 +140,7 @@
 				panic(fmt.Sprint("bench: offer: ", err))
 			}
 		}
-		c = float64(cpuNow()-at-idle) / measuredChanges
+		c = float64(cpuNow()-cpuBefore-idle) / measuredChanges
 	})
 	return max(c, 0)
 }
@@ -169,9 +169,9 @@
 		sendRequests(addr, n/4)
 		sendRequests(l.Addr().String(), n/4)
 		cost := func(to string) float64 {
-			at := cpuNow()
+			cpuBefore := cpuNow()
 			sendRequests(to, n)
-			return float64(cpuNow() - at)
+			return float64(cpuNow() - cpuBefore)
 		}
 		c = minOfRuns(func() float64 { return cost(addr) }) - minOfRuns(func() float64 { return cost(l.Addr().String()) })
 	})
