--- a/bench/decide.go
+++ b/bench/decide.go
@@ -16,7 +16,7 @@
 	minGoodput       = 0.97
 	maxWaveRatio     = 1.1 // duration of a maintenance wave, as a multiple of the shortest that the budget allows
 	maxSpareRatio    = 0.7 // spare VMs, as a share of those with a fixed share for each pool
-	maxMoveRatio     = 1.2 // VM moves, as a multiple of the best plan that knows the whole day
+	maxMoveRatio     = 1.2 // VM moves, as a multiple of those in the plan of least cost that knows each hour's need
 	vmsPerService    = 10
 	vmsPerRack       = 4
 	survivedRacks    = 1
--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -32,7 +32,8 @@
 	return c.delays[min(len(c.delays)-1, int(f*float64(len(c.delays))))]
 }
 
-// Changes alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers accordingly.
+// Changes alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers
+// accordingly.
 func (s *Site) Changes(ctx context.Context, n int) (Changes, error) {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	var out Changes
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -140,7 +140,8 @@
 	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), interval: gap}
 }
 
-// waitForNext waits until the next request is due and returns that time. Latency counts from it, so that it includes the delay of a late request.
+// waitForNext waits until the next request is due and returns that time. Latency counts from it, so that it includes the delay of a
+// late request.
 func (p *pacer) waitForNext() time.Time {
 	if p == nil {
 		return time.Now()
--- a/bench/slope/size.go
+++ b/bench/slope/size.go
@@ -69,8 +69,11 @@
 	return m
 }
 
+// costAt returns the fitted cost of the named series at size x.
 func (m model) costAt(name string, x float64) float64 { return m.line(name).At(x) }
-func (m model) costPerUnit(name string) float64       { return m.line(name).Slope() }
+
+// costPerUnit returns the slope of the named series.
+func (m model) costPerUnit(name string) float64 { return m.line(name).Slope() }
 
 // vms returns the number of workers in one data centre.
 func (m model) vms() float64              { return m.Size.Workers / m.Size.DataCentres }
@@ -84,6 +87,7 @@
 func (m model) viewsPerSecond() float64 {
 	return m.stopsPerSecond() / m.Size.DataCentres * viewsPerStop
 }
+
 func (m model) totalEntries() float64 { return m.entries * m.Size.DataCentres }
 
 // requestsPerSecond returns the mean request rate of one data centre.
@@ -164,6 +168,7 @@
 	return m.entryReads()*m.costPerUnit("callBytes") + m.changesPerSecond()*m.costPerUnit("changeList")
 }
 
+// budgetValue and shardValue return the bytes of a stored value as the service sends it, in base64.
 func (m model) budgetValue() float64 {
 	return base64Share * m.costAt("budgetBytes", absencesPerService)
 }
