--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	warmUp    = time.Second
-	measure   = 3 * time.Second
-	rounds    = 5
-	callers   = 64
-	lowest    = int64(time.Microsecond)
-	highest   = int64(10 * time.Second)
-	precision = 3 // digits
-	openShare = 0.5
+	warmUp        = time.Second
+	measurePeriod = 3 * time.Second
+	rounds        = 5
+	callers       = 64
+	minLatency    = int64(time.Microsecond)
+	maxLatency    = int64(10 * time.Second)
+	latencyDigits = 3 // significant digits of a latency
+	openShare     = 0.5
 )
 
-// Kind is what callers send.
+// Kind is the kind of request that callers send.
 type Kind string
 
 const (
 	// Read is a GET without a key.
 	Read Kind = "GET"
-	// Order is a POST with an idempotency key, which two entries must hold before it is sent.
+	// Order is a POST with an idempotency key. Two entries must hold the key before the request is sent to the target.
 	Order Kind = "POST"
 )
 
-// Figures are one measured rate with its latencies.
+// Figures holds the request rate, the latencies and the failures of a measurement.
 type Figures struct {
 	PerSecond float64
 	P50, P99  time.Duration
 	Failed    int64
 }
 
-// Pair is the entry's figures beside the bare relay's.
+// Pair holds the figures of an entry and those of the bare relay.
 type Pair struct {
 	Entry, Relay Figures
 }
@@ -52,22 +52,22 @@
 // P99Ratio returns the entry's p99 as a multiple of the relay's.
 func (p Pair) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
 
-// Highest measures entry and relay by turns as fast as the callers can go, and returns the median round of each.
-func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.byTurns(ctx, k, 0) }
+// Highest measures entry and relay in alternate rounds, with each caller sending as fast as it can, and returns the medians of each.
+func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.alternate(ctx, k, 0) }
 
-// Steady measures both at the same given rate, in requests a second.
+// Steady measures both at the same fixed rate, in requests a second.
 func (s *Site) Steady(ctx context.Context, k Kind, rate float64) (Pair, error) {
-	return s.byTurns(ctx, k, rate)
+	return s.alternate(ctx, k, rate)
 }
 
-func (s *Site) byTurns(ctx context.Context, k Kind, rate float64) (Pair, error) {
+func (s *Site) alternate(ctx context.Context, k Kind, rate float64) (Pair, error) {
 	var es, rs []Figures
 	for n := range rounds {
-		e, err := run(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
+		e, err := runLoad(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
 		if err != nil {
 			return Pair{}, err
 		}
-		r, err := run(ctx, s.relay, "/x", k, rate, fmt.Sprintf("r%d-%.0f", n, rate))
+		r, err := runLoad(ctx, s.relay, "/x", k, rate, fmt.Sprintf("r%d-%.0f", n, rate))
 		if err != nil {
 			return Pair{}, err
 		}
@@ -76,7 +76,7 @@
 	return Pair{Entry: median(es), Relay: median(rs)}, nil
 }
 
-// median returns the figures of the median rate, and the median of each latency.
+// median returns the median rate, the median of each latency, and the sum of the failures.
 func median(l []Figures) Figures {
 	m := Figures{}
 	for _, f := range l {
@@ -91,65 +91,68 @@
 	return m
 }
 
-// caller is one connection's loop.
+// caller sends one request after the other and records their latencies.
 type caller struct {
-	h      *hdrhistogram.Histogram
-	failed int64
+	latencies *hdrhistogram.Histogram
+	failed    int64
 }
 
-func run(ctx context.Context, addr, path string, k Kind, rate float64, mark string) (Figures, error) {
+func runLoad(ctx context.Context, addr, path string, k Kind, rate float64, keyPrefix string) (Figures, error) {
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 2 * callers, MaxIdemponentCallAttempts: 1}
 	defer c.CloseIdleConnections()
-	from := time.Now().Add(warmUp)
-	to := from.Add(measure)
+	recordFrom := time.Now().Add(warmUp)
+	recordUntil := recordFrom.Add(measurePeriod)
 	var ids atomic.Int64
 	l := make([]*caller, callers)
 	var g errgroup.Group
 	for n := range l {
-		l[n] = &caller{h: hdrhistogram.New(lowest, highest, precision)}
-		g.Go(func() error { return l[n].loop(ctx, c, path, k, pace(rate, n), from, to, mark, &ids) })
+		l[n] = &caller{latencies: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
+		g.Go(func() error {
+			return l[n].sendUntilEnd(ctx, c, path, k, newPacer(rate, n), recordFrom, recordUntil, keyPrefix, &ids)
+		})
 	}
 	if err := g.Wait(); err != nil {
 		return Figures{}, err
 	}
-	h := hdrhistogram.New(lowest, highest, precision)
+	h := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	var failed int64
 	for _, x := range l {
-		h.Merge(x.h)
+		h.Merge(x.latencies)
 		failed += x.failed
 	}
 	return Figures{
-		PerSecond: float64(h.TotalCount()) / measure.Seconds(), Failed: failed,
+		PerSecond: float64(h.TotalCount()) / measurePeriod.Seconds(), Failed: failed,
 		P50: time.Duration(h.ValueAtQuantile(50)), P99: time.Duration(h.ValueAtQuantile(99)),
 	}, nil
 }
 
-// pacer says when the next request of a caller is due; without one it is due at once.
+// pacer spaces the requests of a caller evenly. With a nil pacer the next request is due at once.
 type pacer struct {
-	next time.Time
-	gap  time.Duration
+	next     time.Time
+	interval time.Duration
 }
 
-func pace(rate float64, n int) *pacer {
+func newPacer(rate float64, n int) *pacer {
 	if rate <= 0 {
 		return nil
 	}
 	gap := time.Duration(float64(callers) / rate * float64(time.Second))
-	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), gap: gap}
+	return &pacer{next: time.Now().Add(gap * time.Duration(n) / callers), interval: gap}
 }
 
-// due waits for the next request's time and returns it, so that a late one counts from when it was due.
-func (p *pacer) due() time.Time {
+// waitForNext waits until the next request is due and returns that time. Latency counts from it, so that it includes the delay of a
+// late request.
+func (p *pacer) waitForNext() time.Time {
 	if p == nil {
 		return time.Now()
 	}
 	t := p.next
-	p.next = t.Add(p.gap)
+	p.next = t.Add(p.interval)
 	time.Sleep(time.Until(t))
 	return t
 }
 
-func (w *caller) loop(ctx context.Context, c *fasthttp.HostClient, path string, k Kind, p *pacer, from, to time.Time, mark string, ids *atomic.Int64) error {
+func (w *caller) sendUntilEnd(ctx context.Context, c *fasthttp.HostClient, path string, k Kind, p *pacer, recordFrom, recordUntil time.Time, keyPrefix string, ids *atomic.Int64) error {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
@@ -160,29 +163,29 @@
 		q.SetBodyString(`{"tray":"soup","count":2}`)
 	}
 	for ctx.Err() == nil {
-		at := p.due()
-		if at.After(to) {
+		dueAt := p.waitForNext()
+		if dueAt.After(recordUntil) {
 			return nil
 		}
 		if k == Order {
-			q.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", mark, ids.Add(1)))
+			q.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", keyPrefix, ids.Add(1)))
 		}
 		err := c.Do(q, a)
-		if at.Before(from) {
+		if dueAt.Before(recordFrom) {
 			continue
 		}
 		if err != nil || a.StatusCode() != fasthttp.StatusOK {
 			w.failed++
 			continue
 		}
-		if err := w.h.RecordValue(int64(time.Since(at))); err != nil {
+		if err := w.latencies.RecordValue(int64(time.Since(dueAt))); err != nil {
 			return eris.Wrap(err, "record")
 		}
 	}
 	return nil
 }
 
-// Relay is the bare relay: one handler with one client.
+// Relay serves the bare relay on addr until ctx ends: one handler with one client, which sends every request to the target at to.
 func Relay(ctx context.Context, addr, to string) error {
 	c := &fasthttp.HostClient{Addr: to, MaxConns: slots}
 	s := &fasthttp.Server{Handler: func(x *fasthttp.RequestCtx) {
