--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -18,25 +18,25 @@
 	changeTimeout      = 20 * time.Second
 )
 
-// Changes holds, in ascending order, how long each accepted change took to be in force at every entry.
-type Changes struct{ delays []time.Duration }
+// ChangeDelays holds, in ascending order, how long each accepted change took to be in force at every entry.
+type ChangeDelays struct{ delays []time.Duration }
 
 // Len returns the number of measured changes.
-func (c Changes) Len() int { return len(c.delays) }
+func (c ChangeDelays) Len() int { return len(c.delays) }
 
 // Quantile returns the time within which the fraction f of the changes was in force.
-func (c Changes) Quantile(f float64) time.Duration {
+func (c ChangeDelays) Quantile(f float64) time.Duration {
 	if len(c.delays) == 0 {
 		return 0
 	}
 	return c.delays[min(len(c.delays)-1, int(f*float64(len(c.delays))))]
 }
 
-// Changes alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers
+// MeasureChanges alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers
 // accordingly.
-func (s *Site) Changes(ctx context.Context, n int) (Changes, error) {
+func (s *Site) MeasureChanges(ctx context.Context, n int) (ChangeDelays, error) {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
-	var out Changes
+	var out ChangeDelays
 	for k := range n {
 		h := conf.Change{Op: fmt.Sprint("toggle-", k), By: "bench", Kind: conf.Withdraw, Approval: &conf.ApprovalSpec{Team: team, Service: service}}
 		want := fasthttp.StatusForbidden
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -28,10 +28,10 @@
 type Kind string
 
 const (
-	// Read is a GET without a key.
-	Read Kind = "GET"
-	// Order is a POST with an idempotency key. Two entries must hold the key before the request is sent to the target.
-	Order Kind = "POST"
+	// PlainGet is a GET without a key.
+	PlainGet Kind = "GET"
+	// KeyedPost is a POST with an idempotency key. Two entries must hold the key before the request is sent to the target.
+	KeyedPost Kind = "POST"
 )
 
 // Figures holds the request rate, the latencies and the failures of a measurement.
@@ -41,39 +41,41 @@
 	Failed    int64
 }
 
-// Pair holds the figures of an entry and those of the bare relay.
-type Pair struct {
+// Comparison holds the figures of an entry and those of the bare relay.
+type Comparison struct {
 	Entry, Relay Figures
 }
 
 // RateRatio returns the entry's rate as a share of the relay's.
-func (p Pair) RateRatio() float64 { return p.Entry.PerSecond / p.Relay.PerSecond }
+func (p Comparison) RateRatio() float64 { return p.Entry.PerSecond / p.Relay.PerSecond }
 
 // P99Ratio returns the entry's p99 as a multiple of the relay's.
-func (p Pair) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
+func (p Comparison) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
 
-// Highest measures entry and relay in alternate rounds, with each caller sending as fast as it can, and returns the medians of each.
-func (s *Site) Highest(ctx context.Context, k Kind) (Pair, error) { return s.alternate(ctx, k, 0) }
+// MeasureHighest measures entry and relay in alternate rounds, with each caller sending as fast as it can, and returns the medians of each.
+func (s *Site) MeasureHighest(ctx context.Context, k Kind) (Comparison, error) {
+	return s.alternate(ctx, k, 0)
+}
 
-// Steady measures both at the same fixed rate, in requests a second.
-func (s *Site) Steady(ctx context.Context, k Kind, rate float64) (Pair, error) {
+// MeasureAtRate measures both at the same fixed rate, in requests a second.
+func (s *Site) MeasureAtRate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
 	return s.alternate(ctx, k, rate)
 }
 
-func (s *Site) alternate(ctx context.Context, k Kind, rate float64) (Pair, error) {
+func (s *Site) alternate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
 	var es, rs []Figures
 	for n := range rounds {
 		e, err := runLoad(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
 		if err != nil {
-			return Pair{}, err
+			return Comparison{}, err
 		}
 		r, err := runLoad(ctx, s.relay, "/x", k, rate, fmt.Sprintf("r%d-%.0f", n, rate))
 		if err != nil {
-			return Pair{}, err
+			return Comparison{}, err
 		}
 		es, rs = append(es, e), append(rs, r)
 	}
-	return Pair{Entry: median(es), Relay: median(rs)}, nil
+	return Comparison{Entry: median(es), Relay: median(rs)}, nil
 }
 
 // median returns the median rate, the median of each latency, and the sum of the failures.
@@ -159,7 +161,7 @@
 	q.SetRequestURI("http://" + c.Addr + path)
 	q.Header.SetMethod(string(k))
 	q.Header.Set("Authorization", "Bearer "+token)
-	if k == Order {
+	if k == KeyedPost {
 		q.SetBodyString(`{"tray":"soup","count":2}`)
 	}
 	for ctx.Err() == nil {
@@ -167,7 +169,7 @@
 		if dueAt.After(recordUntil) {
 			return nil
 		}
-		if k == Order {
+		if k == KeyedPost {
 			q.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", keyPrefix, ids.Add(1)))
 		}
 		err := c.Do(q, a)
@@ -185,8 +187,8 @@
 	return nil
 }
 
-// Relay serves the bare relay on addr until ctx ends: one handler with one client, which sends every request to the target at to.
-func Relay(ctx context.Context, addr, to string) error {
+// ServeRelay serves the bare relay on addr until ctx ends: one handler with one client, which sends every request to the target at to.
+func ServeRelay(ctx context.Context, addr, to string) error {
 	c := &fasthttp.HostClient{Addr: to, MaxConns: slots}
 	s := &fasthttp.Server{Handler: func(x *fasthttp.RequestCtx) {
 		if err := c.Do(&x.Request, &x.Response); err != nil {
--- a/bench/main.go
+++ b/bench/main.go
@@ -37,7 +37,7 @@
 		return eris.Wrap(err, "flags")
 	}
 	if *relay != "" {
-		return live.Relay(ctx, *relay, *to)
+		return live.ServeRelay(ctx, *relay, *to)
 	}
 	rows := append(sharingRows(*seed), moveRows(int64(*seed))...)
 	rows = append(rows, waveRows(int64(*seed))...)
@@ -70,7 +70,7 @@
 		return nil, eris.Wrap(err, "own path")
 	}
 	var rows []row
-	for _, k := range []live.Kind{live.Read, live.Order} {
+	for _, k := range []live.Kind{live.PlainGet, live.KeyedPost} {
 		l, err := loadRows(ctx, bin, self, k)
 		if err != nil {
 			return nil, err
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	defer s.Stop()
-	c, err := s.Changes(ctx, changeCount)
+	c, err := s.MeasureChanges(ctx, changeCount)
 	return append(rows, row{
 		metric: fmt.Sprintf("a change in force at %d entries, %d changes", changeEntries, c.Len()),
 		result: fmt.Sprintf("p50 %v, p99.9 %v", c.Quantile(0.5).Round(time.Millisecond), c.Quantile(changeQuantile).Round(time.Millisecond)), baseline: "—",
@@ -97,11 +97,11 @@
 		return nil, err
 	}
 	defer s.Stop()
-	high, err := s.Highest(ctx, k)
+	high, err := s.MeasureHighest(ctx, k)
 	if err != nil {
 		return nil, err
 	}
-	low, err := s.Steady(ctx, k, steadyRateRatio*high.Relay.PerSecond)
+	low, err := s.MeasureAtRate(ctx, k, steadyRateRatio*high.Relay.PerSecond)
 	return []row{
 		{
 			metric: "requests a second, " + kindLabel(k), result: formatFigures(high.Entry) + fmt.Sprintf(" (%.2f)", high.RateRatio()), baseline: "bare relay " + formatFigures(high.Relay),
@@ -116,7 +116,7 @@
 }
 
 func kindLabel(k live.Kind) string {
-	if k == live.Order {
+	if k == live.KeyedPost {
 		return "POST with a key that two entries hold"
 	}
 	return "GET"
--- a/bench/slope/fit.go
+++ b/bench/slope/fit.go
@@ -14,11 +14,11 @@
 
 // Series is a cost measured at several sizes.
 type Series struct {
-	Name   string  `json:"name"`
-	What   string  `json:"what"`
-	Unit   string  `json:"unit"` // unit of Y
-	Per    string  `json:"per"`  // what X counts
-	Points []Point `json:"points"`
+	Name        string  `json:"name"`
+	Description string  `json:"what"`
+	Unit        string  `json:"unit"` // unit of Y
+	SizeUnit    string  `json:"per"`  // what X counts
+	Points      []Point `json:"points"`
 }
 
 // Line is a linear fit of cost to size.
--- a/bench/slope/page.go
+++ b/bench/slope/page.go
@@ -61,6 +61,6 @@
 		for _, p := range s.Points {
 			x = append(x, formatNumber(p.X))
 		}
-		fmt.Fprintf(b, "| %s | %s | %s %s | %s %s | %s | %s | %.1f%% |\n", s.Name, s.What, formatNumber(f.Base()), s.Unit, formatNumber(f.Slope()), s.Unit, s.Per, strings.Join(x, ", "), 100*f.Residual())
+		fmt.Fprintf(b, "| %s | %s | %s %s | %s %s | %s | %s | %.1f%% |\n", s.Name, s.Description, formatNumber(f.Base()), s.Unit, formatNumber(f.Slope()), s.Unit, s.SizeUnit, strings.Join(x, ", "), 100*f.Residual())
 	}
 }
--- a/bench/slope/peaks.go
+++ b/bench/slope/peaks.go
@@ -63,7 +63,7 @@
 func (m model) writeTraffic(b *strings.Builder) {
 	fmt.Fprintf(b, "## Traffic and the number of entry VMs\n\nAssumed: %s requests/s a worker in the mean (8 slots, a quarter of them busy, 50 ms a request; the brief names slots and turns but no times), "+
 		"%s/s in all, %g of them with an idempotency key. An entry VM has %g cores of which the mean may use %g. One entry more than needed stands in each data centre.\n\n",
-		formatNumber(m.Size.RequestsPerWorker), formatNumber(m.requestsPerSecond()*m.Size.DataCentres), m.Size.KeyedShare, m.Size.EntryCores, m.Size.EntryUse)
+		formatNumber(m.Size.RequestsPerWorker), formatNumber(m.requestsPerSecond()*m.Size.DataCentres), m.Size.KeyedShare, m.Size.EntryCores, m.Size.EntryTargetUse)
 	b.WriteString("| demand | requests/s of a data centre | entries of a data centre | entries in all |\n|---|---|---|---|\n")
 	for _, t := range []float64{0.25, 1, 2, peakDemand, 10} {
 		n := m.entriesFor(t)
--- a/bench/slope/record.go
+++ b/bench/slope/record.go
@@ -29,18 +29,18 @@
 	RequestsPerWorker float64 `json:"requestsPerWorker"` // mean requests a second of one worker
 	KeyedShare        float64 `json:"keyedShare"`        // fraction of requests with an idempotency key
 	EntryCores        float64 `json:"entryCores"`        // cores of one entry VM
-	EntryUse          float64 `json:"entryUse"`          // fraction of these cores that the mean demand may use
+	EntryTargetUse    float64 `json:"entryUse"`          // fraction of these cores that the mean demand may use
 }
 
 // Settings holds the defaults of those entry settings that the costs depend on.
 type Settings struct {
-	BeatMs      float64 `json:"beatMs"`
-	TickMs      float64 `json:"tickMs"`
-	WatchWaitMs float64 `json:"watchWaitMs"`
-	LeaseMs     float64 `json:"leaseMs"`
-	RememberS   float64 `json:"rememberSeconds"`
-	MaxKeys     float64 `json:"maxKeys"`
-	DeadlineMs  float64 `json:"deadlineMs"`
+	BeatMs          float64 `json:"beatMs"`
+	TickMs          float64 `json:"tickMs"`
+	WatchWaitMs     float64 `json:"watchWaitMs"`
+	LeaseMs         float64 `json:"leaseMs"`
+	RememberSeconds float64 `json:"rememberSeconds"`
+	MaxKeys         float64 `json:"maxKeys"`
+	DeadlineMs      float64 `json:"deadlineMs"`
 }
 
 // Record holds the results of one run of the measurements.
--- a/bench/slope/roles.go
+++ b/bench/slope/roles.go
@@ -28,7 +28,7 @@
 			{metric: "full queue of one service", value: m.costPerUnit("queueHeap") * maxQueueRequests, unit: unitBytes, derivation: "queueHeap x 10,000; bodies not counted",
 				mechanism: "flow/queue, bound maxQueueRequests"},
 			{metric: "keys remembered", value: m.keysHeld(), unit: unitCount, limit: m.Settings.MaxKeys,
-				derivation: fmt.Sprintf("requests x %g keyed x %g s x 2 holders / entries; the limit is the setting maxKeys", m.Size.KeyedShare, m.Settings.RememberS),
+				derivation: fmt.Sprintf("requests x %g keyed x %g s x 2 holders / entries; the limit is the setting maxKeys", m.Size.KeyedShare, m.Settings.RememberSeconds),
 				mechanism:  "flow/ledger Book by roster, node/relay Keeper",
 				proposal:   "raise maxKeys with the VM's memory, or remember settled keys for less than 10 min; until then claims beyond it are refused as not run"},
 			{metric: "memory of those keys", value: m.keysHeld() * m.costPerUnit("keyHeap"), unit: unitBytes, derivation: "keyHeap x keys; kept answers not counted", mechanism: "flow/ledger table"},
--- a/bench/slope/size.go
+++ b/bench/slope/size.go
@@ -48,12 +48,12 @@
 	minEntries         = 2.0 // entries of a data centre; one more is added for the loss of an entry
 )
 
-// Letter returns the size from the users' requirements. Traffic assumes 8 slots a worker, a quarter of them busy in the mean, and
+// DesignSize returns the size from the users' requirements. Traffic assumes 8 slots a worker, a quarter of them busy in the mean, and
 // requests of 50 ms. A queue that peaks at five times its mean then needs more than its own pool.
-func Letter() Size {
+func DesignSize() Size {
 	return Size{
 		Workers: 9000, Accelerators: 9800, Pools: 51, Teams: 230, DataCentres: 6, ChangesPerDay: 16_000, FailuresPerDay: 170,
-		RestartsPerDay: 3400, WaveDays: 14, RequestsPerWorker: 40, KeyedShare: 0.1, EntryCores: 2, EntryUse: 0.5,
+		RestartsPerDay: 3400, WaveDays: 14, RequestsPerWorker: 40, KeyedShare: 0.1, EntryCores: 2, EntryTargetUse: 0.5,
 	}
 }
 
@@ -103,7 +103,7 @@
 // entriesFor returns the number of entries that a data centre needs so that, with one of them lost, the others serve the given
 // multiple of the mean demand.
 func (m model) entriesFor(times float64) float64 {
-	n := math.Ceil(times * m.requestsPerSecond() * m.requestNs() / 1e9 / (m.Size.EntryCores * m.Size.EntryUse))
+	n := math.Ceil(times * m.requestsPerSecond() * m.requestNs() / 1e9 / (m.Size.EntryCores * m.Size.EntryTargetUse))
 	return max(n, minEntries) + 1
 }
 
@@ -220,7 +220,7 @@
 
 // keysHeld returns the number of key records that one entry holds.
 func (m model) keysHeld() float64 {
-	return m.requestsPerSecond() * m.Size.KeyedShare * m.Settings.RememberS * holdersPerKey / m.entries
+	return m.requestsPerSecond() * m.Size.KeyedShare * m.Settings.RememberSeconds * holdersPerKey / m.entries
 }
 
 func (m model) entryCPU() float64 {
--- a/bench/slopes/beats.go
+++ b/bench/slopes/beats.go
@@ -46,12 +46,12 @@
 
 // peerReport has the JSON form of what node/daemon puts into the members field of a beat.
 type peerReport struct {
-	Version view.Version      `json:"v"`
-	Leading bool              `json:"lead,omitempty"`
-	Quits   []entry.DrainedVM `json:"quits,omitempty"`
-	Leaving []entry.LeavingVM `json:"leaving,omitempty"`
-	Delta   *view.Delta       `json:"delta,omitempty"`
-	Shares  int64             `json:"shares,omitempty"`
+	Version       view.Version      `json:"v"`
+	Leading       bool              `json:"lead,omitempty"`
+	Drained       []entry.DrainedVM `json:"quits,omitempty"`
+	Leaving       []entry.LeavingVM `json:"leaving,omitempty"`
+	Delta         *view.Delta       `json:"delta,omitempty"`
+	SettledRoster int64             `json:"shares,omitempty"`
 }
 
 // idleEntry is the state of an entry with that number of services, in which nothing changes.
@@ -61,7 +61,7 @@
 func (idleEntry) ChangesSince(int64) (c [][]byte, s []byte) { return nil, nil }
 func (idleEntry) Offer([][]byte, []byte)                    {}
 func (n idleEntry) Report() relay.Report {
-	b, err := json.Marshal(peerReport{Version: view.Version{Fence: 1 << 20, Count: 4000}, Shares: 3 << 40})
+	b, err := json.Marshal(peerReport{Version: view.Version{Fence: 1 << 20, Count: 4000}, SettledRoster: 3 << 40})
 	if err != nil {
 		panic(fmt.Sprint("bench: encode: ", err))
 	}
--- a/bench/slopes/main.go
+++ b/bench/slopes/main.go
@@ -27,11 +27,11 @@
 	out := f.String("out", "docs/slopes.json", "where the record goes")
 	page := f.String("page", "docs/CAPACITY.md", "where the page goes")
 	again := f.Bool("again", false, "write the page from the record that stands, without measuring")
-	z := slope.Letter()
+	z := slope.DesignSize()
 	f.Float64Var(&z.RequestsPerWorker, "requests", z.RequestsPerWorker, "mean requests a second of a worker")
 	f.Float64Var(&z.KeyedShare, "keyed", z.KeyedShare, "share of requests with an idempotency key")
 	f.Float64Var(&z.EntryCores, "cores", z.EntryCores, "cores of an entry VM")
-	f.Float64Var(&z.EntryUse, "use", z.EntryUse, "share of them that the mean demand may use")
+	f.Float64Var(&z.EntryTargetUse, "use", z.EntryTargetUse, "share of them that the mean demand may use")
 	if err := f.Parse(args); err != nil {
 		return eris.Wrap(err, "flags")
 	}
@@ -42,7 +42,7 @@
 	for _, m := range []func() []slope.Series{confSeries, viewSeries, fleetSeries, beatSeries, claimSeries, pathSeries} {
 		for _, s := range m() {
 			l := slope.Fit(s.Points)
-			fmt.Printf("%-16s %14.1f + %10.2f %s per %s, residual %.1f%%\n", s.Name, l.Base(), l.Slope(), s.Unit, s.Per, 100*l.Residual())
+			fmt.Printf("%-16s %14.1f + %10.2f %s per %s, residual %.1f%%\n", s.Name, l.Base(), l.Slope(), s.Unit, s.SizeUnit, 100*l.Residual())
 			r.Series = append(r.Series, s)
 		}
 	}
@@ -66,7 +66,7 @@
 	return slope.Settings{
 		BeatMs: float64(s.HeartbeatInterval().Milliseconds()), TickMs: float64(s.LeaderTick().Milliseconds()),
 		WatchWaitMs: float64(s.MaxWatchWait().Milliseconds()), LeaseMs: float64(s.LeaderLease().Milliseconds()),
-		RememberS: ledger.RecordTTL.Seconds(), MaxKeys: float64(s.MaxKeys()), DeadlineMs: float64(s.DefaultDeadline().Milliseconds()),
+		RememberSeconds: ledger.RecordTTL.Seconds(), MaxKeys: float64(s.MaxKeys()), DeadlineMs: float64(s.DefaultDeadline().Milliseconds()),
 	}
 }
 
--- a/bench/slopes/meter.go
+++ b/bench/slopes/meter.go
@@ -75,7 +75,7 @@
 
 // measureSeries measures f at each size.
 func measureSeries(name, what, unit, per string, sizes []int, f func(n int) float64) slope.Series {
-	s := slope.Series{Name: name, What: what, Unit: unit, Per: per}
+	s := slope.Series{Name: name, Description: what, Unit: unit, SizeUnit: per}
 	for _, n := range sizes {
 		s.Points = append(s.Points, slope.Point{X: float64(n), Y: f(n)})
 	}
--- a/fakes/standin/target.go
+++ b/fakes/standin/target.go
@@ -38,7 +38,7 @@
 	if err != nil || *name == "" {
 		return nil, eris.Errorf("target: -name %q and -addr %q are needed", *name, *addr)
 	}
-	o := []target.Option{target.WithName(*name), target.WithSlots(*slots), target.WithConnections(*conns),
+	o := []target.Option{target.WithName(*name), target.WithSlots(*slots), target.WithMaxConnections(*conns),
 		target.WithRebootTime(*reboot), target.WithSeed(*seed)}
 	if *random {
 		o = append(o, target.WithRandomRunTime(*runTime))
--- a/fakes/target/example_test.go
+++ b/fakes/target/example_test.go
@@ -28,7 +28,7 @@
 	if err := fasthttp.DoTimeout(&q, &a, 5*time.Second); err != nil {
 		fmt.Println(err)
 	}
-	fmt.Println(a.StatusCode(), t.Runs().Keys["order-1"])
+	fmt.Println(a.StatusCode(), t.Counts().Keys["order-1"])
 	cancel()
 	fmt.Println(g.Wait())
 	// Output:
--- a/fakes/target/fault.go
+++ b/fakes/target/fault.go
@@ -26,8 +26,8 @@
 	Longer Mode = "longer"
 	// Shorter sends fewer bytes than Content-Length declares and keeps the connection open.
 	Shorter Mode = "shorter"
-	// WrongMark answers with the request ID of another request.
-	WrongMark Mode = "wrongMark"
+	// WrongRequestID answers with the request ID of another request.
+	WrongRequestID Mode = "wrongMark"
 	// Silent runs the request and never answers.
 	Silent Mode = "silent"
 	// CloseIdle closes a reused connection when its next request arrives, without running that request.
@@ -37,9 +37,9 @@
 // Fault is a fault and its parameters. LateMs is the delay of the mode Late, in milliseconds. A fault that SetFault or /ctl/fault
 // sets applies to every request without a Fake-Fault header, or to the next Left ones if Left is not 0.
 type Fault struct {
-	Mode   Mode  `json:"mode"`
-	LateMs int64 `json:"lateMs"`
-	Left   int64 `json:"left"`
+	Mode      Mode  `json:"mode"`
+	LateMs    int64 `json:"lateMs"`
+	Remaining int64 `json:"left"`
 }
 
 // faultOf returns the fault of the request's header Fake-Fault, else the fault of the target, whose remaining count it reduces.
@@ -52,11 +52,11 @@
 		if f == nil {
 			return Fault{}
 		}
-		if f.Left == 0 {
+		if f.Remaining == 0 {
 			return *f
 		}
-		n := &Fault{Mode: f.Mode, LateMs: f.LateMs, Left: f.Left - 1}
-		if n.Left == 0 {
+		n := &Fault{Mode: f.Mode, LateMs: f.LateMs, Remaining: f.Remaining - 1}
+		if n.Remaining == 0 {
 			n = nil
 		}
 		if t.fault.CompareAndSwap(f, n) {
--- a/fakes/target/handle.go
+++ b/fakes/target/handle.go
@@ -96,7 +96,7 @@
 		return
 	case Fail:
 		x.SetStatusCode(fasthttp.StatusInternalServerError)
-	case WrongMark:
+	case WrongRequestID:
 		requestID += "-other"
 	}
 	r := &x.Response.Header
--- a/fakes/target/target.go
+++ b/fakes/target/target.go
@@ -62,8 +62,8 @@
 // WithSlots sets how many requests may run at once.
 func WithSlots(n int) Option { return func(t *Target) { t.slots = int64(n) } }
 
-// WithConnections sets how many connections may be open at once.
-func WithConnections(n int) Option { return func(t *Target) { t.conns = n } }
+// WithMaxConnections sets how many connections may be open at once.
+func WithMaxConnections(n int) Option { return func(t *Target) { t.conns = n } }
 
 // WithRebootTime sets how long the target is unreachable during a reboot.
 func WithRebootTime(d time.Duration) Option { return func(t *Target) { t.rebootTime = d } }
--- a/fakes/target/target_test.go
+++ b/fakes/target/target_test.go
@@ -79,7 +79,7 @@
 		a := r.expectStatus(200, "Idempotency-Key", "k", "Burdock-Request", "a")
 		r.is.Equal(string(a.Header.Peek("Burdock-Request")), "a")
 		r.expectStatus(200, "Idempotency-Key", "k", "Burdock-Request", "b")
-		n := r.target.Runs()
+		n := r.target.Counts()
 		r.is.Equal(n.Keys["k"], 2)
 		r.is.Equal(n.DoubledKeys, int64(1))
 		r.is.Equal(n.DoubledRequests, int64(0))
@@ -88,20 +88,20 @@
 		r := start(t, target.WithSlots(1))
 		var g errgroup.Group
 		g.Go(func() error { _, err := r.call(callTimeout, "Fake-Run-Ms", "300"); return err })
-		for r.target.Runs().Running == 0 {
+		for r.target.Counts().Running == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		a := r.expectStatus(503)
 		r.is.Equal(string(a.Header.Peek("Burdock-Not-Run")), "1")
 		r.is.NoErr(g.Wait())
-		r.is.Equal(r.target.Runs().OversentPeak, int64(1))
+		r.is.Equal(r.target.Counts().PeakOverSlots, int64(1))
 	})
 	t.Run("refuses requests after a drain and counts those that a reboot interrupts", func(t *testing.T) {
 		r := start(t, target.WithRebootTime(10*time.Millisecond))
 		var g errgroup.Group
 		var lost error
 		g.Go(func() error { _, lost = r.call(callTimeout, "Fake-Run-Ms", "60000"); return nil })
-		for r.target.Runs().Running == 0 {
+		for r.target.Counts().Running == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		r.post("/ctl/drain", "")
@@ -110,14 +110,14 @@
 		r.post("/ctl/reboot", "")
 		r.is.NoErr(g.Wait())
 		r.is.True(lost != nil)
-		for r.target.Runs().Boot < 2 {
+		for r.target.Counts().Boot < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		r.client.CloseIdleConnections()
 		r.expectStatus(200)
-		n := r.target.Runs()
-		r.is.Equal(n.Cut, int64(1))
-		r.is.Equal(n.WhileLeaving, int64(1))
+		n := r.target.Counts()
+		r.is.Equal(n.CutRequests, int64(1))
+		r.is.Equal(n.RefusedWhileDraining, int64(1))
 	})
 }
 
@@ -128,7 +128,7 @@
 			_, err := r.call(200*time.Millisecond, "Fake-Fault", string(m))
 			r.is.True(err != nil)
 			r.expectStatus(200)
-			r.is.Equal(r.target.Runs().Runs, int64(2))
+			r.is.Equal(r.target.Counts().Runs, int64(2))
 		})
 	}
 	t.Run("answers with the faults wrongMark, fail and longer", func(t *testing.T) {
@@ -151,6 +151,6 @@
 		r.expectStatus(200)
 		_, err := r.call(callTimeout, "Fake-Fault", "closeIdle")
 		r.is.True(err != nil)
-		r.is.Equal(r.target.Runs().Runs, int64(1))
+		r.is.Equal(r.target.Counts().Runs, int64(1))
 	})
 }
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -47,7 +47,7 @@
 	return func(r *rig.Rig, rnd *rand.Rand) func() {
 		names := slices.Sorted(maps.Keys(r.Targets))
 		t := r.Targets[names[rnd.IntN(len(names))]]
-		t.SetFault(target.Fault{Mode: m, LateMs: 300, Left: 20})
+		t.SetFault(target.Fault{Mode: m, LateMs: 300, Remaining: 20})
 		return func() { t.SetFault(target.Fault{}) }
 	}
 }
@@ -81,7 +81,7 @@
 		}},
 		{"cut answers", targetFault(target.Cut)},
 		{"longer answers", targetFault(target.Longer)},
-		{"wrong marks", targetFault(target.WrongMark)},
+		{"wrong marks", targetFault(target.WrongRequestID)},
 		{"silent connections", targetFault(target.Silent)},
 		{"idle connections closed", targetFault(target.CloseIdle)},
 		{"late answers", targetFault(target.Late)},
@@ -169,7 +169,7 @@
 func TestFailuresTogether(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(*chaosSeed, 0))
 	r := rig.New(t, rig.Plan{
-		DataCentres: 1, Entries: 3, Targets: 4, RunTime: 10 * time.Millisecond, MaxOut: 1, Reboot: 300 * time.Millisecond,
+		DataCentres: 1, Entries: 3, Targets: 4, RunTime: 10 * time.Millisecond, MaxOut: 1, RebootTime: 300 * time.Millisecond,
 	})
 	w, o, l := r.Watch(), startOperators(r, *chaosSeed, 2), r.StartLoad(12, allEntries(r))
 	f := failures()
@@ -180,13 +180,13 @@
 		time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
 		undoB := b.inject(r, rnd)
 		if k%4 == 0 {
-			r.Wave(fmt.Sprintf("w%d", k))
+			r.StartWave(fmt.Sprintf("w%d", k))
 		}
 		time.Sleep(time.Duration(200+rnd.IntN(1500)) * time.Millisecond)
 		undoA()
 		undoB()
 		for _, e := range r.Entries {
-			e.Revive()
+			e.ThawOrStart()
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -196,7 +196,7 @@
 		e.AwaitReady()
 	}
 	time.Sleep(time.Second)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	o.check(t, r)
 	w.Stop()
 	_, over, leaving, cut := r.Counts()
--- a/proof/fail_test.go
+++ b/proof/fail_test.go
@@ -29,7 +29,7 @@
 		e.AwaitReady()
 	}
 	time.Sleep(500 * time.Millisecond)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 	i.True(answered > 0)
 }
@@ -47,7 +47,7 @@
 	time.Sleep(7 * time.Second)
 	r.Entries[0].Thaw()
 	time.Sleep(time.Second)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 	i.True(answered > 0)
 }
@@ -60,12 +60,12 @@
 	l := r.StartLoad(loadCallers, allEntries(r))
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Down})
 	time.Sleep(4 * time.Second)
-	before := r.Runs()
+	before := r.RunsByKey()
 	time.Sleep(500 * time.Millisecond)
-	i.True(len(r.Runs()) > len(before)) // requests still run
+	i.True(len(r.RunsByKey()) > len(before)) // requests still run
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Up})
 	time.Sleep(500 * time.Millisecond)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 	i.Equal(notRun+unknown, 0)
 }
@@ -82,14 +82,14 @@
 	r.Commit(conf.Change{Kind: conf.PutWave, Wave: &conf.WaveSpec{ID: "w1", Pools: []string{rig.Pool}}})
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
-			if x.Runs().Boot < 2 {
+			if x.Counts().Boot < 2 {
 				return false
 			}
 		}
 		return true
 	})
 	time.Sleep(500 * time.Millisecond)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	doubled, over, leaving, cut := r.Counts()
 	t.Logf("answered %d, not run %d, unknown %d; %d requests over the slots, %d while draining", answered, notRun, unknown, over, leaving)
 	i.Equal(cut, int64(0))     // requests interrupted by a planned reboot
@@ -116,7 +116,7 @@
 	i.Equal(r.Entries[0].Stop(), 0) // exit status
 	time.Sleep(300 * time.Millisecond)
 	answers := l.Stop()
-	r.Judge(answers)
+	r.CheckAnswers(answers)
 	for k, as := range answers {
 		if last := as[len(as)-1]; last.Outcome != "answered" && last.Outcome != "repeat" {
 			t.Errorf("key %s ended with %+v", k, last)
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -33,11 +33,11 @@
 	m, err := e.Applied()
 	i.NoErr(err)
 	i.Equal(m, n) // the newest configuration
-	a := e.Ask(rig.Request{Method: "GET", Path: "/menu"})
+	a := e.Send(rig.Request{Method: "GET", Path: "/menu"})
 	i.Equal(a.Outcome, "answered")
 	r.Cloud.Fault(cloud.Fault{Mode: cloud.Up})
 	time.Sleep(2 * time.Second)
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	w.Stop()
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 	i.True(answered > 0)
@@ -82,7 +82,7 @@
 	w := r.Watch()
 	live := newEntryList(r.Entries)
 	l := r.StartLoad(8, live.get)
-	r.Wave("w1")
+	r.StartWave("w1")
 	for _, e := range r.Entries[:3] {
 		n := r.Replace(e)
 		n.AwaitReady()
@@ -90,13 +90,13 @@
 	}
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
-			if x.Brief().Boot < 2 {
+			if x.Summary().Boot < 2 {
 				return false
 			}
 		}
 		return true
 	})
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	w.Stop()
 	_, over, leaving, cut := r.Counts()
 	t.Logf("answered %d, not run %d, unknown %d; %d requests over the slots, %d while draining", answered, notRun, unknown, over, leaving)
@@ -113,14 +113,14 @@
 	r := rig.New(t, p)
 	for k := range 20 {
 		q := rig.Request{Method: "POST", Path: "/grant", Key: fmt.Sprint("grant-", k), Body: "50"}
-		r.Await("first copy "+q.Key, func() bool { return r.Entries[k%4].Ask(q).Outcome == "answered" })
+		r.Await("first copy "+q.Key, func() bool { return r.Entries[k%4].Send(q).Outcome == "answered" })
 		r.Await("second copy "+q.Key, func() bool {
-			a := r.Entries[(k+2)%4].Ask(q)
+			a := r.Entries[(k+2)%4].Send(q)
 			i.True(a.Outcome != "answered") // the other data centre never runs it again
 			return a.Outcome == "repeat"
 		})
 	}
-	for k, n := range r.Runs() {
+	for k, n := range r.RunsByKey() {
 		i.True(n == 1) // runs of the key
 		_ = k
 	}
@@ -137,11 +137,11 @@
 	x := r.Targets["dc1-w1"]
 	x.Drain()
 	time.Sleep(4 * time.Second)
-	n := x.Brief()
-	i.True(n.WhileLeaving > 0)
-	i.True(n.LeavingLastMs <= leavingLimit.Milliseconds()) // time from the drain to the last request that the target received
-	answered, notRun, unknown := r.Judge(l.Stop())
-	t.Logf("answered %d, not run %d, unknown %d; %d came while draining, the last after %d ms", answered, notRun, unknown, n.WhileLeaving, n.LeavingLastMs)
+	n := x.Summary()
+	i.True(n.RefusedWhileDraining > 0)
+	i.True(n.LastRefusalAfterDrainMs <= leavingLimit.Milliseconds()) // time from the drain to the last request that the target received
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
+	t.Logf("answered %d, not run %d, unknown %d; %d came while draining, the last after %d ms", answered, notRun, unknown, n.RefusedWhileDraining, n.LastRefusalAfterDrainMs)
 	i.Equal(unknown, 0)
 }
 
@@ -157,7 +157,7 @@
 	r := rig.New(t, p)
 	w := r.Watch()
 	l := r.StartLoad(8, allEntries(r))
-	r.Wave("w1")
+	r.StartWave("w1")
 	r.Await("the wave's first stop", func() bool { return targetsOut(r) > 0 })
 	e := r.Leader("dc1")
 	e.Freeze()
@@ -165,19 +165,19 @@
 	e.Thaw()
 	r.Await("every VM rebooted once", func() bool {
 		for _, x := range r.Targets {
-			if x.Brief().Boot < 2 {
+			if x.Summary().Boot < 2 {
 				return false
 			}
 		}
 		return true
 	})
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	w.Stop()
 	_, _, _, cut := r.Counts()
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 	i.Equal(cut, int64(0))
 	for n, x := range r.Targets {
-		i.Equal(x.Brief().Boot, int64(2)) // rebooted exactly once
+		i.Equal(x.Summary().Boot, int64(2)) // rebooted exactly once
 		_ = n
 	}
 }
@@ -186,7 +186,7 @@
 func targetsOut(r *rig.Rig) int {
 	n := 0
 	for _, x := range r.Targets {
-		if s := x.Brief(); s.Draining || s.Away {
+		if s := x.Summary(); s.Draining || s.Rebooting {
 			n++
 		}
 	}
@@ -212,20 +212,20 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	a := near[0].Ask(rig.Request{Method: "POST", Path: "/grant", Key: "dc1/at-home", Body: "50"})
+	a := near[0].Send(rig.Request{Method: "POST", Path: "/grant", Key: "dc1/at-home", Body: "50"})
 	i.Equal(a.Outcome, "answered") // the key's home is this data centre
-	b := near[1].Ask(rig.Request{Method: "POST", Path: "/grant", Key: "dc2/away", Body: "50"})
+	b := near[1].Send(rig.Request{Method: "POST", Path: "/grant", Key: "dc2/away", Body: "50"})
 	i.Equal(b.Outcome, "unknown") // the key's home cannot be asked whether an earlier copy ran, so this copy is not sent
 	i.Equal(b.Status, 503)
-	i.Equal(r.Runs()["dc2/away"], 0)
-	c := near[1].Ask(rig.Request{Method: "GET", Path: "/menu"})
+	i.Equal(r.RunsByKey()["dc2/away"], 0)
+	c := near[1].Send(rig.Request{Method: "GET", Path: "/menu"})
 	i.Equal(c.Outcome, "answered")
 	for _, e := range r.Entries[2:] {
 		e.Thaw()
 	}
 	r.Await("the lost data centre's keys", func() bool {
-		return near[1].Ask(rig.Request{Method: "POST", Path: "/grant", Key: "dc2/away", Body: "50"}).Outcome == "answered"
+		return near[1].Send(rig.Request{Method: "POST", Path: "/grant", Key: "dc2/away", Body: "50"}).Outcome == "answered"
 	})
-	answered, notRun, unknown := r.Judge(l.Stop())
+	answered, notRun, unknown := r.CheckAnswers(l.Stop())
 	t.Logf("answered %d, not run %d, unknown %d", answered, notRun, unknown)
 }
--- a/proof/rig/caller.go
+++ b/proof/rig/caller.go
@@ -15,54 +15,54 @@
 
 // Answer is the response to one request, or the error that took its place.
 type Answer struct {
-	Status  int
-	Outcome string // the header Burdock-Outcome; empty without a complete response
-	Mark    string // the header Burdock-Request
-	Body    string
-	Asked   string // digest of the request body that the target received
-	Sent    string // digest of the response body that the target sent
-	Err     error
+	Status        int
+	Outcome       string // the header Burdock-Outcome; empty without a complete response
+	RequestID     string // the header Burdock-Request
+	Body          string
+	RequestDigest string // digest of the request body that the target received
+	AnswerDigest  string // digest of the response body that the target sent
+	Err           error
 }
 
 // Request is a caller's request to the service.
 type Request struct {
 	Method, Path, Key, Body string
-	Head                    map[string]string
-	Wait                    time.Duration
+	Headers                 map[string]string
+	Timeout                 time.Duration
 }
 
-// Ask sends the request to the entry, on a new connection and without retries.
-func (e *Entry) Ask(q Request) Answer {
+// Send sends the request to the entry, on a new connection and without retries.
+func (e *Entry) Send(q Request) Answer {
 	var r fasthttp.Request
 	var a fasthttp.Response
 	r.Header.SetMethod(q.Method)
-	r.SetRequestURI("http://" + e.Caller + "/call/" + Service + q.Path)
+	r.SetRequestURI("http://" + e.CallerAddr + "/call/" + Service + q.Path)
 	r.Header.Set("Authorization", "Bearer "+Token)
 	if q.Key != "" {
 		r.Header.Set("Idempotency-Key", q.Key)
 	}
-	for k, v := range q.Head {
+	for k, v := range q.Headers {
 		r.Header.Set(k, v)
 	}
 	r.SetBodyString(q.Body)
 	r.SetConnectionClose()
-	if q.Wait == 0 {
-		q.Wait = 10 * time.Second
+	if q.Timeout == 0 {
+		q.Timeout = 10 * time.Second
 	}
 	c := fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}
-	if err := c.DoTimeout(&r, &a, q.Wait); err != nil {
+	if err := c.DoTimeout(&r, &a, q.Timeout); err != nil {
 		return Answer{Err: err}
 	}
 	h := &a.Header
 	return Answer{
-		Status: a.StatusCode(), Outcome: string(h.Peek("Burdock-Outcome")), Mark: string(h.Peek("Burdock-Request")), Body: string(a.Body()),
-		Asked: string(h.Peek("Fake-Digest")), Sent: string(h.Peek("Fake-Answer-Digest")),
+		Status: a.StatusCode(), Outcome: string(h.Peek("Burdock-Outcome")), RequestID: string(h.Peek("Burdock-Request")), Body: string(a.Body()),
+		RequestDigest: string(h.Peek("Fake-Digest")), AnswerDigest: string(h.Peek("Fake-Answer-Digest")),
 	}
 }
 
 // Healthy reports whether the entry's health page answers 200.
 func (e *Entry) Healthy() bool {
-	s, _, err := fasthttp.GetTimeout(nil, "http://"+e.Caller+"/health", time.Second)
+	s, _, err := fasthttp.GetTimeout(nil, "http://"+e.CallerAddr+"/health", time.Second)
 	return err == nil && s == fasthttp.StatusOK
 }
 
@@ -113,9 +113,9 @@
 func (l *Load) sendUntilAnswered(key string, turn int, to []*Entry) {
 	const copies = 3
 	for i := range copies {
-		a := to[(turn+i)%len(to)].Ask(Request{
-			Method: "POST", Path: "/order", Key: key, Body: orderBody(key), Wait: 5 * time.Second,
-			Head: map[string]string{"Fake-Answer-Bytes": strconv.Itoa(turn * 997 % maxAnswerBytes)},
+		a := to[(turn+i)%len(to)].Send(Request{
+			Method: "POST", Path: "/order", Key: key, Body: orderBody(key), Timeout: 5 * time.Second,
+			Headers: map[string]string{"Fake-Answer-Bytes": strconv.Itoa(turn * 997 % maxAnswerBytes)},
 		})
 		l.mu.Lock()
 		l.answers[key] = append(l.answers[key], a)
@@ -139,9 +139,9 @@
 	switch {
 	case a.Status >= fasthttp.StatusInternalServerError:
 		return ""
-	case a.Outcome == "answered" && a.Sent != strconv.FormatUint(xxhash.Sum64String(a.Body), 16):
+	case a.Outcome == "answered" && a.AnswerDigest != strconv.FormatUint(xxhash.Sum64String(a.Body), 16):
 		return "a response whose body does not match the digest that the target sent"
-	case a.Outcome == "answered" && a.Asked != own:
+	case a.Outcome == "answered" && a.RequestDigest != own:
 		return "another request's answer"
 	case a.Outcome == "repeat" && len(a.Body) > len(own)*8 && !strings.Contains(a.Body, own):
 		return "another request's answer"
@@ -156,22 +156,22 @@
 	return l.answers
 }
 
-// Runs returns the number of runs of each key, summed over the targets.
-func (r *Rig) Runs() map[string]int {
+// RunsByKey returns the number of runs of each key, summed over the targets.
+func (r *Rig) RunsByKey() map[string]int {
 	m := make(map[string]int)
 	for _, t := range r.Targets {
-		for k, n := range t.Runs().Keys {
+		for k, n := range t.Counts().Keys {
 			m[k] += n
 		}
 	}
 	return m
 }
 
-// Judge fails the test for each key that ran more than once, was answered without a run, ran although every copy got "not-run",
+// CheckAnswers fails the test for each key that ran more than once, was answered without a run, ran although every copy got "not-run",
 // or got a response that was truncated or belongs to another request. It returns the number of answers by outcome.
-func (r *Rig) Judge(answers map[string][]Answer) (answered, notRun, unknown int) {
+func (r *Rig) CheckAnswers(answers map[string][]Answer) (answered, notRun, unknown int) {
 	r.T.Helper()
-	runs := r.Runs()
+	runs := r.RunsByKey()
 	for k, n := range runs {
 		if n > 1 {
 			r.T.Errorf("key %s ran %d times", k, n)
@@ -208,11 +208,11 @@
 // requests during a drain, and requests that planned stops interrupted.
 func (r *Rig) Counts() (doubled, overSlots, whileLeaving, cut int64) {
 	for _, t := range r.Targets {
-		n := t.Runs()
+		n := t.Counts()
 		doubled += n.DoubledKeys
-		overSlots += n.OverSlots
-		whileLeaving += n.WhileLeaving
-		cut += n.Cut
+		overSlots += n.RefusedOverSlots
+		whileLeaving += n.RefusedWhileDraining
+		cut += n.CutRequests
 	}
 	return doubled, overSlots, whileLeaving, cut
 }
--- a/proof/rig/operate.go
+++ b/proof/rig/operate.go
@@ -48,8 +48,8 @@
 	var q fasthttp.Request
 	var a fasthttp.Response
 	q.Header.SetMethod(method)
-	q.SetRequestURI("http://" + e.Operator + path)
-	q.Header.Set("Authorization", "Bearer "+OpToken)
+	q.SetRequestURI("http://" + e.OperatorAddr + path)
+	q.Header.Set("Authorization", "Bearer "+OperatorToken)
 	q.SetBody(body)
 	q.SetConnectionClose()
 	c := fasthttp.Client{MaxIdemponentCallAttempts: 1}
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Platform sends a call to the control address of the fake platform and fails the test if it is not accepted.
-func (r *Rig) Platform(path string, body any) {
+// CallPlatform sends a call to the control address of the fake platform and fails the test if it is not accepted.
+func (r *Rig) CallPlatform(path string, body any) {
 	r.T.Helper()
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Wave requests a maintenance wave over the service's pool. In the background, it tries the running entries until one accepts.
-func (r *Rig) Wave(id string) {
+// StartWave requests a maintenance wave over the service's pool. In the background, it tries the running entries until one accepts.
+func (r *Rig) StartWave(id string) {
 	entries := r.running()
 	r.group.Go(func() error {
 		for r.ctx.Err() == nil {
@@ -95,8 +95,8 @@
 	})
 }
 
-// Revive starts the entry if its process has exited, and thaws it otherwise.
-func (e *Entry) Revive() {
+// ThawOrStart starts the entry if its process has exited, and thaws it otherwise.
+func (e *Entry) ThawOrStart() {
 	if e.processName() == "" {
 		e.Start()
 		return
--- a/proof/rig/ports.go
+++ b/proof/rig/ports.go
@@ -30,8 +30,8 @@
 	return net.JoinHostPort(h, strconv.Itoa(n+controlOffset))
 }
 
-// Free returns a loopback address that is not in use and whose port is not an ephemeral port.
-func Free(t testing.TB) string {
+// FreeAddr returns a loopback address that is not in use and whose port is not an ephemeral port.
+func FreeAddr(t testing.TB) string {
 	t.Helper()
 	return address(reserve(t, 0))
 }
--- a/proof/rig/rig.go
+++ b/proof/rig/rig.go
@@ -24,12 +24,12 @@
 
 // Names and tokens that are the same in every rig.
 const (
-	Service = "orders"
-	Team    = "kitchen"
-	Token   = "kitchen-token"
-	OpToken = "operator-token"
-	Pool    = "kitchen-pool"
-	Spare   = "back-office"
+	Service       = "orders"
+	Team          = "kitchen"
+	Token         = "kitchen-token"
+	OperatorToken = "operator-token"
+	Pool          = "kitchen-pool"
+	SparePool     = "back-office"
 )
 
 const (
@@ -45,29 +45,29 @@
 	Spares      int           // targets that start in the spare pool, in each data centre
 	RunTime     time.Duration // of a request at a target
 	MaxOut      int           // VMs of the service that may be out at once, planned and unplanned together
-	Reboot      time.Duration // downtime of a VM during a reboot
-	Lag         time.Duration // age of the platform's VM list
+	RebootTime  time.Duration // downtime of a VM during a reboot
+	ListLag     time.Duration // age of the platform's VM list
 }
 
 // Rig is a running fleet: fake platform, fake targets and entry processes.
 type Rig struct {
-	T         testing.TB
-	Cloud     *cloud.Server
-	Targets   map[string]*target.Target
-	Entries   []*Entry
-	Holder    *conf.Holder
-	committer *conf.Committer
-	spares    map[string]bool // VMs that start in the spare pool
-	plan      Plan
-	dir, bin  string
-	group     *errgroup.Group
-	ctx       context.Context
-	cancel    context.CancelFunc
+	T            testing.TB
+	Cloud        *cloud.Server
+	Targets      map[string]*target.Target
+	Entries      []*Entry
+	ConfigHolder *conf.Holder
+	committer    *conf.Committer
+	spares       map[string]bool // VMs that start in the spare pool
+	plan         Plan
+	dir, bin     string
+	group        *errgroup.Group
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
 // Entry is an entry with its addresses and its process, if one runs.
 type Entry struct {
-	Name, DataCentre, Caller, Peer, Operator string
+	Name, DataCentre, CallerAddr, PeerAddr, OperatorAddr string
 
 	rig          *Rig
 	settingsFile string
@@ -107,7 +107,7 @@
 // New starts a fleet, waits until every entry is ready, and stops the fleet when the test ends.
 func New(t testing.TB, p Plan) *Rig {
 	t.Helper()
-	r := &Rig{T: t, plan: p, dir: t.TempDir(), bin: Binary(t), Targets: make(map[string]*target.Target), Holder: conf.NewHolder(), spares: make(map[string]bool)}
+	r := &Rig{T: t, plan: p, dir: t.TempDir(), bin: Binary(t), Targets: make(map[string]*target.Target), ConfigHolder: conf.NewHolder(), spares: make(map[string]bool)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.group = &errgroup.Group{}
 	t.Cleanup(r.close)
@@ -162,7 +162,7 @@
 				Pool: Pool, State: hosts.Live, Kind: hosts.Worker, Boot: 1, Cores: 32, MemoryMB: 64 << 10, Addr: freeTargetAddr(r.T),
 			}
 			if k >= r.plan.Targets {
-				w.Pool = Spare
+				w.Pool = SparePool
 				r.spares[w.ID] = true
 			}
 			r.startTarget(w)
@@ -173,28 +173,28 @@
 }
 
 func (r *Rig) startTarget(w hosts.VMWire) {
-	t := target.New(target.WithName(w.ID), target.WithRunTime(r.plan.RunTime), target.WithRebootTime(r.plan.Reboot))
+	t := target.New(target.WithName(w.ID), target.WithRunTime(r.plan.RunTime), target.WithRebootTime(r.plan.RebootTime))
 	r.Targets[w.ID] = t
 	r.group.Go(func() error { return t.Serve(r.ctx, w.Addr, controlAddr(w.Addr)) })
 }
 
 func (r *Rig) startCloud(vms []hosts.VMWire) {
-	r.Cloud = cloud.New(cloud.WithVMs(vms...), cloud.WithRebootTime(r.plan.Reboot), cloud.WithListLag(r.plan.Lag), cloud.WithControl("127.0.0.1:0"))
-	addr := Free(r.T)
+	r.Cloud = cloud.New(cloud.WithVMs(vms...), cloud.WithRebootTime(r.plan.RebootTime), cloud.WithListLag(r.plan.ListLag), cloud.WithControl("127.0.0.1:0"))
+	addr := FreeAddr(r.T)
 	r.group.Go(func() error { return r.Cloud.Serve(r.ctx, addr) })
 	<-r.Cloud.Ready()
 }
 
 // configure commits the service, its pool, its profile, the team and its approval.
 func (r *Rig) configure() {
-	r.committer = conf.NewCommitter(r.Cloud.Store(), r.Holder)
+	r.committer = conf.NewCommitter(r.Cloud.Store(), r.ConfigHolder)
 	vms := r.plan.Targets * r.plan.DataCentres
 	for _, c := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{
 			Name: "gold", MinVMs: vms, MaxVMs: 2 * vms, MaxOut: max(1, r.plan.MaxOut), DrainSeconds: 30, RebootSeconds: 20, DeadlineMillis: 5000,
 		}},
 		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: Pool}},
-		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: Spare, Spare: true}},
+		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: SparePool, Spare: true}},
 		{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: Service, Profile: "gold", Pool: Pool, Slots: 8, Conns: 64}},
 		{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: Team, TokenDigest: digest(Token)}},
 		{Kind: conf.Approve, Approval: &conf.ApprovalSpec{Team: Team, Service: Service}},
@@ -206,7 +206,7 @@
 // Commit writes c as the next configuration change, straight to the platform's store, and returns its number.
 func (r *Rig) Commit(c conf.Change) conf.Number {
 	r.T.Helper()
-	c.By, c.Op = "rig", fmt.Sprintf("rig-%d-%d", time.Now().UnixNano(), r.Holder.Document().Number())
+	c.By, c.Op = "rig", fmt.Sprintf("rig-%d-%d", time.Now().UnixNano(), r.ConfigHolder.Document().Number())
 	x, cancel := context.WithTimeout(r.ctx, awaitTimeout)
 	defer cancel()
 	n, err := r.committer.Commit(x, c)
@@ -226,11 +226,11 @@
 	}
 	e := &Entry{
 		Name: fmt.Sprintf("%s-e%d", dataCentre, n), DataCentre: dataCentre,
-		Caller: Free(r.T), Peer: Free(r.T), Operator: Free(r.T), rig: r,
+		CallerAddr: FreeAddr(r.T), PeerAddr: FreeAddr(r.T), OperatorAddr: FreeAddr(r.T), rig: r,
 	}
 	r.Entries = append(r.Entries, e)
 	return hosts.VMWire{
-		ID: e.Name, Addr: e.Peer, DataCentre: dataCentre, Rack: e.Name + "-rack", State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 2, MemoryMB: 2048,
+		ID: e.Name, Addr: e.PeerAddr, DataCentre: dataCentre, Rack: e.Name + "-rack", State: hosts.Live, Kind: hosts.Entry, Boot: 1, Cores: 2, MemoryMB: 2048,
 	}
 }
 
@@ -239,9 +239,9 @@
 func (r *Rig) Replace(old *Entry) *Entry {
 	r.T.Helper()
 	old.Kill()
-	r.Platform("/vm/fail", map[string]any{"id": old.Name})
+	r.CallPlatform("/vm/fail", map[string]any{"id": old.Name})
 	w := r.addEntry(old.DataCentre)
-	r.Platform("/vm/add", w)
+	r.CallPlatform("/vm/add", w)
 	e := r.Entries[len(r.Entries)-1]
 	e.writeSettings()
 	e.Start()
@@ -257,13 +257,13 @@
 	}
 	for _, o := range e.rig.Entries {
 		if o != e && o.DataCentre == e.DataCentre {
-			peers = append(peers, o.Peer)
+			peers = append(peers, o.PeerAddr)
 		}
 	}
 	b, err := json.Marshal(map[string]any{
-		"name": e.Name, "dataCentre": e.DataCentre, "dataCentres": all, "callerAddr": e.Caller, "peerAddr": e.Peer,
-		"operatorAddr": e.Operator, "platformAddr": e.rig.Cloud.Addr(), "peerAddrs": peers, "logLevel": "info",
-		"operatorTokenDigests": []string{digest(OpToken)}, "tickMs": 200, "beatMs": 100, "leaderLeaseMs": 2000, "drainWaitMs": 10000,
+		"name": e.Name, "dataCentre": e.DataCentre, "dataCentres": all, "callerAddr": e.CallerAddr, "peerAddr": e.PeerAddr,
+		"operatorAddr": e.OperatorAddr, "platformAddr": e.rig.Cloud.Addr(), "peerAddrs": peers, "logLevel": "info",
+		"operatorTokenDigests": []string{digest(OperatorToken)}, "tickMs": 200, "beatMs": 100, "leaderLeaseMs": 2000, "drainWaitMs": 10000,
 	})
 	if err != nil {
 		e.rig.T.Fatal(err)
--- a/proof/rig/watch.go
+++ b/proof/rig/watch.go
@@ -130,8 +130,8 @@
 	now := time.Now()
 	knownOut, stopping := 0, ""
 	for n, t := range w.rig.Targets {
-		s := t.Brief()
-		if s.Pool == Spare || w.spareVMs[n] && s.Pool == "" || !s.Draining && !s.Away {
+		s := t.Summary()
+		if s.Pool == SparePool || w.spareVMs[n] && s.Pool == "" || !s.Draining && !s.Rebooting {
 			delete(w.outSince, n)
 			continue
 		}
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -122,7 +122,7 @@
 // addEntry starts the entry with the number i, and the proxy between it and the store.
 func (s *soak) addEntry(i int) {
 	s.t.Helper()
-	e := &entryProcess{soak: s, name: "entry-" + strconv.Itoa(i), callerAddr: rig.Free(s.t)}
+	e := &entryProcess{soak: s, name: "entry-" + strconv.Itoa(i), callerAddr: rig.FreeAddr(s.t)}
 	e.storeProxy = cutter.New("127.0.0.1:0", s.plant.StoreAddr())
 	s.group.Go(func() error { return e.storeProxy.Serve(s.ctx) })
 	store, err := e.storeProxy.Addr(s.ctx)
@@ -130,7 +130,7 @@
 		s.t.Fatal(err)
 	}
 	b, err := json.Marshal(site.Settings{
-		Name: e.name, DataCentre: "z", CallerAddr: e.callerAddr, ReadyAddr: rig.Free(s.t), PeerAddr: rig.Free(s.t), MetricsAddr: rig.Free(s.t),
+		Name: e.name, DataCentre: "z", CallerAddr: e.callerAddr, ReadyAddr: rig.FreeAddr(s.t), PeerAddr: rig.FreeAddr(s.t), MetricsAddr: rig.FreeAddr(s.t),
 		StoreAddr: store, MachinesAddr: s.plant.MachinesAddr(), LeaseMaxMs: floor.MaxLeaseMs, StatusSecs: 120,
 		DutyGapMs: 3000, GraceSecs: 4, Cores: 0.4, MemoryMB: 284, HelperWorkers: 6, LogLevel: "info",
 	})
