--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -28,26 +28,27 @@
 	token        = "kitchen-token"
 	dataCentre   = "dc1"
 	pool         = "kitchen-pool"
-	slots        = 1000 // of the only target; enough that slots do not limit the rate
+	slots        = 1000 // slots of the only target, and its connections; enough that slots do not limit the rate
 	readyTimeout = 20 * time.Second
 	stopTimeout  = 10 * time.Second
-	maxKeys      = 5_000_000 // of an entry; enough for the keys of all rounds, which it remembers
+	maxKeys      = 5_000_000 // idempotency keys that an entry holds at once; enough for those of all rounds, since it keeps them all
 )
 
-// Site is a stand-in of the platform, a target, entries and a bare relay on loopback.
+// Site is the set-up of a measurement on loopback: a stand-in of the platform, one target, entries, and the bare relay that is the
+// baseline. The stand-in of the platform runs in this process, the others in processes of their own.
 type Site struct {
-	bin, dir string
+	bin, dir string // folder of the built programs, and temporary folder for settings
 	group    *errgroup.Group
 	cancel   context.CancelFunc
 	platform *cloud.Server
 	procs    []*exec.Cmd
-	target   string
-	entries  []string // where callers send requests
-	relay    string
+	target   string   // address of the target
+	entries  []string // addresses at which the entries take callers' requests
+	relay    string   // address of the bare relay
 }
 
-// Start starts a site and waits until it answers. bin is the folder of the built programs; self is the path of this program, which
-// also runs the relay.
+// Start starts a site with the given number of entries, and waits until its relay and its entries answer. bin is the folder of the
+// built programs. self is the path of this program, which is started once more as the relay.
 func Start(ctx context.Context, bin, self string, entries int) (*Site, error) {
 	d, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -97,7 +98,7 @@
 	return s.awaitReady(ctx)
 }
 
-// startProcess starts a program, which gets SIGTERM when ctx ends.
+// startProcess starts a program. When ctx ends, the program gets SIGTERM; it is killed if it still runs after stopTimeout.
 func (s *Site) startProcess(ctx context.Context, name string, args ...string) error {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = os.Stderr
@@ -110,6 +111,7 @@
 	return nil
 }
 
+// startEntry writes the settings of entry k+1 and starts it.
 func (s *Site) startEntry(ctx context.Context, k int) error {
 	var a [3]string
 	for i := range a {
@@ -133,6 +135,7 @@
 	return s.startProcess(ctx, filepath.Join(s.bin, "burdockreach"), "entry", "-settings", f)
 }
 
+// configure commits a configuration in which the team is approved for the service.
 func (s *Site) configure(ctx context.Context) error {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	sum := sha256.Sum256([]byte(token))
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// awaitReady waits until the relay and every entry answer.
+// awaitReady waits until the relay and every entry answer with status 200, for at most about readyTimeout.
 func (s *Site) awaitReady(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -174,7 +177,7 @@
 	return nil
 }
 
-// Stop ends every process that Start started and waits until they have exited.
+// Stop ends every process and the platform's stand-in that Start started, waits for them, and removes the settings.
 func (s *Site) Stop() {
 	s.cancel()
 	for _, c := range s.procs {
@@ -184,7 +187,7 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// freeAddr returns a loopback address that nothing listens on.
+// freeAddr returns a loopback address with a port that was free a moment ago. It does not reserve the port.
 func freeAddr(ctx context.Context) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/bench/slopes/leader.go
+++ b/bench/slopes/leader.go
@@ -17,21 +17,22 @@
 
 const (
 	leaderTick           = 100 * time.Millisecond // a tenth of the default, so that a short run has enough ticks
-	measuredTicks        = 8
-	warmUpTicks          = 20 // ticks before the measurement, in which the leader writes the membership
+	measuredTicks        = 8                      // ticks in one measurement
+	warmUpTicks          = 20                     // ticks before the measurement, in which the leader writes the membership
 	entriesPerDataCentre = 12
 )
 
-// staticPlatform is a platform whose VMs do not change, except by setLost.
+// staticPlatform is a platform whose VMs change only by setLost. Its commands do nothing.
 type staticPlatform struct{ list atomic.Pointer[[]hosts.VM] }
 
+// newPlatform returns a platform with n live VMs in the home data centre.
 func newPlatform(n int) *staticPlatform {
 	p := &staticPlatform{}
 	p.setLost(n, 0)
 	return p
 }
 
-// setLost marks the first k of n VMs as gone.
+// setLost replaces the list with n VMs, of which the first k are gone and the others are live.
 func (p *staticPlatform) setLost(n, k int) {
 	l := make([]hosts.VM, 0, n)
 	for i, w := range platformVMs(n, false) {
@@ -54,7 +55,7 @@
 
 func (heldLease) Held() (keyval.Revision, bool) { return 1, true }
 
-// fixedReports is the number of entries that report; each reports the same load for every service.
+// fixedReports is a source of entry reports; its value is the number of entries. Each entry reports the same load for every service.
 type fixedReports int
 
 func (n fixedReports) EntryReports() []leader.EntryReport {
@@ -68,7 +69,7 @@
 	return l
 }
 
-// countedStore counts reads, writes and the bytes of their values.
+// countedStore counts gets and lists as reads, puts as writes, and the bytes of the values in all three. Other calls are not counted.
 type countedStore struct {
 	*keyval.Memory
 	reads, writes, bytes atomic.Int64
@@ -96,14 +97,14 @@
 	return c.Memory.Put(ctx, key, v, cond, id)
 }
 
-// leaderRun is a running leader.
+// leaderRun is a running leader and the view that it fills.
 type leaderRun struct {
 	views *view.Holder
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
-// startLeader starts a leader for the platform's VMs.
+// startLeader starts a leader of the home data centre for the platform's VMs.
 func startLeader(s keyval.Store, p hosts.Platform, h *conf.Holder) *leaderRun {
 	t := &leaderRun{views: view.NewHolder()}
 	l := leader.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.views, leader.WithTick(leaderTick), leader.WithOtherDataCentres(dataCentres[1:]))
@@ -113,7 +114,7 @@
 	return t
 }
 
-// stopAndCheck stops the leader and panics unless its view has n targets.
+// stopAndCheck panics unless the leader's view has n targets, and then stops the leader.
 func (t *leaderRun) stopAndCheck(n int) {
 	if got := t.views.View().Len(); got != n {
 		panic(fmt.Sprintf("bench: the leader shows %d of %d targets", got, n))
@@ -122,9 +123,10 @@
 	_ = t.group.Wait()
 }
 
+// leaderCost holds processor time in nanoseconds per tick and heap in bytes.
 type leaderCost struct{ cpu, heap float64 }
 
-// measureLeader measures the processor time of a tick and the heap of a leader with n VMs.
+// measureLeader measures the processor time per tick and the heap of a leader with n VMs.
 func measureLeader(n int) (c leaderCost) {
 	h, p := configHolder(poolCount, designTeams), newPlatform(n)
 	before := heapNow()
@@ -140,9 +142,11 @@
 	return c
 }
 
+// takeoverCost holds calls to the store and bytes of the values in them.
 type takeoverCost struct{ calls, bytes float64 }
 
-// measureTakeover counts the calls and bytes of a second leader in its first ticks, after a first leader wrote the membership.
+// measureTakeover counts the calls to the store, and the bytes of their values, that a second leader makes in its first ticks. A first
+// leader with the same n VMs wrote the membership before and has stopped.
 func measureTakeover(n int) takeoverCost {
 	h, p, s := configHolder(poolCount, designTeams), newPlatform(n), &countedStore{Memory: keyval.NewMemory()}
 	t := startLeader(s, p, h)
@@ -155,7 +159,7 @@
 	return takeoverCost{calls: float64(s.reads.Load() + s.writes.Load() - calls), bytes: float64(s.bytes.Load() - bytes)}
 }
 
-// lossWrites counts the leader's writes after k VMs are lost at once.
+// lossWrites counts the leader's writes after k of designVMs VMs are gone at once.
 func lossWrites(k int) float64 {
 	h, p, s := configHolder(poolCount, designTeams), newPlatform(designVMs), &countedStore{Memory: keyval.NewMemory()}
 	t := startLeader(s, p, h)
--- a/fleet/batch/copies.go
+++ b/fleet/batch/copies.go
@@ -1,16 +1,17 @@
 package batch
 
-// Speculative copies of slow tasks, where their job allows them: the first run to finish counts. With copies, two
-// owners may see a step end by different runs. The job's record therefore tells a successor that there may be copies,
-// and the successor then does not assume that only it knows of a step's end (see markNextStages).
+// Copies of slow tasks: a second run of a task beside the first, for steps with Copies set. The first run to finish counts.
+// With copies, an owner and its successor may each see the same step end, by different runs. The job's record therefore
+// says that there may be copies. A successor that reads this does not conclude that the former owner cannot know of a
+// step's end (see markNextStages).
 const (
-	copyLagFactor    = 2.0 // a run is slow when it takes this multiple of the expected run time.
-	minCopyAgeMs     = 200 // ms; a run that is younger gets no copy, since starting one would not pay off.
-	minCopyLeftShare = 0.5 // of the expected run time; a run with less left to do will soon finish by itself.
+	copyLagFactor    = 2.0 // a run is slow once it has taken this multiple of the expected run time.
+	minCopyAgeMs     = 200 // milliseconds; a younger run gets no copy, since starting one would not pay off.
+	minCopyLeftShare = 0.5 // share of the expected run time; a run with no more time left will soon finish by itself.
 )
 
-// copyLaggards starts copies of slow runs in pools where no task has waited for room lately. It does nothing while
-// unreachable workers may still run what a former owner started.
+// copyLaggards starts copies of slow runs in pools where no task has waited for room for quietAfterMs. It does nothing
+// during the blind time, while unreachable workers may still run what a former owner started.
 func (m *Model) copyLaggards() {
 	for _, n := range sortedKeys(m.pools) {
 		p := m.pools[n]
@@ -27,7 +28,9 @@
 	}
 }
 
-// lags reports whether r takes much longer than expected, judged by its worker's last list.
+// lags reports whether r should get a copy: its step allows copies and is neither a gang nor lasting, r is the only run of
+// its task, its worker answers, and it takes much longer than expected. The time that r still needs is estimated from the
+// progress in its worker's last list. A slow run without any progress there gets a copy in any case.
 func (m *Model) lags(r *run) bool {
 	s := r.task.stage
 	if !s.Copies || s.Gang || s.Lasting || r.state != running || r.worker.silentSince != 0 || len(r.task.runs) > 1 || r.task.done {
@@ -46,7 +49,8 @@
 // fullPercent is the progress of a run that is done.
 const fullPercent = 100
 
-// startCopy starts a copy of r, once the stored record says that the job may have copies.
+// startCopy starts a copy of r on another worker that has room, if the stored record says that the job may have copies. If
+// the record does not say so yet, startCopy only has it changed, and a later call starts the copy.
 func (m *Model) startCopy(p *pool, r *run) {
 	t := r.task
 	if j := t.stage.job; j.copiesVersion == 0 {
--- a/fleet/batch/demand.go
+++ b/fleet/batch/demand.go
@@ -4,21 +4,23 @@
 
 // Estimation of the demand of a pool from the jobs that callers submit.
 const (
-	rateTimeConstantMs = 700.0 // of the average rate: short beside a load peak of some seconds, long beside single jobs.
-	maxCountedJobs     = 20_000
+	// rateTimeConstantMs is the time constant of the average rate, in milliseconds: short compared with a load peak of
+	// some seconds, long compared with single jobs.
+	rateTimeConstantMs = 700.0
+	maxCountedJobs     = 20_000 // when demandCounted has this many jobs, it is cleared.
 )
 
-// demand is the recent demand of a pool.
+// demand is the recent demand of a pool. Its times are those of the steady clock, in milliseconds.
 type demand struct {
-	rate           float64 // submitted work per time, in thousandths of a core.
-	rateAt         int64
-	lastShortAt    int64   // when a task last waited for room.
-	waitingWork    float64 // work that waits for room, in thousandths of a core times ms.
-	wantedMachines int     // number of machines.
-	everShort      bool    // the pool has needed more machines than it had at some time since this owner began.
+	rate           float64 // submitted work per time, averaged, in thousandths of a core.
+	rateAt         int64   // time up to which rate has decayed.
+	lastShortAt    int64   // when a task was last found to wait for room.
+	waitingWork    float64 // work that waits for room, in thousandths of a core times milliseconds.
+	wantedMachines int     // number of machines that the pool should have.
+	everShort      bool    // at some time since this owner began, the pool had machines but wanted more than it had.
 }
 
-// decay reduces the rate by the time that has passed until now.
+// decay lets the rate decay exponentially over the time since rateAt.
 func (d *demand) decay(now int64) {
 	if now > d.rateAt {
 		d.rate *= math.Exp(-float64(now-d.rateAt) / rateTimeConstantMs)
@@ -26,7 +28,8 @@
 	}
 }
 
-// addDemand adds the work of a job to its pool's demand, once for all attempts to submit it.
+// addDemand adds the work of a submitted job to its pool's demand. It adds a job only once, however often the job is
+// submitted; after demandCounted is cleared, a job can be added again. Jobs with rounds or lasting steps are not added.
 func (m *Model) addDemand(j *job) {
 	if j.Rounds > 0 || hasLastingSteps(j) || m.demandCounted[j.ID] {
 		return
@@ -44,7 +47,8 @@
 	d.rate += work / rateTimeConstantMs
 }
 
-// measureWaiting updates the work that waits for room in each pool.
+// measureWaiting brings the demand of each pool up to now, and measures the work that waits for room there. Lasting steps
+// do not count, nor do steps that wait for other steps or for what a former owner may have started.
 func (m *Model) measureWaiting() {
 	for _, p := range m.pools {
 		p.demand.decay(m.now)
@@ -65,7 +69,8 @@
 	}
 }
 
-// waitingWork returns the work of the tasks of s that could start, in thousandths of a core times ms.
+// waitingWork returns the work of the tasks of s that are due but have no run, in thousandths of a core times
+// milliseconds.
 func (m *Model) waitingWork(s *stage) int64 {
 	n := int64(0)
 	for _, t := range s.tasks {
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -8,8 +8,9 @@
 	"burdockreach.dev/fleet/batch"
 )
 
-// firstMoves runs a new owner with two idle machines that another pool needs, and returns when it first orders each
-// one. At 1100 ms the owner receives the given messages about the former owner's orders.
+// firstMoves runs an owner that takes over at 1000 milliseconds. There are two idle machines in pool o, which pool s needs.
+// It returns when the owner first orders each machine to move. At 1100 milliseconds the owner receives the given messages
+// about the former owner's orders.
 func firstMoves(messages ...batch.Msg) map[string]int64 {
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, UnixMs: 1_000_000, LeaseMs: 6000, OrderGapMs: 3500})
 	room := batch.Size{CPU: 8000, MemMB: 8000}
@@ -52,9 +53,11 @@
 	return firstOrderAt
 }
 
-// Two owners must leave the configured gap between their orders to one machine. A successor that knows its former
-// owner's orders may order all other machines at once.
+// Between the orders of two owners to one machine, the configured gap must pass. A successor that is told the former
+// owner's orders may order all other machines without that wait, if no order as recent as the gap can be missing from what
+// it was told. A successor that is told nothing must also wait for the end of the former owner's claim.
 func TestSuccessorOrdersMachines(t *testing.T) {
+	// Both in milliseconds: how long after the takeover the former owner may still order, and the configured gap.
 	const claimEnd, gap = 1_200, 3_500
 	t.Run("nothing is known", func(t *testing.T) {
 		is := is.New(t)
@@ -65,7 +68,7 @@
 		is := is.New(t)
 		at := firstMoves(batch.OrdersMsg{Orders: batch.Orders{AgeMs: map[string]int64{"m1": 500}, SpanMs: 60_000}})
 		is.True(at["m1"] >= 1100-500+gap)
-		is.True(at["m2"] > 0 && at["m2"] < 2_500) // once it has been idle for long enough.
+		is.True(at["m2"] > 0 && at["m2"] < 2_500) // it only has to be idle for long enough.
 	})
 	t.Run("the former owner had just begun", func(t *testing.T) {
 		is := is.New(t)
@@ -74,7 +77,8 @@
 	})
 }
 
-// Orders includes the former owners' orders that the model knows of, and their ages grow with time.
+// Orders includes the former owners' orders that the model knows of. Their ages grow with time, and an order whose age has
+// reached the configured gap is left out.
 func TestOrdersAge(t *testing.T) {
 	is := is.New(t)
 	m := batch.New(batch.Config{Fence: 9, Now: 1000, OrderGapMs: 3500})
--- a/fleet/batch/ticket.go
+++ b/fleet/batch/ticket.go
@@ -1,14 +1,15 @@
 package batch
 
-// Advice: some queues allow a step only on workers for which a ticket was granted.
+// Tickets: a step of a job with Advised set may run only on workers for which it was granted a ticket. The owner obtains
+// tickets by asking for advice.
 
 // adviceWorkers is the largest number of workers in one request for advice.
 const adviceWorkers = 100
 
-// ticket permits one step on one worker until a steady time.
+// ticket permits one step on one worker.
 type ticket struct {
 	text       string
-	validUntil int64
+	validUntil int64 // time on the steady clock, in milliseconds.
 }
 
 // AdviseCmd asks which workers may run a step.
@@ -17,11 +18,12 @@
 	Workers []string
 }
 
-// AdvisedMsg is the answer to an AdviseCmd. If Failed is set, there is no answer and the request is to be repeated.
+// AdvisedMsg is the answer to an AdviseCmd, which was sent at Sent. If Failed is set, there was no answer, and the request
+// is to be repeated.
 type AdvisedMsg struct {
 	Task    TaskName
 	Failed  bool
-	ValidMs int64
+	ValidMs int64 // how long the tickets are valid, from Sent on.
 	Sent    int64
 	Tickets map[string]string // by worker ID.
 }
@@ -29,7 +31,8 @@
 func (AdviseCmd) cmd()  {}
 func (AdvisedMsg) msg() {}
 
-// hasTicket reports whether the step may run on w. It requests advice if that is not known.
+// hasTicket reports whether the step may be started on w. A ticket that expires within a quarter of startExpiryMs does not
+// count. Without a ticket that counts, it requests advice.
 func (m *Model) hasTicket(w *worker, s *stage) bool {
 	if !s.job.Advised {
 		return true
@@ -41,7 +44,8 @@
 	return false
 }
 
-// requestAdvice requests tickets unless a request is pending or was answered recently.
+// requestAdvice requests tickets for the step, unless a request is pending or was answered less than refusalBackoffMs ago.
+// It does not ask for workers that the last answer denied.
 func (m *Model) requestAdvice(s *stage) {
 	if s.adviceInFlight || m.now < s.nextAdviceAt {
 		return
@@ -59,7 +63,8 @@
 	m.emit(AdviseCmd{Task: s.tasks[0].name(), Workers: l})
 }
 
-// adviceAnswered stores the tickets. A worker that was asked for and got none must never run the step.
+// adviceAnswered replaces the step's tickets with those of the answer. A worker that was asked for and got none must not
+// run the step, and is denied. The denials of earlier answers are dropped. A failed answer changes neither.
 func (m *Model) adviceAnswered(g AdvisedMsg) {
 	t := m.task(g.Task)
 	if t == nil {
@@ -80,6 +85,7 @@
 	}
 }
 
+// ticket returns the text of the step's ticket for w, or an empty string if there is none that is valid at now.
 func (s *stage) ticket(w *worker, now int64) string {
 	if t := s.tickets[w.ID]; t.validUntil > now {
 		return t.text
--- a/flow/ledger/naive_test.go
+++ b/flow/ledger/naive_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// naiveProtocol names a simpler claim protocol that the ledger is compared with.
+// naiveProtocol names a simpler claim protocol that the ledger is compared with. The empty name stands for the ledger itself.
 type naiveProtocol string
 
 const (
@@ -16,7 +16,8 @@
 	twoHolders naiveProtocol = "two holders without a roster's number or a handover"
 )
 
-// startNaively asks the holders under the roster that this entry knows, and sends if none of them has a record.
+// startNaively asks the key's holders in the roster that this entry knows, one after the other. It sends the copy if none of them has
+// a record of another copy.
 func (c *requestCopy) startNaively() {
 	f, s := c.process.roster.Holders(c.key)
 	if c.process.cluster.naive == oneHolder || s == f {
@@ -25,6 +26,8 @@
 	c.askNaively(f, s)
 }
 
+// askNaively asks holder, which records the copy if it has no record of the key. Unless that record is another copy's, it goes on to
+// the holder then, or sends the copy if then is empty.
 func (c *requestCopy) askNaively(holder, then string) {
 	l, w := c.process, c.process.cluster
 	h := w.processes[holder]
@@ -51,14 +54,14 @@
 // failedTrace is the value that a recorder panics with.
 type failedTrace struct{ reason string }
 
-// recorder is a reporter that stops a trace at its first failure.
+// recorder is a reporter that stops a trace at its first failure: its Fatalf panics, and runSeed recovers.
 type recorder struct{ log string }
 
 func (*recorder) Helper()                   {}
 func (r *recorder) Log(a ...any)            { r.log = fmt.Sprint(a...) }
 func (*recorder) Fatalf(f string, a ...any) { panic(failedTrace{fmt.Sprintf(f, a...)}) }
 
-// runSeed runs the trace of a seed and returns the reason of its failure, or the empty string.
+// runSeed runs protocol n through the random trace that the seed gives. It returns the reason of its failure, or the empty string.
 func runSeed(n naiveProtocol, seed int) (reason string) {
 	return rapid.Custom(func(t *rapid.T) (reason string) {
 		defer func() {
@@ -73,8 +76,10 @@
 	}).Example(seed)
 }
 
+// naiveSeeds is the number of seeds, and so of traces, that each protocol is run with.
 const naiveSeeds = 400
 
+// countFailures returns how many of the traces fail under protocol n, and the seed and the reason of the first failure.
 func countFailures(n naiveProtocol) (count int, first string) {
 	for s := range naiveSeeds {
 		if reason := runSeed(n, s); reason != "" {
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -16,10 +16,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// script handles the n-th request of a connection on the side of the target.
+// script answers request n of a connection as the target; n starts at 0. If it returns an error, the connection is closed.
 type script func(c net.Conn, r *bufio.Reader, n int) error
 
-// startPeer listens on loopback and runs s for every request until the test ends; it returns the address.
+// startPeer starts a target on loopback that runs s for every request, and returns its address. It accepts no new connections once
+// the test has ended.
 func startPeer(t *testing.T, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,6 +55,7 @@
 	}
 }
 
+// reply returns a script that writes the bytes of raw as its answer.
 func reply(raw string) script {
 	return func(c net.Conn, _ *bufio.Reader, _ int) error {
 		_, err := io.WriteString(c, raw)
@@ -61,6 +63,7 @@
 	}
 }
 
+// send sends a request that cannot be repeated, with the given id and timeout, and returns the body of the answer.
 func send(p *Pool, id string, wait time.Duration) (string, error) {
 	var q fasthttp.Request
 	var a fasthttp.Response
@@ -99,7 +102,7 @@
 			p := New(a)
 			defer p.Close()
 			body, err := send(p, "m", 5*time.Second)
-			i.True(errors.Is(err, c.want)) // outcome
+			i.True(errors.Is(err, c.want)) // the error tells what became of the request
 			if err == nil {
 				i.Equal(body, "ok")
 			} else {
@@ -145,7 +148,7 @@
 	}
 }
 
-// waitUntilNotReusable returns when the pool sees that the peer has closed every idle connection.
+// waitUntilNotReusable waits until the pool would no longer use any of its idle connections, because the target has closed them.
 func waitUntilNotReusable(p *Pool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +175,7 @@
 	p := New(a)
 	defer p.Close()
 	_, err := send(p, "one", 50*time.Millisecond)
-	i.True(errors.Is(err, ErrAnswerLost)) // the deadline passed while the target still ran it
+	i.True(errors.Is(err, ErrAnswerLost)) // the deadline passed before the target answered
 	i.Equal(p.OpenCount(), 0)             // the connection is not used again
 	close(late)
 	body, err := send(p, "two", 5*time.Second)
@@ -180,8 +183,8 @@
 	i.Equal(body, "")
 }
 
-// TestSilentConnectionsCostOneRequest guards against a second lost request when all open connections go silent while new ones work:
-// the first failure must close the idle connections.
+// TestSilentConnectionsCostOneRequest checks that only one request is lost when all open connections stop being answered while new
+// ones work: the first failure must close the idle connections.
 func TestSilentConnectionsCostOneRequest(t *testing.T) {
 	i := is.New(t)
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -189,9 +192,10 @@
 	arrived := make(chan struct{}, idleCount)
 	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
-			return nil // an old connection goes silent: it reads requests and never answers
+			return nil // on an old connection the target still reads requests but never answers
 		}
 		arrived <- struct{}{}
+		// Answer only when idleCount requests have arrived, so that each of them has its own connection.
 		for len(arrived) < idleCount && !stalled.Load() {
 			time.Sleep(time.Millisecond)
 		}
@@ -216,7 +220,7 @@
 	i.NoErr(err) // on a new connection
 }
 
-// idleCount is the number of idle connections before they go silent.
+// idleCount is the number of idle connections that TestSilentConnectionsCostOneRequest opens before the target stops answering them.
 const idleCount = 4
 
 func BenchmarkSend(b *testing.B) {
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	outboxMax            = 65_536  // settlements
+	outboxMax            = 65_536  // unfinished settlements
 	outboxAnswerBytesMax = 8 << 20 // bytes of answers in unfinished settlements
-	// settleBatchDelay is the wait before a delivery, so that settlements can share calls.
+	// settleBatchDelay is the wait before a delivery, so that one call can carry several settlements.
 	settleBatchDelay    = 5 * time.Millisecond
-	settleRetryInterval = 500 * time.Millisecond
+	settleRetryInterval = 500 * time.Millisecond // between two rounds of retries
 	// settleTimeout is how long delivery of a settlement is retried before it is dropped.
 	settleTimeout       = 5 * time.Minute
 	settleBatchMax      = 256       // settlements in one call
 	settleBatchBytesMax = 512 << 10 // bytes of answers in one call
-	settleConcurrency   = 16
+	settleConcurrency   = 16        // holders that are called at the same time
 )
 
-// settlement is the outcome of one copy, to be delivered to the holders of its key.
+// settlement is the outcome of one copy of a keyed request, to be delivered to the holders of the key.
 type settlement struct {
 	outbox       *outbox
-	home         string // data centre whose entries remember the key
+	home         string // data centre whose entries hold the key
 	key, attempt string
 	record       ledger.Record
 	holders      []ledger.Member // holders that were asked to grant the claim
-	mayBeStored  bool            // whether the platform's service may have the key
+	mayBeStored  bool            // whether the copy may have created the key in the platform's key-value service
 	confirmed    []string        // ids of entries that have the settlement
-	needsRetry   bool            // whether delivery to a required holder or to the service failed in this round
+	needsRetry   bool            // whether this round missed a holder in the roster or the service, or found a newer roster
 	deadline     time.Time
 }
 
-// outbox holds the settlements that have not reached all holders yet.
+// outbox holds the unfinished settlements, that is, those that are neither delivered nor dropped.
 type outbox struct {
 	k    *Keeper
 	wake chan struct{}
@@ -46,15 +46,15 @@
 	mu          sync.Mutex
 	pending     []*settlement // to be delivered in the next round
 	retries     []*settlement // to be delivered again after settleRetryInterval
-	unfinished  int           // number of settlements not yet delivered or dropped
+	unfinished  int           // number of unfinished settlements
 	answerBytes int           // bytes of the answers in unfinished settlements
-	dropped     int
+	dropped     int           // number of settlements dropped so far
 }
 
 func newOutbox(k *Keeper) *outbox { return &outbox{k: k, wake: make(chan struct{}, 1)} }
 
-// enqueue queues the settlement for delivery. When the outbox is full the settlement is dropped, and its key stays claimed until
-// the record lapses; when there is no room for its answer, only the answer is dropped.
+// enqueue queues the settlement for delivery. If the outbox is full, the settlement is dropped: the other holders' records still say
+// that the key is claimed, until these records expire. If only the answer has no room, the settlement is sent without it.
 func (j *settlement) enqueue() {
 	o := j.outbox
 	j.deadline = o.k.now().Add(settleTimeout)
@@ -90,7 +90,8 @@
 	j.confirmed = append(j.confirmed, k.self.Entry)
 }
 
-// finish removes the settlement from the counts; dropped means that not every holder has it.
+// finish removes the settlement from the counts. If dropped is set, its delivery is given up: holders may lack it, or the service may
+// still have its key.
 func (o *outbox) finish(j *settlement, dropped bool) {
 	o.mu.Lock()
 	o.unfinished--
@@ -104,7 +105,7 @@
 	}
 }
 
-// run delivers settlements in batches until ctx ends.
+// run delivers the pending settlements in rounds until ctx ends. A round takes all that are pending.
 func (o *outbox) run(ctx context.Context) error {
 	g, c := errgroup.WithContext(ctx)
 	g.Go(func() error { return o.retryLoop(c) })
@@ -126,7 +127,7 @@
 	return g.Wait()
 }
 
-// retryLoop returns settlements that need a retry to the pending ones.
+// retryLoop moves the settlements in retries to the pending ones every settleRetryInterval until ctx ends.
 func (o *outbox) retryLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, settleRetryInterval)
@@ -147,12 +148,13 @@
 type settleBatch struct {
 	to          ledger.Member
 	settlements []*settlement
-	bytes       int
-	roster      int64 // newest roster number that the holder knows
-	err         error
+	bytes       int   // bytes of the answers in the settlements
+	roster      int64 // number of the newest roster that the holder knows
+	err         error // error of the call
 }
 
-// deliver sends the settlements to their holders: concurrently to several holders, one call at a time to each.
+// deliver sends the settlements to their holders, and finishes each one or queues it for a retry. It calls several holders
+// concurrently, and each with one call at a time.
 func (o *outbox) deliver(ctx context.Context, l []*settlement) {
 	batches := map[ledger.Member][]*settleBatch{}
 	for _, j := range l {
@@ -198,20 +200,23 @@
 	p.roster, p.err = c.Settle(ctx, p.to.Addr, l)
 }
 
-// recordResult updates a batch's settlements with the result of its call.
+// recordResult updates a batch's settlements with the result of its call. If the holder knows a newer roster than this entry, its
+// settlements need a retry, because that roster may name other holders. A failed call needs a retry only if the holder is still in
+// the roster: otherwise other entries have pulled its records, or the holder has ended.
 func (o *outbox) recordResult(p *settleBatch) {
 	for _, j := range p.settlements {
 		r := o.k.Roster(j.home)
 		if p.err == nil {
 			j.confirmed = append(j.confirmed, p.to.Entry)
 			j.needsRetry = j.needsRetry || p.roster > r.Number()
-		} else if m, in := r.Member(p.to.Entry); in && m.SameIncarnation(p.to) { // one that left has been pulled from or is gone
+		} else if m, in := r.Member(p.to.Entry); in && m.SameIncarnation(p.to) {
 			j.needsRetry = true
 		}
 	}
 }
 
-// finishOrRetry finishes the settlements that are delivered or have reached their deadline, and queues the others for a retry.
+// finishOrRetry finishes the settlements that are delivered or have reached their deadline, and queues the others for a retry. It
+// first deletes from the service the keys of copies that were not run; a settlement counts as delivered only after that.
 func (o *outbox) finishOrRetry(ctx context.Context, l []*settlement) {
 	now := o.k.now()
 	for _, j := range l {
@@ -232,7 +237,7 @@
 	}
 }
 
-// drain waits until no settlement is left or ctx ends.
+// drain waits until no settlement is unfinished. It returns an error if ctx ends before that.
 func (o *outbox) drain(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -251,7 +256,8 @@
 	}
 }
 
-// remainingHolders returns the current holders and those that were asked, except those that have confirmed.
+// remainingHolders returns the holders that have not confirmed the settlement yet, both those that were asked to grant the claim and
+// those of the current roster.
 func (j *settlement) remainingHolders() []ledger.Member {
 	r := j.outbox.k.Roster(j.home)
 	l := slices.Clone(j.holders)
--- a/plat/conf/log.go
+++ b/plat/conf/log.go
@@ -6,17 +6,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// RetainedChanges is the number of changes before the snapshot that the service keeps.
+// RetainedChanges is the number of changes before the newest snapshot that stay in the service. The Compactor deletes older ones.
 const RetainedChanges = 1_000
 
-// DefaultTail is the number of recent changes that a log keeps; at most RetainedChanges, so that no pruned change is written back.
+// DefaultTail is the number of recent changes that a log keeps by default. It must be at most RetainedChanges: recent changes that the
+// service lacks are written back to it (heal), and these must not include changes that the Compactor deleted.
 const DefaultTail = RetainedChanges
 
-// Log is a document and the recent changes that led to it. Its number never goes down. It is not safe for concurrent use.
+// Log is a document and the recent changes that led to it. The number of the document never decreases. A Log is not safe for
+// concurrent use.
 type Log struct {
 	doc       *Document
-	tail      []Change // consecutive numbers; the last one is doc's last change.
-	tailLimit int
+	tail      []Change // recent changes with consecutive numbers, the last one doc's last change; empty after OfferDocument.
+	tailLimit int      // largest length of tail.
 }
 
 // LogOption adjusts a log.
@@ -39,9 +41,10 @@
 // Document returns the newest document.
 func (l *Log) Document() *Document { return l.doc }
 
-// Offer applies the changes in the given order and returns how many it applied. It skips changes that the log already has. The
-// error joins a DivergedError for each change of another history, ErrGap for each change whose number is not the next one, and a
-// FieldError for each accepted change that this program finds invalid: such a change counts as applied but has no effect.
+// Offer applies the changes in the given order and returns how many it applied. It skips changes whose number is not after the
+// document's. The error joins a DivergedError for each change that is known to be of another history, ErrGap for each change whose
+// number is after the next one, and a FieldError for each accepted change that this program finds invalid: such a change counts as
+// applied but has no effect.
 func (l *Log) Offer(changes ...Change) (int, error) {
 	applied := 0
 	var errs []error
@@ -57,6 +60,7 @@
 	return applied, errors.Join(errs...)
 }
 
+// offer handles one change and reports whether it was applied.
 func (l *Log) offer(c Change) (bool, error) {
 	if c.Number <= l.doc.number {
 		return false, l.compare(c)
@@ -99,7 +103,8 @@
 	return l.tail[i], true
 }
 
-// FindOp returns the number under which the operation was accepted, if the log still keeps it.
+// FindOp returns the number of the change that the operation made. It finds only changes that the log still keeps and the document's
+// last one; if it reports false, the number has no meaning.
 func (l *Log) FindOp(op string) (Number, bool) {
 	for i := len(l.tail) - 1; i >= 0; i-- {
 		if l.tail[i].Op == op {
@@ -112,8 +117,8 @@
 // first returns the number of the oldest change kept, or the next number if none is kept.
 func (l *Log) first() Number { return l.doc.number + 1 - Number(len(l.tail)) }
 
-// push adds c to the tail and drops the oldest change beyond the limit. The new array has room for twice the limit, so that the
-// tail is copied only once in limit pushes.
+// push adds c to the tail, and drops the oldest change if the tail is at its limit. When the tail's array is full, push copies the
+// tail to an array with room for twice the limit, so that it copies only once in as many pushes as the limit.
 func (l *Log) push(c Change) {
 	if len(l.tail) >= l.tailLimit {
 		if cap(l.tail) == len(l.tail) {
@@ -124,7 +129,8 @@
 	l.tail = append(l.tail, c)
 }
 
-// OfferDocument replaces the document by d and drops the recent changes, but only if d is newer. It reports whether it did.
+// OfferDocument replaces the document with d and drops the recent changes, but only if d has a higher number. It reports whether it
+// did so.
 func (l *Log) OfferDocument(d *Document) bool {
 	if d == nil || d.number <= l.doc.number {
 		return false
@@ -133,7 +139,8 @@
 	return true
 }
 
-// Since returns up to limit changes after n, or the whole document if the log no longer keeps the change after n.
+// Since returns up to limit changes after change n, or the whole document if the log no longer keeps the first of them. It returns
+// neither if no change after n is known.
 func (l *Log) Since(n Number, limit int) ([]Change, *Document) {
 	if n >= l.doc.number {
 		return nil, nil
