--- a/bench/live/change.go
+++ b/bench/live/change.go
@@ -34,7 +34,7 @@
 
 // MeasureChanges alternately withdraws and renews the team's approval, n changes in all, and measures the time until every entry answers
 // accordingly.
-func (s *Site) MeasureChanges(ctx context.Context, n int) (ChangeDelays, error) {
+func (s *Setup) MeasureChanges(ctx context.Context, n int) (ChangeDelays, error) {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	var out ChangeDelays
 	for k := range n {
@@ -57,7 +57,7 @@
 }
 
 // awaitStatus waits until every entry answers with the status.
-func (s *Site) awaitStatus(ctx context.Context, status int) error {
+func (s *Setup) awaitStatus(ctx context.Context, status int) error {
 	x, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	g, x := errgroup.WithContext(x)
--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -53,16 +53,16 @@
 func (p Comparison) P99Ratio() float64 { return float64(p.Entry.P99) / float64(p.Relay.P99) }
 
 // MeasureHighest measures entry and relay in alternate rounds, with each caller sending as fast as it can, and returns the medians of each.
-func (s *Site) MeasureHighest(ctx context.Context, k Kind) (Comparison, error) {
+func (s *Setup) MeasureHighest(ctx context.Context, k Kind) (Comparison, error) {
 	return s.alternate(ctx, k, 0)
 }
 
 // MeasureAtRate measures both at the same fixed rate, in requests a second.
-func (s *Site) MeasureAtRate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
+func (s *Setup) MeasureAtRate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
 	return s.alternate(ctx, k, rate)
 }
 
-func (s *Site) alternate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
+func (s *Setup) alternate(ctx context.Context, k Kind, rate float64) (Comparison, error) {
 	var es, rs []Figures
 	for n := range rounds {
 		e, err := runLoad(ctx, s.entries[0], "/call/"+service+"/x", k, rate, fmt.Sprintf("e%d-%.0f", n, rate))
--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -34,9 +34,9 @@
 	maxKeys      = 5_000_000 // idempotency keys that an entry holds at once; enough for those of all rounds, since it keeps them all
 )
 
-// Site is the set-up of a measurement on loopback: a stand-in of the platform, one target, entries, and the bare relay that is the
+// Setup is the set-up of a measurement on loopback: a stand-in of the platform, one target, entries, and the bare relay that is the
 // baseline. The stand-in of the platform runs in this process, the others in processes of their own.
-type Site struct {
+type Setup struct {
 	bin, dir string // folder of the built programs, and temporary folder for settings
 	group    *errgroup.Group
 	cancel   context.CancelFunc
@@ -49,13 +49,13 @@
 
 // Start starts a site with the given number of entries, and waits until its relay and its entries answer. bin is the folder of the
 // built programs. self is the path of this program, which is started once more as the relay.
-func Start(ctx context.Context, bin, self string, entries int) (*Site, error) {
+func Start(ctx context.Context, bin, self string, entries int) (*Setup, error) {
 	d, err := os.MkdirTemp("", "bench")
 	if err != nil {
 		return nil, eris.Wrap(err, "make a folder")
 	}
 	x, cancel := context.WithCancel(ctx)
-	s := &Site{bin: bin, dir: d, group: &errgroup.Group{}, cancel: cancel}
+	s := &Setup{bin: bin, dir: d, group: &errgroup.Group{}, cancel: cancel}
 	if err := s.start(x, self, entries); err != nil {
 		s.Stop()
 		return nil, err
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-func (s *Site) start(ctx context.Context, self string, entries int) error {
+func (s *Setup) start(ctx context.Context, self string, entries int) error {
 	var err error
 	if s.target, err = freeAddr(ctx); err != nil {
 		return err
@@ -99,7 +99,7 @@
 }
 
 // startProcess starts a program. When ctx ends, the program gets SIGTERM; it is killed if it still runs after stopTimeout.
-func (s *Site) startProcess(ctx context.Context, name string, args ...string) error {
+func (s *Setup) startProcess(ctx context.Context, name string, args ...string) error {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = os.Stderr
 	c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
@@ -112,7 +112,7 @@
 }
 
 // startEntry writes the settings of entry k+1 and starts it.
-func (s *Site) startEntry(ctx context.Context, k int) error {
+func (s *Setup) startEntry(ctx context.Context, k int) error {
 	var a [3]string
 	for i := range a {
 		var err error
@@ -136,7 +136,7 @@
 }
 
 // configure commits a configuration in which the team is approved for the service.
-func (s *Site) configure(ctx context.Context) error {
+func (s *Setup) configure(ctx context.Context) error {
 	c := conf.NewCommitter(s.platform.Store(), conf.NewHolder())
 	sum := sha256.Sum256([]byte(token))
 	for n, h := range []conf.Change{
@@ -155,7 +155,7 @@
 }
 
 // awaitReady waits until the relay and every entry answer with status 200, for at most about readyTimeout.
-func (s *Site) awaitReady(ctx context.Context) error {
+func (s *Setup) awaitReady(ctx context.Context) error {
 	x, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	urls := []string{"http://" + s.relay + "/"}
@@ -178,7 +178,7 @@
 }
 
 // Stop ends every process and the platform's stand-in that Start started, waits for them, and removes the settings.
-func (s *Site) Stop() {
+func (s *Setup) Stop() {
 	s.cancel()
 	for _, c := range s.procs {
 		_ = c.Wait()
--- a/bench/slopes/leader.go
+++ b/bench/slopes/leader.go
@@ -55,10 +55,10 @@
 
 func (heldLease) Held() (keyval.Revision, bool) { return 1, true }
 
-// fixedReports is a source of entry reports; its value is the number of entries. Each entry reports the same load for every service.
-type fixedReports int
+// fixedReporters is a source of entry reports; its value is the number of entries. Each entry reports the same load for every service.
+type fixedReporters int
 
-func (n fixedReports) EntryReports() []leader.EntryReport {
+func (n fixedReporters) EntryReports() []leader.EntryReport {
 	l := make([]leader.EntryReport, n)
 	for i := range l {
 		l[i] = leader.EntryReport{Entry: fmt.Sprint("entry-", i), ReceivedAt: time.Now()}
@@ -107,7 +107,7 @@
 // startLeader starts a leader of the home data centre for the platform's VMs.
 func startLeader(s keyval.Store, p hosts.Platform, h *conf.Holder) *leaderRun {
 	t := &leaderRun{views: view.NewHolder()}
-	l := leader.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReports(entriesPerDataCentre), t.views, leader.WithTick(leaderTick), leader.WithOtherDataCentres(dataCentres[1:]))
+	l := leader.New(homeDataCentre, "entry-0", s, p, heldLease{}, h, fixedReporters(entriesPerDataCentre), t.views, leader.WithTick(leaderTick), leader.WithOtherDataCentres(dataCentres[1:]))
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	t.group.Go(func() error { return l.Run(ctx) })
--- a/fakes/plant/platform.go
+++ b/fakes/infra/platform.go
@@ -1,4 +1,4 @@
-package plant
+package infra
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
-	"burdockreach.dev/fakes/floor"
+	"burdockreach.dev/fakes/worker"
 	"burdockreach.dev/fleet/batch"
 	"burdockreach.dev/node/board"
 	"burdockreach.dev/plat/keyval"
@@ -37,7 +37,7 @@
 	stop  func()
 
 	mu           sync.Mutex
-	checker      *floor.Checker
+	checker      *worker.Checker
 	workers      []*workerServer
 	rnd          *rand.Rand
 	latePerMille int // orders per thousand that are executed late and not answered.
@@ -49,7 +49,7 @@
 // workerServer serves one simulated worker over HTTP.
 type workerServer struct {
 	platform *Platform
-	worker   *floor.Worker
+	worker   *worker.Worker
 	service  string
 	addr     string
 	lease    keyval.LeaseID
@@ -72,7 +72,7 @@
 	return r, err
 }
 
-var errAnswerLost = fmt.Errorf("plant: answer lost")
+var errAnswerLost = fmt.Errorf("infra: answer lost")
 
 // New starts a platform with the given number of workers for each service, each with the given capacity. All random draws derive
 // from seed.
@@ -80,7 +80,7 @@
 	c, stop := context.WithCancel(context.Background())
 	g, c := errgroup.WithContext(c)
 	p := &Platform{start: time.Now(), group: g, ctx: c, stop: stop, rnd: rand.New(rand.NewPCG(seed, 11))}
-	p.checker = floor.NewChecker(p.now)
+	p.checker = worker.NewChecker(p.now)
 	p.store = &store{Memory: keyval.NewMemory(), rnd: p.randomInt}
 	var err error
 	if p.storeAddr, err = p.serve(p.failWhileDown(platform.StoreHandler(p.store))); err != nil {
@@ -89,7 +89,7 @@
 	if p.machinesAddr, err = p.serve(platform.MachineHandler(machines{p})); err != nil {
 		return nil, err
 	}
-	for _, s := range floor.Sorted(services) {
+	for _, s := range worker.Sorted(services) {
 		for i := range services[s] {
 			if err := p.addWorker(s, i, capacity); err != nil {
 				return nil, err
@@ -114,7 +114,7 @@
 func (p *Platform) MachinesAddr() string { return p.machinesAddr }
 
 // InspectRuns calls f with the checker of the workers' runs while the platform's lock is held, so that no worker changes meanwhile.
-func (p *Platform) InspectRuns(f func(*floor.Checker)) {
+func (p *Platform) InspectRuns(f func(*worker.Checker)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.checker)
@@ -191,7 +191,7 @@
 func (p *Platform) addWorker(service string, i int, capacity batch.Size) error {
 	id := fmt.Sprintf("%s-%02d", service, i)
 	u := &workerServer{platform: p, service: service}
-	u.worker = floor.New(id, capacity, 0.98+0.02*p.rnd.Float64(), p.now(), p.checker.Hooks())
+	u.worker = worker.New(id, capacity, 0.98+0.02*p.rnd.Float64(), p.now(), p.checker.Hooks())
 	a, err := p.serve(u.hangWhileOff(platform.WorkerHandler(u)))
 	u.addr = a
 	p.workers = append(p.workers, u)
@@ -385,14 +385,14 @@
 	return r, clock
 }
 
-func (p *Platform) planRun(c batch.StartCmd, s batch.Step) floor.Plan {
+func (p *Platform) planRun(c batch.StartCmd, s batch.Step) worker.Plan {
 	var x TaskSpec
 	if err := json.Unmarshal([]byte(c.Spec), &x); err != nil {
 		p.checker.AddViolation("UNASKED: %s with spec %s", c.Task, strconv.Quote(c.Spec))
 	}
-	f := floor.Plan{RunMs: x.RunMs, Reason: batch.EndDone, Size: s.Size}
+	f := worker.Plan{RunMs: x.RunMs, Reason: batch.EndDone, Size: s.Size}
 	if s.Lasting {
-		f.RunMs = floor.Never
+		f.RunMs = worker.Never
 	}
 	if p.rnd.IntN(1000) < x.FailPerMille {
 		f.Reason = batch.EndFailed
--- a/fakes/cutter/example_test.go
+++ b/fakes/proxy/example_test.go
@@ -1,4 +1,4 @@
-package cutter_test
+package proxy_test
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"burdockreach.dev/fakes/cutter"
+	"burdockreach.dev/fakes/proxy"
 )
 
 func ExampleProxy() {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := cutter.New("127.0.0.1:0", "127.0.0.1:9")
+	c := proxy.New("127.0.0.1:0", "127.0.0.1:9")
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.Serve(ctx) })
 	addr, err := c.Addr(ctx)
--- a/fakes/cutter/proxy.go
+++ b/fakes/proxy/proxy.go
@@ -1,4 +1,4 @@
-package cutter
+package proxy
 
 import (
 	"context"
--- a/fakes/cutter/proxy_test.go
+++ b/fakes/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package cutter_test
+package proxy_test
 
 import (
 	"bufio"
@@ -11,18 +11,18 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 
-	"burdockreach.dev/fakes/cutter"
+	"burdockreach.dev/fakes/proxy"
 )
 
 const ioTimeout = 5 * time.Second
 
 // start runs an echo server and a proxy to it until the test ends.
-func start(t *testing.T) (*cutter.Proxy, string) {
+func start(t *testing.T) (*proxy.Proxy, string) {
 	i := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*ioTimeout)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	i.NoErr(err)
-	c := cutter.New("127.0.0.1:0", l.Addr().String())
+	c := proxy.New("127.0.0.1:0", l.Addr().String())
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.Serve(ctx) })
 	g.Go(func() error { return echo(g, l) })
--- a/fakes/standin/target.go
+++ b/fakes/standin/target.go
@@ -9,7 +9,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"burdockreach.dev/fakes/cutter"
+	"burdockreach.dev/fakes/proxy"
 	"burdockreach.dev/fakes/target"
 )
 
@@ -69,9 +69,9 @@
 	if *listen == "" || *to == "" {
 		return nil, eris.New("cutter: -listen and -to are needed")
 	}
-	var o []cutter.Option
+	var o []proxy.Option
 	if *control != "" {
-		o = append(o, cutter.WithControl(*control))
+		o = append(o, proxy.WithControl(*control))
 	}
-	return func(c context.Context) error { return cutter.New(*listen, *to, o...).Serve(c) }, nil
+	return func(c context.Context) error { return proxy.New(*listen, *to, o...).Serve(c) }, nil
 }
--- a/fakes/floor/worker.go
+++ b/fakes/worker/worker.go
@@ -1,4 +1,4 @@
-package floor
+package worker
 
 import (
 	"maps"
--- a/fleet/batch/copies.go
+++ b/fleet/batch/copies.go
@@ -5,14 +5,14 @@
 // says that there may be copies. A successor that reads this does not conclude that the former owner cannot know of a
 // step's end (see markNextStages).
 const (
-	copyLagFactor    = 2.0 // a run is slow once it has taken this multiple of the expected run time.
-	minCopyAgeMs     = 200 // milliseconds; a younger run gets no copy, since starting one would not pay off.
-	minCopyLeftShare = 0.5 // share of the expected run time; a run with no more time left will soon finish by itself.
+	copyLagFactor     = 2.0 // a run is slow once it has taken this multiple of the expected run time.
+	minCopyAgeMs      = 200 // milliseconds; a younger run gets no copy, since starting one would not pay off.
+	minRemainingShare = 0.5 // share of the expected run time; a run with no more time left will soon finish by itself.
 )
 
-// copyLaggards starts copies of slow runs in pools where no task has waited for room for quietAfterMs. It does nothing
+// copySlowRuns starts copies of slow runs in pools where no task has waited for room for quietAfterMs. It does nothing
 // during the blind time, while unreachable workers may still run what a former owner started.
-func (m *Model) copyLaggards() {
+func (m *Model) copySlowRuns() {
 	for _, n := range sortedKeys(m.pools) {
 		p := m.pools[n]
 		if m.now < m.blindUntil || m.now-p.demand.lastShortAt < quietAfterMs {
@@ -43,7 +43,7 @@
 		return true
 	}
 	left := float64(r.listedAt-r.confirmedAt)*float64(fullPercent-r.percent)/float64(r.percent) - float64(m.now-r.listedAt)
-	return left > minCopyLeftShare*s.runMs
+	return left > minRemainingShare*s.runMs
 }
 
 // fullPercent is the progress of a run that is done.
--- a/fleet/batch/machines_test.go
+++ b/fleet/batch/machines_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"burdockreach.dev/fakes/floor"
+	"burdockreach.dev/fakes/worker"
 	"burdockreach.dev/fleet/batch"
 )
 
@@ -34,7 +34,7 @@
 type fakeMachine struct {
 	name, pool  string
 	room        batch.Size
-	worker      *floor.Worker
+	worker      *worker.Worker
 	backAt      int64 // when it is up again; 0 while it is up.
 	state       batch.MachineState
 	wave        int
@@ -52,7 +52,7 @@
 // startWorker starts a new worker on the machine.
 func (p *fakeFleet) startWorker(m *fakeMachine) {
 	w := p.w
-	m.worker = floor.New(fmt.Sprintf("w%02d", p.workerCount), m.room, 0.98+0.02*w.rnd.Float64(), w.now, w.judge.Hooks())
+	m.worker = worker.New(fmt.Sprintf("w%02d", p.workerCount), m.room, 0.98+0.02*w.rnd.Float64(), w.now, w.judge.Hooks())
 	p.workerCount++
 	if p.pool == nil {
 		p.pool = map[string]string{}
@@ -89,8 +89,8 @@
 
 // takeDown ends the machine's worker and takes the machine out for ms milliseconds.
 func (p *fakeFleet) takeDown(m *fakeMachine, s batch.MachineState, ms int64) {
-	m.worker.Crash(floor.Never)
-	p.w.workers = slices.DeleteFunc(p.w.workers, func(f *floor.Worker) bool { return f == m.worker })
+	m.worker.Crash(worker.Never)
+	p.w.workers = slices.DeleteFunc(p.w.workers, func(f *worker.Worker) bool { return f == m.worker })
 	m.worker, m.state, m.backAt = nil, s, p.w.now+ms
 }
 
@@ -155,7 +155,7 @@
 // checkAway checks that no lasting task runs at the machine: the owner must move it away before the upkeep.
 func (p *fakeFleet) checkAway(m *fakeMachine) {
 	for _, r := range m.worker.Runs() {
-		if r.EndMs == floor.Never {
+		if r.EndMs == worker.Never {
 			p.w.judge.AddViolation("AVAIL: the upkeep of %s cuts off the lasting task %s", m.name, r.Task)
 		}
 	}
@@ -264,7 +264,7 @@
 	}
 	w.owners = nil
 	if !moves {
-		w.dutyGap = floor.Never // no order to a machine is ever allowed.
+		w.dutyGap = worker.Never // no order to a machine is ever allowed.
 	}
 	w.startOwner()
 	type sent struct{ submittedAt, objective int64 }
--- a/fleet/batch/simulation_test.go
+++ b/fleet/batch/simulation_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"burdockreach.dev/fakes/floor"
+	"burdockreach.dev/fakes/worker"
 	"burdockreach.dev/fleet/batch"
 )
 
@@ -28,14 +28,14 @@
 	rev        int64
 	claimRev   int64 // revision of the claim; 0 while nobody holds it.
 	storeDown  bool  // the store does not answer.
-	workers    []*floor.Worker
+	workers    []*worker.Worker
 	owners     []*fakeOwner
 	claimCount int
 
 	faults        faults
 	ref           uint64
-	refs          map[uint64]*floor.JobRecord // by request number.
-	judge         *floor.Checker
+	refs          map[uint64]*worker.JobRecord // by request number.
+	judge         *worker.Checker
 	fleet         fakeFleet
 	dutyGap       int64 // ms between two owners' orders to one machine.
 	labels        func(worker string) []string
@@ -74,11 +74,11 @@
 func newSimulation(t *testing.T, seed uint64, workers int, f faults) *simulation {
 	w := &simulation{
 		t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), rows: map[string]batch.Row{}, rev: 10, now: 1000,
-		faults: f, dutyGap: 3500, refs: map[uint64]*floor.JobRecord{},
+		faults: f, dutyGap: 3500, refs: map[uint64]*worker.JobRecord{},
 		unlistedUntil: map[string]int64{},
 	}
 	w.labels = func(string) []string { return []string{"a", "r1"} }
-	w.judge = floor.NewChecker(func() int64 { return w.now })
+	w.judge = worker.NewChecker(func() int64 { return w.now })
 	w.fleet = fakeFleet{w: w, services: []batch.Service{{Name: "s", Guards: true}}}
 	for range workers {
 		w.fleet.add("s", batch.Size{CPU: 8000, MemMB: 16000})
@@ -135,7 +135,7 @@
 	if w.claimCount > 1 {
 		m.BlindMs = 14_000
 	}
-	for _, k := range floor.Sorted(w.rows) {
+	for _, k := range worker.Sorted(w.rows) {
 		r := w.rows[k]
 		switch {
 		case strings.HasPrefix(k, batch.JobPrefix):
@@ -290,19 +290,19 @@
 		a.commit(k)
 	case batch.PollCmd:
 		sent := w.now
-		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
+		a.callWorker(k.Worker, func(f *worker.Worker) batch.Msg {
 			g := f.Hold(k)
 			g.Sent = sent
 			return g
 		}, func(r batch.Result) batch.Msg { return batch.PolledMsg{Worker: k.Worker, Sent: sent, Result: r} })
 	case batch.StartCmd:
-		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
+		a.callWorker(k.Worker, func(f *worker.Worker) batch.Msg {
 			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Start(k, w.runPlan(k.Task)), ClockMs: f.Clock()}
 		}, func(r batch.Result) batch.Msg {
 			return batch.StartedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r}
 		})
 	case batch.StopCmd:
-		a.callWorker(k.Worker, func(f *floor.Worker) batch.Msg {
+		a.callWorker(k.Worker, func(f *worker.Worker) batch.Msg {
 			return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: f.Stop(k), ClockMs: f.Clock()}
 		}, func(r batch.Result) batch.Msg {
 			return batch.StoppedMsg{Worker: k.Worker, Task: k.Task, Run: k.Run, Result: r}
@@ -319,7 +319,7 @@
 }
 
 // callWorker carries out a command at a worker. The command may be late, and its answer may be lost.
-func (a *fakeOwner) callWorker(id string, do func(*floor.Worker) batch.Msg, fail func(batch.Result) batch.Msg) {
+func (a *fakeOwner) callWorker(id string, do func(*worker.Worker) batch.Msg, fail func(batch.Result) batch.Msg) {
 	w := a.w
 	f := w.worker(id)
 	switch {
@@ -351,7 +351,7 @@
 	}
 }
 
-func (w *simulation) worker(id string) *floor.Worker {
+func (w *simulation) worker(id string) *worker.Worker {
 	for _, f := range w.workers {
 		if f.ID() == id {
 			return f
@@ -435,14 +435,14 @@
 }
 
 // runPlan decides how a run of the task goes.
-func (w *simulation) runPlan(n batch.TaskName) floor.Plan {
+func (w *simulation) runPlan(n batch.TaskName) worker.Plan {
 	s := w.judge.FindJob(n.Job).Job.Steps[n.Step]
-	p := floor.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), Reason: batch.EndDone, Size: s.Size}
+	p := worker.Plan{RunMs: s.EstimateMs/2 + w.rnd.Int64N(s.EstimateMs), Reason: batch.EndDone, Size: s.Size}
 	if w.chance(w.faults.slow) {
 		p.RunMs *= 5
 	}
 	if s.Lasting {
-		p.RunMs = floor.Never
+		p.RunMs = worker.Never
 	}
 	if w.chance(w.faults.fail) {
 		p.Reason = batch.EndFailed
--- a/fleet/batch/ticket.go
+++ b/fleet/batch/ticket.go
@@ -3,8 +3,8 @@
 // Tickets: a step of a job with Advised set may run only on workers for which it was granted a ticket. The owner obtains
 // tickets by asking for advice.
 
-// adviceWorkers is the largest number of workers in one request for advice.
-const adviceWorkers = 100
+// maxAdviceWorkers is the largest number of workers in one request for advice.
+const maxAdviceWorkers = 100
 
 // ticket permits one step on one worker.
 type ticket struct {
@@ -52,7 +52,7 @@
 	}
 	var l []string
 	for _, w := range m.pool(s.job.Service).workers {
-		if w.listed && !w.Draining && len(l) < adviceWorkers && !s.denied[w.ID] {
+		if w.listed && !w.Draining && len(l) < maxAdviceWorkers && !s.denied[w.ID] {
 			l = append(l, w.ID)
 		}
 	}
--- a/fleet/batch/worker.go
+++ b/fleet/batch/worker.go
@@ -289,7 +289,7 @@
 		}
 	}
 	m.stopStuck()
-	m.copyLaggards()
+	m.copySlowRuns()
 }
 
 // learnFromEnd updates the run times that are learned, and counts a worker's failures in a row.
--- a/flow/ledger/naive_test.go
+++ b/flow/ledger/naive_test.go
@@ -54,12 +54,12 @@
 // failedTrace is the value that a recorder panics with.
 type failedTrace struct{ reason string }
 
-// recorder is a reporter that stops a trace at its first failure: its Fatalf panics, and runSeed recovers.
-type recorder struct{ log string }
+// panickingReporter is a reporter that stops a trace at its first failure: its Fatalf panics, and runSeed recovers.
+type panickingReporter struct{ log string }
 
-func (*recorder) Helper()                   {}
-func (r *recorder) Log(a ...any)            { r.log = fmt.Sprint(a...) }
-func (*recorder) Fatalf(f string, a ...any) { panic(failedTrace{fmt.Sprintf(f, a...)}) }
+func (*panickingReporter) Helper()                   {}
+func (r *panickingReporter) Log(a ...any)            { r.log = fmt.Sprint(a...) }
+func (*panickingReporter) Fatalf(f string, a ...any) { panic(failedTrace{fmt.Sprintf(f, a...)}) }
 
 // runSeed runs protocol n through the random trace that the seed gives. It returns the reason of its failure, or the empty string.
 func runSeed(n naiveProtocol, seed int) (reason string) {
@@ -69,7 +69,7 @@
 				reason = s.reason
 			}
 		}()
-		w := newCluster(&recorder{}, entryNames...)
+		w := newCluster(&panickingReporter{}, entryNames...)
 		w.naive = n
 		runTrace(t, w)
 		return ""
--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	outboxMax            = 65_536  // unfinished settlements
+	outboxMaxSettlements            = 65_536  // unfinished settlements
 	outboxAnswerBytesMax = 8 << 20 // bytes of answers in unfinished settlements
 	// settleBatchDelay is the wait before a delivery, so that one call can carry several settlements.
 	settleBatchDelay    = 5 * time.Millisecond
@@ -32,7 +32,7 @@
 	key, attempt string
 	record       ledger.Record
 	holders      []ledger.Member // holders that were asked to grant the claim
-	mayBeStored  bool            // whether the copy may have created the key in the platform's key-value service
+	mayHaveStoreKey  bool            // whether the copy may have created the key in the platform's key-value service
 	confirmed    []string        // ids of entries that have the settlement
 	needsRetry   bool            // whether this round missed a holder in the roster or the service, or found a newer roster
 	deadline     time.Time
@@ -58,9 +58,9 @@
 func (j *settlement) enqueue() {
 	o := j.outbox
 	j.deadline = o.k.now().Add(settleTimeout)
-	j.settleLocal()
+	j.settleIfHolder()
 	o.mu.Lock()
-	full := o.unfinished >= outboxMax
+	full := o.unfinished >= outboxMaxSettlements
 	if o.answerBytes+len(j.record.Answer) > outboxAnswerBytesMax {
 		j.record.HasAnswer, j.record.Answer = false, nil
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// settleLocal records the settlement at once if this entry is itself a holder.
-func (j *settlement) settleLocal() {
+// settleIfHolder records the settlement at once if this entry is itself a holder.
+func (j *settlement) settleIfHolder() {
 	k := j.outbox.k
 	if j.home != k.dataCentre || !slices.Contains(j.holders, k.self) {
 		return
@@ -149,7 +149,7 @@
 	to          ledger.Member
 	settlements []*settlement
 	bytes       int   // bytes of the answers in the settlements
-	roster      int64 // number of the newest roster that the holder knows
+	rosterNumber      int64 // number of the newest roster that the holder knows
 	err         error // error of the call
 }
 
@@ -197,7 +197,7 @@
 	for i, j := range p.settlements {
 		l[i] = j.request()
 	}
-	p.roster, p.err = c.Settle(ctx, p.to.Addr, l)
+	p.rosterNumber, p.err = c.Settle(ctx, p.to.Addr, l)
 }
 
 // recordResult updates a batch's settlements with the result of its call. If the holder knows a newer roster than this entry, its
@@ -208,7 +208,7 @@
 		r := o.k.Roster(j.home)
 		if p.err == nil {
 			j.confirmed = append(j.confirmed, p.to.Entry)
-			j.needsRetry = j.needsRetry || p.roster > r.Number()
+			j.needsRetry = j.needsRetry || p.rosterNumber > r.Number()
 		} else if m, in := r.Member(p.to.Entry); in && m.SameIncarnation(p.to) {
 			j.needsRetry = true
 		}
@@ -220,7 +220,7 @@
 func (o *outbox) finishOrRetry(ctx context.Context, l []*settlement) {
 	now := o.k.now()
 	for _, j := range l {
-		if j.mayBeStored && j.record.Phase == ledger.NotRun && !o.k.deleteKey(ctx, j.home, j.record) {
+		if j.mayHaveStoreKey && j.record.Phase == ledger.NotRun && !o.k.deleteKey(ctx, j.home, j.record) {
 			j.needsRetry = true
 		}
 		switch {
--- a/node/relay/ticket.go
+++ b/node/relay/ticket.go
@@ -138,7 +138,7 @@
 // newSettlement returns a settlement of the copy without an outcome.
 func (a *attempt) newSettlement(holders []ledger.Member, store bool) *settlement {
 	return &settlement{
-		outbox: a.k.outbox, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, mayBeStored: store,
+		outbox: a.k.outbox, home: a.home, key: a.request.Key, attempt: a.request.Attempt, holders: holders, mayHaveStoreKey: store,
 		record: ledger.Record{ID: a.id, Attempt: a.attempt, Digest: a.digest},
 	}
 }
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -20,9 +20,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"burdockreach.dev/fakes/cutter"
-	"burdockreach.dev/fakes/floor"
-	"burdockreach.dev/fakes/plant"
+	"burdockreach.dev/fakes/infra"
+	"burdockreach.dev/fakes/proxy"
+	"burdockreach.dev/fakes/worker"
 	"burdockreach.dev/fleet/batch"
 	"burdockreach.dev/node/board"
 	"burdockreach.dev/node/site"
@@ -57,7 +57,7 @@
 type soak struct {
 	t        *testing.T
 	rnd      *rand.Rand
-	plant    *plant.Platform
+	platform *infra.Platform
 	entries  []*entryProcess
 	client   *http.Client
 	jobCount int
@@ -71,20 +71,20 @@
 	name         string
 	settingsFile string
 	callerAddr   string
-	storeProxy   *cutter.Proxy
+	storeProxy   *proxy.Proxy
 	cmd          *exec.Cmd
 	paused       bool
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
 	t.Helper()
-	p, err := plant.New(seed, map[string]int{"alpha": *soakWorkers, "beta": *soakWorkers}, batch.Size{CPU: 8000, MemMB: 16_000})
+	p, err := infra.New(seed, map[string]int{"alpha": *soakWorkers, "beta": *soakWorkers}, batch.Size{CPU: 8000, MemMB: 16_000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, stop := context.WithCancel(context.Background())
 	s := &soak{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 3)), plant: p, ctx: c, group: &errgroup.Group{},
+		t: t, rnd: rand.New(rand.NewPCG(seed, 3)), platform: p, ctx: c, group: &errgroup.Group{},
 		client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
 	}
 	t.Cleanup(func() {
@@ -123,7 +123,7 @@
 func (s *soak) addEntry(i int) {
 	s.t.Helper()
 	e := &entryProcess{soak: s, name: "entry-" + strconv.Itoa(i), callerAddr: rig.FreeAddr(s.t)}
-	e.storeProxy = cutter.New("127.0.0.1:0", s.plant.StoreAddr())
+	e.storeProxy = proxy.New("127.0.0.1:0", s.platform.StoreAddr())
 	s.group.Go(func() error { return e.storeProxy.Serve(s.ctx) })
 	store, err := e.storeProxy.Addr(s.ctx)
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 	b, err := json.Marshal(site.Settings{
 		Name: e.name, DataCentre: "z", CallerAddr: e.callerAddr, ReadyAddr: rig.FreeAddr(s.t), PeerAddr: rig.FreeAddr(s.t), MetricsAddr: rig.FreeAddr(s.t),
-		StoreAddr: store, MachinesAddr: s.plant.MachinesAddr(), LeaseMaxMs: floor.MaxLeaseMs, StatusSecs: 120,
+		StoreAddr: store, MachinesAddr: s.platform.MachinesAddr(), LeaseMaxMs: worker.MaxLeaseMs, StatusSecs: 120,
 		DutyGapMs: 3000, GraceSecs: 4, Cores: 0.4, MemoryMB: 284, HelperWorkers: 6, LogLevel: "info",
 	})
 	if err != nil {
@@ -204,13 +204,13 @@
 		e.storeProxy.Cut()
 		e.storeProxy.Refuse()
 	case 8:
-		s.plant.SetStoreFaults(true, 0)
+		s.platform.SetStoreFaults(true, 0)
 	case 9:
-		s.plant.SetStoreFaults(false, s.rnd.IntN(100))
+		s.platform.SetStoreFaults(false, s.rnd.IntN(100))
 	case 10, 11:
-		s.plant.CrashWorker(time.Duration(500+s.rnd.IntN(4000)) * time.Millisecond)
+		s.platform.CrashWorker(time.Duration(500+s.rnd.IntN(4000)) * time.Millisecond)
 	case 12:
-		s.plant.SetOrderFaults(s.rnd.IntN(30), s.rnd.IntN(30))
+		s.platform.SetOrderFaults(s.rnd.IntN(30), s.rnd.IntN(30))
 	}
 }
 
@@ -226,8 +226,8 @@
 
 // heal ends all faults of the store, of the orders to workers and of the entries.
 func (s *soak) heal() {
-	s.plant.SetStoreFaults(false, 0)
-	s.plant.SetOrderFaults(0, 0)
+	s.platform.SetStoreFaults(false, 0)
+	s.platform.SetOrderFaults(0, 0)
 	for _, e := range s.entries {
 		s.healEntry(e)
 	}
@@ -236,10 +236,10 @@
 // nextJob returns a new job. One job in 40 has a single step of lasting tasks; the others have two steps.
 func (s *soak) nextJob() batch.Job {
 	s.jobCount++
-	x := plant.TaskSpec{RunMs: int64(100 + s.rnd.IntN(400)), FailPerMille: 30}
+	x := infra.TaskSpec{RunMs: int64(100 + s.rnd.IntN(400)), FailPerMille: 30}
 	j := batch.Job{ID: fmt.Sprintf("%016x", s.jobCount), Service: []string{"alpha", "beta"}[s.jobCount%2], Attempts: 4, Spec: x.Encode()}
 	if s.jobCount%40 == 1 {
-		j.Spec = plant.TaskSpec{}.Encode()
+		j.Spec = infra.TaskSpec{}.Encode()
 		j.Steps = []batch.Step{{Count: 3, Size: batch.Size{CPU: 1000, MemMB: 500}, EstimateMs: 500, Lasting: true, PerWorker: 1, MayMiss: 1}}
 		return j
 	}
@@ -256,12 +256,12 @@
 	if err != nil {
 		return err
 	}
-	var k *floor.JobRecord
-	s.plant.InspectRuns(func(g *floor.Checker) { k = g.Job(j) })
+	var k *worker.JobRecord
+	s.platform.InspectRuns(func(g *worker.Checker) { k = g.Job(j) })
 	for i := range 4 {
-		s.plant.InspectRuns(func(*floor.Checker) { k.Attempts++ })
+		s.platform.InspectRuns(func(*worker.Checker) { k.Attempts++ })
 		status, _ := s.call(http.MethodPost, (first+i)%len(s.entries), "/"+j.Service+"/"+j.ID, b)
-		s.plant.InspectRuns(func(*floor.Checker) {
+		s.platform.InspectRuns(func(*worker.Checker) {
 			k.Accepted = k.Accepted || status == http.StatusOK
 			if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 				k.Refused++
@@ -336,8 +336,8 @@
 
 // checkJobs waits until the accepted jobs have ended, for settleTimeout at most, and has the judge check every job.
 func (s *soak) checkJobs() {
-	var all []*floor.JobRecord
-	s.plant.InspectRuns(func(g *floor.Checker) {
+	var all []*worker.JobRecord
+	s.platform.InspectRuns(func(g *worker.Checker) {
 		for i := range s.jobCount {
 			if k := g.FindJob(fmt.Sprintf("%016x", i+1)); k != nil {
 				all = append(all, k)
@@ -356,7 +356,7 @@
 	}
 	time.Sleep(2 * time.Second) // lasting tasks run again within this time once the faults have ended
 	accepted := 0
-	s.plant.InspectRuns(func(g *floor.Checker) {
+	s.platform.InspectRuns(func(g *worker.Checker) {
 		g.CheckEndState(func(id string) batch.State { return states[id] }, func(string) string { return "" })
 		for _, b := range g.Violations() {
 			s.t.Error(b)
