--- a/bench/slope/page.go
+++ b/bench/slope/page.go
@@ -44,7 +44,7 @@
 	fmt.Fprintf(b, "## Times\n\n- A change in force everywhere within %.0f s: a waiting watch brings it at once to each entry that reaches the service; for the others it goes by beats, "+
 		"at once and then each %.2g s to %.0f peers, and to one entry of another data centre each %.2g s. Not measured at this size.\n", changeDelayLimit, m.Settings.BeatMs/1000, m.beatPeers(), roundsPerFarBeat*m.Settings.BeatMs/1000)
 	b.WriteString("- Urgent work starts within 1.5 s: flow/queue holds it as long as urgent work alone fits the slots; what it costs is in requestCPU. Not measured at this size.\n" +
-		"- Regions parted for minutes: each data centre goes on from its view; leaders start no planned stop while another leader's key is gone (node/leader/read.go listen). No row grows while parted but the queue of settlements.\n" +
+		"- Regions parted for minutes: each data centre goes on from its view; leaders start no planned stop while another leader's key is gone (node/leader/read.go pollLeaders). No row grows while parted but the queue of settlements.\n" +
 		"- A rack lost weekly: 4 VMs, the same writes as four failures.\n" +
 		"- Accelerators: the platform's list counts them; nothing places work by them (" + notBuilt + ").\n\n")
 }
