--- a/node/relay/outbox.go
+++ b/node/relay/outbox.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	outboxMaxSettlements            = 65_536  // unfinished settlements
+	outboxMaxSettlements = 65_536  // unfinished settlements
 	outboxAnswerBytesMax = 8 << 20 // bytes of answers in unfinished settlements
 	// settleBatchDelay is the wait before a delivery, so that one call can carry several settlements.
 	settleBatchDelay    = 5 * time.Millisecond
@@ -27,15 +27,15 @@
 
 // settlement is the outcome of one copy of a keyed request, to be delivered to the holders of the key.
 type settlement struct {
-	outbox       *outbox
-	home         string // data centre whose entries hold the key
-	key, attempt string
-	record       ledger.Record
-	holders      []ledger.Member // holders that were asked to grant the claim
-	mayHaveStoreKey  bool            // whether the copy may have created the key in the platform's key-value service
-	confirmed    []string        // ids of entries that have the settlement
-	needsRetry   bool            // whether this round missed a holder in the roster or the service, or found a newer roster
-	deadline     time.Time
+	outbox          *outbox
+	home            string // data centre whose entries hold the key
+	key, attempt    string
+	record          ledger.Record
+	holders         []ledger.Member // holders that were asked to grant the claim
+	mayHaveStoreKey bool            // whether the copy may have created the key in the platform's key-value service
+	confirmed       []string        // ids of entries that have the settlement
+	needsRetry      bool            // whether this round missed a holder in the roster or the service, or found a newer roster
+	deadline        time.Time
 }
 
 // outbox holds the unfinished settlements, that is, those that are neither delivered nor dropped.
@@ -146,11 +146,11 @@
 
 // settleBatch is the settlements that one call delivers to one holder.
 type settleBatch struct {
-	to          ledger.Member
-	settlements []*settlement
-	bytes       int   // bytes of the answers in the settlements
-	rosterNumber      int64 // number of the newest roster that the holder knows
-	err         error // error of the call
+	to           ledger.Member
+	settlements  []*settlement
+	bytes        int   // bytes of the answers in the settlements
+	rosterNumber int64 // number of the newest roster that the holder knows
+	err          error // error of the call
 }
 
 // deliver sends the settlements to their holders, and finishes each one or queues it for a retry. It calls several holders
