--- a/bench/slope/peaks.go
+++ b/bench/slope/peaks.go
@@ -29,7 +29,7 @@
 			{metric: "the same: whole views that a leader sends for one newcomer", value: shown, unit: unitBytes, derivation: "viewWhole in every beat of the rounds until the newcomer is heard", mechanism: "node/daemon/gossip.go oldestVersion: one delta for all"},
 			{metric: "the same, as a mean of the hour", value: shown * m.entries / 3600, unit: unitBytesPerSecond, limit: bandwidthLimit, derivation: "the row above x entries / hour", mechanism: "node/daemon/gossip.go",
 				proposal: "give a whole view only to the peer that lacks it; the others get the delta from their own version"},
-			{metric: "leader takes over cold: calls of the service", value: m.costAt("coldCalls", m.vms()), unit: unitCount, derivation: "coldCalls: shards, budgets, other leaders, each budget by key", mechanism: "node/leader/read.go listAll, absent"},
+			{metric: "leader takes over cold: calls of the service", value: m.costAt("coldCalls", m.vms()), unit: unitCount, derivation: "coldCalls: shards, budgets, other leaders, each budget by key", mechanism: "node/leader/read.go listAll, readMissing"},
 			{metric: "leader takes over cold: bytes of values", value: base64Share * m.costAt("coldBytes", m.vms()), unit: unitBytes, derivation: "coldBytes x 4/3", mechanism: "node/leader/read.go"},
 			{metric: "leader takes over cold: seconds without a leader", value: m.Settings.LeaseMs / 1000 * (1 + 1/renewalsPerLease), unit: unitCount, derivation: "lease, and a third until the next look", mechanism: "plat/lease/model.go"},
 		},
