--- a/bench/live/load.go
+++ b/bench/live/load.go
@@ -189,7 +189,7 @@
 
 // ServeRelay serves the bare relay on addr until ctx ends: one handler with one client, which sends every request to the target at to.
 func ServeRelay(ctx context.Context, addr, to string) error {
-	c := &fasthttp.HostClient{Addr: to, MaxConns: slots}
+	c := &fasthttp.HostClient{Addr: to, MaxConns: targetSlots}
 	s := &fasthttp.Server{Handler: func(x *fasthttp.RequestCtx) {
 		if err := c.Do(&x.Request, &x.Response); err != nil {
 			x.Error(err.Error(), fasthttp.StatusBadGateway)
--- a/bench/live/procs.go
+++ b/bench/live/procs.go
@@ -28,7 +28,7 @@
 	token        = "kitchen-token"
 	dataCentre   = "dc1"
 	pool         = "kitchen-pool"
-	slots        = 1000 // slots of the only target, and its connections; enough that slots do not limit the rate
+	targetSlots  = 1000 // slots of the only target, and its connections; enough that slots do not limit the rate
 	readyTimeout = 20 * time.Second
 	stopTimeout  = 10 * time.Second
 	maxKeys      = 5_000_000 // idempotency keys that an entry holds at once; enough for those of all rounds, since it keeps them all
@@ -81,7 +81,7 @@
 		return err
 	}
 	if err := s.startProcess(ctx, filepath.Join(s.bin, "standin"), "target", "-name", "w1", "-addr", s.target,
-		"-slots", fmt.Sprint(slots), "-conns", fmt.Sprint(slots), "-run", "0s"); err != nil {
+		"-slots", fmt.Sprint(targetSlots), "-conns", fmt.Sprint(targetSlots), "-run", "0s"); err != nil {
 		return err
 	}
 	if s.relay, err = freeAddr(ctx); err != nil {
@@ -142,7 +142,7 @@
 	for n, h := range []conf.Change{
 		{Kind: conf.PutProfile, Profile: &conf.ProfileSpec{Name: "gold", MinVMs: 1, MaxVMs: 4, MaxOut: 1, DeadlineMillis: 5000}},
 		{Kind: conf.PutPool, Pool: &conf.PoolSpec{Name: pool}},
-		{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: service, Profile: "gold", Pool: pool, Slots: slots, Conns: slots}},
+		{Kind: conf.PutService, Service: &conf.ServiceSpec{Name: service, Profile: "gold", Pool: pool, Slots: targetSlots, Conns: targetSlots}},
 		{Kind: conf.PutTeam, Team: &conf.TeamSpec{Name: team, TokenDigest: hex.EncodeToString(sum[:])}},
 		{Kind: conf.Approve, Approval: &conf.ApprovalSpec{Team: team, Service: service}},
 	} {
--- a/bench/slopes/leader.go
+++ b/bench/slopes/leader.go
@@ -22,18 +22,18 @@
 	entriesPerDataCentre = 12
 )
 
-// staticPlatform is a platform whose VMs change only by setLost. Its commands do nothing.
+// staticPlatform is a platform whose VMs change only by setVMs. Its commands do nothing.
 type staticPlatform struct{ list atomic.Pointer[[]hosts.VM] }
 
 // newPlatform returns a platform with n live VMs in the home data centre.
 func newPlatform(n int) *staticPlatform {
 	p := &staticPlatform{}
-	p.setLost(n, 0)
+	p.setVMs(n, 0)
 	return p
 }
 
-// setLost replaces the list with n VMs, of which the first k are gone and the others are live.
-func (p *staticPlatform) setLost(n, k int) {
+// setVMs replaces the list with n VMs, of which the first k are gone and the others are live.
+func (p *staticPlatform) setVMs(n, k int) {
 	l := make([]hosts.VM, 0, n)
 	for i, w := range platformVMs(n, false) {
 		if i < k {
@@ -124,7 +124,7 @@
 }
 
 // leaderCost holds processor time in nanoseconds per tick and heap in bytes.
-type leaderCost struct{ cpu, heap float64 }
+type leaderCost struct{ cpuNanos, heapBytes float64 }
 
 // measureLeader measures the processor time per tick and the heap of a leader with n VMs.
 func measureLeader(n int) (c leaderCost) {
@@ -132,12 +132,12 @@
 	before := heapNow()
 	t := startLeader(keyval.NewMemory(), p, h)
 	time.Sleep(warmUpTicks * leaderTick)
-	c.cpu = minOfRuns(func() float64 {
+	c.cpuNanos = minOfRuns(func() float64 {
 		cpuBefore, began := cpuNow(), time.Now()
 		time.Sleep(measuredTicks * leaderTick)
 		return float64(cpuNow()-cpuBefore) / (float64(time.Since(began)) / float64(leaderTick))
 	})
-	c.heap = float64(heapNow()) - float64(before)
+	c.heapBytes = float64(heapNow()) - float64(before)
 	t.stopAndCheck(n)
 	return c
 }
@@ -165,7 +165,7 @@
 	t := startLeader(s, p, h)
 	time.Sleep(warmUpTicks * leaderTick)
 	writesBefore := s.writes.Load()
-	p.setLost(designVMs, k)
+	p.setVMs(designVMs, k)
 	time.Sleep(2 * warmUpTicks * leaderTick)
 	t.stopAndCheck(designVMs)
 	return float64(s.writes.Load() - writesBefore)
--- a/fleet/batch/copies.go
+++ b/fleet/batch/copies.go
@@ -15,12 +15,12 @@
 func (m *Model) copySlowRuns() {
 	for _, n := range sortedKeys(m.pools) {
 		p := m.pools[n]
-		if m.now < m.blindUntil || m.now-p.demand.lastShortAt < quietAfterMs {
+		if m.now < m.blindUntil || m.now-p.demand.lastWaitingAt < quietAfterMs {
 			continue
 		}
 		for _, w := range p.workers {
 			for _, r := range w.runsCopy() {
-				if m.lags(r) {
+				if m.shouldCopy(r) {
 					m.startCopy(p, r)
 				}
 			}
@@ -28,10 +28,10 @@
 	}
 }
 
-// lags reports whether r should get a copy: its step allows copies and is neither a gang nor lasting, r is the only run of
+// shouldCopy reports whether r should get a copy: its step allows copies and is neither a gang nor lasting, r is the only run of
 // its task, its worker answers, and it takes much longer than expected. The time that r still needs is estimated from the
 // progress in its worker's last list. A slow run without any progress there gets a copy in any case.
-func (m *Model) lags(r *run) bool {
+func (m *Model) shouldCopy(r *run) bool {
 	s := r.task.stage
 	if !s.Copies || s.Gang || s.Lasting || r.state != running || r.worker.silentSince != 0 || len(r.task.runs) > 1 || r.task.done {
 		return false
--- a/fleet/batch/demand.go
+++ b/fleet/batch/demand.go
@@ -12,12 +12,12 @@
 
 // demand is the recent demand of a pool. Its times are those of the steady clock, in milliseconds.
 type demand struct {
-	rate           float64 // submitted work per time, averaged, in thousandths of a core.
-	rateAt         int64   // time up to which rate has decayed.
-	lastShortAt    int64   // when a task was last found to wait for room.
-	waitingWork    float64 // work that waits for room, in thousandths of a core times milliseconds.
-	wantedMachines int     // number of machines that the pool should have.
-	everShort      bool    // at some time since this owner began, the pool had machines but wanted more than it had.
+	rate               float64 // submitted work per time, averaged, in thousandths of a core.
+	rateAt             int64   // time up to which rate has decayed.
+	lastWaitingAt      int64   // when a task was last found to wait for room.
+	waitingWork        float64 // work that waits for room, in thousandths of a core times milliseconds.
+	wantedMachines     int     // number of machines that the pool should have.
+	everLackedMachines bool    // at some time since this owner began, the pool had machines but wanted more than it had.
 }
 
 // decay lets the rate decay exponentially over the time since rateAt.
@@ -64,7 +64,7 @@
 		}
 		p.demand.waitingWork = float64(short)
 		if short > 0 {
-			p.demand.lastShortAt = m.now
+			p.demand.lastWaitingAt = m.now
 		}
 	}
 }
--- a/fleet/batch/moves.go
+++ b/fleet/batch/moves.go
@@ -43,7 +43,7 @@
 		if len(p.workers) == 0 && len(p.openJobs) == 0 && p.demand.rate < 1 {
 			p.demand.wantedMachines = 0
 		}
-		p.demand.everShort = p.demand.everShort || p.demand.wantedMachines > p.counts.machines && p.counts.machines > 0
+		p.demand.everLackedMachines = p.demand.everLackedMachines || p.demand.wantedMachines > p.counts.machines && p.counts.machines > 0
 	}
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	for _, k := range m.fleet.list {
-		if k.State != MachineUp || k.wave != nil || k.targetPool != "" || m.services[k.Pool].Standby || !m.pool(k.Pool).demand.everShort ||
+		if k.State != MachineUp || k.wave != nil || k.targetPool != "" || m.services[k.Pool].Standby || !m.pool(k.Pool).demand.everLackedMachines ||
 			!m.mayOrderTo(k) || !m.canSpare(k) {
 			continue // a pool keeps its machines until its first load peak.
 		}
--- a/fleet/batch/wave.go
+++ b/fleet/batch/wave.go
@@ -180,7 +180,7 @@
 // canTakeNow reports whether the machine is idle and no task of its pool has waited for room lately.
 func (m *Model) canTakeNow(k *machine) bool {
 	p := m.pool(k.Pool)
-	return m.shortTaskShare(k) <= maxIdleLoad && m.now-p.demand.lastShortAt > quietAfterMs
+	return m.shortTaskShare(k) <= maxIdleLoad && m.now-p.demand.lastWaitingAt > quietAfterMs
 }
 
 // belowUpkeepLimit reports whether one more machine of the pool may be out for upkeep.
--- a/node/conns/conns_test.go
+++ b/node/conns/conns_test.go
@@ -19,9 +19,9 @@
 // script answers request n of a connection as the target; n starts at 0. If it returns an error, the connection is closed.
 type script func(c net.Conn, r *bufio.Reader, n int) error
 
-// startPeer starts a target on loopback that runs s for every request, and returns its address. It accepts no new connections once
+// startTarget starts a target on loopback that runs s for every request, and returns its address. It accepts no new connections once
 // the test has ended.
-func startPeer(t *testing.T, s script) string {
+func startTarget(t *testing.T, s script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +92,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			a := startPeer(t, func(n net.Conn, r *bufio.Reader, k int) error {
+			a := startTarget(t, func(n net.Conn, r *bufio.Reader, k int) error {
 				_ = reply(c.raw)(n, r, k)
 				if c.want != nil {
 					return io.EOF
@@ -123,11 +123,11 @@
 	i.True(errors.Is(err, ErrNotSent))
 }
 
-func TestConnectionClosedWhileRestingIsNotUsed(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	i := is.New(t)
 	closed := make(chan struct{})
 	runs := 0
-	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
+	a := startTarget(t, func(c net.Conn, _ *bufio.Reader, _ int) error {
 		runs++
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		_ = c.Close()
@@ -162,7 +162,7 @@
 func TestLateAnswerIsNeverReadByTheNextRequest(t *testing.T) {
 	i := is.New(t)
 	late := make(chan struct{})
-	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	a := startTarget(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n == 0 {
 			select {
 			case <-late:
@@ -190,7 +190,7 @@
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	var stalled atomic.Bool
 	arrived := make(chan struct{}, idleCount)
-	a := startPeer(t, func(c net.Conn, _ *bufio.Reader, n int) error {
+	a := startTarget(t, func(c net.Conn, _ *bufio.Reader, n int) error {
 		if n > 0 && stalled.Load() {
 			return nil // on an old connection the target still reads requests but never answers
 		}
--- a/plat/conf/log.go
+++ b/plat/conf/log.go
@@ -96,7 +96,7 @@
 
 // ChangeAt returns change n, if the log still keeps it.
 func (l *Log) ChangeAt(n Number) (Change, bool) {
-	i := int(n - l.first())
+	i := int(n - l.firstNumber())
 	if i < 0 || i >= len(l.tail) {
 		return Change{}, false
 	}
@@ -114,8 +114,8 @@
 	return l.doc.number, l.doc.number > 0 && l.doc.op == op
 }
 
-// first returns the number of the oldest change kept, or the next number if none is kept.
-func (l *Log) first() Number { return l.doc.number + 1 - Number(len(l.tail)) }
+// firstNumber returns the number of the oldest change kept, or the next number if none is kept.
+func (l *Log) firstNumber() Number { return l.doc.number + 1 - Number(len(l.tail)) }
 
 // push adds c to the tail, and drops the oldest change if the tail is at its limit. When the tail's array is full, push copies the
 // tail to an array with room for twice the limit, so that it copies only once in as many pushes as the limit.
@@ -145,10 +145,10 @@
 	if n >= l.doc.number {
 		return nil, nil
 	}
-	if n+1 < l.first() {
+	if n+1 < l.firstNumber() {
 		return nil, l.doc
 	}
-	c := l.tail[n+1-l.first():]
+	c := l.tail[n+1-l.firstNumber():]
 	c = c[:min(len(c), max(limit, 0))]
 	return append([]Change(nil), c...), nil
 }
