--- a/fleet/batch/copies_test.go
+++ b/fleet/batch/copies_test.go
@@ -69,7 +69,7 @@
 	store := true
 	play := func(copies bool, percent int) *harness {
 		b := newHarness("w1", "w2")
-		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", AimMs: 9000, Steps: []batch.Step{
+		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", ObjectiveExtraMs: 9000, Steps: []batch.Step{
 			{Count: 1, Size: batch.Size{CPU: 1000}, EstimateMs: 500, Copies: copies},
 		}}})
 		b.advance(900)
@@ -105,11 +105,11 @@
 func TestPreemption(t *testing.T) {
 	play := func(saves bool, priority int) *harness {
 		b := newHarness("w1")
-		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", Priority: 1, AimMs: 90_000, Steps: []batch.Step{
+		b.Update(b.now, batch.SubmitMsg{Ref: 1, Job: batch.Job{ID: jobID(1), Queue: "q", Service: "s", Priority: 1, ObjectiveExtraMs: 90_000, Steps: []batch.Step{
 			{Count: 4, Size: batch.Size{CPU: 1000}, EstimateMs: 5000, Checkpoints: saves},
 		}}})
 		b.advance(200)
-		b.Update(b.now, batch.SubmitMsg{Ref: 2, Job: batch.Job{ID: jobID(2), Queue: "u", Service: "s", Priority: priority, AimMs: 90_000, Steps: []batch.Step{
+		b.Update(b.now, batch.SubmitMsg{Ref: 2, Job: batch.Job{ID: jobID(2), Queue: "u", Service: "s", Priority: priority, ObjectiveExtraMs: 90_000, Steps: []batch.Step{
 			{Count: 1, Size: batch.Size{CPU: 2000}, EstimateMs: 500},
 		}}})
 		b.advance(200)
--- a/fleet/batch/job.go
+++ b/fleet/batch/job.go
@@ -58,20 +58,20 @@
 
 // Job is a job as its caller submits it.
 type Job struct {
-	ID       string  `json:"id"`
-	Queue    string  `json:"queue"`
-	Service  string  `json:"service"`
-	Priority int     `json:"priority,omitempty"` // 0 is the most urgent.
-	Attempts int     `json:"attempts,omitempty"` // the job fails once a task has failed this often.
-	Stretch  float64 `json:"stretch,omitempty"`  // objective as a multiple of the longest chain of steps.
-	AimMs    int64   `json:"aimMs,omitempty"`    // added to the objective.
-	Spec     string  `json:"spec,omitempty"`
-	Steps    []Step  `json:"steps"`
-	FirstMs  int64   `json:"firstMs,omitempty"` // Unix time in ms of the first round.
-	EveryMs  int64   `json:"everyMs,omitempty"`
-	Rounds   int     `json:"rounds,omitempty"` // 0 for a job that runs once, immediately.
-	TicketMs int64   `json:"ticketMs,omitempty"`
-	Advised  bool    `json:"advised,omitempty"` // a task may start only on a worker that has a ticket for its step.
+	ID               string  `json:"id"`
+	Queue            string  `json:"queue"`
+	Service          string  `json:"service"`
+	Priority         int     `json:"priority,omitempty"` // 0 is the most urgent.
+	Attempts         int     `json:"attempts,omitempty"` // the job fails once a task has failed this often.
+	ObjectiveFactor  float64 `json:"stretch,omitempty"`  // objective as a multiple of the longest chain of steps.
+	ObjectiveExtraMs int64   `json:"aimMs,omitempty"`    // added to the objective.
+	Spec             string  `json:"spec,omitempty"`
+	Steps            []Step  `json:"steps"`
+	FirstMs          int64   `json:"firstMs,omitempty"` // Unix time in ms of the first round.
+	EveryMs          int64   `json:"everyMs,omitempty"`
+	Rounds           int     `json:"rounds,omitempty"` // 0 for a job that runs once, immediately.
+	TicketMs         int64   `json:"ticketMs,omitempty"`
+	Advised          bool    `json:"advised,omitempty"` // a task may start only on a worker that has a ticket for its step.
 }
 
 // FieldError reports a field of a submission whose value is not allowed.
--- a/fleet/batch/large_tasks_test.go
+++ b/fleet/batch/large_tasks_test.go
@@ -25,7 +25,7 @@
 		if w.now%200 == 0 {
 			for range 4 * workers {
 				n++
-				w.submit(batch.Job{ID: jobID(n), Queue: "q", Service: "s", Priority: 1, Stretch: 8, Steps: []batch.Step{
+				w.submit(batch.Job{ID: jobID(n), Queue: "q", Service: "s", Priority: 1, ObjectiveFactor: 8, Steps: []batch.Step{
 					{Count: 2, Size: batch.Size{CPU: 1000, MemMB: 100}, EstimateMs: 400},
 				}})
 			}
@@ -57,20 +57,20 @@
 	})
 	t.Run("beside a lasting task", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", ObjectiveExtraMs: 20_000, Steps: []batch.Step{
 			{Count: 2, Size: batch.Size{CPU: 500, MemMB: 15_900}, EstimateMs: 500, Lasting: true, PerWorker: 1},
 			{Count: 2, Size: batch.Size{CPU: 6000, MemMB: 9000}, EstimateMs: 500},
 		}}), 4)
 	})
 	t.Run("labelled", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(startedUnderLoad(t, 3, map[int][]string{1: {"b", "r1"}}, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, map[int][]string{1: {"b", "r1"}}, batch.Job{ID: jobID(1), Queue: "l", Service: "s", ObjectiveExtraMs: 20_000, Steps: []batch.Step{
 			{Count: 1, Size: large, EstimateMs: 500, Label: "b"},
 		}}), 1)
 	})
 	t.Run("gang", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", AimMs: 20_000, Steps: []batch.Step{
+		is.Equal(startedUnderLoad(t, 3, nil, batch.Job{ID: jobID(1), Queue: "l", Service: "s", ObjectiveExtraMs: 20_000, Steps: []batch.Step{
 			{Count: 3, Size: large, EstimateMs: 500, Gang: true},
 		}}), 3)
 	})
--- a/fleet/batch/orders_test.go
+++ b/fleet/batch/orders_test.go
@@ -24,7 +24,7 @@
 	m.Update(1000, batch.WorkersMsg{All: true, Set: set})
 	m.Update(1000, batch.LoadedMsg{})
 	j := plainJob(1)
-	j.AimMs = 60_000
+	j.ObjectiveExtraMs = 60_000
 	m.Update(1000, batch.SubmitMsg{Ref: 1, Job: j})
 	firstOrderAt := map[string]int64{}
 	for now := int64(1000); now < 9_000; now += 10 {
--- a/fleet/batch/simulation_test.go
+++ b/fleet/batch/simulation_test.go
@@ -474,7 +474,7 @@
 // plainJob returns a job of two steps.
 func plainJob(n int) batch.Job {
 	return batch.Job{
-		ID: jobID(n), Queue: "q" + strconv.Itoa(n%2), Service: "s", Attempts: 4, Stretch: 1.6, AimMs: 600,
+		ID: jobID(n), Queue: "q" + strconv.Itoa(n%2), Service: "s", Attempts: 4, ObjectiveFactor: 1.6, ObjectiveExtraMs: 600,
 		Steps: []batch.Step{
 			{Count: 4, Size: batch.Size{CPU: 1000, MemMB: 500}, EstimateMs: 600},
 			{Count: 3, Size: batch.Size{CPU: 1500, MemMB: 500}, EstimateMs: 600, After: []int{0}, Checkpoints: true},
--- a/fleet/batch/submit.go
+++ b/fleet/batch/submit.go
@@ -4,10 +4,10 @@
 
 // Limits and defaults of admission. Times in milliseconds.
 const (
-	maxLateFactor  = 3.0    // a job that ends after this multiple of its objective is of no use to its caller.
-	minRetryMs     = 200    // shortest retry delay for a refused caller.
-	maxRetryMs     = 10_000 // longest retry delay for a refused caller.
-	defaultStretch = 1.6    // objective as a multiple of the longest chain of steps, for jobs that set none.
+	maxLateFactor          = 3.0    // a job that ends after this multiple of its objective is of no use to its caller.
+	minRetryMs             = 200    // shortest retry delay for a refused caller.
+	maxRetryMs             = 10_000 // longest retry delay for a refused caller.
+	defaultObjectiveFactor = 1.6    // objective as a multiple of the longest chain of steps, for jobs that set none.
 )
 
 // submit accepts a job, or refuses it at once if it cannot be done in time.
@@ -62,11 +62,11 @@
 // objectiveMs returns the time in ms from submission within which the job must end to have its full value, as far as
 // its run times are known.
 func (m *Model) objectiveMs(j *job) int64 {
-	s := j.Stretch
+	s := j.ObjectiveFactor
 	if s <= 0 {
-		s = defaultStretch
+		s = defaultObjectiveFactor
 	}
-	return int64(s*m.chainMs(j)) + j.AimMs
+	return int64(s*m.chainMs(j)) + j.ObjectiveExtraMs
 }
 
 // chainMs returns the expected run time in ms of the longest chain of steps.
--- a/node/front/front.go
+++ b/node/front/front.go
@@ -207,7 +207,7 @@
 		return f.refuse(fasthttp.StatusBadRequest, err.Error(), 0)
 	}
 	j.ID, j.Queue, j.Service, j.Priority, j.Attempts = id, q.Name, q.Service, q.Priority, q.Attempts
-	j.Stretch, j.AimMs, j.Advised = q.ObjectiveFactor, q.ObjectiveExtraMs, q.Advice != nil
+	j.ObjectiveFactor, j.ObjectiveExtraMs, j.Advised = q.ObjectiveFactor, q.ObjectiveExtraMs, q.Advice != nil
 	if err := j.Validate(); err != nil {
 		return f.refuse(fasthttp.StatusBadRequest, err.Error(), 0)
 	}
